--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,8 @@
 	.venv/bin/python -m unittest discover -s tests -t . -v
 
 lint: build
-	.venv/bin/python -m pip -q install ruff==0.17.6
+	.venv/bin/python -m pip -q install -r requirements-dev.txt
+	.venv/bin/python -m ruff format --check .
 	.venv/bin/python -m ruff check .
 
 run: build
--- a/experiments/admission/floods.py
+++ b/experiments/admission/floods.py
@@ -23,9 +23,9 @@
 from pierglade.load import plan, run  # noqa: E402
 
 RATE, EXPECTED_MS = 150, 250
-HELD = 1200             # connections that a flood tries to hold
-TRICKLERS = 5000        # addresses, each with a request a second at the most
-FLOODERS = 2            # processes
+HELD = 1200  # connections that a flood tries to hold
+TRICKLERS = 5000  # addresses, each with a request a second at the most
+FLOODERS = 2  # processes
 GET = b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s\r\nX-Expires-In-Ms: 1000\r\n\r\n"
 NODE = """
 [node]
@@ -51,8 +51,14 @@
 known = ["127.0.0.1/32"]
 reserve = 0.4
 """
-FLEET = {"kind": [{"cores": 0}], "place": [{"count": 4}], "connections": 2000, "body_bytes": 100000,
-         "offering": [{"name": "look", "work_ms": 10, "spread": "fixed"}], "seconds": 600}
+FLEET = {
+    "kind": [{"cores": 0}],
+    "place": [{"count": 4}],
+    "connections": 2000,
+    "body_bytes": 100000,
+    "offering": [{"name": "look", "work_ms": 10, "spread": "fixed"}],
+    "seconds": 600,
+}
 
 
 class Flooder:
@@ -106,7 +112,9 @@
             while True:
                 writer.write(GET % self.id())
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
-                await reader.readexactly(int(head.partition(b"content-length: ")[2].split(b"\r\n")[0]))
+                await reader.readexactly(
+                    int(head.partition(b"content-length: ")[2].split(b"\r\n")[0])
+                )
                 if b"connection: close" in head:
                     return
         finally:
@@ -142,22 +150,34 @@
         fleet = children.start("fleet", "pierglade.cli", "fleet", file.name, "--with-parent")
         management = free_port()
         with open(children.path("node.toml"), "w") as file:
-            file.write(NODE.format(management=management, discovery=fleet["discovery"])
-                       + (CAPS if capped else ""))
-        node = children.start_logged("node", ["-m", "pierglade.cli", "serve", file.name, "--with-parent"],
-                                     children.path("node.log"))
+            file.write(
+                NODE.format(management=management, discovery=fleet["discovery"])
+                + (CAPS if capped else "")
+            )
+        node = children.start_logged(
+            "node",
+            ["-m", "pierglade.cli", "serve", file.name, "--with-parent"],
+            children.path("node.log"),
+        )
         time.sleep(1.0)
         until = time.monotonic() + seconds + 1
-        flooders = [multiprocessing.Process(target=flood, args=(kind, node["listen"], until, number))
-                    for number in range(FLOODERS if kind else 0)]
+        flooders = [
+            multiprocessing.Process(target=flood, args=(kind, node["listen"], until, number))
+            for number in range(FLOODERS if kind else 0)
+        ]
         for each in flooders:
             each.start()
         time.sleep(1.0)
-        load = run.Load(node["listen"], "/look/x", plan.moments(
-            [plan.Shape(rate=RATE, seconds=seconds)], "even", 1), patience_s=1.0,
-            ledger=children.path("clients.jsonl"))
+        load = run.Load(
+            node["listen"],
+            "/look/x",
+            plan.moments([plan.Shape(rate=RATE, seconds=seconds)], "even", 1),
+            patience_s=1.0,
+            ledger=children.path("clients.jsonl"),
+        )
         tally = run.play(load)
         from pierglade.cli.admission import told_by
+
         told = told_by(f"127.0.0.1:{management}")
         memory = psutil.Process(children.running["node"][0].pid).memory_info().rss / 1e6
         for each in flooders:
@@ -171,16 +191,27 @@
                 elif row["event"] == "answer" and row["status"] == 200:
                     good += row["t_ms"] - sent[row["id"]] <= EXPECTED_MS
         summary = tally.summary()
-        return good / max(1, len(sent)), summary["latency_ms"]["p99"], summary["statuses"], told, memory
+        return (
+            good / max(1, len(sent)),
+            summary["latency_ms"]["p99"],
+            summary["statuses"],
+            told,
+            memory,
+        )
 
 
 def main(seconds="6"):
-    print(f"{'flood':10} {'caps':5} {'in time':>8} {'p99 ms':>8} {'clients':>8} {'rows':>6} {'MB':>6}  answers")
+    print(
+        f"{'flood':10} {'caps':5} {'in time':>8} {'p99 ms':>8} {'clients':>8} {'rows':>6} {'MB':>6}  answers"
+    )
     for kind in ("", "connects", "halves", "wholes", "slows", "trickles"):
         for capped in (False, True):
             share, p99, statuses, told, memory = one(kind, capped, float(seconds))
-            print(f"{kind or 'none':10} {'yes' if capped else 'no':5} {share:8.3f} {p99:8.1f} "
-                  f"{told['clients']:8} {len(told['top']):6} {memory:6.1f}  {statuses}", flush=True)
+            print(
+                f"{kind or 'none':10} {'yes' if capped else 'no':5} {share:8.3f} {p99:8.1f} "
+                f"{told['clients']:8} {len(told['top']):6} {memory:6.1f}  {statuses}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/experiments/capacity/beside.py
+++ b/experiments/capacity/beside.py
@@ -21,9 +21,9 @@
 import slopes  # noqa: E402 - beside this file
 
 RATE, ANSWER_S, LIMIT_MS = 236, 0.02, 900
-STRAIGHT = 4            # one request in so many more goes straight to the backend
-SECONDS, CHANGES = 12, (4, 6, 8, 10)    # s after the beginning
-BEFORE, AFTER = 0.02, 1.0               # s around a change that count as beside it
+STRAIGHT = 4  # one request in so many more goes straight to the backend
+SECONDS, CHANGES = 12, (4, 6, 8, 10)  # s after the beginning
+BEFORE, AFTER = 0.02, 1.0  # s around a change that count as beside it
 
 
 async def backend():
@@ -54,10 +54,16 @@
     async def ask(self, number):
         began = time.perf_counter()
         try:
-            connection = self.free.pop() if self.free else await asyncio.open_connection(self.host, self.port)
+            connection = (
+                self.free.pop()
+                if self.free
+                else await asyncio.open_connection(self.host, self.port)
+            )
             reader, writer = connection
-            writer.write(b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t%d\r\nX-Customer: tenant-%d\r\n"
-                         b"X-Expires-In-Ms: %d\r\n\r\n" % (number, number * 37 % slopes.TENANTS, LIMIT_MS))
+            writer.write(
+                b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: t%d\r\nX-Customer: tenant-%d\r\n"
+                b"X-Expires-In-Ms: %d\r\n\r\n" % (number, number * 37 % slopes.TENANTS, LIMIT_MS)
+            )
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
             await reader.readexactly(int(head.split(b"content-length:")[1].split()[0]))
         except (OSError, IndexError, asyncio.IncompleteReadError) as fault:
@@ -70,8 +76,12 @@
 
     def told(self, within):
         took = sorted(ms for began, ms, _ in self.rows if within(began))
-        return {"count": len(took), "p50_ms": round(took[len(took) // 2], 2),
-                "p99_ms": round(took[len(took) * 99 // 100], 2), "worst_ms": round(took[-1], 2)}
+        return {
+            "count": len(took),
+            "p50_ms": round(took[len(took) // 2], 2),
+            "p99_ms": round(took[len(took) * 99 // 100], 2),
+            "worst_ms": round(took[-1], 2),
+        }
 
 
 async def send(through, straight, change):
@@ -91,10 +101,14 @@
 
 
 def play():
-    behind = subprocess.Popen([sys.executable, __file__, "backend"], stdout=subprocess.PIPE, text=True)
+    behind = subprocess.Popen(
+        [sys.executable, __file__, "backend"], stdout=subprocess.PIPE, text=True
+    )
     address, listen = behind.stdout.readline().strip(), slopes.free_address()
     agent = slopes.Agent(slopes.BACKENDS, address)
-    document = slopes.document_of(slopes.TENANTS, slopes.NODES, listen=listen, discovery=agent.address)
+    document = slopes.document_of(
+        slopes.TENANTS, slopes.NODES, listen=listen, discovery=agent.address
+    )
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "n1.json")
         # Made beforehand: what it takes to write a file of 2 MB must not hold up who sends.
@@ -103,8 +117,12 @@
             document["settings"]["customers"][at]["quotaPerS"] += 1
             slopes.write(f"{path}.{at}", document)
         with open(os.path.join(folder, "log"), "w") as log:
-            node = subprocess.Popen([sys.executable, "-m", "pierglade"], stdout=log, cwd=slopes.ROOT,
-                                    env={**os.environ, "BALANCER_CONFIG": path})
+            node = subprocess.Popen(
+                [sys.executable, "-m", "pierglade"],
+                stdout=log,
+                cwd=slopes.ROOT,
+                env={**os.environ, "BALANCER_CONFIG": path},
+            )
 
         def change(at):
             os.replace(f"{path}.{at}", path)
@@ -128,14 +146,21 @@
     for name, client in (("through", through), ("straight", straight)):
         found[name] = {
             "calm": client.told(lambda at: began + 1 <= at < moments[0] - BEFORE),
-            "beside changes": client.told(lambda at: any(m - BEFORE <= at < m + AFTER for m in moments)),
-            "statuses": sorted({status for *_, status in client.rows}), "faults": len(client.faults)}
+            "beside changes": client.told(
+                lambda at: any(m - BEFORE <= at < m + AFTER for m in moments)
+            ),
+            "statuses": sorted({status for *_, status in client.rows}),
+            "faults": len(client.faults),
+        }
     return found
 
 
 def main(out, plays=3):
-    result = {"commit": slopes.commit(), "began": time.strftime("%H:%M:%S"),
-              "plays": [play() for _ in range(int(plays))]}
+    result = {
+        "commit": slopes.commit(),
+        "began": time.strftime("%H:%M:%S"),
+        "plays": [play() for _ in range(int(plays))],
+    }
     pathlib.Path(out).write_text(json.dumps(result, indent=1) + "\n")
     for one in result["plays"]:
         print(json.dumps(one))
--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -29,14 +29,14 @@
 
 import orjson  # noqa: E402 - the checkout that this file stands in
 
-TENANTS, BACKENDS, NODES, RATE = 47000, 6800, 720, 170000     # the target
+TENANTS, BACKENDS, NODES, RATE = 47000, 6800, 720, 170000  # the target
 LEAST = {"tenants": 100, "backends": 32, "nodes": 5}
-PARTS = (8, 4, 2, 1)            # an axis is played at an eighth, a quarter, a half and the whole
-NOW, GAP, TOOK = 10**9, 42, 200     # tenths of a ms: the start, between requests (236/s), each answer
+PARTS = (8, 4, 2, 1)  # an axis is played at an eighth, a quarter, a half and the whole
+NOW, GAP, TOOK = 10**9, 42, 200  # tenths of a ms: the start, between requests (236/s), each answer
 CHANGES, REQUESTS, RELOADS = 50, 3000, 5
-IDLE_S = 10                     # s; how long a whole process is watched with nothing to do
+IDLE_S = 10  # s; how long a whole process is watched with nothing to do
 READ_MOST = 65536
-UNLIKE = 0.6180339887           # shares from half of the mean to one and a half, no two neighbours alike
+UNLIKE = 0.6180339887  # shares from half of the mean to one and a half, no two neighbours alike
 
 
 def rows():
@@ -50,19 +50,43 @@
 
 def settings_of(tenants, nodes):
     example = json.loads((ROOT / "deploy" / "example.json").read_text())["settings"]
-    return dict(example, siblings=nodes, me=3, customers=[
-        {"name": f"tenant-{i}", "quotaPerS": round(RATE / tenants * (0.5 + i * UNLIKE % 1), 2)}
-        for i in range(tenants)])
+    return dict(
+        example,
+        siblings=nodes,
+        me=3,
+        customers=[
+            {"name": f"tenant-{i}", "quotaPerS": round(RATE / tenants * (0.5 + i * UNLIKE % 1), 2)}
+            for i in range(tenants)
+        ],
+    )
 
 
 def endpoints_of(backends, address="127.0.0.1:9001"):
-    return [{"name": f"svc-{i % 210}-b{i}", "address": address, "zone": f"z{i % 10}", "type": "m2",
-             "group": i % 4, "status": "SERVING", "weight": 1.0, "since_ms": 0} for i in range(backends)]
+    return [
+        {
+            "name": f"svc-{i % 210}-b{i}",
+            "address": address,
+            "zone": f"z{i % 10}",
+            "type": "m2",
+            "group": i % 4,
+            "status": "SERVING",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for i in range(backends)
+    ]
 
 
 def document_of(tenants, nodes, **others):
-    return {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
-            "limits": {"sockets": 1024, "memory_mb": 192}, "settings": settings_of(tenants, nodes), **others}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 1024, "memory_mb": 192},
+        "settings": settings_of(tenants, nodes),
+        **others,
+    }
 
 
 def write(path, document):
@@ -107,13 +131,18 @@
 
 # One row: the decisions and the settings alone, then the same through the state of a whole node.
 
+
 def play(tenants, backends, nodes):
-    from pierglade import records as r, terms as t
+    from pierglade import records as r
+    from pierglade import terms as t
     from pierglade.choice import Node
+
     found = {}
     document = document_of(tenants, nodes)
     text = orjson.dumps(document["settings"])
-    listed = [r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(backends)]
+    listed = [
+        r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(backends)
+    ]
     del document
     before = memory_mb()
     terms, found["settings_ms"] = cpu_ms(lambda: t.terms_from(orjson.loads(text)))
@@ -139,8 +168,12 @@
         for k in range(REQUESTS):
             now += GAP
             begin = time.process_time()
-            node.taken(now, r.Invocation(k, offering, terms.members[k % tenants], now,
-                                         now + offering.hard_limit))
+            node.taken(
+                now,
+                r.Invocation(
+                    k, offering, terms.members[k % tenants], now, now + offering.hard_limit
+                ),
+            )
             while (decision := node.decide(now)) is not None:
                 if decision[0] == r.SEND:
                     out.append((now + TOOK, decision[1]))
@@ -160,23 +193,25 @@
 def play_state(tenants, backends, nodes):
     """Through the reducer and the file that SIGHUP reads again."""
     import msgspec
+
     from pierglade.__main__ import GARBAGE, place_again, place_from
     from pierglade.net.reducer import Reducer
     from pierglade.net.state import events as ev
+
     try:
         from pierglade.__main__ import steps_again
         from pierglade.change import shares
     except ImportError:
-        shares = None       # before changes by difference
+        shares = None  # before changes by difference
     try:
         from pierglade.change.reading import parsed
     except ImportError:
-        parsed = None       # before lists were read in steps
+        parsed = None  # before lists were read in steps
     found = {}
     document, whole = document_of(tenants, nodes), endpoints_of(backends)
     snapshot = {"index": 1, "snapshot": True, "endpoints": whole}
     drained = {"index": 2, "snapshot": False, "endpoints": [dict(whole[7], status="DRAINING")]}
-    encode = msgspec.json.Encoder().encode      # as the stand-in discovery does
+    encode = msgspec.json.Encoder().encode  # as the stand-in discovery does
     line, found["list_encode_ms"] = cpu_ms(encode, snapshot)
     found["file_bytes"], found["list_bytes"] = len(orjson.dumps(document)), len(line)
     found["difference_bytes"] = len(b"%x\r\n%s\n\r\n" % (len(encode(drained)) + 1, encode(drained)))
@@ -187,7 +222,7 @@
         write(path, document)
         first = place_from(os.environ)
         gc.collect()
-        gc.freeze()     # as a node does; else collections count among the steps
+        gc.freeze()  # as a node does; else collections count among the steps
         gc.set_threshold(GARBAGE, 20, 20)
         reducer = Reducer(first.seed, first.terms, NOW, 1000, first.discovery, first.told)
         _, found["state_list_ms"] = cpu_ms(lambda: reducer.apply(NOW, ev.HEARD, orjson.loads(line)))
@@ -202,13 +237,17 @@
         steps = []
         now += 10000
         again_told = orjson.dumps({**snapshot, "index": now})
-        heard = walked(parsed(again_told), steps) if parsed else timed(steps, orjson.loads, again_told)
+        heard = (
+            walked(parsed(again_told), steps) if parsed else timed(steps, orjson.loads, again_told)
+        )
         timed(steps, reducer.apply, now, ev.HEARD, heard)
         found["list_again_ms"], found["list_again_step_ms"] = sum(steps), max(steps)
         # A zone, one in ten backends, is gone and comes back, each in one message.
         zone = [entry for entry in whole if entry["zone"] == "z3"]
-        for name, other in (("zone_gone_ms", {"status": "DELETED"}),
-                            ("zone_back_ms", {"since_ms": NOW // 10})):
+        for name, other in (
+            ("zone_gone_ms", {"status": "DELETED"}),
+            ("zone_back_ms", {"since_ms": NOW // 10}),
+        ):
             now += 10000
             changed = [{**entry, **other} for entry in zone]
             told = orjson.dumps({"index": now, "snapshot": False, "endpoints": changed})
@@ -224,18 +263,32 @@
             steps = []
             if shares is None:
                 place, ms = cpu_ms(place_again, first)
-                steps.append(ms + cpu_ms(reducer.apply, now, ev.CONFIGURED, place.discovery, place.told,
-                                         place.terms)[1])
+                steps.append(
+                    ms
+                    + cpu_ms(
+                        reducer.apply, now, ev.CONFIGURED, place.discovery, place.told, place.terms
+                    )[1]
+                )
                 return sum(steps), steps[0]
             place = walked(steps_again(first), steps)
             told = walked(shares.steps(reducer.terms.tenants, place.terms.tenants.shares), steps)
-            steps.append(cpu_ms(reducer.apply, now, ev.CONFIGURED, place.discovery, place.told, place.terms,
-                                told)[1])
+            steps.append(
+                cpu_ms(
+                    reducer.apply,
+                    now,
+                    ev.CONFIGURED,
+                    place.discovery,
+                    place.told,
+                    place.terms,
+                    told,
+                )[1]
+            )
             return sum(steps), max(steps)
 
         for name, change in (
-                ("reload", lambda settings: settings["customers"][0].update(quotaPerS=now / 10**9)),
-                ("reload_other", lambda settings: settings["offerings"][0].update(credit=now / 10**9))):
+            ("reload", lambda settings: settings["customers"][0].update(quotaPerS=now / 10**9)),
+            ("reload_other", lambda settings: settings["offerings"][0].update(credit=now / 10**9)),
+        ):
             spans = [reload(change) for _ in range(RELOADS)]
             found[f"{name}_ms"] = sum(ms for ms, _ in spans) / RELOADS
             found[f"{name}_step_ms"] = max(step for _, step in spans)
@@ -244,6 +297,7 @@
 
 # A whole process.
 
+
 class Agent:
     """Answers as discovery does: the whole list, then a watch of heartbeats."""
 
@@ -265,7 +319,9 @@
     def serve(self, sock):
         try:
             if b"follow=1" not in sock.recv(READ_MOST):
-                sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body) + self.body)
+                sock.sendall(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body) + self.body
+                )
                 sock.recv(READ_MOST)
                 return
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -332,7 +388,9 @@
     found = {}
     agent = Agent(backends) if told else None
     listen = free_address()
-    document = document_of(tenants, nodes, listen=listen, discovery=agent.address if told else "127.0.0.1:1")
+    document = document_of(
+        tenants, nodes, listen=listen, discovery=agent.address if told else "127.0.0.1:1"
+    )
     if not told:
         document["known"] = {"index": 1, "snapshot": True, "endpoints": endpoints_of(backends)}
     with tempfile.TemporaryDirectory() as folder:
@@ -340,8 +398,12 @@
         write(path, document)
         with open(os.path.join(folder, "log"), "w") as log:
             began = time.perf_counter()
-            node = subprocess.Popen([sys.executable, "-m", "pierglade"], stdout=log, cwd=ROOT,
-                                    env={**os.environ, "BALANCER_CONFIG": path})
+            node = subprocess.Popen(
+                [sys.executable, "-m", "pierglade"],
+                stdout=log,
+                cwd=ROOT,
+                env={**os.environ, "BALANCER_CONFIG": path},
+            )
         try:
             while not ready(listen):
                 if node.poll() is not None:
@@ -393,27 +455,49 @@
 
 # All rows, and what they say.
 
+
 def commit():
-    return subprocess.run(["git", "describe", "--always", "--dirty", "--exclude=*"], cwd=ROOT, text=True,
-                          capture_output=True).stdout.strip()
+    return subprocess.run(
+        ["git", "describe", "--always", "--dirty", "--exclude=*"],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+    ).stdout.strip()
 
 
 def run(out, plays, *axes):
     """`axes`: only rows of these, and no whole processes."""
-    result = {"commit": commit(), "began": time.strftime("%H:%M:%S"), "load": [os.getloadavg()[0]],
-              "plays": plays, "rows": [], "processes": []}
-    shapes = (("empty", 1, 1), ("tenants", TENANTS, LEAST["backends"]),
-              ("backends", LEAST["tenants"], BACKENDS), ("full", TENANTS, BACKENDS))
+    result = {
+        "commit": commit(),
+        "began": time.strftime("%H:%M:%S"),
+        "load": [os.getloadavg()[0]],
+        "plays": plays,
+        "rows": [],
+        "processes": [],
+    }
+    shapes = (
+        ("empty", 1, 1),
+        ("tenants", TENANTS, LEAST["backends"]),
+        ("backends", LEAST["tenants"], BACKENDS),
+        ("full", TENANTS, BACKENDS),
+    )
     for play_number in range(plays):
         for axis, row in rows():
             if axes and axis not in axes:
                 continue
-            result["rows"].append({"axis": axis, "play": play_number, **row, **child("row", *row.values())})
+            result["rows"].append(
+                {"axis": axis, "play": play_number, **row, **child("row", *row.values())}
+            )
         for told in () if axes else (False, True):
             for shape, tenants, backends in shapes:
                 row = {"shape": shape, "told": told, "tenants": tenants, "backends": backends}
-                result["processes"].append({**row, "play": play_number,
-                                            **child("process", tenants, backends, NODES, int(told))})
+                result["processes"].append(
+                    {
+                        **row,
+                        "play": play_number,
+                        **child("process", tenants, backends, NODES, int(told)),
+                    }
+                )
         result["load"].append(os.getloadavg()[0])
         result["ended"] = time.strftime("%H:%M:%S")
         pathlib.Path(out).write_text(json.dumps(result, indent=1) + "\n")
@@ -439,7 +523,9 @@
     for backends in (LEAST["backends"], BACKENDS):
         ratios = []
         for _ in range(plays):
-            few, all_ = (child("row", tenants, backends, NODES) for tenants in (LEAST["tenants"], TENANTS))
+            few, all_ = (
+                child("row", tenants, backends, NODES) for tenants in (LEAST["tenants"], TENANTS)
+            )
             ratios.append(all_["request_us"] / few["request_us"])
         result[f"{backends} backends"] = [round(ratio, 2) for ratio in sorted(ratios)]
     pathlib.Path(out).write_text(json.dumps(result) + "\n")
@@ -447,24 +533,39 @@
 
 
 def child(kind, *figures):
-    got = subprocess.run([sys.executable, __file__, kind, *map(str, figures)], cwd=ROOT, text=True,
-                         capture_output=True)
+    got = subprocess.run(
+        [sys.executable, __file__, kind, *map(str, figures)],
+        cwd=ROOT,
+        text=True,
+        capture_output=True,
+    )
     if got.returncode:
         return {"failed": got.stderr.strip().splitlines()[-1:] or got.returncode}
     return rounded(json.loads(got.stdout))
 
 
 def rounded(found):
-    return {key: [round(v, 3) for v in value] if isinstance(value, list)
-            else round(value, 4) if isinstance(value, float) else value for key, value in found.items()}
+    return {
+        key: [round(v, 3) for v in value]
+        if isinstance(value, list)
+        else round(value, 4)
+        if isinstance(value, float)
+        else value
+        for key, value in found.items()
+    }
 
 
 def show(paths):
-    from pierglade.scale.fit import fit     # rows need nothing of it, so that they play on earlier commits
+    from pierglade.scale.fit import (
+        fit,
+    )  # rows need nothing of it, so that they play on earlier commits
+
     for path in paths:
         result = json.loads(pathlib.Path(path).read_text())
-        print(f"\n{path}: {result['commit']}, {result['plays']} plays, {result['began']} to "
-              f"{result['ended']}, load {min(result['load']):.0f} to {max(result['load']):.0f}")
+        print(
+            f"\n{path}: {result['commit']}, {result['plays']} plays, {result['began']} to "
+            f"{result['ended']}, load {min(result['load']):.0f} to {max(result['load']):.0f}"
+        )
         good = [row for row in result["rows"] if "failed" not in row]
         for row in result["rows"] + result["processes"]:
             if "failed" in row:
@@ -476,13 +577,22 @@
                     continue
                 xs, ys = zip(*((row[axis], row[name]) for row in good if row["axis"] == axis))
                 one = fit(list(zip(xs, ys)))
-                means = [sum(y for at, y in zip(xs, ys) if at == x) / xs.count(x) for x in sorted(set(xs))]
-                print(f"{name:17} {axis:9}", *(f"{mean:11.4g}" for mean in means),
-                      f"  {one.shape:9} {one.base:.3g} {one.slope:.3g}, power {one.exponent:.2f}, "
-                      f"error {one.error:.0%}")
+                means = [
+                    sum(y for at, y in zip(xs, ys) if at == x) / xs.count(x)
+                    for x in sorted(set(xs))
+                ]
+                print(
+                    f"{name:17} {axis:9}",
+                    *(f"{mean:11.4g}" for mean in means),
+                    f"  {one.shape:9} {one.base:.3g} {one.slope:.3g}, power {one.exponent:.2f}, "
+                    f"error {one.error:.0%}",
+                )
             for axis in ("least", "all"):
                 ys = [row[name] for row in good if row["axis"] == axis]
-                print(f"{name:17} {axis:9}", f"{sum(ys) / len(ys):11.4g}  ({min(ys):.4g} to {max(ys):.4g})")
+                print(
+                    f"{name:17} {axis:9}",
+                    f"{sum(ys) / len(ys):11.4g}  ({min(ys):.4g} to {max(ys):.4g})",
+                )
         print()
         processes = [row for row in result["processes"] if "failed" not in row]
         for told in (False, True):
@@ -490,13 +600,18 @@
                 same = [row for row in processes if row["shape"] == shape and row["told"] == told]
                 if not same:
                     continue
-                means = {key: sum(row[key] for row in same) / len(same) for key in same[0]
-                         if key.endswith(("_mb", "_s", "_core"))}
+                means = {
+                    key: sum(row[key] for row in same) / len(same)
+                    for key in same[0]
+                    if key.endswith(("_mb", "_s", "_core"))
+                }
                 held = [ms for row in same for ms in row["held_ms"]]
-                print(f"{shape:9} {'told' if told else 'file':5}",
-                      *(f"{key} {value:.3g}" for key, value in means.items()),
-                      f"held ms {min(held):.0f} to {max(held):.0f}",
-                      *{row["prober"] for row in same if "prober" in row})
+                print(
+                    f"{shape:9} {'told' if told else 'file':5}",
+                    *(f"{key} {value:.3g}" for key, value in means.items()),
+                    f"held ms {min(held):.0f} to {max(held):.0f}",
+                    *{row["prober"] for row in same if "prober" in row},
+                )
 
 
 def main(kind, *what):
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -17,13 +17,22 @@
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 
 from slopes import (  # noqa: E402 - beside this file
-    BACKENDS, GAP, NODES, NOW, TOOK, commit, endpoints_of, settings_of)
-
-from pierglade import records as r, terms as t  # noqa: E402
+    BACKENDS,
+    GAP,
+    NODES,
+    NOW,
+    TOOK,
+    commit,
+    endpoints_of,
+    settings_of,
+)
+
+from pierglade import records as r  # noqa: E402
+from pierglade import terms as t
 from pierglade.choice import Node  # noqa: E402
 
-TENANTS = 100           # who shares the 170,000 requests/s is no matter here
-AFTER = 600000          # tenths of a ms; a minute after the zone went, it is back
+TENANTS = 100  # who shares the 170,000 requests/s is no matter here
+AFTER = 600000  # tenths of a ms; a minute after the zone went, it is back
 MINUTE, DEAD_FOR = 60, 100  # s a look takes; ms until a connection is refused
 
 
@@ -32,8 +41,11 @@
     node, now = Node(number, replace(terms, number=number), NOW), NOW
     views = []
     zone = [e for e in entries if e.zone == "z3"]
-    for whole, listed in ((True, entries), (False, [replace(e, state=r.GONE) for e in zone]),
-                          (False, [replace(e, started=now + 2 * AFTER) for e in zone])):
+    for whole, listed in (
+        (True, entries),
+        (False, [replace(e, state=r.GONE) for e in zone]),
+        (False, [replace(e, started=now + 2 * AFTER) for e in zone]),
+    ):
         node.listed(now, listed, whole)
         views.append({node.names[b] for b in node.turn})
         now += AFTER
@@ -73,7 +85,9 @@
 
 def main(path, nodes=NODES):
     terms = t.terms_from(settings_of(TENANTS, NODES))
-    entries = [r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(BACKENDS)]
+    entries = [
+        r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(BACKENDS)
+    ]
     names = [e.name for e in entries]
     kept = [e.name for e in entries if e.zone != "z3"]
     seen, sizes, moved = [Counter(), Counter(), Counter()], [], [0, 0]
@@ -85,13 +99,21 @@
         sizes.append(len(views[0]))
         moved[0] += len(views[1] - views[0])
         moved[1] += len(views[2] - views[1])
-    result = {"commit": commit(), "nodes": nodes, "cpu_s": round(time.process_time() - began, 1),
-              "in_view_of_a_node": [min(sizes), max(sizes)],
-              "nodes_that_see_a_backend": spread(seen[0], names),
-              "the_same_without_a_zone": spread(seen[1], kept),
-              "the_same_with_it_back": spread(seen[2], names),
-              "new_in_view_a_node": {"gone": round(moved[0] / nodes, 1), "back": round(moved[1] / nodes, 1)},
-              "dead": dead(terms, entries, False), "dead_with_probes": dead(terms, entries, True)}
+    result = {
+        "commit": commit(),
+        "nodes": nodes,
+        "cpu_s": round(time.process_time() - began, 1),
+        "in_view_of_a_node": [min(sizes), max(sizes)],
+        "nodes_that_see_a_backend": spread(seen[0], names),
+        "the_same_without_a_zone": spread(seen[1], kept),
+        "the_same_with_it_back": spread(seen[2], names),
+        "new_in_view_a_node": {
+            "gone": round(moved[0] / nodes, 1),
+            "back": round(moved[1] / nodes, 1),
+        },
+        "dead": dead(terms, entries, False),
+        "dead_with_probes": dead(terms, entries, True),
+    }
     pathlib.Path(path).write_text(json.dumps(result, indent=1) + "\n")
     print(json.dumps(result, indent=1))
 
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -34,7 +34,7 @@
 from pierglade.choice import COLD_MARGIN, Node  # noqa: E402
 from pierglade.tenants import Tenants  # noqa: E402
 
-SECOND = 10000          # tenths of a millisecond
+SECOND = 10000  # tenths of a millisecond
 TOOK = 500
 WARM_UP, RUSH = 5 * SECOND, 15
 NODES, NS = "5,10,20,30,720", "2,5,30"
@@ -44,6 +44,7 @@
 @dataclass(frozen=True)
 class Cold:
     """What the settings say of cold backends, and the time in which one falls over."""
+
     cold_for: int
     cold_from: float
     tip_multiple: float
@@ -81,14 +82,27 @@
 
 
 STEPS = 20
-SETTINGS = {"mild": Cold(8 * SECOND, 0.4, 3.0, 2 * SECOND), "harsh": Cold(22 * SECOND, 0.13, 2.5, 15000)}
+SETTINGS = {
+    "mild": Cold(8 * SECOND, 0.4, 3.0, 2 * SECOND),
+    "harsh": Cold(22 * SECOND, 0.13, 2.5, 15000),
+}
 
 
 class Fleet:
     """So many nodes, each told of `pace` a second for each backend that tenants may ask for."""
 
-    def __init__(self, nodes, pace, seed, cold, case="told", load=1.0, shares=True,
-                 backends=21, all_cold=False):
+    def __init__(
+        self,
+        nodes,
+        pace,
+        seed,
+        cold,
+        case="told",
+        load=1.0,
+        shares=True,
+        backends=21,
+        all_cold=False,
+    ):
         self.cold, self.case, self.seed, self.nodes = cold, case, seed, []
         self.count, self.load, self.shares, self.all_cold = nodes, load, shares, all_cold
         self.backends, self.asked = backends, pace * backends
@@ -101,10 +115,18 @@
         shares = {"all": self.asked} if self.shares else {}
         return r.Terms(
             offerings=[r.Offering(0, "look", r.HARMLESS, "all", 0, 4000, 10000, 1.0)],
-            tenants=Tenants(shares), number=0 if undivided else number,
-            nodes=1 if undivided else self.count, most_trips=3, may_cancel=True, may_probe=False,
-            retry_after=0, cold_for=self.cold.cold_for, cold_from=self.cold.cold_from,
-            tip_multiple=self.cold.tip_multiple, worst_offering=0.2)
+            tenants=Tenants(shares),
+            number=0 if undivided else number,
+            nodes=1 if undivided else self.count,
+            most_trips=3,
+            may_cancel=True,
+            may_probe=False,
+            retry_after=0,
+            cold_for=self.cold.cold_for,
+            cold_from=self.cold.cold_from,
+            tip_multiple=self.cold.tip_multiple,
+            worst_offering=0.2,
+        )
 
     def at(self, moment, call, *what):
         heappush(self.due, (moment, next(self.order), call, what))
@@ -143,12 +165,15 @@
             return 0.0, self.start + silent
         if self.case == "silence" and 0 <= age < silent + 2 * SECOND:
             return RUSH * self.asked / SECOND, self.start + silent + 2 * SECOND
-        return self.load * self.asked / SECOND, self.start if age < 0 else self.start + self.cold.cold_for
+        return (
+            self.load * self.asked / SECOND,
+            self.start if age < 0 else self.start + self.cold.cold_for,
+        )
 
     def _arrive(self):
         pace, until = self._pace()
         gap = self.chance.expovariate(pace) if pace else until - self.now
-        if self.now + gap >= until:     # what is asked for has no memory: drawn anew from there
+        if self.now + gap >= until:  # what is asked for has no memory: drawn anew from there
             self.at(until, self._arrive)
             return
         self.at(int(self.now + gap) + 1, self._take)
@@ -157,7 +182,10 @@
         number = self.chance.randrange(self.count)
         node = self.nodes[number]
         tenant = node.terms.tenants.of("all", self.now) if self.shares else None
-        node.taken(self.now, r.Invocation(None, node.terms.offerings[0], tenant, self.now, self.now + 10000))
+        node.taken(
+            self.now,
+            r.Invocation(None, node.terms.offerings[0], tenant, self.now, self.now + 10000),
+        )
         self._pull(number)
         self._arrive()
 
@@ -203,15 +231,24 @@
 @click.option("--settings", type=click.Choice(list(SETTINGS)), default="mild", show_default=True)
 @click.option("--load", default=1.0, show_default=True, help="Of what tenants may ask for.")
 @click.option("--backends", type=click.IntRange(1), default=21, show_default=True)
-@click.option("--no-shares", is_flag=True, help="No tenant has a share; nodes go by what they settle.")
+@click.option(
+    "--no-shares", is_flag=True, help="No tenant has a share; nodes go by what they settle."
+)
 @click.option("--jobs", type=click.IntRange(1), default=3, show_default=True)
 def main(seeds, nodes, budgets, cases, settings, load, backends, no_shares, jobs):
     cold = SETTINGS[settings]
-    rows = list(product(cases.split(","), map(float, budgets.split(",")), map(int, nodes.split(","))))
-    work = [(n, first, case, seed, cold, load, not no_shares, backends) for case, first, n in rows
-            for seed in range(1, seeds + 1)]
-    print("| case | nodes | N at first | got, of what is given | last second | worst window: got, N, bound "
-          "| share | strict |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
+    rows = list(
+        product(cases.split(","), map(float, budgets.split(",")), map(int, nodes.split(",")))
+    )
+    work = [
+        (n, first, case, seed, cold, load, not no_shares, backends)
+        for case, first, n in rows
+        for seed in range(1, seeds + 1)
+    ]
+    print(
+        "| case | nodes | N at first | got, of what is given | last second | worst window: got, N, bound "
+        "| share | strict |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
+    )
     with ProcessPoolExecutor(jobs) as pool:
         plays = pool.map(one, work)
         for case, first, n in rows:
@@ -222,8 +259,11 @@
             whole = sum(map(len, got)) / seeds
             last = sum(moment >= end - SECOND for sent in got for moment in sent) / seeds
             given, late = (warm * cold.over(cold.given, since, end) for since in (0, end - SECOND))
-            print(f"| {case} | {n} | {first:g} | {whole:.1f} of {given:.1f} | {last:.1f} of {late:.1f} "
-                  f"| {most}, {allowed:.1f}, {bound(allowed):.1f} | {share:.2f} | {strict:.2f} |", flush=True)
+            print(
+                f"| {case} | {n} | {first:g} | {whole:.1f} of {given:.1f} | {last:.1f} of {late:.1f} "
+                f"| {most}, {allowed:.1f}, {bound(allowed):.1f} | {share:.2f} | {strict:.2f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/experiments/fleet/count.py
+++ b/experiments/fleet/count.py
@@ -10,9 +10,18 @@
 
 import orjson
 
-COLUMNS = ("trips", "trials", "probes", "links opened", "links refused", "no word", "asked again", "bounce",
-           "give up")
-LOST_MOST = 10      # backends that are shown; the worst
+COLUMNS = (
+    "trips",
+    "trials",
+    "probes",
+    "links opened",
+    "links refused",
+    "no word",
+    "asked again",
+    "bounce",
+    "give up",
+)
+LOST_MOST = 10  # backends that are shown; the worst
 
 
 class Unusable(ValueError):
@@ -29,7 +38,7 @@
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             begin = line.find(b'{"')
             if begin < 0:
-                continue    # Not the node's: a shell's or an interpreter's word.
+                continue  # Not the node's: a shell's or an interpreter's word.
             try:
                 event = orjson.loads(line[begin:])
             except ValueError:
@@ -45,7 +54,7 @@
     """Lines to print."""
     begin = found[0]["at_ms"]
     done, started, lost = defaultdict(Counter), Counter(), defaultdict(Counter)
-    heard = defaultdict(dict)       # (backend, state) to node to when
+    heard = defaultdict(dict)  # (backend, state) to node to when
     for event in found:
         second = int((event["at_ms"] - begin) // 1000)
         if event["event"] == "counts":
@@ -64,9 +73,11 @@
     spans = sorted((max(at.values()) - min(at.values()), len(at)) for at in heard.values())
     if spans:
         middle, (longest, _) = spans[len(spans) // 2][0], spans[-1]
-        yield (f"changes of the list: {len(spans)}, heard by {min(n for _, n in spans)} to "
-               f"{max(n for _, n in spans)} nodes; first to last node {middle:.0f} ms in the middle, "
-               f"{longest:.0f} ms at most")
+        yield (
+            f"changes of the list: {len(spans)}, heard by {min(n for _, n in spans)} to "
+            f"{max(n for _, n in spans)} nodes; first to last node {middle:.0f} ms in the middle, "
+            f"{longest:.0f} ms at most"
+        )
     worst = sorted(lost.items(), key=lambda item: (-item[1].total(), item[0]))
     for name, nodes in worst[:LOST_MOST]:
         yield f"lost at {name}: {nodes.total()} trips of {len(nodes)} nodes"
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -24,12 +24,31 @@
 
 NODES, RATE, RESTART_AT, AFTER, EXPECTED_MS = 2, 420, 20, 32, 120
 WINDOWS = (5, 10, 30)
-FLEET = {"kind": [{"name": "quick", "cores": 2}, {"name": "slow", "cores": 2, "speed": 0.35}],
-         "place": [{"kind": "quick", "count": 9}, {"kind": "slow", "count": 3}],
-         "offering": [{"name": "look", "work_ms": 20, "cv": 0.5, "spread": "lognormal", "expected_ms": EXPECTED_MS,
-                       "hard_limit_ms": 1000}],
-         "befall": [{"at_s": 0, "what": "pause", "backends": [f"b{n}" for n in range(6)], "after": 250,
-                     "pause_ms": 400}], "seconds": 600, "seed": 5}
+FLEET = {
+    "kind": [{"name": "quick", "cores": 2}, {"name": "slow", "cores": 2, "speed": 0.35}],
+    "place": [{"kind": "quick", "count": 9}, {"kind": "slow", "count": 3}],
+    "offering": [
+        {
+            "name": "look",
+            "work_ms": 20,
+            "cv": 0.5,
+            "spread": "lognormal",
+            "expected_ms": EXPECTED_MS,
+            "hard_limit_ms": 1000,
+        }
+    ],
+    "befall": [
+        {
+            "at_s": 0,
+            "what": "pause",
+            "backends": [f"b{n}" for n in range(6)],
+            "after": 250,
+            "pause_ms": 400,
+        }
+    ],
+    "seconds": 600,
+    "seed": 5,
+}
 NODE = """
 [node]
 name = "n{number}"
@@ -74,26 +93,56 @@
         fleet = children.start("fleet", "pierglade.cli", "fleet", file.name, "--with-parent")
         folder = children.path("learned")
         os.mkdir(folder)
-        learning = "" if case == "without" else LEARNING.format(
-            folder=folder, half_life=3600 if case == "stale" else 60)
+        learning = (
+            ""
+            if case == "without"
+            else LEARNING.format(folder=folder, half_life=3600 if case == "stale" else 60)
+        )
         ports = [free_port() for _ in range(NODES)]
 
         def start(number, again=""):
             with open(children.path(f"n{number}{again}.toml"), "w") as file:
-                file.write(NODE.format(number=number, nodes=NODES, port=ports[number],
-                                       discovery=fleet["discovery"], expected=EXPECTED_MS, learning=learning))
-            children.start_logged(f"n{number}{again}", ["-m", "pierglade.cli", "serve", file.name, "--with-parent"],
-                                  children.path(f"n{number}{again}.log"))
+                file.write(
+                    NODE.format(
+                        number=number,
+                        nodes=NODES,
+                        port=ports[number],
+                        discovery=fleet["discovery"],
+                        expected=EXPECTED_MS,
+                        learning=learning,
+                    )
+                )
+            children.start_logged(
+                f"n{number}{again}",
+                ["-m", "pierglade.cli", "serve", file.name, "--with-parent"],
+                children.path(f"n{number}{again}.log"),
+            )
 
         for number in range(NODES):
             start(number)
         time.sleep(1.0)
         begins = time.monotonic() + 0.5
         ledgers = [children.path(f"clients-{number}") for number in range(NODES)]
-        crew = run.Crew([(run.Load(f"127.0.0.1:{port}", "/look/x", plan.moments(
-            [plan.Shape(rate=RATE / NODES, seconds=RESTART_AT + AFTER)], "poisson", seed * 10 + number),
-            patience_s=1.0, ledger=ledger), (0, 1))
-            for number, (port, ledger) in enumerate(zip(ports, ledgers))], begins)
+        crew = run.Crew(
+            [
+                (
+                    run.Load(
+                        f"127.0.0.1:{port}",
+                        "/look/x",
+                        plan.moments(
+                            [plan.Shape(rate=RATE / NODES, seconds=RESTART_AT + AFTER)],
+                            "poisson",
+                            seed * 10 + number,
+                        ),
+                        patience_s=1.0,
+                        ledger=ledger,
+                    ),
+                    (0, 1),
+                )
+                for number, (port, ledger) in enumerate(zip(ports, ledgers))
+            ],
+            begins,
+        )
         time.sleep(max(0.0, begins + RESTART_AT - time.monotonic()))
         ahead = time.time() - time.monotonic()
         restarted = time.monotonic()
@@ -129,9 +178,15 @@
         for case, told in cases.items():
             told.append(play(case, 5 + turn))
     for case, told in cases.items():
-        print(f"{case:10} " + "; ".join(
-            f"{span} s {statistics.median(t[span] for t in told):.4f} "
-            f"({min(t[span] for t in told):.4f} to {max(t[span] for t in told):.4f})" for span in WINDOWS), flush=True)
+        print(
+            f"{case:10} "
+            + "; ".join(
+                f"{span} s {statistics.median(t[span] for t in told):.4f} "
+                f"({min(t[span] for t in told):.4f} to {max(t[span] for t in told):.4f})"
+                for span in WINDOWS
+            ),
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -1,6 +1,6 @@
 """What keeping costs: bytes, the loop's time to gather, the thread's to write, at 10, 100 and 1,000 backends.
 
-    .venv/bin/python experiments/learned/size.py
+.venv/bin/python experiments/learned/size.py
 """
 
 import os
@@ -37,16 +37,30 @@
 
             def gather():
                 offerings, backends, _, entries = desk.reducer.kept(ageing.KEYS, ageing.ROW_KEYS)
-                return form.Snapshot("n1", desk.now, 0, 0.0, offerings, {
-                    name: form.Backend(*told) for name, told in backends.items()}, 1, entries)
+                return form.Snapshot(
+                    "n1",
+                    desk.now,
+                    0,
+                    0.0,
+                    offerings,
+                    {name: form.Backend(*told) for name, told in backends.items()},
+                    1,
+                    entries,
+                )
 
             one = gather()
             data = form.encode(one)
             folder.write(data)
-            rows = (middle(gather), middle(lambda: folder.write(form.encode(one))), middle(folder.read),
-                    middle(lambda: desk.reducer.remember(one, 600000)))
-        print(f"{count:8} {len(data):8}  {rows[0][0]:8.2f} ({rows[0][1]:.2f})  {rows[1][0]:8.2f} "
-              f"({rows[1][1]:.2f})  {rows[2][0]:7.2f}  {rows[3][0]:11.2f}")
+            rows = (
+                middle(gather),
+                middle(lambda: folder.write(form.encode(one))),
+                middle(folder.read),
+                middle(lambda: desk.reducer.remember(one, 600000)),
+            )
+        print(
+            f"{count:8} {len(data):8}  {rows[0][0]:8.2f} ({rows[0][1]:.2f})  {rows[1][0]:8.2f} "
+            f"({rows[1][1]:.2f})  {rows[2][0]:7.2f}  {rows[3][0]:11.2f}"
+        )
 
 
 if __name__ == "__main__":
--- a/experiments/limit/fast.py
+++ b/experiments/limit/fast.py
@@ -21,9 +21,9 @@
 from gevent import socket
 from gevent.queue import LifoQueue
 
-READY_WITHIN = 10.0     # s; a node is ready in a fraction of one
-WARM = 1.0              # s; opening connections is no part of what is measured
-LEFT = 3.0              # s; what is still owed after the last request
+READY_WITHIN = 10.0  # s; a node is ready in a fraction of one
+WARM = 1.0  # s; opening connections is no part of what is measured
+LEFT = 3.0  # s; what is still owed after the last request
 
 
 def serve(answer_s, pipe):
@@ -42,7 +42,7 @@
             elif answer_s:
                 until = time.perf_counter() + answer_s
                 while time.perf_counter() < until:
-                    pass    # The loop's timers are too coarse for less than a millisecond.
+                    pass  # The loop's timers are too coarse for less than a millisecond.
             link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
     while True:
@@ -55,8 +55,9 @@
     started = []
     for _ in range(count):
         reads, writes = os.pipe()
-        process = subprocess.Popen([sys.executable, __file__, "--backend", str(answer_s), str(writes)],
-                                   pass_fds=(writes,))
+        process = subprocess.Popen(
+            [sys.executable, __file__, "--backend", str(answer_s), str(writes)], pass_fds=(writes,)
+        )
         os.close(writes)
         with os.fdopen(reads) as file:
             started.append((process, int(file.readline())))
@@ -65,29 +66,66 @@
 
 def configured(ports, listen, expected_ms):
     settings = {
-        "offerings": [{"name": "look", "idempotency": "free", "expectedTimeUs": expected_ms * 1000,
-                       "hardLimitUs": expected_ms * 3000, "credit": 1}],
-        "customers": [], "limits": {"mostTrips": 3, "mayCancel": True, "probes": True},
+        "offerings": [
+            {
+                "name": "look",
+                "idempotency": "free",
+                "expectedTimeUs": expected_ms * 1000,
+                "hardLimitUs": expected_ms * 3000,
+                "credit": 1,
+            }
+        ],
+        "customers": [],
+        "limits": {"mostTrips": 3, "mayCancel": True, "probes": True},
         "contract": {"drainGraceUs": 500000, "coldUs": 1000, "startCapacity": 1, "tipMultiple": 3},
-        "siblings": 1, "me": 0}
-    known = {"index": 1, "snapshot": True, "endpoints": [
-        {"name": f"b{n}", "address": f"127.0.0.1:{port}", "zone": "z", "group": 0, "status": "SERVING",
-         "weight": 1.0, "since_ms": 0} for n, port in enumerate(ports)]}
-    return {"name": "n", "listen": f"127.0.0.1:{listen}", "discovery": "127.0.0.1:1", "seed": "1",
-            "limits": {"sockets": 4096}, "known": known, "settings": settings}
+        "siblings": 1,
+        "me": 0,
+    }
+    known = {
+        "index": 1,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": f"b{n}",
+                "address": f"127.0.0.1:{port}",
+                "zone": "z",
+                "group": 0,
+                "status": "SERVING",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+            for n, port in enumerate(ports)
+        ],
+    }
+    return {
+        "name": "n",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": "127.0.0.1:1",
+        "seed": "1",
+        "limits": {"sockets": 4096},
+        "known": known,
+        "settings": settings,
+    }
 
 
 class Clients:
     def __init__(self, port):
         self.port, self.idle, self.count = port, LifoQueue(), 0
-        self.took, self.service, self.statuses = [], [], {}     # from planned and from sent, in seconds
+        self.took, self.service, self.statuses = (
+            [],
+            [],
+            {},
+        )  # from planned and from sent, in seconds
 
     def ask(self, planned):
         self.count += 1
-        number, link = self.count, None     # another one may be counted before this one is sent
+        number, link = self.count, None  # another one may be counted before this one is sent
         try:
-            link = self.idle.get_nowait() if not self.idle.empty() else socket.create_connection(
-                ("127.0.0.1", self.port))
+            link = (
+                self.idle.get_nowait()
+                if not self.idle.empty()
+                else socket.create_connection(("127.0.0.1", self.port))
+            )
             link.settimeout(10)
             sent = time.perf_counter()
             link.sendall(b"GET /look/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: t%d\r\n\r\n" % number)
@@ -125,6 +163,7 @@
         def one():
             while (now := time.perf_counter()) < end:
                 self.ask(now if now > warm else None)
+
         gevent.joinall([gevent.spawn(one) for _ in range(kept)], timeout=seconds + LEFT)
 
 
@@ -137,12 +176,21 @@
 @click.command()
 @click.option("--answer-ms", type=click.FloatRange(0, 10000), default=1.0, show_default=True)
 @click.option("--backends", "count", type=click.IntRange(1, 64), default=4, show_default=True)
-@click.option("--rate", type=click.FloatRange(0, 50000), default=600.0, show_default=True,
-              help="Requests a second; 0 with --kept.")
-@click.option("--kept", type=click.IntRange(0, 5000), default=0, help="Clients that ask again at once.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(0, 50000),
+    default=600.0,
+    show_default=True,
+    help="Requests a second; 0 with --kept.",
+)
+@click.option(
+    "--kept", type=click.IntRange(0, 5000), default=0, help="Clients that ask again at once."
+)
 @click.option("--seconds", type=click.FloatRange(2, 600), default=10.0, show_default=True)
 @click.option("--expected-ms", type=click.IntRange(1, 60000), default=400, show_default=True)
-@click.option("--tree", default=".", type=click.Path(exists=True), help="The build whose node is started.")
+@click.option(
+    "--tree", default=".", type=click.Path(exists=True), help="The build whose node is started."
+)
 def main(answer_ms, count, rate, kept, seconds, expected_ms, tree):
     """Plays a load on a node before stand-in backends, and prints what came back."""
     fleet, node = [], None
@@ -154,8 +202,12 @@
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(configured([port for _, port in fleet], listen, expected_ms), file)
             file.flush()
-            node = subprocess.Popen([sys.executable, "-m", "pierglade"], cwd=tree, stdout=subprocess.DEVNULL,
-                                    env={**os.environ, "BALANCER_CONFIG": file.name})
+            node = subprocess.Popen(
+                [sys.executable, "-m", "pierglade"],
+                cwd=tree,
+                stdout=subprocess.DEVNULL,
+                env={**os.environ, "BALANCER_CONFIG": file.name},
+            )
             until = time.monotonic() + READY_WITHIN
             while time.monotonic() < until and node.poll() is None:
                 try:
@@ -167,12 +219,26 @@
             late = clients.keep(kept, seconds) if kept else clients.play(rate, seconds, 1)
             used = (cpu(node.pid) - before) / (time.perf_counter() - began)
         took, service = np.array(clients.took) * 1000, np.array(clients.service) * 1000
-        print(json.dumps({
-            "answer_ms": answer_ms, "backends": count, "rate": rate, "kept": kept, "answered": len(took),
-            "statuses": clients.statuses, "per_s": round(len(took) / (seconds - WARM), 1),
-            **{f"p{p:g}_ms": round(float(np.percentile(took, p)), 2) for p in (50, 99, 99.9)},
-            "service_p99_ms": round(float(np.percentile(service, 99)), 2), "node_cpu": round(used, 2),
-            "sent_late_ms": round((late or 0) * 1000, 1)}))
+        print(
+            json.dumps(
+                {
+                    "answer_ms": answer_ms,
+                    "backends": count,
+                    "rate": rate,
+                    "kept": kept,
+                    "answered": len(took),
+                    "statuses": clients.statuses,
+                    "per_s": round(len(took) / (seconds - WARM), 1),
+                    **{
+                        f"p{p:g}_ms": round(float(np.percentile(took, p)), 2)
+                        for p in (50, 99, 99.9)
+                    },
+                    "service_p99_ms": round(float(np.percentile(service, 99)), 2),
+                    "node_cpu": round(used, 2),
+                    "sent_late_ms": round((late or 0) * 1000, 1),
+                }
+            )
+        )
     finally:
         for process in [node, *(process for process, _ in fleet)]:
             if process is not None:
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -25,12 +25,15 @@
 from pierglade.lab import plan, world  # noqa: E402 - the checkout that this file stands in
 from pierglade.lab.backend import Backend  # noqa: E402
 
-RATE, BACKENDS, ASKED = 810.0, 32, 950.0    # requests a second; the same that tenants may ask for
-EVERY = 127         # answers from one pause to the next where pauses come by work: 5 s of a backend's part
+RATE, BACKENDS, ASKED = 810.0, 32, 950.0  # requests a second; the same that tenants may ask for
+EVERY = 127  # answers from one pause to the next where pauses come by work: 5 s of a backend's part
 PLAN = {
     "fleet": {"kind": [{"count": BACKENDS, "cores": 2}]},
-    "offering": [{"name": "look", "work_ms": 30, "spread": "exp", "expected_ms": 150, "hard_limit_ms": 1000}],
-    "load": {"rate": RATE}}
+    "offering": [
+        {"name": "look", "work_ms": 30, "spread": "exp", "expected_ms": 150, "hard_limit_ms": 1000}
+    ],
+    "load": {"rate": RATE},
+}
 POLICIES = ("node", "none", "seer")
 
 
@@ -54,10 +57,12 @@
         self.most = max(self.most, self.inflight())
 
     def _pause(self):
-        if not self.shifted:    # the model's all pause at the same moment, each of these at its own
+        if not self.shifted:  # the model's all pause at the same moment, each of these at its own
             self.shifted = True
             if not self.by_work:
-                self.clock.after(self.number / BACKENDS * self.fleet.pause.every_s * 10000.0, self._pause)
+                self.clock.after(
+                    self.number / BACKENDS * self.fleet.pause.every_s * 10000.0, self._pause
+                )
             return
         if self.clock.now >= self.since:
             self.met += self.inflight()
@@ -96,8 +101,16 @@
     world.Backend, Watched.by_work = Watched, by_work
     fleet = {**PLAN["fleet"], "pause": {"every_s": 5, "for_ms": pause_ms}}
     spread = {"count": nodes, "members_per_s": ASKED}
-    made = plan.made({**PLAN, "fleet": fleet, "nodes": spread, "seed": seed,
-                      "seconds": seconds, "left_out_s": seconds / 2})
+    made = plan.made(
+        {
+            **PLAN,
+            "fleet": fleet,
+            "nodes": spread,
+            "seed": seed,
+            "seconds": seconds,
+            "left_out_s": seconds / 2,
+        }
+    )
     played = world.World(made, policy)
     for backend in played.backends.values():
         backend.since, backend.seats = seconds / 2 * 10000, played.seats
@@ -106,30 +119,50 @@
     asked = summary["per_s"]["asked"]
     view = [len(seat.node.turn) for seat in played.seats if hasattr(seat, "node")]
     return {
-        "in time": summary["per_s"]["in_time"] / asked, "p99": summary["p99_ms"],
+        "in time": summary["per_s"]["in_time"] / asked,
+        "p99": summary["p99_ms"],
         "met": sum(b.met for b in backends) / sum(b.offered for b in backends),
         "forecast": sum(b.forecast for b in backends) / max(1, sum(b.seen for b in backends)),
         "pauses": sum(b.pauses for b in backends),
         "trips": sum(b.offered for b in backends) / asked / seconds * 2,
-        "out": summary["mean_out"] / BACKENDS, "most": max(b.most for b in backends),
-        "view": sum(view) / max(1, len(view)), "broken": summary["broken"]}
+        "out": summary["mean_out"] / BACKENDS,
+        "most": max(b.most for b in backends),
+        "view": sum(view) / max(1, len(view)),
+        "broken": summary["broken"],
+    }
 
 
 @click.command()
 @click.option("--nodes", default="1,4,34,720", show_default=True)
 @click.option("--seeds", type=click.IntRange(1), default=3, show_default=True)
 @click.option("--seconds", type=click.IntRange(20), default=60, show_default=True)
-@click.option("--pause-ms", type=float, default=500.0, show_default=True, help="Every 5 s, each backend.")
+@click.option(
+    "--pause-ms", type=float, default=500.0, show_default=True, help="Every 5 s, each backend."
+)
 @click.option("--by-work", is_flag=True, help=f"Each pauses after {EVERY} answers instead.")
 @click.option("--jobs", type=click.IntRange(1), default=2, show_default=True)
 def main(nodes, seeds, seconds, pause_ms, by_work, jobs):
     counts = list(map(int, nodes.split(",")))
-    rows = [(n, policy) for n, policy in product(counts, POLICIES) if policy != "seer" or n == counts[0]]
-    work = [(n, policy, seed, seconds, pause_ms, by_work)
-            for n, policy in rows for seed in range(1, seeds + 1)]
-    heads = ("nodes", "a node, requests/s", "policy", "in time", "p99 ms", "met a pause",
-             "forecast, of pauses", "trips a request", "trips at a backend, mean and most",
-              "backends in view")
+    rows = [
+        (n, policy) for n, policy in product(counts, POLICIES) if policy != "seer" or n == counts[0]
+    ]
+    work = [
+        (n, policy, seed, seconds, pause_ms, by_work)
+        for n, policy in rows
+        for seed in range(1, seeds + 1)
+    ]
+    heads = (
+        "nodes",
+        "a node, requests/s",
+        "policy",
+        "in time",
+        "p99 ms",
+        "met a pause",
+        "forecast, of pauses",
+        "trips a request",
+        "trips at a backend, mean and most",
+        "backends in view",
+    )
     print("| " + " | ".join(heads) + " |\n" + "| --- " * len(heads) + "|")
     with ProcessPoolExecutor(jobs) as pool:
         plays = pool.map(one, work)
@@ -140,13 +173,17 @@
                 values = sorted(play[key] for play in got)
                 low, high = format(values[0], form), format(values[-1], form)
                 return low if low == high else f"{low} to {high}"
+
             broken = [play["broken"] for play in got if play["broken"]]
             forecast = spread("forecast", ".3f") if policy == "node" else "-"
             view = spread("view", ".1f") if policy == "node" else BACKENDS
-            print(f"| {n} | {RATE / n:.1f} | {policy} | {spread('in time', '.3f')} | {spread('p99', '.0f')} "
-                  f"| {spread('met', '.3f')} | {forecast} | {spread('trips', '.2f')} "
-                  f"| {spread('out', '.2f')}, {max(play['most'] for play in got)} | {view} |"
-                  + (f" rules broken: {broken}" if broken else ""), flush=True)
+            print(
+                f"| {n} | {RATE / n:.1f} | {policy} | {spread('in time', '.3f')} | {spread('p99', '.0f')} "
+                f"| {spread('met', '.3f')} | {forecast} | {spread('trips', '.2f')} "
+                f"| {spread('out', '.2f')}, {max(play['most'] for play in got)} | {view} |"
+                + (f" rules broken: {broken}" if broken else ""),
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -10,14 +10,17 @@
 from pierglade.records import Terms
 from pierglade.terms import Wrong, short_of, terms_from
 
-SOCKETS = 1024      # descriptors; where no limit is told
-MEMORY = 192        # MB; likewise
-GARBAGE = 10000     # objects more than before; next to nothing here is freed by collections, and each costs
+SOCKETS = 1024  # descriptors; where no limit is told
+MEMORY = 192  # MB; likewise
+GARBAGE = (
+    10000  # objects more than before; next to nothing here is freed by collections, and each costs
+)
 
 
 @dataclass(slots=True)
 class Place:
     """What a node is told at its start."""
+
     name: str
     listen: str
     discovery: str
@@ -25,13 +28,13 @@
     sockets: int
     known: dict
     terms: Terms
-    told: dict          # the file itself, without its customers and the list that is known
-    management: str | None = None   # where operators call; None: nowhere
+    told: dict  # the file itself, without its customers and the list that is known
+    management: str | None = None  # where operators call; None: nowhere
     memory_mb: int = MEMORY
-    gives_ids: bool = False     # to requests that bring none
-    caps: object = None         # an admission.gate.Caps; None: anybody may connect
-    keeping: tuple | None = None    # folder, period s, half-life s, most MB; None: nothing is kept
-    log: object = None          # makes the log, of a descriptor and the name; None: the usual one
+    gives_ids: bool = False  # to requests that bring none
+    caps: object = None  # an admission.gate.Caps; None: anybody may connect
+    keeping: tuple | None = None  # folder, period s, half-life s, most MB; None: nothing is kept
+    log: object = None  # makes the log, of a descriptor and the name; None: the usual one
 
 
 class Unusable(ValueError):
@@ -89,14 +92,19 @@
         place = Place(
             name=environ.get("BALANCER_NAME") or told["name"],
             listen=environ.get("BALANCER_LISTEN") or told["listen"],
-            discovery=(environ.get("BALANCER_DISCOVERY")
-                       or (told.get("discovery") if fixed else told["discovery"])),
-            seed=told["seed"], sockets=int(limits.get("sockets") or SOCKETS),
+            discovery=(
+                environ.get("BALANCER_DISCOVERY")
+                or (told.get("discovery") if fixed else told["discovery"])
+            ),
+            seed=told["seed"],
+            sockets=int(limits.get("sockets") or SOCKETS),
             memory_mb=int(limits.get("memory_mb") or MEMORY),
-            known=told.get("known") or {}, terms=terms_from(told["settings"], shares),
+            known=told.get("known") or {},
+            terms=terms_from(told["settings"], shares),
             # Kept for as long as the node runs; what is large of it is known elsewhere.
             told={**told, "known": {}} if told.get("known") is not None else told,
-            management=environ.get("BALANCER_MANAGEMENT") or told.get("management"))
+            management=environ.get("BALANCER_MANAGEMENT") or told.get("management"),
+        )
     except Wrong as fault:
         raise Unusable(f"{path}: {fault}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
@@ -124,7 +132,9 @@
     place = yield from _place_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
     missing = short_of(place.told, first.told)
     if missing:
-        raise Unusable(f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start")
+        raise Unusable(
+            f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start"
+        )
     return place
 
 
@@ -145,18 +155,21 @@
         place = first()
         # Imported late, so that a bad configuration is told with nothing else loaded.
         from pierglade.net.host import Host
+
         try:
             host = Host(place)
         except OSError as fault:
             where = getattr(fault, "filename", None) or place.listen
             raise Unusable(f"cannot listen on {where}: {fault.strerror}") from None
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            raise Unusable(f"the known list cannot be used: {type(fault).__name__}: {fault}") from None
+            raise Unusable(
+                f"the known list cannot be used: {type(fault).__name__}: {fault}"
+            ) from None
     except Unusable as fault:
         print(f"pierglade: {fault}", file=sys.stderr)
         return 2
-    place.known = {}    # The host has what it needs of it.
-    gc.freeze()     # What is loaded stays; collections need not look at it again.
+    place.known = {}  # The host has what it needs of it.
+    gc.freeze()  # What is loaded stays; collections need not look at it again.
     gc.set_threshold(GARBAGE, 20, 20)
     return host.run(lambda: again(place), early)
 
--- a/pierglade/admission/fair.py
+++ b/pierglade/admission/fair.py
@@ -9,17 +9,17 @@
 
 # bytes; what one turn of an address is worth: one request of usual size, with its overhead
 QUANTUM = 2048
-EACH = 1024         # bytes; what a request costs beside its own, as most of its price is not in its bytes
-LATE = 600          # 60 ms in tenths of a ms; as long as the loop may go without a rest (`press.BEHIND`)
+EACH = 1024  # bytes; what a request costs beside its own, as most of its price is not in its bytes
+LATE = 600  # 60 ms in tenths of a ms; as long as the loop may go without a rest (`press.BEHIND`)
 
 
 class Fair:
     """Items by address. Holds as many keys as there are items, no more."""
 
     def __init__(self):
-        self.queues = {}        # address: deque of (when it was put, cost, item)
-        self.saved = {}         # address: what it may spend
-        self.turns = deque()    # addresses, whose turn it is first
+        self.queues = {}  # address: deque of (when it was put, cost, item)
+        self.saved = {}  # address: what it may spend
+        self.turns = deque()  # addresses, whose turn it is first
         self.count = 0
 
     def __len__(self):
--- a/pierglade/admission/gate.py
+++ b/pierglade/admission/gate.py
@@ -12,20 +12,22 @@
 import ipaddress
 from collections import Counter, OrderedDict
 
-ROWS = 16384        # addresses and prefixes with nothing open; at 300 bytes each they are 5 MB
-PENALISED = 4096    # likewise
-BURST = 2.0         # seconds' worth of its rate that an address may use at once, as a page's connections come
-FAULT = 1.0         # points of a request that is none, or that was never whole
-TURNED = 0.1        # points of a connection over a cap: who goes on all the same is no busy client
-BAD = 10.0          # points from which an address is shut out
-FADES = 100000      # 10 s; half of the points are gone after it
-SHUT = 50000        # 5 s; the first time that an address is shut out, then doubled
-SHUT_MOST = 3000000     # 5 min
-FORGIVEN = 6000000      # 10 min without a further one, and the next is as the first
+ROWS = 16384  # addresses and prefixes with nothing open; at 300 bytes each they are 5 MB
+PENALISED = 4096  # likewise
+BURST = (
+    2.0  # seconds' worth of its rate that an address may use at once, as a page's connections come
+)
+FAULT = 1.0  # points of a request that is none, or that was never whole
+TURNED = 0.1  # points of a connection over a cap: who goes on all the same is no busy client
+BAD = 10.0  # points from which an address is shut out
+FADES = 100000  # 10 s; half of the points are gone after it
+SHUT = 50000  # 5 s; the first time that an address is shut out, then doubled
+SHUT_MOST = 3000000  # 5 min
+FORGIVEN = 6000000  # 10 min without a further one, and the next is as the first
 # why one is turned away
 RATE, OPEN, PREFIX, RESERVE, PENALTY = "rate", "open", "prefix", "reserve", "penalty"
 PREFIXES = ("/24", "/48")
-TOLD = 5            # addresses that a line of the log names
+TOLD = 5  # addresses that a line of the log names
 
 
 class Caps:
@@ -37,7 +39,7 @@
     def __init__(self, per_address=0, per_prefix=0, rate_per_address=0.0, known=(), reserve=0.0):
         self.per_address, self.per_prefix, self.rate = per_address, per_prefix, rate_per_address
         self.reserve = reserve
-        self.known = []         # (version, mask, the address under it)
+        self.known = []  # (version, mask, the address under it)
         for text in known:
             try:
                 net = ipaddress.ip_network(text)
@@ -49,12 +51,22 @@
 class Row:
     """What is known of an address or a prefix."""
 
-    __slots__ = ("open", "tokens", "at", "points", "blamed", "until", "times", "turned", "known",
-                 "prefix")
+    __slots__ = (
+        "open",
+        "tokens",
+        "at",
+        "points",
+        "blamed",
+        "until",
+        "times",
+        "turned",
+        "known",
+        "prefix",
+    )
 
     def __init__(self, now):
         self.open = self.times = self.turned = 0
-        self.tokens, self.at = None, now            # of its rate, and when they were counted
+        self.tokens, self.at = None, now  # of its rate, and when they were counted
         self.points, self.blamed, self.until = 0.0, now, 0
         self.known = self.prefix = None
 
@@ -62,12 +74,12 @@
 class Gate:
     def __init__(self, caps):
         self.caps = caps
-        self.rows = {}                      # with something open
-        self.resting = OrderedDict()        # with nothing open, and no penalty
-        self.penalised = OrderedDict()      # with nothing open, and points or a time shut out
-        self.strangers = 0                  # open connections of those that are not known
-        self.why = Counter()                # turned away since it was told last, by reason
-        self.by = Counter()                 # the same by address, of as many as there are rows
+        self.rows = {}  # with something open
+        self.resting = OrderedDict()  # with nothing open, and no penalty
+        self.penalised = OrderedDict()  # with nothing open, and points or a time shut out
+        self.strangers = 0  # open connections of those that are not known
+        self.why = Counter()  # turned away since it was told last, by reason
+        self.by = Counter()  # the same by address, of as many as there are rows
 
     def allow(self, caps):
         """Other caps from now on; what is open stays so."""
@@ -117,8 +129,11 @@
             return RESERVE
         if caps.rate:
             most = max(1.0, BURST * caps.rate)
-            row.tokens = most if row.tokens is None else min(
-                most, row.tokens + caps.rate * (now - row.at) / 10000)
+            row.tokens = (
+                most
+                if row.tokens is None
+                else min(most, row.tokens + caps.rate * (now - row.at) / 10000)
+            )
             row.at = now
             if row.tokens < 1:
                 return RATE
@@ -173,11 +188,23 @@
 
     def top(self, now, most=20):
         """The addresses that were turned away most or are shut out: plain data, worst first."""
-        rows = [(name, row) for rows in (self.rows, self.penalised, self.resting)
-                for name, row in rows.items() if row.turned or row.until > now]
+        rows = [
+            (name, row)
+            for rows in (self.rows, self.penalised, self.resting)
+            for name, row in rows.items()
+            if row.turned or row.until > now
+        ]
         rows.sort(key=lambda pair: (-pair[1].turned, pair[0]))
-        return [{"address": name, "open": row.open, "turned_away": row.turned, "known": bool(row.known),
-                 "shut_out_s": max(0, row.until - now) / 10000} for name, row in rows[:most]]
+        return [
+            {
+                "address": name,
+                "open": row.open,
+                "turned_away": row.turned,
+                "known": bool(row.known),
+                "shut_out_s": max(0, row.until - now) / 10000,
+            }
+            for name, row in rows[:most]
+        ]
 
     # Rows.
 
--- a/pierglade/admission/press.py
+++ b/pierglade/admission/press.py
@@ -11,16 +11,16 @@
 tenths of a millisecond, the bar is the share of what comes that is refused.
 """
 
-STEP = 100          # 10 ms; the bar moves at most once in it
+STEP = 100  # 10 ms; the bar moves at most once in it
 # of the expected time, waited before anything was done: with the way there and back it is late
 HIGH = 0.15
-LOW = 0.06          # likewise, and there is room: between the two the bar stands
+LOW = 0.06  # likewise, and there is room: between the two the bar stands
 # times what is taken, a step; half in 80 ms, a tenth in 0.3 s, as long as clients take to retry
 DOWN = 0.92
-UP = 1.035          # the same once there is room; from a twentieth to all within 0.9 s of a surge's end
-LEAST = 0.005       # of what comes is taken in any case: else nobody could tell whether it would be late
-STEPS_MOST = 200    # steps made up for at once
-FADE = 0.9          # times, a step; of what was seen of each class, so that shares follow within 0.1 s
+UP = 1.035  # the same once there is room; from a twentieth to all within 0.9 s of a surge's end
+LEAST = 0.005  # of what comes is taken in any case: else nobody could tell whether it would be late
+STEPS_MOST = 200  # steps made up for at once
+FADE = 0.9  # times, a step; of what was seen of each class, so that shares follow within 0.1 s
 NEVER = float("inf")
 
 
@@ -37,10 +37,15 @@
         self.bar = 0.0
         order = sorted(set(credits))
         # Of offering, whether it is a second try, and whether its client is known: the class.
-        self.classes = [[[order.index(credit) + len(order) * (first + 2 * known) for known in (False, True)]
-                         for first in (True, False)] for credit in credits]
-        self.seen = [0.0] * (4 * len(order))        # lately, by class
-        self.parts = [0.0] * (4 * len(order))       # of each, what is refused
+        self.classes = [
+            [
+                [order.index(credit) + len(order) * (first + 2 * known) for known in (False, True)]
+                for first in (True, False)
+            ]
+            for credit in credits
+        ]
+        self.seen = [0.0] * (4 * len(order))  # lately, by class
+        self.parts = [0.0] * (4 * len(order))  # of each, what is refused
         self.moved, self.least = None, NEVER
 
     def waits(self, now, share):
@@ -65,9 +70,9 @@
             # once, however long ago: of a pause of its own it knows nothing
             taken = max(LEAST, taken * DOWN)
         elif least < LOW:
-            taken = min(1.0, taken * UP ** steps)
+            taken = min(1.0, taken * UP**steps)
         bar = 1.0 - taken
-        fade = FADE ** steps
+        fade = FADE**steps
         self.seen = [seen * fade for seen in self.seen]
         if bar or self.bar:
             self.bar = bar
@@ -77,7 +82,9 @@
         """What of each class lies under the bar."""
         left = self.bar * sum(self.seen)
         for of, seen in enumerate(self.seen):
-            self.parts[of] = 0.0 if not self.bar else 1.0 if left >= seen > 0 else left / seen if seen else 0.0
+            self.parts[of] = (
+                0.0 if not self.bar else 1.0 if left >= seen > 0 else left / seen if seen else 0.0
+            )
             left = max(0.0, left - seen)
         if self.bar and not any(self.parts):
-            self.parts = [self.bar] * len(self.parts)   # nothing was seen lately: by chance alone
+            self.parts = [self.bar] * len(self.parts)  # nothing was seen lately: by chance alone
--- a/pierglade/audit/ledger.py
+++ b/pierglade/audit/ledger.py
@@ -20,11 +20,13 @@
     def __init__(self, path, most_mb, now_ms):
         """`now_ms()` is the Unix time in ms, of a clock that does not step."""
         self.now_ms, self.most = now_ms, int(most_mb * (1 << 20))
-        self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC) if path else None
+        self.fd = (
+            os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC) if path else None
+        )
         self.encode = msgspec.json.Encoder().encode
         self.lines, self.size, self.written = [], 0, 0
-        self.hole = None        # why it is not whole
-        self.missing = 0        # lines that are not in it
+        self.hole = None  # why it is not whole
+        self.missing = 0  # lines that are not in it
 
     def note(self, event, **more):
         if self.fd is None:
@@ -43,7 +45,9 @@
     def _break(self, why):
         """From here on it has a hole; the line that says so is written, if anything can be."""
         self.hole = why
-        self.lines.append(self.encode({"t_ms": round(self.now_ms(), 1), "event": "hole", "why": why}))
+        self.lines.append(
+            self.encode({"t_ms": round(self.now_ms(), 1), "event": "hole", "why": why})
+        )
 
     def flush(self):
         if self.fd is None or not self.lines:
@@ -51,7 +55,7 @@
         data, lines, self.lines = b"\n".join(self.lines) + b"\n", len(self.lines), []
         try:
             while data:
-                data = data[os.write(self.fd, data):]
+                data = data[os.write(self.fd, data) :]
             self.written += lines
         except OSError as fault:
             # Part of a line may stand there: whoever reads it finds a last line that is cut off.
--- a/pierglade/audit/records.py
+++ b/pierglade/audit/records.py
@@ -8,6 +8,7 @@
 
 class Hole(msgspec.Struct):
     """A part of the records that is missing: the file, the line (0: none) and why."""
+
     path: str
     line: int
     why: str
--- a/pierglade/audit/rules.py
+++ b/pierglade/audit/rules.py
@@ -10,31 +10,36 @@
 from pierglade.audit.records import Hole
 
 RULES = ("one answer", "no effect twice", "drains", "cold", "budget", "left")
-SHOWN = 12      # lines of a timeline
+SHOWN = 12  # lines of a timeline
 SLACK_MS = 50.0
-LEFT_MS, LEFT_SHARE = 300.0, 0.25   # so long after its client left nothing is sent on, but for that share
+LEFT_MS, LEFT_SHARE = (
+    300.0,
+    0.25,
+)  # so long after its client left nothing is sent on, but for that share
 ENDS = frozenset(("ran", "never ran", "error", "dropped", "repeat", "called off"))
 
 
 class Terms(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """What the rules are judged by. `offerings`: name to (repeats, group, window in ms, hard limit in ms)."""
+
     offerings: dict[str, tuple[str, str, float, float]]
-    places: dict[str, tuple[str, int]] = {}     # backend to its zone and cell
+    places: dict[str, tuple[str, int]] = {}  # backend to its zone and cell
     grace_ms: float = 1000.0
-    cold_ms: float = 0.0            # a backend is cold for so long after its start
-    cold_from: float = 1.0          # of what it can do, right after it
+    cold_ms: float = 0.0  # a backend is cold for so long after its start
+    cold_from: float = 1.0  # of what it can do, right after it
     tip_multiple: float = 1.0
-    able_per_s: float = 0.0         # what a warm backend can do, invocations; 0: rule 4 is not judged
-    tip_ms: float = 2000.0          # the window in which a cold one may not be sent more
-    span_ms: float = 0.0            # of the budget of further trips; 0: none is stated
+    able_per_s: float = 0.0  # what a warm backend can do, invocations; 0: rule 4 is not judged
+    tip_ms: float = 2000.0  # the window in which a cold one may not be sent more
+    span_ms: float = 0.0  # of the budget of further trips; 0: none is stated
     most: int = 0
     share: float = 0.0
-    copies: bool = False            # harmless invocations may have two trips out
+    copies: bool = False  # harmless invocations may have two trips out
     slack_ms: float = SLACK_MS
 
 
 class Break(msgspec.Struct):
     """A broken rule: which, whose (an id or a backend), what was seen, and its timeline."""
+
     rule: str
     who: str
     what: str
@@ -53,7 +58,9 @@
 
 
 def _line(row):
-    rest = " ".join(f"{key}={value}" for key, value in row.items() if key not in ("t_ms", "event", "id"))
+    rest = " ".join(
+        f"{key}={value}" for key, value in row.items() if key not in ("t_ms", "event", "id")
+    )
     return f"{row['t_ms']:10.1f} {row['event']} {rest}".rstrip()
 
 
@@ -66,7 +73,8 @@
     def lines(self):
         rows = sorted(self.client + self.backends, key=lambda row: row["t_ms"])
         return [_line(row) for row in rows[:SHOWN]] + (
-            [f"and {len(rows) - SHOWN} lines more"] if len(rows) > SHOWN else [])
+            [f"and {len(rows) - SHOWN} lines more"] if len(rows) > SHOWN else []
+        )
 
 
 def audit(terms, client_rows, backend_rows, holes=()):
@@ -78,10 +86,19 @@
     for row in backend_rows:
         if "id" in row:
             cases[row["id"]].backends.append(row)
-    unknown = [name for name, case in cases.items() if not any(row["event"] == "sent" for row in case.client)]
+    unknown = [
+        name
+        for name, case in cases.items()
+        if not any(row["event"] == "sent" for row in case.client)
+    ]
     if unknown:
-        holes.append(Hole("clients", 0, f"{len(unknown)} ids arrived that no client wrote down, the first "
-                          f"{unknown[0]}"))
+        holes.append(
+            Hole(
+                "clients",
+                0,
+                f"{len(unknown)} ids arrived that no client wrote down, the first {unknown[0]}",
+            )
+        )
     breaks = []
     for name, case in cases.items():
         breaks += _answers(terms, name, case)
@@ -95,9 +112,14 @@
         what = f"sent on {late:.0f} ms after its client left, as were {len(sent_on)} of {waited}"
         breaks.append(Break("left", name, what, cases[name].lines()))
     ran = sum(row["event"] == "ran" for row in backend_rows)
-    counts = {"invocations": len(cases), "arrived": sum(row["event"] == "arrived" for row in backend_rows),
-              "ran": ran, "answers": sum(row["event"] == "answer" for row in client_rows),
-              "left waiting": waited, "sent on": len(sent_on)}
+    counts = {
+        "invocations": len(cases),
+        "arrived": sum(row["event"] == "arrived" for row in backend_rows),
+        "ran": ran,
+        "answers": sum(row["event"] == "answer" for row in client_rows),
+        "left waiting": waited,
+        "sent on": len(sent_on),
+    }
     return Verdict(breaks, holes, counts)
 
 
@@ -116,12 +138,19 @@
         yield Break("one answer", name, "no answer", case.lines())
     if answers and limit and answers[0]["t_ms"] > sent[0]["t_ms"] + limit + terms.slack_ms:
         late = answers[0]["t_ms"] - sent[0]["t_ms"]
-        yield Break("one answer", name, f"answered after {late:.0f} ms of {limit:.0f}", case.lines())
+        yield Break(
+            "one answer", name, f"answered after {late:.0f} ms of {limit:.0f}", case.lines()
+        )
     if answers:
-        after = [row for row in case.backends if row["event"] == "arrived"
-                 and row["t_ms"] > answers[0]["t_ms"] + terms.slack_ms]
+        after = [
+            row
+            for row in case.backends
+            if row["event"] == "arrived" and row["t_ms"] > answers[0]["t_ms"] + terms.slack_ms
+        ]
         if after:
-            yield Break("one answer", name, f"sent to {after[0]['backend']} after its answer", case.lines())
+            yield Break(
+                "one answer", name, f"sent to {after[0]['backend']} after its answer", case.lines()
+            )
 
 
 def _left(cases):
@@ -154,13 +183,18 @@
     if repeats == "one_shot" and len(ran) > 1:
         yield Break("no effect twice", name, f"a one-shot ran {len(ran)} times", case.lines())
     for before, after in zip(trips, trips[1:]):
-        never = any(row["backend"] == before["backend"] and before["t_ms"] <= row["t_ms"] <= after["t_ms"]
-                    + terms.slack_ms for row in clean)
+        never = any(
+            row["backend"] == before["backend"]
+            and before["t_ms"] <= row["t_ms"] <= after["t_ms"] + terms.slack_ms
+            for row in clean
+        )
         if never:
             continue
         if repeats == "one_shot":
             way = f"{before['backend']} was sent to {after['backend']}"
-            yield Break("no effect twice", name, f"a one-shot that may have run at {way}", case.lines())
+            yield Break(
+                "no effect twice", name, f"a one-shot that may have run at {way}", case.lines()
+            )
             return
         if repeats == "stamped":
             first, second = (terms.places.get(row["backend"], ("", 0)) for row in (before, after))
@@ -183,8 +217,14 @@
     for before, after in zip(trips, trips[1:]):
         # Of this trip: one connection may have carried several of them.
         there = before["backend"], before.get("conn")
-        end = min((row["t_ms"] for row in ends if row["t_ms"] >= before["t_ms"]
-                   and (row["backend"], row.get("conn")) == there), default=None)
+        end = min(
+            (
+                row["t_ms"]
+                for row in ends
+                if row["t_ms"] >= before["t_ms"] and (row["backend"], row.get("conn")) == there
+            ),
+            default=None,
+        )
         if end is not None and end > after["t_ms"] + terms.slack_ms:
             what = f"out at {before['backend']} and at {after['backend']} at once"
             yield Break("no effect twice", name, what, case.lines())
@@ -230,7 +270,7 @@
                 times.popleft()
             able = terms.cold_from + (1 - terms.cold_from) * age / terms.cold_ms
             most = terms.tip_multiple * able * terms.able_per_s * terms.tip_ms / 1000
-            if len(times) > most + 2 * most ** 0.5 + 1:     # two standard deviations of chance, and one
+            if len(times) > most + 2 * most**0.5 + 1:  # two standard deviations of chance, and one
                 told.add(name)
                 what = f"{len(times)} arrived within {terms.tip_ms:.0f} ms, over {most:.0f}, at {age:.0f} ms"
                 yield Break("cold", name, what, [_line(row)])
@@ -242,9 +282,11 @@
         return
     nodes = {row["id"]: row.get("node", "") for row in client_rows if row["event"] == "sent"}
     taken, further, seen, told = defaultdict(deque), defaultdict(deque), set(), set()
-    rows = sorted([row for row in client_rows if row["event"] == "sent"]
-                  + [row for row in backend_rows if row["event"] == "arrived" and "id" in row],
-                  key=lambda row: (row["t_ms"], row["event"] != "sent"))
+    rows = sorted(
+        [row for row in client_rows if row["event"] == "sent"]
+        + [row for row in backend_rows if row["event"] == "arrived" and "id" in row],
+        key=lambda row: (row["t_ms"], row["event"] != "sent"),
+    )
     for row in rows:
         node, now = nodes.get(row["id"], ""), row["t_ms"]
         if row["event"] == "sent":
@@ -261,5 +303,10 @@
         most = terms.most + terms.share * (len(taken[node]) + terms.share) + 1
         if len(further[node]) > most and node not in told:
             told.add(node)
-            yield Break("budget", node or "the node", f"{len(further[node])} further trips within "
-                        f"{terms.span_ms:.0f} ms, {most:.1f} are allowed", cases[row["id"]].lines())
+            yield Break(
+                "budget",
+                node or "the node",
+                f"{len(further[node])} further trips within "
+                f"{terms.span_ms:.0f} ms, {most:.1f} are allowed",
+                cases[row["id"]].lines(),
+            )
--- a/pierglade/benchlink/link.py
+++ b/pierglade/benchlink/link.py
@@ -10,8 +10,16 @@
 from pierglade.choice import Node
 from pierglade.terms import down, load_from, terms_from
 
-OUTCOMES = {"success": r.SETTLED, "failure": r.ERROR, "overloaded": r.TURNED_AWAY, "timed_out": r.TIMED_OUT,
-            "unreachable": r.UNREACHABLE, "broken": r.BROKEN, "withdrawn": r.CALLED_OFF, "void": r.NEVER_SENT}
+OUTCOMES = {
+    "success": r.SETTLED,
+    "failure": r.ERROR,
+    "overloaded": r.TURNED_AWAY,
+    "timed_out": r.TIMED_OUT,
+    "unreachable": r.UNREACHABLE,
+    "broken": r.BROKEN,
+    "withdrawn": r.CALLED_OFF,
+    "void": r.NEVER_SENT,
+}
 STATES = {"Ready": r.READY, "Terminating": r.DRAINING, "Gone": r.GONE}
 MARK_HINTED = 1
 
@@ -45,16 +53,25 @@
         self.touched = {}
         self.wall = self.now = 0
         self.handlers = {
-            "Sync": self.sync, "OverToYou": self.reply, "Census": self.census, "Boot": self.boot,
-            "Discovery": self.discovery, "Incoming": self.incoming, "NeighbourSays": self.nothing,
-            "Kill": self.kill, "ClientGone": self.client_gone, "Ring": self.ring,
+            "Sync": self.sync,
+            "OverToYou": self.reply,
+            "Census": self.census,
+            "Boot": self.boot,
+            "Discovery": self.discovery,
+            "Incoming": self.incoming,
+            "NeighbourSays": self.nothing,
+            "Kill": self.kill,
+            "ClientGone": self.client_gone,
+            "Ring": self.ring,
             "FirstByte": self.first_byte,
-            "PingResult": self.ping_result, "Completed": self.completed}
+            "PingResult": self.ping_result,
+            "Completed": self.completed,
+        }
 
     def read(self, line):
         try:
             message = orjson.loads(line)
-            (name, fields), = message.items()
+            ((name, fields),) = message.items()
             handler = self.handlers[name]
         except (ValueError, AttributeError, KeyError):
             raise Malformed(f"not a message of the wire: {line[:120]!r}") from None
@@ -80,9 +97,16 @@
 
     def census(self, fields):
         self.lists[fields["ref"]] = [
-            r.Listed(e["backend"], STATES[e["status"]], e.get("zone"), e.get("cluster"),
-                     down(e.get("sinceUs") or 0), float(e.get("powerHint") or 1))
-            for e in fields["entries"]]
+            r.Listed(
+                e["backend"],
+                STATES[e["status"]],
+                e.get("zone"),
+                e.get("cluster"),
+                down(e.get("sinceUs") or 0),
+                float(e.get("powerHint") or 1),
+            )
+            for e in fields["entries"]
+        ]
 
     def boot(self, fields):
         self.seats[fields["who"]] = Seat(fields["seed"], fields["conf"], self.now)
@@ -108,8 +132,13 @@
         offering = seat.offerings[fields["grade"]]
         limit = (self.wall + fields["leftUs"]) // 100
         invocation = r.Invocation(
-            fields["call"], offering, seat.terms.tenants.of(fields.get("party"), self.now), self.now,
-            limit, down(fields.get("hintUs") or 0) if (fields.get("marks") or 0) & MARK_HINTED else 0)
+            fields["call"],
+            offering,
+            seat.terms.tenants.of(fields.get("party"), self.now),
+            self.now,
+            limit,
+            down(fields.get("hintUs") or 0) if (fields.get("marks") or 0) & MARK_HINTED else 0,
+        )
         seat.calls[invocation.mark] = invocation
         seat.node.taken(self.now, invocation)
 
@@ -131,8 +160,13 @@
         seat, trip = self.trip(fields)
         if trip and trip.outcome is None:
             self.gauge(seat, fields)
-            seat.node.returned(self.now, trip, OUTCOMES[fields["reason"]], down(fields["durationUs"]),
-                               bool(fields["doneFlag"]))
+            seat.node.returned(
+                self.now,
+                trip,
+                OUTCOMES[fields["reason"]],
+                down(fields["durationUs"]),
+                bool(fields["doneFlag"]),
+            )
             seat.drop_if_over(trip.invocation)
 
     def first_byte(self, fields):
@@ -144,8 +178,12 @@
         seat = self.seat(fields)
         if seat:
             self.gauge(seat, fields)
-            seat.node.probed(self.now, fields["backend"], fields["reason"] == "success",
-                             down(fields["durationUs"]))
+            seat.node.probed(
+                self.now,
+                fields["backend"],
+                fields["reason"] == "success",
+                down(fields["durationUs"]),
+            )
 
     def gauge(self, seat, fields):
         """The load report, if one came along."""
@@ -166,7 +204,9 @@
             try:
                 self.pull(who, seat, out)
             except Exception as fault:
-                out.append({"GiveIn": {"who": who, "bodyText": f"{type(fault).__name__}: {fault}"[:300]}})
+                out.append(
+                    {"GiveIn": {"who": who, "bodyText": f"{type(fault).__name__}: {fault}"[:300]}}
+                )
         self.touched = {}
         out.append({"Done": {}})
         self.out.write(b"\n".join(map(orjson.dumps, out)) + b"\n")
@@ -178,15 +218,36 @@
         while (decision := node.decide(now)) is not None:
             kind, subject = decision
             if kind is r.SEND:
-                out.append({"SubmitTo": {"who": who, "call": subject.invocation.mark,
-                                         "backend": node.names[subject.backend],
-                                         "capUs": max(1, subject.until * 100 - self.wall)}})
+                out.append(
+                    {
+                        "SubmitTo": {
+                            "who": who,
+                            "call": subject.invocation.mark,
+                            "backend": node.names[subject.backend],
+                            "capUs": max(1, subject.until * 100 - self.wall),
+                        }
+                    }
+                )
             elif kind is r.CALL_OFF:
-                out.append({"AbortAttempt": {"who": who, "call": subject.invocation.mark,
-                                             "sendNo": subject.number}})
+                out.append(
+                    {
+                        "AbortAttempt": {
+                            "who": who,
+                            "call": subject.invocation.mark,
+                            "sendNo": subject.number,
+                        }
+                    }
+                )
             elif kind is r.BOUNCE:
-                out.append({"Bounce": {"who": who, "call": subject.mark,
-                                       "coolDownUs": node.come_back_in(now) * 100}})
+                out.append(
+                    {
+                        "Bounce": {
+                            "who": who,
+                            "call": subject.mark,
+                            "coolDownUs": node.come_back_in(now) * 100,
+                        }
+                    }
+                )
                 seat.drop_if_over(subject)
             elif kind is r.GIVE_UP:
                 out.append({"RespondError": {"who": who, "call": subject.mark}})
--- a/pierglade/change/reading.py
+++ b/pierglade/change/reading.py
@@ -12,10 +12,10 @@
 from pierglade.terms import Wrong, shares_from
 
 # Constants.
-WHOLE = 1 << 16         # bytes that are parsed at once
-PIECE = 1 << 13         # bytes of a step beside requests, under half a ms
-LARGE = 1 << 16         # the same of a list, that nothing may be sent by as it was for long; 2 ms
-TRIES = 8               # cuts tried at one brace after the other, before the piece is taken for one long row
+WHOLE = 1 << 16  # bytes that are parsed at once
+PIECE = 1 << 13  # bytes of a step beside requests, under half a ms
+LARGE = 1 << 16  # the same of a list, that nothing may be sent by as it was for long; 2 ms
+TRIES = 8  # cuts tried at one brace after the other, before the piece is taken for one long row
 CUSTOMERS = ("settings", "customers")
 KNOWN = ("known", "endpoints")
 OPENS = rb'"%b"[ \t\r\n]*:[ \t\r\n]*\['
@@ -35,7 +35,7 @@
         try:
             shares.update(shares_from(some, first))
         except Wrong as fault:
-            faults.append(fault)    # told once it is sure that it stands among the customers
+            faults.append(fault)  # told once it is sure that it stands among the customers
 
     def keep(some, _):
         rows.extend(some if known else ())
@@ -56,7 +56,9 @@
 def parsed(text):
     """Yields after each step; returns the list of backends, or whatever else the JSON holds."""
     rows = []
-    told = yield from _without(text, ((("endpoints",), lambda some, _: rows.extend(some), rows),), LARGE)
+    told = yield from _without(
+        text, ((("endpoints",), lambda some, _: rows.extend(some), rows),), LARGE
+    )
     return orjson.loads(text) if told is None else told
 
 
@@ -82,7 +84,7 @@
             # Nobody has written this before: what holds it later is what the rows stood in.
             mark = uuid.uuid4().hex
             marks.append((path, mark, left))
-            text = b'%b"%b"%b' % (text[:opens.end() - 1], mark.encode(), text[end:])
+            text = b'%b"%b"%b' % (text[: opens.end() - 1], mark.encode(), text[end:])
             yield
     told = orjson.loads(text)
     for (*way, last), mark, left in marks:
@@ -104,7 +106,7 @@
     count, tries, cut = 0, 0, at + piece
     while True:
         cut = text.find(b"}", cut) + 1
-        part = b"[%b]" % text[at:cut or len(text)]
+        part = b"[%b]" % text[at : cut or len(text)]
         try:
             rows, end = orjson.loads(part), None
         except orjson.JSONDecodeError as fault:
@@ -114,7 +116,7 @@
                     raise
                 tries += 1
                 if tries % TRIES == 0:
-                    cut += cut - at     # a row as long as this piece and more
+                    cut += cut - at  # a row as long as this piece and more
                 yield
                 continue
         if count and not rows:
--- a/pierglade/change/shares.py
+++ b/pierglade/change/shares.py
@@ -3,7 +3,7 @@
 from pierglade.tenants import Difference
 
 # Constants.
-AT_ONCE = 1000          # names in one step, under half a ms
+AT_ONCE = 1000  # names in one step, under half a ms
 
 
 def steps(before, after):
@@ -47,4 +47,4 @@
 def _some(names):
     names = list(names)
     for at in range(0, len(names), AT_ONCE):
-        yield names[at:at + AT_ONCE]
+        yield names[at : at + AT_ONCE]
--- a/pierglade/choice.py
+++ b/pierglade/choice.py
@@ -16,99 +16,156 @@
 
 from pierglade.limit.room import Room
 from pierglade.records import (
-    ASK, BOUNCE, CALL_OFF, CALLED_OFF, GIVE_UP, GONE, HARMLESS, NEVER_RAN, NEVER_SENT, ONE_SHOT, PROBE, READY,
-    REJECTED, SEND, SETTLED, STAMPED, TIMED_OUT, TURNED_AWAY, UNREACHABLE, WITH_PROBES, Trip)
+    ASK,
+    BOUNCE,
+    CALL_OFF,
+    CALLED_OFF,
+    GIVE_UP,
+    GONE,
+    HARMLESS,
+    NEVER_RAN,
+    NEVER_SENT,
+    ONE_SHOT,
+    PROBE,
+    READY,
+    REJECTED,
+    SEND,
+    SETTLED,
+    STAMPED,
+    TIMED_OUT,
+    TURNED_AWAY,
+    UNREACHABLE,
+    WITH_PROBES,
+    Trip,
+)
 from pierglade.tenants import Middle
 
 # Constants. Times are tenths of a millisecond.
-WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = 3000, 300, 30   # samples; the design's forecast windows by band
+WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = (
+    3000,
+    300,
+    30,
+)  # samples; the design's forecast windows by band
 BAND_LOW, BAND_HIGH = 0.1, 1.0  # coefficient of variation; the design's band bounds
-PAUSES_KEPT = 30        # pauses; enough to tell a band, few enough to follow a change within a minute
-PAUSES_NEEDED = 3       # pauses; two make a line, the third can contradict it
-LONGEST_PAUSE = 15000   # 1.5 s; a longer stretch is an outage and teaches the forecast nothing
-REST_MOST = 50000       # 5 s; longest that a slow backend is left alone before it is tried in earnest
-FIRST_PAUSE = 2000      # 200 ms; mean pause assumed before one was seen, that of a long collection
-FAR = 2.5               # times; quick latency this far above its smoothed level is a pause, above a wide tail
-GOOD = 2.0              # times; an answer within this of the level ends a pause, under FAR so it cannot flap
-RATIO_CAP = 6.0         # times; one answer counts as no slower, so that one heavy invocation is no pause
-QUICK, LEVEL = 1 / 4, 1 / 32    # shares of a new answer in the quick and in the smoothed level
-LEVEL_SPAN = 30000      # 3 s; the level follows within this where answers are rare
-FIRST_TYPICAL = 0.25    # share of the expected time; leaves room for a further trip
-GRAIN = 50              # 5 ms; a host is held up for as long now and then, so what is quicker tells nothing
-TYPICAL = 1 / 24        # share of a new answer in an offering's typical latency: about a second's worth
-ERRORS = 0.3            # share of a new outcome in the error level
-ERRORS_GOOD = 0.2       # level; after two errors in a row three good answers end an outage
-UNREACHED = 0.51        # the same share where no connection came up; as much as two errors
-IN_A_ROW = 1.43         # errors; so many and over half of one more start an outage where few trips are lost
-BY_CHANCE = 0.0005      # share; where losses are common, as many in a row as are rarer than this by chance
-LOST_LEAST, LOST_MOST = 0.001, 0.5  # shares lost; rarer is not seen within minutes, half is no chance
-COMMON = 1 / 64         # share of a new outcome in what backends that are well lose; half a second's worth
-SILENT = 6.0            # times typical, summed over the trips out; chance silence is rarer if work is alike
-RARE = 3.3              # standard deviations of the work, over the trips out; the same where it is not
-SILENT_LEAST = 2.5      # times typical; one slow service must not look silent however many wait behind it
-COMES = 100             # invocations; a kind that none of these was of comes no more, or too seldom
-TRIAL_GAP, TRIAL_GAP_MOST = 1500, 40000   # 150 ms, 4 s; between trials, doubled after each bad one
-DEAR = 0.05             # of an invocation's worth for each crossing; less is no reason to crowd the own zone
-DRAGS = 2.5             # times what others take; a tenant's work that takes so long is slow wherever it goes
-DRAG_HEED = 1 / 8       # share of a new answer in that
-DRAG_MOST, DRAG_TRIES = 20.0, 16        # times; one in so many goes out though it would come late
-DRAG_SPAN = 50000       # 5 s; a tenant that was slow is as others again within this, unless it is seen slow
-CROWD = 1.0             # times the mean in flight; far more than chance piles up on one backend
-CROWD_FLOOR = 0.5       # trips; below this much over the mean nothing is crowded
-EXTRA_SHARE = 0.2       # further trips earned by each invocation, so that they cannot feed an overload
-EXTRA_MOST = 20.0       # further trips saved up, for a burst of losses when a backend dies
-HOPELESS = 1.5          # times typical; with less time than this left, too many would come too late
-CHANCE = 0.4            # the same while there is room: work is uneven, and half of it takes less than this
-HOPELESS_MOST = 0.9     # share of the expected time; what has just come in is worth a trip
-HOPELESS_LEAST = 100    # 10 ms; a host acts every few ms, and the answer must be out before the limit
-USUAL = 0.02            # share; a try with this much less time than first ones was cut by the hard limit
-VOTES_MOST = 50         # tries; how many it takes to change what is usual, about a second's worth
-PATIENCE = 0.3          # share of the expected time; held longer, it is bounced, as is what is over its share
-IN_VIEW = 2500          # 0.25 s; of a backend seen less often it is not known how full it is
-TOLD = 1 / 3            # share of a new report; one covers few answers
-TOLD_FOR = 30000        # 3 s; an older report says nothing of now
-BUSY_LEAST = 0.2        # share of cores in use from which what a backend settles tells what it can
-USUALLY = 1 / 32        # share of a new report in what a backend usually does
-USUAL_FROM = 4          # reports that this must rest on
-WELL = 0.9              # of what backends usually do; they had rest enough
-PROBES, BLIND_PROBES = 0.05, 0.15   # probes for each trip, where only they tell the load; and tell no pace
-FIRST_PROBES = 3.0      # at the start; or a node with few trips hears of the first load after seconds
-FIRST_ROOM = 2.0        # times the limit; where reports are that rare it is found too slowly from one
-FULL = 0.9              # share of cores in use; with less, there is room for more trips
-QUEUED = 1.0            # invocations that wait at a backend; with fewer, the same
-ROOM_MORE, ROOM_LESS, ROOM_MOST = 1.1, 0.95, 4.0    # times; how the limit grows by reports, look by look
-SHARED = 0.65           # of what backends usually do; less, of all alike, is no chance
-REST_FROM = 0.6         # share of cores in use; with less, backends have their rest already
-SURE_FOR = 20000        # 2 s; so long must it look so, as many spells pass within some seconds
-REST_EACH, REST_IN = 60000, 10000   # 6 s, 1 s; rests begin at multiples of the one, within the other
-REST_FOR, REST_AGAIN = 50000, 110000    # 5 s, 11 s; a rest, and from its start to another
-REST_PART = 0.2         # of the limit; cores are then less than half in use
-ASK_GAP, ASK_GAP_MOST, ASK_SOON, ASK_WITHIN = 20000, 160000, 6000, 44000    # 2 to 16, 0.6 s; told in 6: 4.4 s
-COST_LEAST, COST_MOST = 0.25, 4.0   # times the mean; hints are not to be trusted beyond
-SOME = 1e-5             # 0.1 a second; a node that nothing has come to yet is asked for that much
-SEEN_LEAST = 5000       # 0.5 s; what came in less is luck
-SEE = 2000              # 0.2 s; how often a node looks how much comes to it
-PART_LEAST, PART_MOST = 0.2, 20.0   # times the mean; a node's part of what all are asked for
-PART_FROM = 8           # trips settled; of fewer nobody can tell a part
-UNMET = 1 / 8           # share of what it cannot settle that counts; a node with too little room finds out
-MOVE = 50000            # 5 s; between moves by one backend towards an even place on the ring
-FEWEST = 2              # backends; with fewer a node could lose all to one outage
-STEEP = 4               # power of the level in turns; nothing else evens out what few links bring by chance
-COLD_MARGIN = 0.5       # share of the cold budget used while colder; the rest is for uneven nodes and work
-COLD_BURST, COLD_MORE, COLD_SPAN = 1.5, 2.0, 10000  # trips saved up, by one, by all; 1 s of what it bears
-OVER_SHARE = 1.3        # times its share; nodes see tenants unevenly, and two seconds of a small one are few
-RATE_SPAN = 20000       # 2 s; span over which a tenant's rate is seen
-GHOST = 1.5             # times typical; how long a trip that nobody waits for still counts as in flight
-LIGHT = 0.1             # share of the work asked for; so little of it need not wait for room
-WAITED = 0.1            # share of the expected time; an oldest held wait beyond it ranks what is held by gain
-BEHIND = 1000           # 100 ms; a host that had no rest for so long is short of its core, not held up once
-FADE = 0.999            # share left of what was asked and settled after each 50 ms: about 50 s are seen
-SWEEP = 500             # 50 ms; looking for silence costs little at this pace and finds it within one answer
-NEVER = 1 << 62         # a moment that does not come
-FORGET = 2              # times the longest hard limit; then a gone backend's index is used again
-COMES_BACK = 20000      # 2 s; a client that was not settled asks again within this or not at all
-COME_SOON = 1000        # 0.1 s; the same where there is none, and what it found full may be free
-COME_BACK = 5000        # 0.5 s; advice to a bounced client under overload, the time a burst takes to pass
+PAUSES_KEPT = 30  # pauses; enough to tell a band, few enough to follow a change within a minute
+PAUSES_NEEDED = 3  # pauses; two make a line, the third can contradict it
+LONGEST_PAUSE = 15000  # 1.5 s; a longer stretch is an outage and teaches the forecast nothing
+REST_MOST = 50000  # 5 s; longest that a slow backend is left alone before it is tried in earnest
+FIRST_PAUSE = 2000  # 200 ms; mean pause assumed before one was seen, that of a long collection
+FAR = 2.5  # times; quick latency this far above its smoothed level is a pause, above a wide tail
+GOOD = 2.0  # times; an answer within this of the level ends a pause, under FAR so it cannot flap
+RATIO_CAP = 6.0  # times; one answer counts as no slower, so that one heavy invocation is no pause
+QUICK, LEVEL = 1 / 4, 1 / 32  # shares of a new answer in the quick and in the smoothed level
+LEVEL_SPAN = 30000  # 3 s; the level follows within this where answers are rare
+FIRST_TYPICAL = 0.25  # share of the expected time; leaves room for a further trip
+GRAIN = 50  # 5 ms; a host is held up for as long now and then, so what is quicker tells nothing
+TYPICAL = 1 / 24  # share of a new answer in an offering's typical latency: about a second's worth
+ERRORS = 0.3  # share of a new outcome in the error level
+ERRORS_GOOD = 0.2  # level; after two errors in a row three good answers end an outage
+UNREACHED = 0.51  # the same share where no connection came up; as much as two errors
+IN_A_ROW = (
+    1.43  # errors; so many and over half of one more start an outage where few trips are lost
+)
+BY_CHANCE = (
+    0.0005  # share; where losses are common, as many in a row as are rarer than this by chance
+)
+LOST_LEAST, LOST_MOST = (
+    0.001,
+    0.5,
+)  # shares lost; rarer is not seen within minutes, half is no chance
+COMMON = 1 / 64  # share of a new outcome in what backends that are well lose; half a second's worth
+SILENT = 6.0  # times typical, summed over the trips out; chance silence is rarer if work is alike
+RARE = 3.3  # standard deviations of the work, over the trips out; the same where it is not
+SILENT_LEAST = (
+    2.5  # times typical; one slow service must not look silent however many wait behind it
+)
+COMES = 100  # invocations; a kind that none of these was of comes no more, or too seldom
+TRIAL_GAP, TRIAL_GAP_MOST = 1500, 40000  # 150 ms, 4 s; between trials, doubled after each bad one
+DEAR = 0.05  # of an invocation's worth for each crossing; less is no reason to crowd the own zone
+DRAGS = 2.5  # times what others take; a tenant's work that takes so long is slow wherever it goes
+DRAG_HEED = 1 / 8  # share of a new answer in that
+DRAG_MOST, DRAG_TRIES = 20.0, 16  # times; one in so many goes out though it would come late
+DRAG_SPAN = (
+    50000  # 5 s; a tenant that was slow is as others again within this, unless it is seen slow
+)
+CROWD = 1.0  # times the mean in flight; far more than chance piles up on one backend
+CROWD_FLOOR = 0.5  # trips; below this much over the mean nothing is crowded
+EXTRA_SHARE = 0.2  # further trips earned by each invocation, so that they cannot feed an overload
+EXTRA_MOST = 20.0  # further trips saved up, for a burst of losses when a backend dies
+HOPELESS = 1.5  # times typical; with less time than this left, too many would come too late
+CHANCE = 0.4  # the same while there is room: work is uneven, and half of it takes less than this
+HOPELESS_MOST = 0.9  # share of the expected time; what has just come in is worth a trip
+HOPELESS_LEAST = 100  # 10 ms; a host acts every few ms, and the answer must be out before the limit
+USUAL = 0.02  # share; a try with this much less time than first ones was cut by the hard limit
+VOTES_MOST = 50  # tries; how many it takes to change what is usual, about a second's worth
+PATIENCE = (
+    0.3  # share of the expected time; held longer, it is bounced, as is what is over its share
+)
+IN_VIEW = 2500  # 0.25 s; of a backend seen less often it is not known how full it is
+TOLD = 1 / 3  # share of a new report; one covers few answers
+TOLD_FOR = 30000  # 3 s; an older report says nothing of now
+BUSY_LEAST = 0.2  # share of cores in use from which what a backend settles tells what it can
+USUALLY = 1 / 32  # share of a new report in what a backend usually does
+USUAL_FROM = 4  # reports that this must rest on
+WELL = 0.9  # of what backends usually do; they had rest enough
+PROBES, BLIND_PROBES = (
+    0.05,
+    0.15,
+)  # probes for each trip, where only they tell the load; and tell no pace
+FIRST_PROBES = 3.0  # at the start; or a node with few trips hears of the first load after seconds
+FIRST_ROOM = 2.0  # times the limit; where reports are that rare it is found too slowly from one
+FULL = 0.9  # share of cores in use; with less, there is room for more trips
+QUEUED = 1.0  # invocations that wait at a backend; with fewer, the same
+ROOM_MORE, ROOM_LESS, ROOM_MOST = (
+    1.1,
+    0.95,
+    4.0,
+)  # times; how the limit grows by reports, look by look
+SHARED = 0.65  # of what backends usually do; less, of all alike, is no chance
+REST_FROM = 0.6  # share of cores in use; with less, backends have their rest already
+SURE_FOR = 20000  # 2 s; so long must it look so, as many spells pass within some seconds
+REST_EACH, REST_IN = 60000, 10000  # 6 s, 1 s; rests begin at multiples of the one, within the other
+REST_FOR, REST_AGAIN = 50000, 110000  # 5 s, 11 s; a rest, and from its start to another
+REST_PART = 0.2  # of the limit; cores are then less than half in use
+ASK_GAP, ASK_GAP_MOST, ASK_SOON, ASK_WITHIN = (
+    20000,
+    160000,
+    6000,
+    44000,
+)  # 2 to 16, 0.6 s; told in 6: 4.4 s
+COST_LEAST, COST_MOST = 0.25, 4.0  # times the mean; hints are not to be trusted beyond
+SOME = 1e-5  # 0.1 a second; a node that nothing has come to yet is asked for that much
+SEEN_LEAST = 5000  # 0.5 s; what came in less is luck
+SEE = 2000  # 0.2 s; how often a node looks how much comes to it
+PART_LEAST, PART_MOST = 0.2, 20.0  # times the mean; a node's part of what all are asked for
+PART_FROM = 8  # trips settled; of fewer nobody can tell a part
+UNMET = 1 / 8  # share of what it cannot settle that counts; a node with too little room finds out
+MOVE = 50000  # 5 s; between moves by one backend towards an even place on the ring
+FEWEST = 2  # backends; with fewer a node could lose all to one outage
+STEEP = 4  # power of the level in turns; nothing else evens out what few links bring by chance
+COLD_MARGIN = (
+    0.5  # share of the cold budget used while colder; the rest is for uneven nodes and work
+)
+COLD_BURST, COLD_MORE, COLD_SPAN = (
+    1.5,
+    2.0,
+    10000,
+)  # trips saved up, by one, by all; 1 s of what it bears
+OVER_SHARE = (
+    1.3  # times its share; nodes see tenants unevenly, and two seconds of a small one are few
+)
+RATE_SPAN = 20000  # 2 s; span over which a tenant's rate is seen
+GHOST = 1.5  # times typical; how long a trip that nobody waits for still counts as in flight
+LIGHT = 0.1  # share of the work asked for; so little of it need not wait for room
+WAITED = 0.1  # share of the expected time; an oldest held wait beyond it ranks what is held by gain
+BEHIND = 1000  # 100 ms; a host that had no rest for so long is short of its core, not held up once
+FADE = 0.999  # share left of what was asked and settled after each 50 ms: about 50 s are seen
+SWEEP = 500  # 50 ms; looking for silence costs little at this pace and finds it within one answer
+NEVER = 1 << 62  # a moment that does not come
+FORGET = 2  # times the longest hard limit; then a gone backend's index is used again
+COMES_BACK = 20000  # 2 s; a client that was not settled asks again within this or not at all
+COME_SOON = 1000  # 0.1 s; the same where there is none, and what it found full may be free
+COME_BACK = 5000  # 0.5 s; advice to a bounced client under overload, the time a burst takes to pass
 
 # Why a backend takes trials only.
 SLOW, SILENCE, FAILING = "slow", "silent", "failing"
@@ -117,15 +174,50 @@
 
 
 # Of each backend an array, and what a new one begins with. Its process's past: losses, forecast's samples.
-HISTORY = dict(errors=0.0, relapses=0, quick=1.0, work=0, samples=(), sums=(0, 0, 0, 0), window=WINDOW_MEDIUM,
-               pauses=(), mean_pause=FIRST_PAUSE, work_due=None, forecast=None)
+HISTORY = dict(
+    errors=0.0,
+    relapses=0,
+    quick=1.0,
+    work=0,
+    samples=(),
+    sums=(0, 0, 0, 0),
+    window=WINDOW_MEDIUM,
+    pauses=(),
+    mean_pause=FIRST_PAUSE,
+    work_due=None,
+    forecast=None,
+)
 # Who and where it is, its size; when it started, left; what may go to it while cold; level; trouble, trials;
 # what reports say (settled in a second for all nodes, cores in use, usually settled by all cores).
 FIRST = HISTORY | dict(
-    names=None, rank=None, state=GONE, zone=None, cell=None, size=0.0, owed=0.0, started=0, left_at=0,
-    cold_until=0, allowance=0.0, allowed_at=0, last_answer=0, level=1.0, trouble=None, since=0, until=0,
-    trial_at=0, trial_gap=TRIAL_GAP, trial_due=False, trials_out=0, told_pace=None, told_busy=0.0,
-    told_queue=0.0, told_at=0, usual=0.0, usual_of=0)
+    names=None,
+    rank=None,
+    state=GONE,
+    zone=None,
+    cell=None,
+    size=0.0,
+    owed=0.0,
+    started=0,
+    left_at=0,
+    cold_until=0,
+    allowance=0.0,
+    allowed_at=0,
+    last_answer=0,
+    level=1.0,
+    trouble=None,
+    since=0,
+    until=0,
+    trial_at=0,
+    trial_gap=TRIAL_GAP,
+    trial_due=False,
+    trials_out=0,
+    told_pace=None,
+    told_busy=0.0,
+    told_queue=0.0,
+    told_at=0,
+    usual=0.0,
+    usual_of=0,
+)
 
 
 class Row:
@@ -135,13 +227,13 @@
         self.credit = offering.credit
         # Smoothed latency. A first answer alone is a poor guide: by a very quick one all would look silent.
         self.typical = FIRST_TYPICAL * offering.expected
-        self.skew = 0.0         # log of the mean answer over the usual one, half the variance of that log
-        self.hinted = 0.0       # smoothed hint of the work
-        self.answers = 2        # how many that rests on; the first guess counts as two
-        self.asked = 0.0        # first tries taken lately
-        self.got = 0.0          # settled lately within the expected time
-        self.usual_left = 0     # the time that a client's first try comes with
-        self.usual_votes = 0    # how sure that is
+        self.skew = 0.0  # log of the mean answer over the usual one, half the variance of that log
+        self.hinted = 0.0  # smoothed hint of the work
+        self.answers = 2  # how many that rests on; the first guess counts as two
+        self.asked = 0.0  # first tries taken lately
+        self.got = 0.0  # settled lately within the expected time
+        self.usual_left = 0  # the time that a client's first try comes with
+        self.usual_votes = 0  # how sure that is
 
 
 class Node:
@@ -153,41 +245,53 @@
         chance = random.Random(seed)
         self.pick = chance.randrange
         # How many invocations had come when one of the kind last did.
-        self.asked_at = {kind: 0 if any(o.repeats == kind for o in terms.offerings) else -COMES
-                         for kind in (HARMLESS, STAMPED, ONE_SHOT)}
+        self.asked_at = {
+            kind: 0 if any(o.repeats == kind for o in terms.offerings) else -COMES
+            for kind in (HARMLESS, STAMPED, ONE_SHOT)
+        }
         self.table = [Row(o) for o in terms.offerings]
         # What is known of each backend, under a dense index: the arrays of FIRST.
-        self.index, self.gone = {}, OrderedDict()   # by name; those that left, the longest gone first
+        self.index, self.gone = (
+            {},
+            OrderedDict(),
+        )  # by name; those that left, the longest gone first
         for name in FIRST:
             setattr(self, name, [])
         # The rotation: from the ring of ready backends, as many as this node can keep in view.
-        self.done = 0.0             # trips settled lately
+        self.done = 0.0  # trips settled lately
         self.drags, self.drag = Middle(DRAG_SPAN), 1.0  # times typical that tenants' work takes
         self.home = terms.zone if terms.crossing >= DEAR else None
         self.shares, self.asked = terms.tenants.total > 0, terms.tenants.total / terms.nodes / 10000
-        self.asked_over = 0.0       # span over which the table's figures are seen, fading with them
+        self.asked_over = 0.0  # span over which the table's figures are seen, fading with them
         # Without a word of what others are asked for, rounds of trips find the room (docs/notes/limit.md).
         self.learns = bool(not self.shares and terms.nodes > 1 and terms.reports)
-        self.in_view = max(FEWEST, int(self.asked * IN_VIEW)) if self.shares or self.learns else None
-        self.part = 1.0             # times the mean of all nodes that this one is asked for
-        self.forget, self.most = FORGET * max(o.hard_limit for o in terms.offerings), 0     # ready at once
-        self.warm_pace = 0.0        # what a warm backend in view gets from this node, by size and time
-        self.ranked, self.total, self.redraw_at = [], 0.0, NEVER    # the ring, its size
+        self.in_view = (
+            max(FEWEST, int(self.asked * IN_VIEW)) if self.shares or self.learns else None
+        )
+        self.part = 1.0  # times the mean of all nodes that this one is asked for
+        self.forget, self.most = (
+            FORGET * max(o.hard_limit for o in terms.offerings),
+            0,
+        )  # ready at once
+        self.warm_pace = 0.0  # what a warm backend in view gets from this node, by size and time
+        self.ranked, self.total, self.redraw_at = [], 0.0, NEVER  # the ring, its size
         self.turn, self.at, self.anchor, self.move_at = [], 0, b"", now
         self.largest, self.slow_ones, self.steep = 1.0, 0, STEEP if self.learns else 1
         # Heaps of (moment of the expected time, count, invocation), one an offering.
         self.held = [[] for _ in terms.offerings]
-        self.line = deque()         # the same in order of arrival, some already gone
-        self.again = []             # invocations that wait for a further trip
-        self.finals, self.probes = deque(), deque()     # decisions already made
-        self.limit = Room(terms.nodes, len(terms.offerings), now, SOME if self.learns else self.asked or None)
+        self.line = deque()  # the same in order of arrival, some already gone
+        self.again = []  # invocations that wait for a further trip
+        self.finals, self.probes = deque(), deque()  # decisions already made
+        self.limit = Room(
+            terms.nodes, len(terms.offerings), now, SOME if self.learns else self.asked or None
+        )
         self.count, self.extra = 0, EXTRA_MOST
         # Moments of further trips and of what was taken, as far back as the budget looks.
         self.spent, self.earned = (before.spent, before.earned) if before else (deque(), deque())
-        self.lost = LOST_LEAST      # share of trips that come to nothing at backends that are well
-        self.unsettled = 0.0        # invocations that their clients may come back with
-        self.overloaded, self.ahead = False, None   # the queue that need not wait for room
-        self.flying, self.ailing = {}, {}       # of backends the trips out; those in trouble
+        self.lost = LOST_LEAST  # share of trips that come to nothing at backends that are well
+        self.unsettled = 0.0  # invocations that their clients may come back with
+        self.overloaded, self.ahead = False, None  # the queue that need not wait for room
+        self.flying, self.ailing = {}, {}  # of backends the trips out; those in trouble
         self.swept = self.see_at = self.room_at = self.seen_at = now
         self.ask_at, self.ask_gap = (now if terms.asks_list else NEVER), ASK_GAP
         self.sweep_at = self.ask_at
@@ -209,7 +313,9 @@
         """What a restart would forget: the table's rows, `keys` of FIRST by name of each ready backend."""
         return [vars(row) for row in self.table], {
             name: {key: getattr(self, key)[b] for key in keys}
-            for name, b in self.index.items() if self.state[b] == READY}
+            for name, b in self.index.items()
+            if self.state[b] == READY
+        }
 
     def remember(self, rows, backends):
         """The part of it that is still taken for true (`pierglade/learned/`); the backends are listed."""
@@ -258,7 +364,10 @@
         """The list could not be had, or is followed no more; `waited`: since its last word."""
         # All nodes lose it at once, and at once they would ask: by chance apart, and as seldom as may be.
         gap = max(ASK_SOON, min(self.ask_gap, (ASK_WITHIN - waited) * 2 // 3))
-        self.ask_at, self.ask_gap = now + gap // 2 + self.pick(gap), min(ASK_GAP_MOST, self.ask_gap * 2)
+        self.ask_at, self.ask_gap = (
+            now + gap // 2 + self.pick(gap),
+            min(ASK_GAP_MOST, self.ask_gap * 2),
+        )
         self._due(self.ask_at)
 
     def _draw_turn(self, now):
@@ -280,7 +389,9 @@
             after.append(b)
             if now < self.cold_until[b]:
                 size += self.size[b] * self.terms.cold_from
-                self.redraw_at = min(self.redraw_at, self.cold_until[b], NEVER if self.shares else now + SEE)
+                self.redraw_at = min(
+                    self.redraw_at, self.cold_until[b], NEVER if self.shares else now + SEE
+                )
                 self._due(self.redraw_at)
             elif self.trouble[b] in COUNTED:
                 size += self.size[b]
@@ -293,14 +404,16 @@
         if after:
             # Where tenants have no shares, what was settled lately: what is asked may be an overload. A trip
             # at a time of all nodes is none; with all cold and nothing settled, nothing at all would be sent.
-            least = len(self.ranked) / self.terms.nodes / max(o.expected for o in self.terms.offerings)
+            least = (
+                len(self.ranked) / self.terms.nodes / max(o.expected for o in self.terms.offerings)
+            )
             asked = self.asked if self.shares else max(least, self._seen(now, "got"))
             self.warm_pace = asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
         self.largest = max((self.size[b] for b in after), default=1.0)
         if after == before:
             return
         self.turn, kept = after, set(after)
-        following = next((b for b in before[self.at:] + before[:self.at] if b in kept), None)
+        following = next((b for b in before[self.at :] + before[: self.at] if b in kept), None)
         self.at = self.pick(max(1, len(after))) if following is None else after.index(following)
 
     def _seen(self, now, what):
@@ -320,14 +433,18 @@
                 # Like with like: by all that is asked each node of a full fleet took itself for a busy one.
                 own = self.done / max(self.asked_over + now - self.swept, SEEN_LEAST)
                 own += max(0.0, self.asked - own) * UNMET
-                self.part = max(PART_LEAST, min(PART_MOST, own * self.terms.nodes / max(fleet, 1e-9)))
+                self.part = max(
+                    PART_LEAST, min(PART_MOST, own * self.terms.nodes / max(fleet, 1e-9))
+                )
         told = [b for b in told if now - self.told_at[b] < TOLD_FOR]
         probed = self.terms.reports == WITH_PROBES
         # Probes are few and far between: none vouches for more than was out when it was made.
         fresh = [b for b in told if not probed or self.told_at[b] >= self.seen_at]
         if fresh and self.limit.bound_at >= self.seen_at:
             # Room that reports show is let out; what is full by them is left to strain and rounds.
-            full = sum(self.told_busy[b] / FULL + self.told_queue[b] / QUEUED for b in fresh) / len(fresh)
+            full = sum(self.told_busy[b] / FULL + self.told_queue[b] / QUEUED for b in fresh) / len(
+                fresh
+            )
             most = ROOM_MORE ** ((now - self.room_at) / SEE)
             more = min(most, 1 / max(full, BUSY_LEAST)) if probed else ROOM_MORE
             self.room = max(1.0, min(ROOM_MOST, self.room * (ROOM_LESS if full >= 1 else more)))
@@ -352,7 +469,11 @@
             self.slower_since = NEVER
         elif self.slower_since == NEVER:
             self.slower_since, self.room = now, 1.0
-        elif now - self.slower_since >= SURE_FOR and now >= self.rest_again and now % REST_EACH < REST_IN:
+        elif (
+            now - self.slower_since >= SURE_FOR
+            and now >= self.rest_again
+            and now % REST_EACH < REST_IN
+        ):
             # Only all nodes together give the backends a rest, and the clock is all that they share.
             self.rest_until, self.rest_again = now - now % REST_EACH + REST_FOR, now + REST_AGAIN
 
@@ -368,8 +489,11 @@
         self.told_queue[b] += ((load.queue or 0.0) - self.told_queue[b]) * heed
         if load.busy is not None:
             self.told_busy[b] += (load.busy - self.told_busy[b]) * heed
-            if (load.pace is not None and self.told_busy[b] > BUSY_LEAST
-                    and self.rest_until <= now < self.slower_since):
+            if (
+                load.pace is not None
+                and self.told_busy[b] > BUSY_LEAST
+                and self.rest_until <= now < self.slower_since
+            ):
                 does = self.told_pace[b] / self.told_busy[b]
                 self.usual_of[b] += 1
                 self.usual[b] += (does - self.usual[b]) * max(USUALLY, 1 / self.usual_of[b])
@@ -412,10 +536,12 @@
         tenant = invocation.tenant
         if tenant is None or invocation.hint:
             return
-        ratio = min(DRAG_MOST, max(took, GRAIN) / max(self.table[invocation.offering.index].typical, GRAIN))
+        ratio = min(
+            DRAG_MOST, max(took, GRAIN) / max(self.table[invocation.offering.index].typical, GRAIN)
+        )
         drag = self._drag(tenant, now)
         if not whole and ratio < drag:
-            return      # So long at least; it tells nothing where that is as usual.
+            return  # So long at least; it tells nothing where that is as usual.
         tenant.drag, tenant.dragged = drag + (ratio - drag) * DRAG_HEED, now
         self.drags.see(now, tenant.name, tenant.drag)
 
@@ -426,12 +552,15 @@
         usual = row.usual_left
         # A vote, not the longest seen: by repeats with more time all first tries look late.
         row.usual_votes += 1 if abs(left - usual) <= USUAL * usual else -1
-        row.usual_left, row.usual_votes = (left, 1) if row.usual_votes < 0 else (
-            usual, min(row.usual_votes, VOTES_MOST))
+        row.usual_left, row.usual_votes = (
+            (left, 1) if row.usual_votes < 0 else (usual, min(row.usual_votes, VOTES_MOST))
+        )
         # Less time than first tries bring shows a late repeat; beyond those not settled, less patience.
         spent = 0
         # One of hundreds of nodes gets the repeats of others, and cannot count them.
-        if self._short(offering, left) and (self.unsettled >= 1 or len(self.turn) < len(self.ranked)):
+        if self._short(offering, left) and (
+            self.unsettled >= 1 or len(self.turn) < len(self.ranked)
+        ):
             self.unsettled -= 1
             spent = offering.hard_limit - left
         return min(left, offering.expected - spent)
@@ -464,13 +593,17 @@
         if trip.trial:
             self.trials_out[b] -= 1
         if outcome in NEVER_RAN and invocation.risky is trip:
-            invocation.risky = next((t for t in invocation.trips if t.outcome not in NEVER_RAN), None)
+            invocation.risky = next(
+                (t for t in invocation.trips if t.outcome not in NEVER_RAN), None
+            )
         self._learn(now, trip, outcome, took)
         if invocation.over:
             return
         if done:
             invocation.over = True
-            self.table[invocation.offering.index].got += outcome == SETTLED and now <= invocation.expected
+            self.table[invocation.offering.index].got += (
+                outcome == SETTLED and now <= invocation.expected
+            )
             self._call_off_rest(invocation)
         elif not invocation.out:
             self._after_loss(now, invocation, outcome)
@@ -490,7 +623,9 @@
         """The client has gone; no answer is owed."""
         if not invocation.over:
             invocation.over = True
-            self.unsettled += not self._short(invocation.offering, invocation.limit - invocation.arrived)
+            self.unsettled += not self._short(
+                invocation.offering, invocation.limit - invocation.arrived
+            )
             self._call_off_rest(invocation)
 
     def probed(self, now, name, good, took):
@@ -523,8 +658,10 @@
                 return self._send(invocation, b, now)
         while (queue := self._next_queue()) is not None:
             invocation = queue[0][2]
-            if (self._hopeless(invocation, now)
-                    or now - invocation.held > PATIENCE * invocation.offering.expected):
+            if (
+                self._hopeless(invocation, now)
+                or now - invocation.held > PATIENCE * invocation.offering.expected
+            ):
                 # Held so long, it would come out of the backend late: an early no leaves room for the others.
                 heappop(queue)
                 return self._final(invocation)
@@ -564,26 +701,44 @@
 
     def _may_send(self, invocation, b, now):
         """Rule 2 in one place: may this invocation go to this backend, after what its trips have proved?"""
-        if now >= invocation.limit or len(invocation.trips) >= self.terms.most_trips or invocation.out:
+        if (
+            now >= invocation.limit
+            or len(invocation.trips) >= self.terms.most_trips
+            or invocation.out
+        ):
             return False
         risky = invocation.risky
         if risky is None or invocation.offering.repeats == HARMLESS:
             return True
-        if invocation.offering.repeats == ONE_SHOT or now >= risky.sent + invocation.offering.window:
+        if (
+            invocation.offering.repeats == ONE_SHOT
+            or now >= risky.sent + invocation.offering.window
+        ):
             return False
         group = invocation.offering.group
-        return (group == "all" or group == "zone" and self.zone[b] == self.zone[risky.backend]
-                or group == "cell" and self.cell[b] == self.cell[risky.backend])
+        return (
+            group == "all"
+            or group == "zone"
+            and self.zone[b] == self.zone[risky.backend]
+            or group == "cell"
+            and self.cell[b] == self.cell[risky.backend]
+        )
 
     def _may_bounce(self, invocation):
         """A bounce promises that trying again is harmless."""
-        return (invocation.risky is None or invocation.offering.repeats == HARMLESS
-                or invocation.offering.repeats == STAMPED and invocation.offering.group == "all")
+        return (
+            invocation.risky is None
+            or invocation.offering.repeats == HARMLESS
+            or invocation.offering.repeats == STAMPED
+            and invocation.offering.group == "all"
+        )
 
     def _final(self, invocation):
         invocation.over = True
         # Only first tries count: if what was taken for a repeat did, each would make another one look so.
-        self.unsettled += not self._short(invocation.offering, invocation.limit - invocation.arrived)
+        self.unsettled += not self._short(
+            invocation.offering, invocation.limit - invocation.arrived
+        )
         return BOUNCE if self._may_bounce(invocation) else GIVE_UP, invocation
 
     def _hopeless(self, invocation, now):
@@ -603,9 +758,13 @@
     def _after_loss(self, now, invocation, outcome):
         """A trip came to nothing: a further one, or the final answer at once."""
         # Where it was lost at every ready backend there is no way back: held, it would only wait in vain.
-        may = (self._left(now) >= 1 and not self._hopeless(invocation, now) and outcome != NEVER_SENT
-               and any(self._may_send(invocation, b, now) for b in self.turn)
-               and not {t.backend for t in invocation.trips}.issuperset(self.ranked))
+        may = (
+            self._left(now) >= 1
+            and not self._hopeless(invocation, now)
+            and outcome != NEVER_SENT
+            and any(self._may_send(invocation, b, now) for b in self.turn)
+            and not {t.backend for t in invocation.trips}.issuperset(self.ranked)
+        )
         if may:
             self.extra -= 1
             invocation.held = now
@@ -660,15 +819,22 @@
         """
         if self.trial_due[b] and not self.trials_out[b] and b in self.turn:
             for queue in self.held:
-                if (queue and self._is_trial(queue[0][2], b) and not self._hopeless(queue[0][2], now)
-                        and self._skip(queue[0][2], b, now) is None):
+                if (
+                    queue
+                    and self._is_trial(queue[0][2], b)
+                    and not self._hopeless(queue[0][2], now)
+                    and self._skip(queue[0][2], b, now) is None
+                ):
                     return queue
         return None
 
     def _gain(self, row):
         """What one more settled invocation of an offering adds to the service, for each unit of time."""
-        gain = (1 - self.terms.worst_offering) * row.credit / sum(
-            each.credit * max(each.asked, 1.0) for each in self.table)
+        gain = (
+            (1 - self.terms.worst_offering)
+            * row.credit
+            / sum(each.credit * max(each.asked, 1.0) for each in self.table)
+        )
         if row is min(self.table, key=lambda each: each.got / max(each.asked, 1.0)):
             gain += self.terms.worst_offering / max(row.asked, 1.0)
         return gain / row.typical
@@ -688,7 +854,9 @@
             self._due(now + SWEEP)
         if waited > PATIENCE:
             for invocation in line:
-                if not (invocation.over or invocation.trips) and self._over_share(invocation.tenant, now):
+                if not (invocation.over or invocation.trips) and self._over_share(
+                    invocation.tenant, now
+                ):
                     self.finals.append(self._final(invocation))
 
     def _over_share(self, tenant, now):
@@ -712,7 +880,9 @@
             skip = self._skip(invocation, b, now)
             if skip is None:
                 # Even turns would overdrive the small machines at a load that the fleet can bear.
-                self.owed[b] += min(1.0, self.size[b] / (self.largest * self.level[b] ** self.steep))
+                self.owed[b] += min(
+                    1.0, self.size[b] / (self.largest * self.level[b] ** self.steep)
+                )
                 if self.owed[b] >= 1:
                     self.owed[b] -= 1
                     self.at = place + 1 if place + 1 < count else 0
@@ -756,8 +926,12 @@
 
     def _is_trial(self, invocation, b):
         """Of the kinds that come, the least harmful; a row that nobody asks for would bring no trial ever."""
-        return (self.trial_due[b] and not self.trials_out[b] and invocation.offering.repeats == next(
-            kind for kind, at in self.asked_at.items() if at > self.count - COMES))
+        return (
+            self.trial_due[b]
+            and not self.trials_out[b]
+            and invocation.offering.repeats
+            == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
+        )
 
     def _cold_allows(self, b, now):
         """Rule 4: this node's part of what a cold backend may be sent, and of what all may have saved up."""
@@ -765,7 +939,9 @@
         capacity = terms.cold_from + (1 - terms.cold_from) * age / max(1, terms.cold_for)
         part = max(COLD_MARGIN, capacity) * min(1.0, (bears := terms.tip_multiple * capacity))
         saved = self.allowance[b] + part * warm * (now - self.allowed_at[b])
-        more = (bears - part) * warm * COLD_SPAN + COLD_MORE * len(self.ranked) / len(self.turn) / terms.nodes
+        more = (bears - part) * warm * COLD_SPAN + COLD_MORE * len(self.ranked) / len(
+            self.turn
+        ) / terms.nodes
         saved = min(saved, COLD_BURST if 1 + more >= COLD_BURST else more + (saved - more) % 1)
         self.allowance[b], self.allowed_at[b] = saved, now
         return self.allowance[b] >= 1
@@ -787,7 +963,9 @@
                 self.unprobed -= 1
                 self.probes.append(min(self.turn, key=self.told_at.__getitem__))
         self.flying.setdefault(b, {})[trip] = None
-        self._due(now + max(SWEEP, int(SILENT_LEAST * self.table[invocation.offering.index].typical)))
+        self._due(
+            now + max(SWEEP, int(SILENT_LEAST * self.table[invocation.offering.index].typical))
+        )
         if invocation.trips and self.terms.further_span:
             self.spent.append(now)
         invocation.trips.append(trip)
@@ -817,15 +995,19 @@
                 self.lost = max(LOST_LEAST, self.lost * (1 - COMMON))
                 row.answers += 1
                 row.typical += (alike - row.typical) * max(TYPICAL, 1 / row.answers)
-                row.skew = max(0.0, row.skew - (log(ratio) + row.skew) * max(TYPICAL, 1 / row.answers))
+                row.skew = max(
+                    0.0, row.skew - (log(ratio) + row.skew) * max(TYPICAL, 1 / row.answers)
+                )
                 self.level[b] += (ratio - self.level[b]) * heed
                 self._sample(b, now)
                 offering = trip.invocation.offering
-                self.limit.answered(now, offering.index, trip.round, trip.sent, int(alike), offering.expected)
+                self.limit.answered(
+                    now, offering.index, trip.round, trip.sent, int(alike), offering.expected
+                )
                 if self.quick[b] > FAR * level:
                     self._begin(b, SLOW, now)
             elif trip.sent < self.since[b] and self.trouble[b] is not SILENCE:
-                pass    # An answer from before the trouble says nothing about its end.
+                pass  # An answer from before the trouble says nothing about its end.
             elif ratio <= GOOD * level and self.errors[b] <= ERRORS_GOOD:
                 self._end(b, now)
             else:
@@ -834,9 +1016,11 @@
             if outcome in (TURNED_AWAY, REJECTED):
                 self.last_answer[b] = now
             if outcome == REJECTED:
-                return      # What a client got wrong says nothing against the backend.
+                return  # What a client got wrong says nothing against the backend.
             # Turned away counts too: whoever says no at once has nothing in flight and would attract work.
-            self.errors[b] += (1 - self.errors[b]) * (UNREACHED if outcome == UNREACHABLE else ERRORS)
+            self.errors[b] += (1 - self.errors[b]) * (
+                UNREACHED if outcome == UNREACHABLE else ERRORS
+            )
             if self.trouble[b] is None:
                 self.lost += (1 - self.lost) * COMMON
                 if outcome == TURNED_AWAY and self.state[b] == READY:
@@ -863,7 +1047,9 @@
     def _mark(self, b, trouble, now):
         """Keeps the counts that depend on which trouble a backend has."""
         before = self.trouble[b]
-        self.limit.counts(now, len(self.flying.get(b, ())) * ((trouble in COUNTED) - (before in COUNTED)))
+        self.limit.counts(
+            now, len(self.flying.get(b, ())) * ((trouble in COUNTED) - (before in COUNTED))
+        )
         self.slow_ones += (trouble is SLOW) - (before is SLOW)
         self.trouble[b] = trouble
         if trouble is None:
@@ -957,7 +1143,9 @@
         heavy = exp(RARE / len(trips) * sqrt(2 * row.skew) - row.skew)
         patience = typical * max(SILENT_LEAST, SILENT / len(trips), heavy)
         if quiet < patience:
-            return min(int(now - quiet + patience) + 1, *(t.until for t in trips if t.outcome), NEVER)
+            return min(
+                int(now - quiet + patience) + 1, *(t.until for t in trips if t.outcome), NEVER
+            )
         if self.trouble[b] is not SILENCE:
             self._begin(b, SILENCE, now)
         left = self._left(now)
@@ -965,10 +1153,15 @@
             invocation = trip.invocation
             if trip.trial and now - trip.sent > SILENT * typical:
                 self._next_trial(b, now, worse=True)
-            if (invocation.offering.repeats != ONE_SHOT and not trip.called_off and not invocation.over
-                    and now - trip.sent > SILENT_LEAST * typical and left >= 1
-                    and now < self._last_chance(invocation, sure=True)
-                    and len(invocation.trips) < self.terms.most_trips):
+            if (
+                invocation.offering.repeats != ONE_SHOT
+                and not trip.called_off
+                and not invocation.over
+                and now - trip.sent > SILENT_LEAST * typical
+                and left >= 1
+                and now < self._last_chance(invocation, sure=True)
+                and len(invocation.trips) < self.terms.most_trips
+            ):
                 self._call_off(trip)
                 left -= self.terms.further_span > 0
         return now
@@ -977,10 +1170,10 @@
 
     def _sample(self, b, now):
         self.work[b] += 1
-        if not self.samples[b]:     # On a large fleet most backends are never sent to.
+        if not self.samples[b]:  # On a large fleet most backends are never sent to.
             self.samples[b], self.sums[b] = deque(), [0, 0, 0, 0]
         work, samples, sums = self.work[b], self.samples[b], self.sums[b]
-        samples.append(now)     # Each is one unit of work after the one before.
+        samples.append(now)  # Each is one unit of work after the one before.
         for n, each in enumerate((work, now, work * work, work * now)):
             sums[n] += each
         while len(samples) > self.window[b]:
@@ -1002,12 +1195,18 @@
         mean = sum(gaps) / len(gaps)
         spread = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
         varies = spread / mean if mean else BAND_HIGH
-        self.window[b] = (WINDOW_LOW if varies <= BAND_LOW else
-                          WINDOW_HIGH if varies >= BAND_HIGH else WINDOW_MEDIUM)
+        self.window[b] = (
+            WINDOW_LOW
+            if varies <= BAND_LOW
+            else WINDOW_HIGH
+            if varies >= BAND_HIGH
+            else WINDOW_MEDIUM
+        )
         count = len(pauses)
         numbers, total = count * (count - 1) // 2, sum(pauses)
-        slope = ((count * sum(n * w for n, w in enumerate(pauses)) - numbers * total)
-                 / (count * sum(n * n for n in range(count)) - numbers * numbers))
+        slope = (count * sum(n * w for n, w in enumerate(pauses)) - numbers * total) / (
+            count * sum(n * n for n in range(count)) - numbers * numbers
+        )
         self.work_due[b] = (total - slope * numbers) / count + slope * count
         self._project(b)
 
@@ -1028,10 +1227,13 @@
             b = len(self.names)
         else:
             del self.index[self.names[b]], self.gone[b]
-            self.ailing.pop(b, None)    # What ailed the one before must not cost the new one probes.
+            self.ailing.pop(b, None)  # What ailed the one before must not cost the new one probes.
         for array, first in FIRST.items():
-            getattr(self, array)[b:b + 1] = [first]     # appends where b is new
-        self.names[b], self.rank[b] = name, blake2b(name.encode(), digest_size=8).digest() + name.encode()
+            getattr(self, array)[b : b + 1] = [first]  # appends where b is new
+        self.names[b], self.rank[b] = (
+            name,
+            blake2b(name.encode(), digest_size=8).digest() + name.encode(),
+        )
         self.left_at[b], self.allowed_at[b], self.owed[b] = now, now, self.pick(1000) / 1000
         self.index[name] = b
         return b
--- a/pierglade/cli/__init__.py
+++ b/pierglade/cli/__init__.py
@@ -13,9 +13,15 @@
 
 # What a command ends with.
 DONE, BAD_INPUT, UNSURE, BROKEN = 0, 2, 3, 4
-EXITS = ((DONE, "done"), (BAD_INPUT, "bad input: one line says which place of which file"),
-         (UNSURE, "the result is not to be trusted: a run was late, cut short, or its records have a hole"),
-         (BROKEN, "one of the four rules, or the budget of further trips, was broken"))
+EXITS = (
+    (DONE, "done"),
+    (BAD_INPUT, "bad input: one line says which place of which file"),
+    (
+        UNSURE,
+        "the result is not to be trusted: a run was late, cut short, or its records have a hole",
+    ),
+    (BROKEN, "one of the four rules, or the budget of further trips, was broken"),
+)
 # Each command, its line in the help, and the packages that it needs beside those of a node.
 COMMANDS = {
     "serve": ("Starts a node and serves until SIGTERM.", ()),
@@ -26,10 +32,15 @@
     "audit": ("Says by the ledgers which rule held.", ()),
     "admission": ("Who is let in, and who is not.", ()),
     "learned": ("What nodes have learned and kept.", ("xxhash",)),
-    "experiment": ("Plays a plan and writes a page about it.",
-                   ("numpy", "hdrh", "psutil", "rich", "structlog", "matplotlib")),
+    "experiment": (
+        "Plays a plan and writes a page about it.",
+        ("numpy", "hdrh", "psutil", "rich", "structlog", "matplotlib"),
+    ),
     "scale": ("Plays hollow nodes and backends by the thousand.", ("numpy", "hdrh", "psutil")),
-    "compare": ("Sets two plays or builds side by side.", ("numpy", "hdrh", "psutil", "rich", "structlog")),
+    "compare": (
+        "Sets two plays or builds side by side.",
+        ("numpy", "hdrh", "psutil", "rich", "structlog"),
+    ),
 }
 
 
@@ -57,9 +68,15 @@
 def _lacking(name, line, package):
     """In the place of a command that lacks a package: whatever it is called with, it says so."""
     return click.Command(
-        name, help=line, add_help_option=False, params=[click.Argument(["rest"], nargs=-1)],
+        name,
+        help=line,
+        add_help_option=False,
+        params=[click.Argument(["rest"], nargs=-1)],
         context_settings={"ignore_unknown_options": True},
-        callback=lambda rest: fail(f"pierglade {name} needs {package}: pip install 'pierglade[tools]'"))
+        callback=lambda rest: fail(
+            f"pierglade {name} needs {package}: pip install 'pierglade[tools]'"
+        ),
+    )
 
 
 def fail(line, status=BAD_INPUT):
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -13,28 +13,53 @@
 def terms_of(plan, grace_ms, budget):
     """The terms that the plan of a stand-in fleet states. `budget`: (span in s, most, share) or None."""
     from pierglade.audit.rules import Terms
+
     kind = plan.kind[0]
     work = sum(o.share * o.work_ms for o in plan.offering) / sum(o.share for o in plan.offering)
     able = kind.cores * kind.speed * 1000 / work if kind.cores and kind.cold_from < 1 else 0.0
     return Terms(
-        offerings={o.name: (o.repeats.replace("-", "_"), o.group, o.window_ms, o.hard_limit_ms)
-                   for o in plan.offering}, grace_ms=grace_ms,
+        offerings={
+            o.name: (o.repeats.replace("-", "_"), o.group, o.window_ms, o.hard_limit_ms)
+            for o in plan.offering
+        },
+        grace_ms=grace_ms,
         places={name: (place.zone, place.cell) for name, place in plan.names()},
-        cold_ms=kind.cold_for_s * 1000, cold_from=kind.cold_from, tip_multiple=kind.tip_multiple,
-        tip_ms=kind.tip_s * 1000, able_per_s=able,
-        span_ms=budget[0] * 1000 if budget else 0.0, most=int(budget[1]) if budget else 0,
-        share=budget[2] if budget else 0.0)
+        cold_ms=kind.cold_for_s * 1000,
+        cold_from=kind.cold_from,
+        tip_multiple=kind.tip_multiple,
+        tip_ms=kind.tip_s * 1000,
+        able_per_s=able,
+        span_ms=budget[0] * 1000 if budget else 0.0,
+        most=int(budget[1]) if budget else 0,
+        share=budget[2] if budget else 0.0,
+    )
 
 
-@click.command(epilog="Example: pierglade audit --plan fleet.toml --clients c.jsonl --backends b.jsonl")
-@click.option("--plan", "plan_path", required=True, metavar="FILE", help="The stand-in fleet's plan.")
-@click.option("--clients", multiple=True, required=True, metavar="FILE", help="Ledgers of `pierglade load`.")
-@click.option("--backends", multiple=True, required=True, metavar="FILE",
-              help="Ledgers of `pierglade fleet`.")
-@click.option("--grace-ms", type=click.FloatRange(min=0), default=1000.0, show_default=True,
-              help="New trips to a draining backend are allowed for so long.")
-@click.option("--budget", type=(float, int, float), metavar="SPAN_S MOST SHARE",
-              help="Further trips in any span: so many and a share of what was taken.")
+@click.command(
+    epilog="Example: pierglade audit --plan fleet.toml --clients c.jsonl --backends b.jsonl"
+)
+@click.option(
+    "--plan", "plan_path", required=True, metavar="FILE", help="The stand-in fleet's plan."
+)
+@click.option(
+    "--clients", multiple=True, required=True, metavar="FILE", help="Ledgers of `pierglade load`."
+)
+@click.option(
+    "--backends", multiple=True, required=True, metavar="FILE", help="Ledgers of `pierglade fleet`."
+)
+@click.option(
+    "--grace-ms",
+    type=click.FloatRange(min=0),
+    default=1000.0,
+    show_default=True,
+    help="New trips to a draining backend are allowed for so long.",
+)
+@click.option(
+    "--budget",
+    type=(float, int, float),
+    metavar="SPAN_S MOST SHARE",
+    help="Further trips in any span: so many and a share of what was taken.",
+)
 @click.option("--json", "as_json", is_flag=True, help="The verdict as JSON.")
 def audit(plan_path, clients, backends, grace_ms, budget, as_json):
     """Joins the ledgers by id and says for each rule whether it held, with ids and timelines of the breaks.
@@ -44,6 +69,7 @@
     from pierglade.audit import records, rules
     from pierglade.fleet import plan as plans
     from pierglade.lab.plan import Unreadable
+
     try:
         plan = plans.read(plan_path)
     except Unreadable as fault:
@@ -55,10 +81,17 @@
             rows[side] += some
             holes += missing
         rows[side].sort(key=lambda row: row["t_ms"])
-    verdict = rules.audit(terms_of(plan, grace_ms, budget), rows["clients"], rows["backends"], holes)
+    verdict = rules.audit(
+        terms_of(plan, grace_ms, budget), rows["clients"], rows["backends"], holes
+    )
     held = verdict.held()
     if as_json:
-        told = {"held": held, "counts": verdict.counts, "breaks": verdict.breaks, "holes": verdict.holes}
+        told = {
+            "held": held,
+            "counts": verdict.counts,
+            "breaks": verdict.breaks,
+            "holes": verdict.holes,
+        }
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
     else:
         click.echo(", ".join(f"{name} {count}" for name, count in verdict.counts.items()))
--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -14,6 +14,7 @@
     from pierglade.config.platform import to_platform
     from pierglade.config.read import Unusable as Wrong
     from pierglade.config.read import read
+
     try:
         if path.endswith(".json"):
             with open(path, "rb") as file:
@@ -33,7 +34,9 @@
 
 @click.command(epilog="Example: pierglade check deploy/pierglade.toml")
 @click.argument("file")
-@click.option("--platform", "as_platform", is_flag=True, help="Print the platform's document for FILE.")
+@click.option(
+    "--platform", "as_platform", is_flag=True, help="Print the platform's document for FILE."
+)
 def check(file, as_platform):
     """Tells whether a node would start on FILE; ends with 2 and a line for each fault if not."""
     wrong = lines_of(file)
@@ -43,6 +46,7 @@
         sys.exit(BAD_INPUT)
     from pierglade.config.platform import from_platform, to_platform
     from pierglade.config.read import read
+
     if file.endswith(".json"):
         with open(file, "rb") as opened:
             try:
@@ -54,7 +58,13 @@
     if as_platform:
         click.echo(orjson.dumps(to_platform(told), option=orjson.OPT_INDENT_2).decode())
         return
-    source = f"discovery at {told.discovery.address}" if told.discovery else f"{len(told.backends)} backends"
-    click.echo(f"{file}: good. {told.node.name} listens on {told.listen.address}, {source}, "
-               f"{len(told.offerings)} offerings: "
-               + ", ".join(f"{o.name} ({o.repeat})" for o in told.offerings))
+    source = (
+        f"discovery at {told.discovery.address}"
+        if told.discovery
+        else f"{len(told.backends)} backends"
+    )
+    click.echo(
+        f"{file}: good. {told.node.name} listens on {told.listen.address}, {source}, "
+        f"{len(told.offerings)} offerings: "
+        + ", ".join(f"{o.name} ({o.repeat})" for o in told.offerings)
+    )
--- a/pierglade/cli/children.py
+++ b/pierglade/cli/children.py
@@ -9,8 +9,8 @@
 import tempfile
 import time
 
-END_IN = 5.0        # s; a child that has not ended by then is killed
-START_IN = 15.0     # s; one that logs to a file and has not said that it started by then is a failure
+END_IN = 5.0  # s; a child that has not ended by then is killed
+START_IN = 15.0  # s; one that logs to a file and has not said that it started by then is a failure
 
 
 class ChildEnded(Exception):
@@ -36,7 +36,7 @@
     """
 
     def __init__(self):
-        self.running = {}       # name: (process, file of its standard error)
+        self.running = {}  # name: (process, file of its standard error)
         self.folder = None
 
     def __enter__(self):
@@ -47,7 +47,7 @@
 
     def _stop(self, number, frame):
         for again in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(again, signal.SIG_IGN)    # once is enough: the end must come to its own end
+            signal.signal(again, signal.SIG_IGN)  # once is enough: the end must come to its own end
         raise Stopped(signal.Signals(number).name)
 
     def path(self, name):
@@ -56,8 +56,13 @@
     def start(self, name, *args):
         """Starts `python -m ARGS` and returns its first line on standard output, decoded from JSON."""
         errors = open(self.path(name + ".err"), "wb+")
-        process = subprocess.Popen([sys.executable, "-m", *args], stdin=subprocess.PIPE, stderr=errors,
-                                   stdout=subprocess.PIPE, env={**os.environ, "TMPDIR": self.folder.name})
+        process = subprocess.Popen(
+            [sys.executable, "-m", *args],
+            stdin=subprocess.PIPE,
+            stderr=errors,
+            stdout=subprocess.PIPE,
+            env={**os.environ, "TMPDIR": self.folder.name},
+        )
         self.running[name] = process, errors
         line = process.stdout.readline()
         try:
@@ -70,14 +75,23 @@
         """Starts `python WORDS` with its standard output in the file `log`; its line `started`, decoded."""
         errors = open(self.path(name + ".err"), "wb+")
         with open(log, "wb") as out:
-            process = subprocess.Popen([sys.executable, *words], stdin=subprocess.PIPE, stderr=errors,
-                                       stdout=out, cwd=cwd, env={**os.environ, "TMPDIR": self.folder.name, **dict(env)})
+            process = subprocess.Popen(
+                [sys.executable, *words],
+                stdin=subprocess.PIPE,
+                stderr=errors,
+                stdout=out,
+                cwd=cwd,
+                env={**os.environ, "TMPDIR": self.folder.name, **dict(env)},
+            )
         self.running[name] = process, errors
         until = time.monotonic() + START_IN
         while time.monotonic() < until:
             with open(log, "rb") as file:
                 for line in file.read().splitlines(keepends=True):
-                    if line.endswith(b"\n") and (told := json.loads(line)).get("event") == "started":
+                    if (
+                        line.endswith(b"\n")
+                        and (told := json.loads(line)).get("event") == "started"
+                    ):
                         return told
             if process.poll() is not None:
                 raise ChildEnded(self._how(name))
--- a/pierglade/cli/compare.py
+++ b/pierglade/cli/compare.py
@@ -5,16 +5,32 @@
 import click
 
 from pierglade.cli import fail
-from pierglade.cli.experiment import Progress, builds_of, end_with, folder_of, plan_of, show, stopping
+from pierglade.cli.experiment import (
+    Progress,
+    builds_of,
+    end_with,
+    folder_of,
+    plan_of,
+    show,
+    stopping,
+)
 
 
-@click.command(epilog="Example: pierglade compare --plan experiments/crash.toml --times 3 pierglade @HEAD~10")
+@click.command(
+    epilog="Example: pierglade compare --plan experiments/crash.toml --times 3 pierglade @HEAD~10"
+)
 @click.argument("one")
 @click.argument("other")
-@click.option("--plan", "file", metavar="FILE", help="Then A and B are builds, played on it turn about.")
-@click.option("--times", type=click.IntRange(1, 100), default=3, show_default=True, help="Plays of each.")
+@click.option(
+    "--plan", "file", metavar="FILE", help="Then A and B are builds, played on it turn about."
+)
+@click.option(
+    "--times", type=click.IntRange(1, 100), default=3, show_default=True, help="Plays of each."
+)
 @click.option("--seed", type=int, help="In place of the plan's.")
-@click.option("--out", metavar="FOLDER", help="Where the plays are written; else a new folder under runs/.")
+@click.option(
+    "--out", metavar="FOLDER", help="Where the plays are written; else a new folder under runs/."
+)
 @click.option("--json", "as_json", is_flag=True, help="The summaries as JSON.")
 def compare(one, other, file, times, seed, out, as_json):
     """Sets ONE and OTHER side by side, with the spread of their plays.
@@ -25,6 +41,7 @@
     from contextlib import ExitStack
 
     from pierglade.experiment import compare as sides
+
     if file is None:
         told = {}
         for folder in (one, other):
@@ -44,9 +61,12 @@
             builds = builds_of((one, other), keep)
             of_ours = {build.label for build in builds if not build.plain}
             with Progress(2 * times) as bar:
-                told = stopping(lambda: sides.in_turns(plan, folder_of(out, file), builds, times, bar))
+                told = stopping(
+                    lambda: sides.in_turns(plan, folder_of(out, file), builds, times, bar)
+                )
     if as_json:
         import msgspec
+
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
     else:
         show(told)
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -8,11 +8,14 @@
 import click
 
 from pierglade.cli import UNSURE, fail
-from pierglade.cli.children import Children, ChildEnded, Stopped, free_port
+from pierglade.cli.children import ChildEnded, Children, Stopped, free_port
 
 BACKENDS = 8
-PAUSES_EVERY, PAUSE_MS = 120, 400   # settled invocations between pauses of a backend, and how long each is
-CRASH_AT, DRAIN_AT = 2 / 3, 0.8     # shares of the demo at which one backend dies and another drains
+PAUSES_EVERY, PAUSE_MS = (
+    120,
+    400,
+)  # settled invocations between pauses of a backend, and how long each is
+CRASH_AT, DRAIN_AT = 2 / 3, 0.8  # shares of the demo at which one backend dies and another drains
 PATIENCE_S = 1.0
 PLAN = """
 seed = 7
@@ -71,7 +74,7 @@
 
     def __init__(self, name, pool):
         self.name, self.pool = name, pool
-        self.latency, self.lately = [], []      # ms from the planned moment: of all, of the last second
+        self.latency, self.lately = [], []  # ms from the planned moment: of all, of the last second
         self.answered = self.late = self.refused = self.failed = 0
 
     def ended(self, request, status, backend, why):
@@ -91,15 +94,27 @@
         lately, self.lately = sorted(self.lately), []
         if not lately:
             return 0, 0.0, 0.0
-        return len(lately), lately[len(lately) // 2], lately[min(len(lately) - 1, int(len(lately) * 0.99))]
+        return (
+            len(lately),
+            lately[len(lately) // 2],
+            lately[min(len(lately) - 1, int(len(lately) * 0.99))],
+        )
 
     def whole(self):
         all_of = sorted(self.latency) or [0.0]
 
         def at(share):
             return round(all_of[min(len(all_of) - 1, int(len(all_of) * share))], 1)
-        return {"answered": self.answered, "late": self.late, "refused": self.refused, "failed": self.failed,
-                "p50_ms": at(0.5), "p99_ms": at(0.99), "max_ms": round(all_of[-1], 1)}
+
+        return {
+            "answered": self.answered,
+            "late": self.late,
+            "refused": self.refused,
+            "failed": self.failed,
+            "p50_ms": at(0.5),
+            "p99_ms": at(0.99),
+            "max_ms": round(all_of[-1], 1),
+        }
 
 
 async def _known(address):
@@ -127,12 +142,15 @@
 
 async def _play(seconds, rate, sides, management, children, show):
     from pierglade.load.client import Request
+
     began, sent, told = time.monotonic(), 0, 0
     head = b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s-%d\r\n\r\n"
     while (now := time.monotonic() - began) < seconds:
         while sent < min(now, seconds) * rate:
             for side in sides:
-                request = Request(head % (side.name.encode()[:4], sent), side.ended, began + sent / rate)
+                request = Request(
+                    head % (side.name.encode()[:4], sent), side.ended, began + sent / rate
+                )
                 side.pool.send(request, PATIENCE_S)
             sent += 1
         if now >= told + 1:
@@ -159,8 +177,10 @@
         words = [f"{second:3} s"]
         for side in sides:
             count, p50, p99 = side.row()
-            words.append(f"{side.name}: {count}/s p50 {p50:.0f} p99 {p99:.0f} ms, refused {side.refused}, "
-                         f"failed {side.failed}")
+            words.append(
+                f"{side.name}: {count}/s p50 {p50:.0f} p99 {p99:.0f} ms, refused {side.refused}, "
+                f"failed {side.failed}"
+            )
         if known:
             out = [f"{row['name']} {_why(row)}" for row in known["backends"] if _why(row)]
             words.append("out: " + (", ".join(out) or "none"))
@@ -173,6 +193,7 @@
 
     def __init__(self, console):
         from rich.live import Live
+
         self.live = Live(console=console, refresh_per_second=4)
 
     def __enter__(self):
@@ -185,49 +206,93 @@
     def __call__(self, second, sides, known):
         from rich.console import Group
         from rich.table import Table as Rows
-        top = Rows("", "a second", "p50 ms", "p99 ms", "late", "refused", "failed", title=f"{second} s")
+
+        top = Rows(
+            "", "a second", "p50 ms", "p99 ms", "late", "refused", "failed", title=f"{second} s"
+        )
         for side in sides:
             count, p50, p99 = side.row()
-            top.add_row(side.name, str(count), f"{p50:.0f}", f"{p99:.0f}", str(side.late), str(side.refused),
-                        str(side.failed))
-        rows = Rows("backend", "settled", "out", "level", "next pause", "skipped or out",
-                    title="as the node sees its backends")
+            top.add_row(
+                side.name,
+                str(count),
+                f"{p50:.0f}",
+                f"{p99:.0f}",
+                str(side.late),
+                str(side.refused),
+                str(side.failed),
+            )
+        rows = Rows(
+            "backend",
+            "settled",
+            "out",
+            "level",
+            "next pause",
+            "skipped or out",
+            title="as the node sees its backends",
+        )
         for row in known["backends"] if known else ():
             due = row["next_pause_ms"]
-            rows.add_row(row["name"], str(row["settled"]), str(row["out"]), f"{row['level']:.2f}",
-                         "" if due is None else f"{due} ms", _why(row),
-                         style="dim" if row["state"] != "ready" else "red" if row["trouble"] else
-                         "yellow" if row["pauses"] else "")
+            rows.add_row(
+                row["name"],
+                str(row["settled"]),
+                str(row["out"]),
+                f"{row['level']:.2f}",
+                "" if due is None else f"{due} ms",
+                _why(row),
+                style="dim"
+                if row["state"] != "ready"
+                else "red"
+                if row["trouble"]
+                else "yellow"
+                if row["pauses"]
+                else "",
+            )
         self.live.update(Group(top, rows))
 
 
 def _plan(seconds):
     pausing = ", ".join(f'"b{n}"' for n in range(BACKENDS - 2))
-    return PLAN.format(all_s=seconds + 30, backends=BACKENDS, pausing=pausing, every=PAUSES_EVERY,
-                       pause_ms=PAUSE_MS, crash_s=round(seconds * CRASH_AT, 1),
-                       drain_s=round(seconds * DRAIN_AT, 1))
+    return PLAN.format(
+        all_s=seconds + 30,
+        backends=BACKENDS,
+        pausing=pausing,
+        every=PAUSES_EVERY,
+        pause_ms=PAUSE_MS,
+        crash_s=round(seconds * CRASH_AT, 1),
+        drain_s=round(seconds * DRAIN_AT, 1),
+    )
 
 
 def _start(children, seconds):
     """Two fleets alike, a node before the one and plain round robin before the other."""
     with open(children.path("fleet.toml"), "w") as file:
         file.write(_plan(seconds))
-    fleets = [children.start(name, "pierglade.cli", "fleet", file.name, "--with-parent")
-              for name in ("fleet", "second fleet")]
+    fleets = [
+        children.start(name, "pierglade.cli", "fleet", file.name, "--with-parent")
+        for name in ("fleet", "second fleet")
+    ]
     management = f"127.0.0.1:{free_port()}"
     with open(children.path("node.toml"), "w") as file:
-        file.write(NODE.format(management=management.rpartition(":")[2], discovery=fleets[0]["discovery"]))
+        file.write(
+            NODE.format(management=management.rpartition(":")[2], discovery=fleets[0]["discovery"])
+        )
     node = children.start("node", "pierglade.cli", "serve", file.name, "--with-parent")
     while node.get("event") != "started":
         node = json.loads(children.running["node"][0].stdout.readline() or b"{}")
         children.look()
-    plain = children.start("plain node", "pierglade.fleet.plain", "--with-parent", "--discovery",
-                           fleets[1]["discovery"])
+    plain = children.start(
+        "plain node",
+        "pierglade.fleet.plain",
+        "--with-parent",
+        "--discovery",
+        fleets[1]["discovery"],
+    )
     return node["listen"], plain["listen"], management
 
 
 def _ready(address, wait_s=5.0):
     import http.client
+
     until = time.monotonic() + wait_s
     while time.monotonic() < until:
         try:
@@ -252,14 +317,25 @@
                 pass
         except ValueError:
             pass
+
     threading.Thread(target=read, daemon=True).start()
 
 
 @click.command(epilog="Example: pierglade demo --seconds 45")
-@click.option("--seconds", type=click.FloatRange(3, 3600), default=45.0, show_default=True,
-              help="How long it plays; one backend dies after two thirds, another drains after four fifths.")
-@click.option("--rate", type=click.FloatRange(1, 2000), default=200.0, show_default=True,
-              help="Invocations a second, evenly.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(3, 3600),
+    default=45.0,
+    show_default=True,
+    help="How long it plays; one backend dies after two thirds, another drains after four fifths.",
+)
+@click.option(
+    "--rate",
+    type=click.FloatRange(1, 2000),
+    default=200.0,
+    show_default=True,
+    help="Invocations a second, evenly.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Only the result, as JSON.")
 def demo(seconds, rate, as_json):
     """Shows what the node is for: eight stand-in backends of which six pause, one that dies, one that drains.
@@ -286,19 +362,23 @@
     click.echo()
     width = max(map(len, result))
     for name, row in result.items():
-        figures = (f"{key.replace('_ms', '')} {value:g}" + " ms" * ("_ms" in key)
-                   for key, value in row.items())
+        figures = (
+            f"{key.replace('_ms', '')} {value:g}" + " ms" * ("_ms" in key)
+            for key, value in row.items()
+        )
         click.echo(f"{name:{width}}  " + ", ".join(figures))
 
 
 async def _shown(seconds, rate, node, plain, management, children, as_json):
     from pierglade.load.client import Pool
+
     loop = asyncio.get_running_loop()
     sides = [Side("pierglade", Pool(node, loop)), Side("round robin", Pool(plain, loop))]
     if as_json:
         show = Lines(open("/dev/null", "w"))
     elif sys.stdout.isatty():
         from rich.console import Console
+
         show = Table(Console())
     else:
         show = Lines(sys.stdout)
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -19,6 +19,7 @@
         if sys.stderr.isatty():
             from rich.console import Console
             from rich.progress import Progress as Bar
+
             self.bar = Bar(console=Console(stderr=True))
             self.bar.start()
             self.task = self.bar.add_task("playing", total=self.plays)
@@ -36,6 +37,7 @@
 def plan_of(file, seed):
     from pierglade.experiment import plan as plans
     from pierglade.lab.plan import Unreadable
+
     try:
         plan = plans.read(file)
     except Unreadable as fault:
@@ -48,6 +50,7 @@
 def builds_of(texts, keep):
     """The builds that were named; `keep` is an ExitStack that removes their folders."""
     from pierglade.experiment import nodes
+
     try:
         builds = [keep.enter_context(nodes.Build(text)) for text in texts]
     except nodes.NoBuild as fault:
@@ -74,6 +77,7 @@
 def show(told, write=click.echo):
     """The table of {label: [summary]}, and what stands against it."""
     from pierglade.experiment import compare
+
     labels = list(told)
     width = max(16, *(len(label) + 2 for label in labels))
     write(" " * 18 + "".join(f"{label:>{width + 14}}" for label in labels))
@@ -92,6 +96,7 @@
 def end_with(told, ours):
     """Says what stands against the plays and ends with 4 or 3 where it must; only `ours` can break a rule."""
     from pierglade.experiment import compare
+
     _, lines = compare.doubts(told)
     broken, _ = compare.doubts({label: some for label, some in told.items() if label in ours})
     for line in lines:
@@ -106,6 +111,7 @@
     """Runs `play()`; a stop or a failure of it ends the command with 3 and one line."""
     from pierglade.cli.children import Stopped
     from pierglade.experiment.play import Failed
+
     try:
         return play()
     except Failed as fault:
@@ -116,12 +122,20 @@
 
 @click.command(epilog="Example: pierglade experiment experiments/crash.toml --beside turns")
 @click.argument("file")
-@click.option("--build", default="pierglade", show_default=True,
-              help="What the nodes are: pierglade, turns, random, least, two, a folder, or @COMMIT.")
+@click.option(
+    "--build",
+    default="pierglade",
+    show_default=True,
+    help="What the nodes are: pierglade, turns, random, least, two, a folder, or @COMMIT.",
+)
 @click.option("--beside", multiple=True, help="Another build, played on the same plan in turns.")
-@click.option("--times", type=click.IntRange(1, 100), default=1, show_default=True, help="Plays of each.")
+@click.option(
+    "--times", type=click.IntRange(1, 100), default=1, show_default=True, help="Plays of each."
+)
 @click.option("--seed", type=int, help="In place of the plan's.")
-@click.option("--out", metavar="FOLDER", help="Where all of it is written; else a new folder under runs/.")
+@click.option(
+    "--out", metavar="FOLDER", help="Where all of it is written; else a new folder under runs/."
+)
 @click.option("--json", "as_json", is_flag=True, help="The summaries as JSON.")
 def experiment(file, build, beside, times, seed, out, as_json):
     """Plays FILE: nodes, a stand-in fleet, a load and what befalls them, all on this machine's loopback.
@@ -134,11 +148,13 @@
     from contextlib import ExitStack
 
     from pierglade.experiment import cost
+
     with ExitStack() as keep:
         texts = [build, *beside]
         if cost.is_cost(file):
             return cost_of(file, builds_of(texts, keep), times, as_json)
         from pierglade.experiment import compare, report
+
         plan = plan_of(file, seed)
         builds = builds_of(texts, keep)
         out = folder_of(out, file)
@@ -148,6 +164,7 @@
             report.page(os.path.join(out, name))
     if as_json:
         import msgspec
+
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
     else:
         show(told)
@@ -161,6 +178,7 @@
 
     from pierglade.experiment import cost
     from pierglade.lab.plan import Unreadable
+
     try:
         plan = cost.read(file)
     except Unreadable as fault:
--- a/pierglade/cli/fleet.py
+++ b/pierglade/cli/fleet.py
@@ -10,7 +10,9 @@
 
 @click.command(epilog="Example: pierglade fleet experiments/fleet/eight.toml")
 @click.argument("file")
-@click.option("--seconds", type=click.FloatRange(min=0, min_open=True), help="It ends then; else on SIGTERM.")
+@click.option(
+    "--seconds", type=click.FloatRange(min=0, min_open=True), help="It ends then; else on SIGTERM."
+)
 @click.option("--with-parent", is_flag=True, help="It also ends when standard input does.")
 def fleet(file, seconds, with_parent):
     """Plays the stand-in backends and the discovery of FILE on loopback ports.
@@ -22,6 +24,7 @@
     from pierglade.fleet import plan as plans
     from pierglade.fleet import run
     from pierglade.lab.plan import Unreadable
+
     try:
         plan = plans.read(file)
     except Unreadable as fault:
@@ -30,7 +33,9 @@
         plan.seconds = seconds
     log = json_lines()
     try:
-        summary = asyncio.run(run.serve(plan, lambda event, **fields: log.info(event, **fields), with_parent))
+        summary = asyncio.run(
+            run.serve(plan, lambda event, **fields: log.info(event, **fields), with_parent)
+        )
     except run.CannotListen as fault:
         fail(str(fault))
     except OSError as fault:
@@ -38,7 +43,12 @@
     log.info("over", **summary)
     if summary["late"] or summary["ledger"]["hole"] or summary["troubles"]:
         hole = summary["ledger"]["hole"]
-        why = ("p99 of its own lateness %.1f ms" % summary["late_ms"]["p99"] if summary["late"] else
-               f"ledger: {hole}" if hole else summary["troubles"][0])
+        why = (
+            "p99 of its own lateness %.1f ms" % summary["late_ms"]["p99"]
+            if summary["late"]
+            else f"ledger: {hole}"
+            if hole
+            else summary["troubles"][0]
+        )
         click.echo(f"pierglade: not to be trusted: {why}", err=True)
         sys.exit(UNSURE)
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -8,7 +8,7 @@
 
 from pierglade.cli import fail
 
-UNUSABLE = 1    # a file that can't be used
+UNUSABLE = 1  # a file that can't be used
 
 
 def _age(snapshot):
@@ -17,6 +17,7 @@
 
 def _found(folder):
     from pierglade.learned import files
+
     try:
         return list(files.found(folder))
     except OSError as fault:
@@ -39,6 +40,7 @@
     import msgspec
 
     from pierglade.learned import files, form
+
     try:
         snapshot = files.load(file)
     except (OSError, form.Spoilt) as fault:
@@ -58,18 +60,26 @@
             bad = bad or not name.endswith(".part")
             click.echo(f"{name}: can't be used: {_why(told)}")
         else:
-            click.echo(f"{name}: good, of {told.node}, {_age(told):.0f} s old, {len(told.backends)} backends, "
-                       f"{len(told.offerings)} offerings")
+            click.echo(
+                f"{name}: good, of {told.node}, {_age(told):.0f} s old, {len(told.backends)} backends, "
+                f"{len(told.offerings)} offerings"
+            )
     sys.exit(UNUSABLE if bad else 0)
 
 
 @learned.command(epilog="Example: pierglade learned prune /var/lib/pierglade --older-than-h 24")
 @click.argument("folder")
-@click.option("--older-than-h", type=click.FloatRange(min=0), default=24.0, show_default=True,
-              help="Whole snapshots of nodes that do not run, older than so many hours, go too.")
+@click.option(
+    "--older-than-h",
+    type=click.FloatRange(min=0),
+    default=24.0,
+    show_default=True,
+    help="Whole snapshots of nodes that do not run, older than so many hours, go too.",
+)
 def prune(folder, older_than_h):
     """Removes what can't be used or is too old; nothing of a node that runs."""
     from pierglade.learned import files
+
     for name, told in _found(folder):
         node = name.partition(files.SUFFIX)[0]
         if files.in_use(folder, node):
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -10,7 +10,9 @@
 
 @click.command(epilog="Example: pierglade scale experiments/scale/target.toml")
 @click.argument("file", metavar="PLAN")
-@click.option("--axes", is_flag=True, help="Nodes, backends, tenants one after the other, and the shapes.")
+@click.option(
+    "--axes", is_flag=True, help="Nodes, backends, tenants one after the other, and the shapes."
+)
 @click.option("--json", "as_json", is_flag=True, help="All of it as JSON.")
 def scale(file, axes, as_json):
     """Plays PLAN on this machine's loopback and sets what control needs against its budget.
@@ -26,11 +28,13 @@
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
     from pierglade.scale.guard import Over
+
     began = time.monotonic()
 
     def say(line):
         if sys.stderr.isatty():
             click.echo(f"{time.monotonic() - began:6.1f} s  {line}", err=True)
+
     try:
         plan = plans.read(file)
         if axes:
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -10,7 +10,7 @@
 
 from pierglade.cli import fail
 
-LETS_IN = 0.0005        # s; so long a file is read before a node that has something to do gets its turn
+LETS_IN = 0.0005  # s; so long a file is read before a node that has something to do gets its turn
 
 
 def place_from(path):
@@ -19,22 +19,31 @@
     Raises ValueError with one line where it can't be used.
     """
     from pierglade.__main__ import place_at, place_of, through
+
     if path.endswith(".json"):
         return through(place_at(path, {}))
     from pierglade.config.logged import Chosen
     from pierglade.config.platform import to_platform
     from pierglade.config.read import read
+
     file = read(path)
     place = place_of(to_platform(file), path, {}, fixed=True)
     place.gives_ids = file.listen.ids == "optional"
     place.caps = _caps(file.admission)
     keep = file.learning
-    place.keeping = (keep.folder, keep.every_s, keep.half_life_s, keep.most_mb) if keep.folder else None
+    place.keeping = (
+        (keep.folder, keep.every_s, keep.half_life_s, keep.most_mb) if keep.folder else None
+    )
     terminal = os.isatty(1)
     readable = file.log.form == "readable" or file.log.form == "auto" and terminal
     if readable or file.log.level != "debug" or file.log.sampling < 1:
-        place.log = partial(Chosen, level=file.log.level, sampling=file.log.sampling, readable=readable,
-                            colours=terminal)
+        place.log = partial(
+            Chosen,
+            level=file.log.level,
+            sampling=file.log.sampling,
+            readable=readable,
+            colours=terminal,
+        )
     return place
 
 
@@ -42,8 +51,10 @@
     """The same while a node serves, which goes on meanwhile."""
     if path.endswith(".json"):
         from pierglade.__main__ import place_at
+
         return place_at(path, {}, known=False)
     from gevent import get_hub
+
     # The reader of TOML can't be stopped between two rows: its thread lets the node in now and then.
     usual = sys.getswitchinterval()
     sys.setswitchinterval(LETS_IN)
@@ -56,6 +67,7 @@
 def _caps(told):
     """The caps of the operator's file, None where it states none."""
     from pierglade.admission.gate import Caps
+
     if not (told.per_address or told.per_prefix or told.rate_per_address or told.reserve):
         return None
     return Caps(told.per_address, told.per_prefix, told.rate_per_address, told.known, told.reserve)
@@ -65,10 +77,15 @@
     """The same; the line says where all that is wrong is told."""
     from pierglade.__main__ import Unusable
     from pierglade.config.read import Unusable as Wrong
+
     try:
         return place_from(path)
     except Wrong as fault:
-        more = f" (and {len(fault.lines) - 1} more: pierglade check {path})" if len(fault.lines) > 1 else ""
+        more = (
+            f" (and {len(fault.lines) - 1} more: pierglade check {path})"
+            if len(fault.lines) > 1
+            else ""
+        )
         raise Unusable(f"{fault}{more}") from None
 
 
@@ -88,6 +105,7 @@
     FILE is TOML (docs/operate/configuration.md), or the platform's JSON document.
     """
     from pierglade.__main__ import run
+
     if not os.path.exists(file):
         fail(f"{file}: No such file or directory")
     if with_parent:
--- a/pierglade/config/page.py
+++ b/pierglade/config/page.py
@@ -37,8 +37,10 @@
         while isinstance(inner, types.Metadata):
             said = (inner.extra_json_schema or {}).get("description", said)
             inner = inner.type
-        yield (f"| `{field.encode_name}` | {said} | {_default(field)} | {allowed(field.type)} "
-               f"| {theirs.get(f'{ours}.{field.encode_name}', '')} |")
+        yield (
+            f"| `{field.encode_name}` | {said} | {_default(field)} | {allowed(field.type)} "
+            f"| {theirs.get(f'{ours}.{field.encode_name}', '')} |"
+        )
 
 
 def page():
@@ -58,9 +60,16 @@
         title = f"[{name}]"
         if isinstance(kind, types.ListType):
             kind, title = kind.item_type, f"[[{name}]]"
-        lines += [f"## `{title}`", "", kind.cls.__doc__.split("\n\n")[0], "",
-                  "| key | meaning | default | allowed | the platform's |", "| --- | --- | --- | --- | --- |",
-                  *_rows(kind, name, theirs), ""]
+        lines += [
+            f"## `{title}`",
+            "",
+            kind.cls.__doc__.split("\n\n")[0],
+            "",
+            "| key | meaning | default | allowed | the platform's |",
+            "| --- | --- | --- | --- | --- |",
+            *_rows(kind, name, theirs),
+            "",
+        ]
     return "\n".join(lines)
 
 
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -70,20 +70,48 @@
 )
 # The same for rows: (list in our file, list in the platform's document, its columns).
 ROWS = (
-    ("offerings", "settings.offerings", (
-        ("name", "name", _PLAIN), ("repeat", "idempotency", _words(_REPEAT)), ("group", "group", _PLAIN),
-        ("window_ms", "repeatWindowUs", _MS), ("expected_ms", "expectedTimeUs", _MS),
-        ("hard_limit_ms", "hardLimitUs", _MS), ("credit", "credit", _PLAIN))),
+    (
+        "offerings",
+        "settings.offerings",
+        (
+            ("name", "name", _PLAIN),
+            ("repeat", "idempotency", _words(_REPEAT)),
+            ("group", "group", _PLAIN),
+            ("window_ms", "repeatWindowUs", _MS),
+            ("expected_ms", "expectedTimeUs", _MS),
+            ("hard_limit_ms", "hardLimitUs", _MS),
+            ("credit", "credit", _PLAIN),
+        ),
+    ),
     ("members", "settings.customers", (("name", "name", _PLAIN), ("per_s", "quotaPerS", _PLAIN))),
-    ("backends", "known.endpoints", (
-        ("name", "name", _PLAIN), ("address", "address", _PLAIN), ("zone", "zone", _TEXT_OR_NONE),
-        ("cell", "group", _PLAIN), ("weight", "weight", _PLAIN))),
+    (
+        "backends",
+        "known.endpoints",
+        (
+            ("name", "name", _PLAIN),
+            ("address", "address", _PLAIN),
+            ("zone", "zone", _TEXT_OR_NONE),
+            ("cell", "group", _PLAIN),
+            ("weight", "weight", _PLAIN),
+        ),
+    ),
 )
 # Where ours stands alone: the platform has no word for it.
-OURS = ("listen.ids", "admission.per_address", "admission.per_prefix", "admission.rate_per_address",
-        "admission.known", "admission.reserve",
-        "learning.folder", "learning.every_s", "learning.half_life_s", "learning.most_mb",
-        "log.level", "log.sampling", "log.form")
+OURS = (
+    "listen.ids",
+    "admission.per_address",
+    "admission.per_prefix",
+    "admission.rate_per_address",
+    "admission.known",
+    "admission.reserve",
+    "learning.folder",
+    "learning.every_s",
+    "learning.half_life_s",
+    "learning.most_mb",
+    "log.level",
+    "log.sampling",
+    "log.form",
+)
 
 
 def to_platform(file):
@@ -94,8 +122,14 @@
         if value is not None:
             _put(document, theirs, there(value))
     for ours, theirs, columns in ROWS:
-        _put(document, theirs, [{key: there(getattr(row, name)) for name, key, (there, _) in columns}
-                                for row in getattr(file, ours)])
+        _put(
+            document,
+            theirs,
+            [
+                {key: there(getattr(row, name)) for name, key, (there, _) in columns}
+                for row in getattr(file, ours)
+            ],
+        )
     for row in document["known"]["endpoints"]:
         row.update(status="SERVING", since_ms=0)
     # Discovery's versions are its own: a list of ours has none, and the whole of it is asked for.
@@ -123,8 +157,11 @@
         raw.pop("discovery", None)
     for ours, theirs, columns in ROWS:
         rows = _get(document, theirs) or []
-        raw[ours] = [{name: back(row[key]) for name, key, (_, back) in columns if row.get(key) is not None}
-                     for row in rows if row.get("status", "SERVING") == "SERVING"]
+        raw[ours] = [
+            {name: back(row[key]) for name, key, (_, back) in columns if row.get(key) is not None}
+            for row in rows
+            if row.get("status", "SERVING") == "SERVING"
+        ]
     if not (_get(document, "settings.limits.retryAfter")):
         raw.get("limits", {}).pop("retry_after_ms", None)
     return msgspec.convert(raw, File)
