--- a/pierglade/net/state/clients.py
+++ b/pierglade/net/state/clients.py
@@ -3,35 +3,56 @@
 from pierglade import records as r
 from pierglade.net import http
 from pierglade.net.state.events import (
-    ANSWER, Client, ENDED, END_CLIENT, FRESH, IDLE, LET_GO, LINGERING, LIVE_PATH, MARGIN, OWED, READING,
-    READY_PATH, SPARE, TOLD_AFTER, WRITING)
+    ANSWER,
+    END_CLIENT,
+    ENDED,
+    FRESH,
+    IDLE,
+    LET_GO,
+    LINGERING,
+    LIVE_PATH,
+    MARGIN,
+    OWED,
+    READING,
+    READY_PATH,
+    SPARE,
+    TOLD_AFTER,
+    WRITING,
+    Client,
+)
 from pierglade.terms import down
 
 # Constants. Times are tenths of a millisecond.
-FIRST_ASK = 20000       # 2 s; from connecting to a request's first byte
-SLOW_HEAD = 25000       # 2.5 s; from there, or the connecting, to the head's end: slow clients take 2 s
-SLOW_BODY = 20000       # 2 s; what a sender may be behind in a body
-SLOWEST = 3.2           # bytes in a tenth of a ms; 32 kB/s, half of what slow clients send
-SLOW_READER = 50000     # 5 s; in which some of an answer is to be taken
-CLIENT_IDLE = 25000     # 2.5 s; some clients ask once and stay, and would take the descriptors from the links
-CLIENT_PART = 0.25      # share of the descriptors; beyond it clients that rest are let go, longest idle first
-YIELD_AFTER = 1000      # 100 ms; idle for less, a connection is likely to be used the next moment
-YIELD_FRESH = 200       # 20 ms; who opens a connection in earnest asks at once
-LINGER = 10000          # 1 s; for a client to close after its last answer
-SPENT_FOR = 20000       # 2 s; an id is not taken again so soon after its answer: a copy may just be coming in
-ID_MOST = 256           # bytes of an id; ids are kept while their invocation is open
-HINT = b"hintUs="      # in X-Props: how much work a request is
-STAYS = 4               # lengths of the wait that a refusal at the door names: one for each fourth of the bar
+FIRST_ASK = 20000  # 2 s; from connecting to a request's first byte
+SLOW_HEAD = 25000  # 2.5 s; from there, or the connecting, to the head's end: slow clients take 2 s
+SLOW_BODY = 20000  # 2 s; what a sender may be behind in a body
+SLOWEST = 3.2  # bytes in a tenth of a ms; 32 kB/s, half of what slow clients send
+SLOW_READER = 50000  # 5 s; in which some of an answer is to be taken
+CLIENT_IDLE = (
+    25000  # 2.5 s; some clients ask once and stay, and would take the descriptors from the links
+)
+CLIENT_PART = (
+    0.25  # share of the descriptors; beyond it clients that rest are let go, longest idle first
+)
+YIELD_AFTER = 1000  # 100 ms; idle for less, a connection is likely to be used the next moment
+YIELD_FRESH = 200  # 20 ms; who opens a connection in earnest asks at once
+LINGER = 10000  # 1 s; for a client to close after its last answer
+SPENT_FOR = (
+    20000  # 2 s; an id is not taken again so soon after its answer: a copy may just be coming in
+)
+ID_MOST = 256  # bytes of an id; ids are kept while their invocation is open
+HINT = b"hintUs="  # in X-Props: how much work a request is
+STAYS = 4  # lengths of the wait that a refusal at the door names: one for each fourth of the bar
 METHODS = {r.HARMLESS: b"GET", r.STAMPED: b"POST", r.ONE_SHOT: b"POST"}
 # Headers that a request has once: of two, the next to read it may heed the other.
-SINGLE = frozenset((b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try",
-                    b"idempotency-key"))
+SINGLE = frozenset(
+    (b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try", b"idempotency-key")
+)
 
 
 class Clients:
     """Mixed into the Reducer, which holds what is used here."""
 
-
     def _opened(self, io, known=False):
         client = io.client = Client(io)
         client.known = known
@@ -67,8 +88,9 @@
         if come is not None and client.state is READING:
             # Told from a flood of half requests by what comes, not by how long it takes.
             client.headed = client.headed or self.now
-            self._connection_due(client, client.headed + SLOW_BODY + int(come / SLOWEST),
-                                 self._sends_too_slowly)
+            self._connection_due(
+                client, client.headed + SLOW_BODY + int(come / SLOWEST), self._sends_too_slowly
+            )
 
     def _sends_too_slowly(self, client):
         self._refuse(client, 408, last=True)
@@ -89,7 +111,9 @@
             for trip in invocation.trips:
                 if trip in self.carried:
                     self._drop(trip, "takes no body")
-                    self._return(trip, r.UNREACHABLE)   # It has not run: its last byte was never written.
+                    self._return(
+                        trip, r.UNREACHABLE
+                    )  # It has not run: its last byte was never written.
             if client.invocation is not invocation:
                 return
         self._body_goes_on(client, SLOW_BODY)
@@ -133,7 +157,9 @@
             if message.method not in (b"GET", b"HEAD"):
                 return self._refuse(client, 405, "GET or HEAD asks for health", allow=b"GET, HEAD")
             good = path == LIVE_PATH or self.ready and not self._empties()
-            return self._answer(client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n")
+            return self._answer(
+                client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n"
+            )
         if self.closing:
             return self._bounce(client, self.node)
         offering = self.offerings.get(path.partition(b"?")[0].split(b"/")[1])
@@ -143,8 +169,12 @@
         method = b"GET" if message.method == b"HEAD" else message.method
         if method != METHODS[offering.repeats]:
             allowed = b"GET, HEAD" if offering.repeats == r.HARMLESS else METHODS[offering.repeats]
-            return self._refuse(client, 405, "this offering takes " + allowed.decode().replace(", ", " or "),
-                                allow=allowed)
+            return self._refuse(
+                client,
+                405,
+                "this offering takes " + allowed.decode().replace(", ", " or "),
+                allow=allowed,
+            )
         fields = message.fields
         name = fields.get(b"x-trace-id")
         if name is None and self.gives_ids:
@@ -152,19 +182,33 @@
             if offering.repeats == r.STAMPED:
                 offering = self.unstamped[offering.name.encode()]
         left = fields.get(b"x-expires-in-ms", b"%d" % (offering.hard_limit // 10))
-        if (not name or len(name) > ID_MOST or not left.isdigit() or len(left) > 9
-                or message.doubled and not SINGLE.isdisjoint(message.doubled)
-                or message.version == "1.1" and b"host" not in fields
-                or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED) and not message.given
-                or offering.repeats == r.HARMLESS and (len(message.body) or message.flow)):
+        if (
+            not name
+            or len(name) > ID_MOST
+            or not left.isdigit()
+            or len(left) > 9
+            or message.doubled
+            and not SINGLE.isdisjoint(message.doubled)
+            or message.version == "1.1"
+            and b"host" not in fields
+            or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED)
+            and not message.given
+            or offering.repeats == r.HARMLESS
+            and (len(message.body) or message.flow)
+        ):
             return self._refuse(client, 400, _at_fault(message, offering, name, left), last=True)
         if self._is_known(name):
             # Another's, or one that ran already: passed on, it would run twice.
-            return self._refuse(client, 400, "X-Trace-Id is in use, or was answered just now", last=True)
+            return self._refuse(
+                client, 400, "X-Trace-Id is in use, or was answered just now", last=True
+            )
         left = min(int(left) * 10, offering.hard_limit)
         self.press.waits(self.now, (self.now - self.came) / offering.expected)
-        refused = (self.press.bar and not client.passed
-                   and self.press.refuses(offering.index, left < offering.expected, client.known))
+        refused = (
+            self.press.bar
+            and not client.passed
+            and self.press.refuses(offering.index, left < offering.expected, client.known)
+        )
         client.passed = False
         if self.node.pressed(self.now, self.idle, offering, self.came, left, refused):
             self._bounced_unseen()
@@ -172,8 +216,9 @@
             return self._answer(client, 503, [(b"Retry-After", wait)] if wait else [])
         limit = self.came + left
         tenant = self._tenant(fields.get(b"x-customer"))
-        invocation = r.Invocation(client, offering, tenant, self.came, limit,
-                                  _hint(fields.get(b"x-props")), by=self.node)
+        invocation = r.Invocation(
+            client, offering, tenant, self.came, limit, _hint(fields.get(b"x-props")), by=self.node
+        )
         self._is(client, OWED, self.clients)
         client.invocation, client.id = invocation, name
         self.ids[name] = client
@@ -185,7 +230,9 @@
 
     def _tenant(self, name):
         # What is no UTF-8 becomes a name that no settings can hold.
-        return self.terms.tenants.of(name.decode(errors="surrogateescape"), self.now) if name else None
+        return (
+            self.terms.tenants.of(name.decode(errors="surrogateescape"), self.now) if name else None
+        )
 
     def glance(self, now, client, requests, came, idle):
         """The prepared refusal of what `requests` holds, or None if that is to be taken the ordinary way.
@@ -198,18 +245,30 @@
         if seen is None:
             return None
         method, target, fields = seen
-        offering = self.offerings.get(target.partition(b"?")[0].partition(b"/")[2].partition(b"/")[0])
+        offering = self.offerings.get(
+            target.partition(b"?")[0].partition(b"/")[2].partition(b"/")[0]
+        )
         if offering is None:
             return None
-        name, left = fields.get(b"x-trace-id"), fields.get(
-            b"x-expires-in-ms", b"%d" % (offering.hard_limit // 10))
-        if (method != METHODS[offering.repeats] or target[:1] != b"/" or not name
-                or len(name) > ID_MOST or not left.isdigit() or len(left) > 9 or name in self.ids
-                or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED) or self._empties()):
+        name, left = (
+            fields.get(b"x-trace-id"),
+            fields.get(b"x-expires-in-ms", b"%d" % (offering.hard_limit // 10)),
+        )
+        if (
+            method != METHODS[offering.repeats]
+            or target[:1] != b"/"
+            or not name
+            or len(name) > ID_MOST
+            or not left.isdigit()
+            or len(left) > 9
+            or name in self.ids
+            or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED)
+            or self._empties()
+        ):
             return None
         left = min(int(left) * 10, offering.hard_limit)
         if not self.press.refuses(offering.index, left < offering.expected, client.known):
-            client.passed = True    # Once is enough: it is not asked again after its wait.
+            client.passed = True  # Once is enough: it is not asked again after its wait.
             return None
         self.node.pressed(now, idle, offering, came, left, True)
         self._bounced_unseen()
@@ -219,7 +278,9 @@
             client.due = (now + CLIENT_IDLE, self._idle_too_long)
         wait = self._stay_away()
         if wait not in self.refusals:
-            self.refusals[wait] = http.answer_head(503, [(b"Retry-After", wait)] if wait else [], 0, False)
+            self.refusals[wait] = http.answer_head(
+                503, [(b"Retry-After", wait)] if wait else [], 0, False
+            )
         return self.refusals[wait]
 
     def _bounced_unseen(self):
@@ -231,7 +292,9 @@
         """For how long a client that is refused at the door is told to, in seconds as text; empty:
         nothing."""
         most = self.terms.retry_after
-        return b"%g" % (max(1, round(STAYS * self.press.bar)) * most / STAYS / 10000) if most else b""
+        return (
+            b"%g" % (max(1, round(STAYS * self.press.bar)) * most / STAYS / 10000) if most else b""
+        )
 
     def _give_id(self, message):
         """An id for a request that brought none; it goes on to the backend like one that was brought."""
@@ -248,8 +311,12 @@
         self.pressed = 0
 
     def _tell_crowded(self, _):
-        self._note("crowded", clients=self.crowded, links={s: len(some) for s, some in self.links.items()},
-                   **{s: len(some) for s, some in self.clients.items()})
+        self._note(
+            "crowded",
+            clients=self.crowded,
+            links={s: len(some) for s, some in self.links.items()},
+            **{s: len(some) for s, some in self.clients.items()},
+        )
         self.crowded = 0
 
     def _is_known(self, name):
@@ -285,8 +352,15 @@
         length = len(body) if source is None else body.length
         # Without a length or chunks, only the end of the connection tells the end of the answer; and behind
         # one that comes before its request is whole, the rest of the request would be read as the next.
-        client.last = (client.last or self._empties() or length is None and not chunked
-                       or message is not None and message.flow is not None and not message.flow.whole)
+        client.last = (
+            client.last
+            or self._empties()
+            or length is None
+            and not chunked
+            or message is not None
+            and message.flow is not None
+            and not message.flow.whole
+        )
         head = http.answer_head(status, headers, length, client.last, chunked)
         if message is not None and message.method == b"HEAD":
             body, source = b"", None
@@ -299,7 +373,9 @@
 
     def _reads_too_slowly(self, client):
         if client.source is not None and not client.source.flow.waiting:
-            return self._takes(client)      # It has taken all that has come; the link is looked after itself.
+            return self._takes(
+                client
+            )  # It has taken all that has come; the link is looked after itself.
         self._end_client(client, "slow reader")
 
     def _takes(self, client):
@@ -371,7 +447,9 @@
                 self._end_link(link, "yielded")
             elif (client := self._first(IDLE, newcomer, YIELD_AFTER)) is not None:
                 self._let_yield(client)
-            elif newcomer is None and (client := self._first(FRESH, None) or self._first(IDLE, None)):
+            elif newcomer is None and (
+                client := self._first(FRESH, None) or self._first(IDLE, None)
+            ):
                 # For a link: without it a request in hand is refused for the sake of who has not asked yet.
                 self._let_yield(client)
             else:
@@ -386,7 +464,9 @@
         """Clients that hold on to what they do not use must not keep the others from connecting."""
         most = CLIENT_PART * self.sockets
         while sum(map(len, self.clients.values())) - self.yielding > most:
-            client = self._first(FRESH, newcomer, YIELD_FRESH) or self._first(IDLE, newcomer, YIELD_AFTER)
+            client = self._first(FRESH, newcomer, YIELD_FRESH) or self._first(
+                IDLE, newcomer, YIELD_AFTER
+            )
             if client is None:
                 return
             self._let_yield(client)
@@ -429,8 +509,11 @@
     if message.version == "1.1" and b"host" not in message.fields:
         return "Host is missing"
     if (b"idempotency-key" in message.fields) != (offering.repeats == r.STAMPED):
-        return ("Idempotency-Key is missing: this offering's requests are stamped"
-                if offering.repeats == r.STAMPED else "Idempotency-Key stands where nothing is stamped")
+        return (
+            "Idempotency-Key is missing: this offering's requests are stamped"
+            if offering.repeats == r.STAMPED
+            else "Idempotency-Key stands where nothing is stamped"
+        )
     return "a body where there is none"
 
 
--- a/pierglade/net/state/links.py
+++ b/pierglade/net/state/links.py
@@ -3,32 +3,52 @@
 from pierglade import records as r
 from pierglade.net import http
 from pierglade.net.state.events import (
-    ASK, BUSY, CONNECT, CONNECTING, CUT, ENDED, END_LINK, GARBLED, IDLE, LIVE_PATH, Link, MARGIN, NEVER, OWED,
-    REFUSED, STALE, STATS_PATH, WRITE)
+    ASK,
+    BUSY,
+    CONNECT,
+    CONNECTING,
+    CUT,
+    END_LINK,
+    ENDED,
+    GARBLED,
+    IDLE,
+    LIVE_PATH,
+    MARGIN,
+    NEVER,
+    OWED,
+    REFUSED,
+    STALE,
+    STATS_PATH,
+    WRITE,
+    Link,
+)
 from pierglade.terms import load_told
 
 # Constants. Times are tenths of a millisecond.
-REST = 100              # 10 ms; second answers came up to 4 ms late, and must not answer the next trip
-APART = 10              # 1 ms; from ending a trip ourselves to the first byte of the next one's, elsewhere
-IDLE_PART = 0.6         # share of the idle limit after which we close first, so that no trip meets its end
-PROBE_FOR = 2000        # 200 ms; a process that runs says so at once
-REPLY_GOES_ON = 1000    # 100 ms; between the pieces of an answer; a spoilt one may never end
-FLOW_GOES_ON = 50000    # 5 s; between the pieces of an answer that is passed on as it comes
-FLOW_FOR = 36000000     # 1 h; no trip takes so long, and until its body is whole it is not late
-REPLACED = http.HOP_BY_HOP | {b"x-expires-in-ms"}           # headers of a request that are written anew
-KEPT_BACK = http.HOP_BY_HOP | {b"endpoint-load-metrics"}    # headers of an answer that are for the node
+REST = 100  # 10 ms; second answers came up to 4 ms late, and must not answer the next trip
+APART = 10  # 1 ms; from ending a trip ourselves to the first byte of the next one's, elsewhere
+IDLE_PART = 0.6  # share of the idle limit after which we close first, so that no trip meets its end
+PROBE_FOR = 2000  # 200 ms; a process that runs says so at once
+REPLY_GOES_ON = 1000  # 100 ms; between the pieces of an answer; a spoilt one may never end
+FLOW_GOES_ON = 50000  # 5 s; between the pieces of an answer that is passed on as it comes
+FLOW_FOR = 36000000  # 1 h; no trip takes so long, and until its body is whole it is not late
+REPLACED = http.HOP_BY_HOP | {b"x-expires-in-ms"}  # headers of a request that are written anew
+KEPT_BACK = http.HOP_BY_HOP | {
+    b"endpoint-load-metrics"
+}  # headers of an answer that are for the node
 
 
 class Links:
     """Mixed into the Reducer, which holds what is used here."""
 
-
     def _pull(self):
         """Carries out the decisions until there is none."""
         for node in list(self.older):
             self._pull_from(node)
-            if not (any(client.invocation.by is node for client in self.clients[OWED])
-                    or any(trip.invocation.by is node for trip in self.carried)):
+            if not (
+                any(client.invocation.by is node for client in self.clients[OWED])
+                or any(trip.invocation.by is node for trip in self.carried)
+            ):
                 self.older.remove(node)
                 self._note("earlier settings left")
         self._pull_from(self.node)
@@ -58,10 +78,14 @@
                 self._final(subject, kind)
 
     def _final(self, invocation, kind):
-        self._note(kind, offering=invocation.offering.name, trips=len(invocation.trips),
-                   ms=(self.now - invocation.arrived) / 10,
-                   of_ms=(invocation.limit - invocation.arrived) / 10,
-                   ends=[t.outcome for t in invocation.trips])
+        self._note(
+            kind,
+            offering=invocation.offering.name,
+            trips=len(invocation.trips),
+            ms=(self.now - invocation.arrived) / 10,
+            of_ms=(invocation.limit - invocation.arrived) / 10,
+            ends=[t.outcome for t in invocation.trips],
+        )
         self._count(kind)
         if kind is r.BOUNCE:
             self._bounce(invocation.mark, invocation.by)
@@ -91,11 +115,13 @@
         backend = self.backends.get(trip.invocation.by.names[trip.backend])
         flow = trip.invocation.mark.message.flow
         if flow is not None and flow.spent():
-            return self._return(trip, r.NEVER_SENT)     # Some of its body went with an earlier one.
+            return self._return(trip, r.NEVER_SENT)  # Some of its body went with an earlier one.
         if backend is None or self._binds(backend):
             return self._return(trip, r.TURNED_AWAY)
         # The last one used is used next, so that the rest grow old and are closed; but not at once.
-        link = next((link for link in reversed(backend.idle) if self.now - link.since >= REST), None)
+        link = next(
+            (link for link in reversed(backend.idle) if self.now - link.since >= REST), None
+        )
         if link is not None:
             backend.idle.remove(link)
             self._is(link, BUSY, self.links)
@@ -144,8 +170,12 @@
             self._drop(trip, "timed out")
             self._return(trip, r.TIMED_OUT)
         else:
-            self._link_ended(link, *(GARBLED, True, "endless answer") if link.replying else
-                             (REFUSED, False, "probe time-out"))
+            self._link_ended(
+                link,
+                *(GARBLED, True, "endless answer")
+                if link.replying
+                else (REFUSED, False, "probe time-out"),
+            )
 
     def _up(self, link):
         """The connection has come up."""
@@ -226,7 +256,7 @@
 
     def _flow_stands(self, link):
         if link.flow.full():
-            return self._replying(link)     # The client takes it slowly, and is looked after itself.
+            return self._replying(link)  # The client takes it slowly, and is looked after itself.
         self._end_link(link, "stalled")
 
     def _replied(self, link, message):
@@ -255,8 +285,13 @@
                 if awaited:
                     if rejected or len(invocation.trips) > 1 or self.now > invocation.expected:
                         # What went well leaves no line: at four times the load there were too many of them.
-                        self._note(outcome, offering=invocation.offering.name, trips=len(invocation.trips),
-                                   ms=(self.now - invocation.arrived) / 10, backend=link.backend.name)
+                        self._note(
+                            outcome,
+                            offering=invocation.offering.name,
+                            trips=len(invocation.trips),
+                            ms=(self.now - invocation.arrived) / 10,
+                            backend=link.backend.name,
+                        )
                     headers = http.passed_on(message, KEPT_BACK)
                     if message.flow is not None:
                         wanted = invocation.mark.message.method != b"HEAD"
@@ -266,8 +301,15 @@
                     else:
                         self._answer(invocation.mark, message.status, headers, message.body)
             else:
-                never_ran = message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
-                self._note("trip lost", backend=link.backend.name, status=message.status, never_ran=never_ran)
+                never_ran = (
+                    message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
+                )
+                self._note(
+                    "trip lost",
+                    backend=link.backend.name,
+                    status=message.status,
+                    never_ran=never_ran,
+                )
                 self._return(trip, r.TURNED_AWAY if never_ran else r.ERROR)
         # The rest of what nobody waits for would hold up the link.
         self._is_free(link, message.keep and message.flow is None)
@@ -294,15 +336,20 @@
             link.since = self.now
             if backend.coming_up:
                 self._at(self.now + REST, self._offer, link)
-            self._connection_due(link, self.now + int(IDLE_PART * self.terms.idle_for),
-                                 self._link_idle_too_long)
+            self._connection_due(
+                link, self.now + int(IDLE_PART * self.terms.idle_for), self._link_idle_too_long
+            )
 
     def _offer(self, link):
         """A link is free while trips wait for others to come up: the oldest of them goes out on it."""
         if link.state is not IDLE:
             return
         for other in self.links[CONNECTING]:
-            if other.backend is link.backend and other.trip is not None and other.address == link.address:
+            if (
+                other.backend is link.backend
+                and other.trip is not None
+                and other.address == link.address
+            ):
                 trip, other.trip = other.trip, None
                 self.carried[trip], link.trip = link, trip
                 link.backend.idle.remove(link)
@@ -335,8 +382,15 @@
             # Ended by us: the backend may go on with its answer, and has it out until our end is there.
             trip.invocation.mark.dropped = self.now
         # Cut: its own client left in the middle of the body, which says nothing of the backend.
-        outcome = (r.ERROR if how is GARBLED else r.NEVER_SENT if how is CUT else r.BROKEN if whole
-                   else r.UNREACHABLE)
+        outcome = (
+            r.ERROR
+            if how is GARBLED
+            else r.NEVER_SENT
+            if how is CUT
+            else r.BROKEN
+            if whole
+            else r.UNREACHABLE
+        )
         self._note("trip lost", backend=link.backend.name, reason=reason, outcome=outcome)
         self._return(trip, outcome)
 
@@ -371,7 +425,7 @@
     def _probe(self, name):
         backend = self.backends.get(name)
         if backend is None or backend.probed_on is not None or self._binds(backend):
-            return      # One at a time: a silent backend must not fill up with probes.
+            return  # One at a time: a silent backend must not fill up with probes.
         link = self._open(backend)
         if link is None:
             return self._tell_probed(name, False, 0)
--- a/pierglade/net/state/listing.py
+++ b/pierglade/net/state/listing.py
@@ -6,12 +6,11 @@
 from pierglade import records as r
 from pierglade.change.shares import fits_in_place
 from pierglade.learned.takeover import take_over
-from pierglade.net.state.events import (
-    ASK, Backend, MOVE, OPEN_DOOR, OWED, RELIST)
+from pierglade.net.state.events import ASK, MOVE, OPEN_DOOR, OWED, RELIST, Backend
 
 # Constants. Times are tenths of a millisecond.
-FIRST_WORD = 3000       # 0.3 s; with the list it was started with, a node waits so long for a newer one
-NAMED = 40              # names in a line of the log, which is cut where it is too long, and tells of none
+FIRST_WORD = 3000  # 0.3 s; with the list it was started with, a node waits so long for a newer one
+NAMED = 40  # names in a line of the log, which is cut where it is too long, and tells of none
 STATES = {"SERVING": r.READY, "DRAINING": r.DRAINING, "DELETED": r.GONE}
 # What of a configuration is read at the start only.
 FIXED = ("name", "listen", "management", "limits")
@@ -20,7 +19,6 @@
 class Listing:
     """Mixed into the Reducer, which holds what is used here."""
 
-
     def known(self, document):
         """The list that the node was started with, which may be old."""
         if document and document.get("endpoints"):
@@ -76,7 +74,7 @@
             if self._takes_in_place(difference, terms):
                 self._note("settings loaded", owed=len(self.clients[OWED]), shares=len(difference))
             else:
-                self.settings = None    # All is taken anew below.
+                self.settings = None  # All is taken anew below.
         if terms is not None and told.get("settings") != self.settings:
             self.settings = told.get("settings")
             terms.tenants.follow(self.terms.tenants)
@@ -85,16 +83,20 @@
             self._serve_under(terms, self.now)
             take_over(self.node, self.older[-1], self.now)
             if press.classes == self.press.classes:
-                self.press = press      # Or all that is refused at the door would be let in at once.
+                self.press = press  # Or all that is refused at the door would be let in at once.
             if self.older[-1].terms.asks_list:
-                self._do(ASK)       # Who waits for the word of the earlier settings may wait for long.
+                self._do(ASK)  # Who waits for the word of the earlier settings may wait for long.
             self._note("settings loaded", owed=len(self.clients[OWED]))
         changed = {key for key in FIXED if told.get(key) != self.told.get(key)}
-        self._note("configuration read", discovery=discovery, moved=discovery != self.discovery,
-                   needs_restart=sorted(changed))
+        self._note(
+            "configuration read",
+            discovery=discovery,
+            moved=discovery != self.discovery,
+            needs_restart=sorted(changed),
+        )
         if discovery != self.discovery:
             self.discovery = discovery
-            self.index = self.no_word = None    # Versions are the old place's own.
+            self.index = self.no_word = None  # Versions are the old place's own.
             self._do(MOVE, discovery)
 
     def _takes_in_place(self, difference, terms):
@@ -119,10 +121,11 @@
         for entry, address in entries:
             backend = self.backends.get(entry.name)
             if backend is None:
-                backend = self.backends[entry.name] = Backend(
-                    entry.name, address, entry.started)
+                backend = self.backends[entry.name] = Backend(entry.name, address, entry.started)
                 changed.append((entry.name, entry.state))
-            elif address is not None and (address != backend.address or entry.started > backend.started):
+            elif address is not None and (
+                address != backend.address or entry.started > backend.started
+            ):
                 # The process behind the name is another one: what is kept to the old one is of no use.
                 backend.address, backend.started = address, entry.started
                 self._end_idle(backend, "restarted")
@@ -140,12 +143,14 @@
             node.listed(self.now, listed, False)
         if changed:
             more = {"more": len(changed) - NAMED} if len(changed) > NAMED else {}
-            self._note("list", index=document["index"], whole=whole, changed=changed[:NAMED], **more)
+            self._note(
+                "list", index=document["index"], whole=whole, changed=changed[:NAMED], **more
+            )
 
     def _forget_gone(self):
         """Fleets that start under new names must not fill the memory with old ones."""
         old = []
-        for name in self.gone:      # the longest gone first
+        for name in self.gone:  # the longest gone first
             if self.now - self.backends[name].told <= self.forget:
                 break
             old.append(name)
@@ -174,7 +179,8 @@
         """Whether the rule on draining holds for it. Listed as gone alone, it may be up all the same."""
         # By the strictest of the settings that still owe something; under which a trip is, is not asked.
         return backend.told is not None and (
-            backend.drains or any(node.terms.gone_binds for node in (self.node, *self.older)))
+            backend.drains or any(node.terms.gone_binds for node in (self.node, *self.older))
+        )
 
     def _end_idle(self, backend, reason):
         for link in list(backend.idle):
@@ -184,18 +190,27 @@
 def _entry(told):
     """What the list says of a backend, and where it is."""
     zone = told.get("zone")
-    return r.Listed(told["name"], STATES[told["status"]], intern(zone) if type(zone) is str else zone,
-                    told.get("group"), int(told.get("since_ms") or 0) * 10, float(told.get("weight", 1.0))), (
-        _address(told) if told["status"] != "DELETED" else None)
+    return r.Listed(
+        told["name"],
+        STATES[told["status"]],
+        intern(zone) if type(zone) is str else zone,
+        told.get("group"),
+        int(told.get("since_ms") or 0) * 10,
+        float(told.get("weight", 1.0)),
+    ), (_address(told) if told["status"] != "DELETED" else None)
 
 
 def _as_heard(told, backend):
     """Whether it is ready as it was, with all that was heard last."""
     entry = backend.entry
-    return (backend.state == r.READY == STATES[told["status"]] and told["address"] == backend.address
-            and told.get("zone") == entry.zone and told.get("group") == entry.cell
-            and int(told.get("since_ms") or 0) * 10 == entry.started
-            and float(told.get("weight", 1.0)) == entry.weight)
+    return (
+        backend.state == r.READY == STATES[told["status"]]
+        and told["address"] == backend.address
+        and told.get("zone") == entry.zone
+        and told.get("group") == entry.cell
+        and int(told.get("since_ms") or 0) * 10 == entry.started
+        and float(told.get("weight", 1.0)) == entry.weight
+    )
 
 
 def _address(entry):
--- a/pierglade/net/state/memory.py
+++ b/pierglade/net/state/memory.py
@@ -16,9 +16,15 @@
         `backends`: name to (address, started, figures), of those that are ready.
         """
         rows, figures = self.node.known(keys)
-        offerings = {o.name: {"expected": o.expected, "hard_limit": o.hard_limit, "repeats": o.repeats,
-                              **{key: row[key] for key in row_keys}}
-                     for o, row in zip(self.terms.offerings, rows)}
+        offerings = {
+            o.name: {
+                "expected": o.expected,
+                "hard_limit": o.hard_limit,
+                "repeats": o.repeats,
+                **{key: row[key] for key in row_keys},
+            }
+            for o, row in zip(self.terms.offerings, rows)
+        }
         backends, work = {}, 0
         for name, told in figures.items():
             backend = self.backends.get(name)
@@ -26,10 +32,19 @@
                 told["pauses"] = list(told["pauses"])
                 work += told["work"]
                 backends[name] = backend.address, backend.started, told
-        entries = [{"name": name, "address": backend.address, "status": STATUSES[backend.state],
-                    "zone": backend.entry.zone, "group": backend.entry.cell, "weight": backend.entry.weight,
-                    "since_ms": backend.entry.started // 10}
-                   for name, backend in self.backends.items() if backend.state in STATUSES]
+        entries = [
+            {
+                "name": name,
+                "address": backend.address,
+                "status": STATUSES[backend.state],
+                "zone": backend.entry.zone,
+                "group": backend.entry.cell,
+                "weight": backend.entry.weight,
+                "since_ms": backend.entry.started // 10,
+            }
+            for name, backend in self.backends.items()
+            if backend.state in STATUSES
+        ]
         return offerings, backends, work, entries
 
     def remember(self, snapshot, half_life):
@@ -38,8 +53,13 @@
         Raises ageing.Unworthy where nothing is. `half_life`: tenths of a millisecond.
         """
         fresh, _ = self.node.known(())
-        listed = {name: (backend.address, backend.started) for name, backend in self.backends.items()
-                  if backend.state == r.READY}
-        rows, backends, line = aged(snapshot, self.now, half_life, self.terms.offerings, fresh, listed)
+        listed = {
+            name: (backend.address, backend.started)
+            for name, backend in self.backends.items()
+            if backend.state == r.READY
+        }
+        rows, backends, line = aged(
+            snapshot, self.now, half_life, self.terms.offerings, fresh, listed
+        )
         self.node.remember(rows, backends)
         return line
--- a/pierglade/net/state/stopping.py
+++ b/pierglade/net/state/stopping.py
@@ -4,23 +4,43 @@
 
 from pierglade import records as r
 from pierglade.net.state.events import (
-    ACTIVE_CALL, ADMISSION_CALL, BACKENDS_CALL, CLOSE_DOOR, Client, ENDED, FRESH, IDLE, LET_GO,
-    Link, OWED, READING, REPLY, STANDBY_CALL, STATUS_CALL)
+    ACTIVE_CALL,
+    ADMISSION_CALL,
+    BACKENDS_CALL,
+    CLOSE_DOOR,
+    ENDED,
+    FRESH,
+    IDLE,
+    LET_GO,
+    OWED,
+    READING,
+    REPLY,
+    STANDBY_CALL,
+    STATUS_CALL,
+    Client,
+    Link,
+)
 
 # Constants. Times are tenths of a millisecond.
-DOOR_OPEN = 7000        # 0.7 s; new connections are taken so long after the stop: the front needs 0.4 s
-LONGEST = 30000         # 3 s; the end may come DOOR_OPEN and the longest hard limit, this at most, after it
-LAST_CALL = 500         # 50 ms; for what was accepted last to be read
-GOES_BY = 100           # 10 ms; about a trip, by which a backend is passed over before its forecast pause
-OWED_PART = 0.83        # share of the time until then by which all is answered; 3.1 s of 3.7 s
-CALLS = {STATUS_CALL: b"GET", STANDBY_CALL: b"PUT", ACTIVE_CALL: b"PUT", BACKENDS_CALL: b"GET",
-         ADMISSION_CALL: b"GET"}
+DOOR_OPEN = 7000  # 0.7 s; new connections are taken so long after the stop: the front needs 0.4 s
+LONGEST = (
+    30000  # 3 s; the end may come DOOR_OPEN and the longest hard limit, this at most, after it
+)
+LAST_CALL = 500  # 50 ms; for what was accepted last to be read
+GOES_BY = 100  # 10 ms; about a trip, by which a backend is passed over before its forecast pause
+OWED_PART = 0.83  # share of the time until then by which all is answered; 3.1 s of 3.7 s
+CALLS = {
+    STATUS_CALL: b"GET",
+    STANDBY_CALL: b"PUT",
+    ACTIVE_CALL: b"PUT",
+    BACKENDS_CALL: b"GET",
+    ADMISSION_CALL: b"GET",
+}
 
 
 class Stopping:
     """Mixed into the Reducer, which holds what is used here."""
 
-
     def _called(self, call):
         """One call of the operators: `call` is the host's, with its method and path."""
         method = CALLS.get(call.path)
@@ -34,8 +54,13 @@
             return self._do(REPLY, call, 200, orjson.dumps(self._who_is_let_in()) + b"\n", None)
         if call.path == STATUS_CALL:
             good = self.ready and self.door_open and self.stopped is None
-            word = b"not ready" if not self.ready else b"stopping" if not good else (
-                b"standby" if self.standby else b"active")
+            word = (
+                b"not ready"
+                if not self.ready
+                else b"stopping"
+                if not good
+                else (b"standby" if self.standby else b"active")
+            )
         else:
             # Whoever stops is emptied in any case, and takes up no work again.
             good = call.path == STANDBY_CALL or self.stopped is None
@@ -47,10 +72,15 @@
     def _who_is_let_in(self):
         """Plain data: what share is refused as the core is short, and who was turned away at the door."""
         gate = self.gate
-        return {"refused_share": round(self.press.bar, 3), "open": self.open,
-                "clients": sum(map(len, self.clients.values())), "sockets": self.sockets,
-                "capped": gate is not None, "strangers": gate.strangers if gate is not None else None,
-                "top": gate.top(self.now) if gate is not None else []}
+        return {
+            "refused_share": round(self.press.bar, 3),
+            "open": self.open,
+            "clients": sum(map(len, self.clients.values())),
+            "sockets": self.sockets,
+            "capped": gate is not None,
+            "strangers": gate.strangers if gate is not None else None,
+            "top": gate.top(self.now) if gate is not None else [],
+        }
 
     def _what_is_known(self):
         """Each backend as the decisions see it: plain data, times in ms from now on."""
@@ -60,15 +90,32 @@
             if b is None:
                 continue
             due = node.forecast[b]
-            pauses = due is not None and due - GOES_BY * node.level[b] <= now <= due + node.mean_pause[b]
-            rows.append({
-                "name": name, "address": backend.address, "zone": node.zone[b], "state": backend.state,
-                "in_view": b in node.turn, "out": len(node.flying.get(b, ())), "links": backend.links,
-                "trouble": node.trouble[b], "pauses": pauses,
-                "next_pause_ms": None if due is None else round((due - now) / 10),
-                "level": round(node.level[b], 2), "cold": now < node.cold_until[b], "settled": node.work[b]})
-        return {"limit": round(node.limit.trips(), 1), "overloaded": node.overloaded,
-                "held": sum(map(len, node.held)), "backends": rows}
+            pauses = (
+                due is not None and due - GOES_BY * node.level[b] <= now <= due + node.mean_pause[b]
+            )
+            rows.append(
+                {
+                    "name": name,
+                    "address": backend.address,
+                    "zone": node.zone[b],
+                    "state": backend.state,
+                    "in_view": b in node.turn,
+                    "out": len(node.flying.get(b, ())),
+                    "links": backend.links,
+                    "trouble": node.trouble[b],
+                    "pauses": pauses,
+                    "next_pause_ms": None if due is None else round((due - now) / 10),
+                    "level": round(node.level[b], 2),
+                    "cold": now < node.cold_until[b],
+                    "settled": node.work[b],
+                }
+            )
+        return {
+            "limit": round(node.limit.trips(), 1),
+            "overloaded": node.overloaded,
+            "held": sum(map(len, node.held)),
+            "backends": rows,
+        }
 
     def _stand(self, by):
         """Standby: ready says no, the door stays open, and each client is let go with its next answer."""
--- a/pierglade/scale/backends.py
+++ b/pierglade/scale/backends.py
@@ -78,7 +78,9 @@
     def _note(self, event):
         if self.name is not None:
             offering = self.url.split(b"/", 2)[1].decode("latin-1") if self.url[:1] == b"/" else ""
-            self.all.ledger.note(event, backend=self.name, id=self.id, offering=offering, conn=self.number)
+            self.all.ledger.note(
+                event, backend=self.name, id=self.id, offering=offering, conn=self.number
+            )
 
     def _answer(self):
         self.timer = None
@@ -97,7 +99,9 @@
     def __init__(self, spec):
         plan = msgspec.convert(spec["plan"], Plan)
         self.loop = asyncio.get_running_loop()
-        self.named = {address(number, 0).partition(":")[0]: name for number, name in enumerate(names(plan))}
+        self.named = {
+            address(number, 0).partition(":")[0]: name for number, name in enumerate(names(plan))
+        }
         self.answer_s = plan.backends.answer_ms / 1000
         self.dead, self.open, self.count = set(), {}, 0
         ahead = time.time() - time.monotonic()
--- a/pierglade/scale/child.py
+++ b/pierglade/scale/child.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-LINE_MOST = 1 << 24     # bytes of a command
+LINE_MOST = 1 << 24  # bytes of a command
 
 
 def say(told):
     """One line to whoever started this."""
     data = msgspec.json.encode(told) + b"\n"
     while data:
-        data = data[os.write(1, data):]
+        data = data[os.write(1, data) :]
 
 
 def fail(line):
--- a/pierglade/scale/discovery.py
+++ b/pierglade/scale/discovery.py
@@ -24,10 +24,13 @@
         plan = msgspec.convert(spec["plan"], Plan)
         ahead = time.time() - time.monotonic()
         ledger = Ledger(spec["ledger"], LEDGER_MB, lambda: (ahead + time.monotonic()) * 1000)
-        super().__init__(SimpleNamespace(
-            clock=None, ledger=ledger, plan=SimpleNamespace(discovery=plan.discovery)))
+        super().__init__(
+            SimpleNamespace(
+                clock=None, ledger=ledger, plan=SimpleNamespace(discovery=plan.discovery)
+            )
+        )
         self.ledger = ledger
-        self.changed_since = {}     # name: [status, since_ms] where that is another one than at the start
+        self.changed_since = {}  # name: [status, since_ms] where that is another one than at the start
         self.all = {entry["name"]: entry for entry in entries(plan, spec["port_of_backends"])}
         self.first(self.all.values())
         for name, (status, since_ms) in (spec.get("changed") or {}).items():
@@ -52,7 +55,12 @@
         return {"index": self.index, "at": at}
 
     def figures(self):
-        return {"index": self.index, "sent": self.sent, "heard": self.heard, "watches": len(self.watches)}
+        return {
+            "index": self.index,
+            "sent": self.sent,
+            "heard": self.heard,
+            "watches": len(self.watches),
+        }
 
     def state(self):
         return {"index": self.index, "changed": self.changed_since}
--- a/pierglade/scale/fit.py
+++ b/pierglade/scale/fit.py
@@ -4,20 +4,20 @@
 from dataclasses import dataclass
 
 SHAPES = {"constant": None, "linear": 1, "square": 2}
-EVEN = 0.1      # of the mean; figures no farther apart than that don't grow
+EVEN = 0.1  # of the mean; figures no farther apart than that don't grow
 
 
 @dataclass(slots=True)
 class Fit:
     shape: str
-    base: float         # the figure where the axis is at 0
-    slope: float        # for each unit of the axis, or for its square; 0 where it is constant
-    error: float        # root mean square of what is left, over the mean of the figures
-    exponent: float     # by least squares of the logarithms; nan where a figure is not over 0
+    base: float  # the figure where the axis is at 0
+    slope: float  # for each unit of the axis, or for its square; 0 where it is constant
+    error: float  # root mean square of what is left, over the mean of the figures
+    exponent: float  # by least squares of the logarithms; nan where a figure is not over 0
 
     def at(self, x):
         power = SHAPES[self.shape]
-        return self.base if power is None else self.base + self.slope * x ** power
+        return self.base if power is None else self.base + self.slope * x**power
 
 
 def fit(points):
@@ -32,7 +32,7 @@
     exponent = _exponent(points)
     fits = []
     for shape, power in SHAPES.items():
-        base, slope = (mean, 0.0) if power is None else _line([(x ** power, y) for x, y in points])
+        base, slope = (mean, 0.0) if power is None else _line([(x**power, y) for x, y in points])
         if slope < 0:
             continue
         one = Fit(shape, base, slope, 0.0, exponent)
--- a/pierglade/scale/guard.py
+++ b/pierglade/scale/guard.py
@@ -9,7 +9,7 @@
 
 import psutil
 
-LOOK_S = 0.25       # between two looks
+LOOK_S = 0.25  # between two looks
 
 
 class Over(Exception):
@@ -24,7 +24,7 @@
             with open(f"/proc/{pid}/task/{thread}/schedstat") as file:
                 words = file.read().split()
         except (FileNotFoundError, ProcessLookupError):
-            continue        # it has ended since the names were read
+            continue  # it has ended since the names were read
         used, waited = used + int(words[0]), waited + int(words[1])
     return used / 1e9, waited / 1e9
 
@@ -43,7 +43,7 @@
 
     def __init__(self, most_mb, most, processes, rss=rss_mb):
         self.most_mb, self.most, self.processes, self.rss = most_mb, most, processes, rss
-        self.peak = {}      # name: MB, since the last `take`
+        self.peak = {}  # name: MB, since the last `take`
         self.peak_mb = self.peak_count = 0
 
     def look(self):
@@ -53,13 +53,15 @@
                 taken[name] = taken.get(name, 0.0) + self.rss(pid)
                 count += 1
             except (psutil.NoSuchProcess, ProcessLookupError, FileNotFoundError):
-                continue    # whether it should have ended, others look
+                continue  # whether it should have ended, others look
         for name, mb in taken.items():
             self.peak[name] = max(self.peak.get(name, 0.0), mb)
         total = sum(taken.values())
         self.peak_mb, self.peak_count = max(self.peak_mb, total), max(self.peak_count, count)
         if total > self.most_mb:
-            raise Over(f"the run took {total:,.0f} MB, {self.most_mb:,.0f} are allowed; it was ended")
+            raise Over(
+                f"the run took {total:,.0f} MB, {self.most_mb:,.0f} are allowed; it was ended"
+            )
         if count > self.most:
             raise Over(f"the run had {count} processes, {self.most} are allowed; it was ended")
 
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -25,9 +25,9 @@
 from pierglade.scale import child
 from pierglade.scale.plan import Plan, names
 
-FIRST = 1       # the version of the list that all are started with
+FIRST = 1  # the version of the list that all are started with
 STATES = {r.READY: "SERVING", r.DRAINING: "DRAINING", r.GONE: "DELETED"}
-LOADED = "settings loaded"    # the note of a node that serves under new settings
+LOADED = "settings loaded"  # the note of a node that serves under new settings
 
 
 class Hollow:
@@ -35,8 +35,8 @@
 
     def __init__(self, number, discovery):
         self.number, self.address = number, discovery
-        self.stamps = []        # (version, monotonic moment) of the list, as it came to be in force
-        self.downs = []         # [from, to], as it was restarted
+        self.stamps = []  # (version, monotonic moment) of the list, as it came to be in force
+        self.downs = []  # [from, to], as it was restarted
         self.twice = self.lost = self.faults = 0
         self.index = FIRST
         self.begin()
@@ -119,8 +119,10 @@
         self.index = document["index"]
 
     def wrong(self, changed):
-        return sum(self.other.get(name, ["SERVING", 0])[0] != changed.get(name, ["SERVING", 0])[0]
-                   for name in {*self.other, *changed})
+        return sum(
+            self.other.get(name, ["SERVING", 0])[0] != changed.get(name, ["SERVING", 0])[0]
+            for name in {*self.other, *changed}
+        )
 
 
 class Full(Hollow):
@@ -135,10 +137,11 @@
         self.place, self.version = place_from(os.environ), 0
         place = self.place
         self.timer = Timer(self.clock, lambda late: self.tell(ev.WOKE))
-        self.reducer = Reducer(place.seed, place.terms, self.clock.now(), place.sockets, place.discovery,
-                               place.told)
+        self.reducer = Reducer(
+            place.seed, place.terms, self.clock.now(), place.sockets, place.discovery, place.told
+        )
         self.reducer.known(place.known)
-        place.known = {}    # as a node does: the reducer has what it needs of it
+        place.known = {}  # as a node does: the reducer has what it needs of it
 
     def take(self, kind, *what):
         began = thread_time()
@@ -215,14 +218,23 @@
         of_list, of_settings = [], []
         for index, at in told:
             delays = [node.delay(index, at) for node in self.all]
-            of_list.append([-1 if each is None else round(each * 1000, 1)
-                            for each in delays if each is not False])
+            of_list.append(
+                [
+                    -1 if each is None else round(each * 1000, 1)
+                    for each in delays
+                    if each is not False
+                ]
+            )
         full = [node for node in self.all if isinstance(node, Full)]
         for version, at in settings:
-            moments = [next((m for v, m in node.settings_at if v >= version), None) for node in full]
+            moments = [
+                next((m for v, m in node.settings_at if v >= version), None) for node in full
+            ]
             of_settings.append([-1 if m is None else round((m - at) * 1000, 1) for m in moments])
-        work = {"list_ms": [each * 1000 for node in full for each in node.list_s],
-                "settings_ms": [each * 1000 for node in full for each in node.settings_s]}
+        work = {
+            "list_ms": [each * 1000 for node in full for each in node.list_s],
+            "settings_ms": [each * 1000 for node in full for each in node.settings_s],
+        }
         for node in full:
             node.list_s, node.settings_s, node.settings_at = [], [], []
         for node in self.all:
@@ -231,10 +243,14 @@
 
     def check(self, index, changed):
         """How many hold that version and that list, and what they were told twice or lost."""
-        return {"nodes": len(self.all), "current": sum(node.index == index for node in self.all),
-                "right": sum(not node.wrong(changed) for node in self.all),
-                "twice": sum(node.twice for node in self.all), "lost": sum(node.lost for node in self.all),
-                "faults": sum(node.faults for node in self.all)}
+        return {
+            "nodes": len(self.all),
+            "current": sum(node.index == index for node in self.all),
+            "right": sum(not node.wrong(changed) for node in self.all),
+            "twice": sum(node.twice for node in self.all),
+            "lost": sum(node.lost for node in self.all),
+            "faults": sum(node.faults for node in self.all),
+        }
 
 
 def main():
@@ -243,7 +259,7 @@
     at_first = names(msgspec.convert(spec["plan"], Plan))
     commands = FileObjectPosix(0, "rb", closefd=False)
     child.say({"imported": True})
-    commands.readline()     # told to go on, once it was seen how much a process takes with no node in it
+    commands.readline()  # told to go on, once it was seen how much a process takes with no node in it
     try:
         process = Process(spec, at_first)
     except Unusable as fault:
@@ -251,8 +267,10 @@
     gc.freeze()
     gc.set_threshold(GARBAGE, 20, 20)
     child.say({"nodes": len(process.all)})
-    known = {name: getattr(process, name)
-             for name in ("settings", "down", "up", "versions", "delays", "check")}
+    known = {
+        name: getattr(process, name)
+        for name in ("settings", "down", "up", "versions", "delays", "check")
+    }
     while line := commands.readline():
         child.say(child.answer(known, line))
 
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -18,16 +18,25 @@
 from pierglade.load.tally import Tally
 from pierglade.scale import figures
 from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
-from pierglade.scale.plan import REPEATS, Tenants, document, entries, events_of, names, refuse, zone_of
-
-ANSWER_IN_S = 60.0      # a process of ours that has not answered a command by then hangs
+from pierglade.scale.plan import (
+    REPEATS,
+    Tenants,
+    document,
+    entries,
+    events_of,
+    names,
+    refuse,
+    zone_of,
+)
+
+ANSWER_IN_S = 60.0  # a process of ours that has not answered a command by then hangs
 READY_IN_S = 30.0
-SETTLES_S = 1.5         # from the last start to the load's first request
-REAL_LAST_S = 5.0       # likewise, for each real node to tell the right list
-LAST_S = 15.0           # from the load's end until all hold the last version; longer is told as not in force
-NODE_DOWN_S, DRAINS_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4   # in a restart
-OUTSIDE = "127.1.255.254"   # an address that is no backend's: what is asked straight
-STEP = 7919             # a prime: tenants and backends that change one after the other lie far apart
+SETTLES_S = 1.5  # from the last start to the load's first request
+REAL_LAST_S = 5.0  # likewise, for each real node to tell the right list
+LAST_S = 15.0  # from the load's end until all hold the last version; longer is told as not in force
+NODE_DOWN_S, DRAINS_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4  # in a restart
+OUTSIDE = "127.1.255.254"  # an address that is no backend's: what is asked straight
+STEP = 7919  # a prime: tenants and backends that change one after the other lie far apart
 
 
 class Failed(Exception):
@@ -35,7 +44,7 @@
 
     def __init__(self, line, status=3):
         super().__init__(line)
-        self.status = status    # of the command
+        self.status = status  # of the command
 
 
 def play(plan, path="plan", say=lambda line: None):
@@ -65,14 +74,17 @@
         self.names = names(plan)
         self.ahead = time.time() - time.monotonic()
         self.documents, self.paths, self.logs, self.real = {}, {}, {}, {}
-        self.downs = {}             # real node: [[from, to], ...]
-        self.base_mb = {}           # process: MB with no node in it
-        self.cpu_gone, self.waited_gone = {}, {}    # name: s of processes of that name that have ended
+        self.downs = {}  # real node: [[from, to], ...]
+        self.base_mb = {}  # process: MB with no node in it
+        self.cpu_gone, self.waited_gone = (
+            {},
+            {},
+        )  # name: s of processes of that name that have ended
         self.sent_gone = self.heard_gone = 0
         self.changed_tenants = self.changed_backends = self.incarnation = 0
         self.due, self.count = [], 0
         self.watch, self.senders = None, []
-        self.passed = set()         # names whose end is meant
+        self.passed = set()  # names whose end is meant
         self.threads, self.ready_s, self.scenes, self.faults = [], [], [], []
         self.guard = Guard(plan.most_mb(), plan.limits.processes, self._processes)
 
@@ -138,8 +150,9 @@
         self.say("starting")
         began = time.monotonic()
         path = self.children.path
-        self.port = self._start("backends", "backends", port=plan.backends.port,
-                                ledger=path("backends.jsonl"))["port"]
+        self.port = self._start(
+            "backends", "backends", port=plan.backends.port, ledger=path("backends.jsonl")
+        )["port"]
         self.entries = entries(plan, self.port)
         self._start_discovery(port=plan.discovery.port)
         self.groups = plan.groups()
@@ -170,7 +183,9 @@
     def _start_discovery(self, **spec):
         self.incarnation += 1
         ledger = self.children.path(f"discovery-{self.incarnation}.jsonl")
-        told = self._start("discovery", "discovery", port_of_backends=self.port, ledger=ledger, **spec)
+        told = self._start(
+            "discovery", "discovery", port_of_backends=self.port, ledger=ledger, **spec
+        )
         self.discovery = told["address"]
 
     def _start_hollow(self):
@@ -178,8 +193,16 @@
             config = ""
             if full:
                 config = self._write_document(first, None)
-            self._start("hollow", name, first=first, count=count, full=full, config=config,
-                        discovery=self.discovery, port_of_backends=self.port)
+            self._start(
+                "hollow",
+                name,
+                first=first,
+                count=count,
+                full=full,
+                config=config,
+                discovery=self.discovery,
+                port_of_backends=self.port,
+            )
             self.base_mb[name] = rss_mb(self.children.running[name][0].pid)
         self.full = [name for name, (_, _, full) in self.groups.items() if full]
         for name in self.groups:
@@ -189,7 +212,9 @@
         self.guard.look()
 
     def _write_document(self, number, management):
-        self.documents[number] = document(self.plan, number, self.discovery, management, self.entries)
+        self.documents[number] = document(
+            self.plan, number, self.discovery, management, self.entries
+        )
         first = next(iter(self.documents.values()))
         # One list of tenants for all, so that a change of one is a change of it in all.
         self.documents[number]["settings"]["customers"] = first["settings"]["customers"]
@@ -209,9 +234,16 @@
         small = msgspec.structs.replace(self.plan, tenants=Tenants(count=1))
         path = self.children.path("empty.json")
         with open(path, "wb") as file:
-            file.write(orjson.dumps(document(small, 0, f"127.0.0.1:{free_port()}", None, self.entries[:1])))
-        self.children.start_logged("empty node", ["-c", START], self.children.path("empty.log"), cwd=HERE,
-                                   env={"BALANCER_CONFIG": path, "PYTHONPATH": HERE})
+            file.write(
+                orjson.dumps(document(small, 0, f"127.0.0.1:{free_port()}", None, self.entries[:1]))
+            )
+        self.children.start_logged(
+            "empty node",
+            ["-c", START],
+            self.children.path("empty.log"),
+            cwd=HERE,
+            env={"BALANCER_CONFIG": path, "PYTHONPATH": HERE},
+        )
         wait(0.5, self.look)
         taken = rss_mb(self.children.running["empty node"][0].pid)
         self.guard.look()
@@ -223,8 +255,13 @@
             self._write_document(number, f"127.0.0.1:{free_port()}")
         log = self.children.path(f"node-{number}-{len(self.logs.setdefault(number, []))}.log")
         self.logs[number].append([log, 0])
-        told = self.children.start_logged(f"node {number}", ["-c", START], log, cwd=HERE,
-                                          env={"BALANCER_CONFIG": self.paths[number], "PYTHONPATH": HERE})
+        told = self.children.start_logged(
+            f"node {number}",
+            ["-c", START],
+            log,
+            cwd=HERE,
+            env={"BALANCER_CONFIG": self.paths[number], "PYTHONPATH": HERE},
+        )
         self.real[number] = told["listen"]
         self.guard.look()
 
@@ -248,8 +285,14 @@
         targets = [(self.real[number], f"n{number}") for number in range(self.plan.nodes.loaded)]
         for number, (target, node) in enumerate([*targets, (f"{OUTSIDE}:{self.port}", "straight")]):
             self.senders.append(f"sender {node}")
-            self._start("sender", self.senders[-1], target=target, node=node, number=number,
-                        ledger=self.children.path(f"clients-{node}.jsonl"))
+            self._start(
+                "sender",
+                self.senders[-1],
+                target=target,
+                node=node,
+                number=number,
+                ledger=self.children.path(f"clients-{node}.jsonl"),
+            )
 
     def _collect(self):
         """The Tally of all senders, each of which has heard all its answers."""
@@ -269,11 +312,24 @@
         self._until(begin)
         for scene in self.plan.scene:
             self.say(f"{scene.what}, {scene.seconds:g} s")
-            self.scene = {"what": scene.what, "begin": begin, "end": begin + scene.seconds, "plan": scene,
-                          "list": [], "settings": [], "back": [], "before": self._mark()}
+            self.scene = {
+                "what": scene.what,
+                "begin": begin,
+                "end": begin + scene.seconds,
+                "plan": scene,
+                "list": [],
+                "settings": [],
+                "back": [],
+                "before": self._mark(),
+            }
             self.guard.take()
-            play = {"list": self._drain_or_serve, "settings": self._change_tenant, "restarts": self._restart,
-                    "zone": self._lose_zone, "discovery": self._lose_discovery}.get(scene.what)
+            play = {
+                "list": self._drain_or_serve,
+                "settings": self._change_tenant,
+                "restarts": self._restart,
+                "zone": self._lose_zone,
+                "discovery": self._lose_discovery,
+            }.get(scene.what)
             for number, moment in enumerate(events_of(scene, self.plan)):
                 self.at(begin + moment, play, number)
             begin += scene.seconds
@@ -303,8 +359,13 @@
                 used, waits = cpu_s(pid)
                 cpu[name], waited[name] = cpu.get(name, 0.0) + used, waited.get(name, 0.0) + waits
         told = self.ask("discovery", do="figures")
-        return {"at": time.monotonic(), "cpu": cpu, "waited": waited, "sent": told["sent"] + self.sent_gone,
-                "heard": told["heard"] + self.heard_gone}
+        return {
+            "at": time.monotonic(),
+            "cpu": cpu,
+            "waited": waited,
+            "sent": told["sent"] + self.sent_gone,
+            "heard": told["heard"] + self.heard_gone,
+        }
 
     def _gone(self, name):
         """Its processor time is kept, as another process is to have its name."""
@@ -333,7 +394,7 @@
         tenant = tenants[self.changed_tenants * STEP % len(tenants)]
         tenant["quotaPerS"] = round(tenant["quotaPerS"] * 1.5, 3)
         for told in self.documents.values():
-            told["version"] = self.changed_tenants      # which nodes skip
+            told["version"] = self.changed_tenants  # which nodes skip
         asides = {number: self._write(number) for number in self.documents}
         for number, aside in asides.items():
             os.replace(aside, self.paths[number])
@@ -351,8 +412,12 @@
             if self.full:
                 self._nodes_down([self.groups[self.full[0]][0]])
                 self.at(now + NODE_DOWN_S, self._nodes_up, [self.groups[self.full[0]][0]])
-        watching = [first + each for first, count, full in self.groups.values() if not full
-                    for each in range(count)]
+        watching = [
+            first + each
+            for first, count, full in self.groups.values()
+            if not full
+            for each in range(count)
+        ]
         if watching and (number + 1) * STEP % every < self.plan.nodes.count:
             node = [watching[number * STEP % len(watching)]]
             self._nodes_down(node)
@@ -378,8 +443,11 @@
 
     def _with(self, numbers):
         """The processes that hold these nodes."""
-        return [name for name, (first, count, _) in self.groups.items()
-                if any(first <= number < first + count for number in numbers)]
+        return [
+            name
+            for name, (first, count, _) in self.groups.items()
+            if any(first <= number < first + count for number in numbers)
+        ]
 
     def _restart_real(self, number):
         name = f"node {number}"
@@ -395,6 +463,7 @@
                 self.downs[number][-1][1] = time.monotonic()
             except (ChildEnded, Failed, Over) as fault:
                 self.faults.append(str(fault))
+
         thread = threading.Thread(target=again, daemon=True)
         self.threads.append(thread)
         thread.start()
@@ -403,8 +472,13 @@
         """One in ten backends, and one in ten of the nodes that only watch."""
         plan, now = self.plan, time.monotonic()
         gone = [name for number, name in enumerate(self.names) if zone_of(number, plan) == 0]
-        nodes = [first + each for first, count, full in self.groups.values() if not full
-                 for each in range(count) if (first + each) % plan.backends.zones == 0]
+        nodes = [
+            first + each
+            for first, count, full in self.groups.values()
+            if not full
+            for each in range(count)
+            if (first + each) % plan.backends.zones == 0
+        ]
         self._backends_end(gone)
         self._nodes_down(nodes)
         self._tell([[name, "DELETED", 0] for name in gone])
@@ -431,8 +505,9 @@
 
     def _discovery_comes(self):
         index = self.state["index"] + 1
-        self._start_discovery(port=int(self.discovery.rpartition(":")[2]), index=index,
-                              changed=self.state["changed"])
+        self._start_discovery(
+            port=int(self.discovery.rpartition(":")[2]), index=index, changed=self.state["changed"]
+        )
         self.passed.discard("discovery")
         now = time.monotonic()
         self.scene["back"].append((index, now))
@@ -448,11 +523,18 @@
         scene = self.scene
         told, moments = scene["list"] + scene["back"], scene["settings"]
         answers = self.ask_all(self.groups, do="delays", told=told, settings=moments)
-        of_list = [[ms for answer in answers.values() for ms in answer["list"][k]] for k in range(len(told))]
-        of_settings = [[ms for answer in answers.values() for ms in answer["settings"][k]]
-                       for k in range(len(moments))]
-        scene["work"] = {key: [ms for answer in answers.values() for ms in answer[key]]
-                         for key in ("list_ms", "settings_ms")}
+        of_list = [
+            [ms for answer in answers.values() for ms in answer["list"][k]]
+            for k in range(len(told))
+        ]
+        of_settings = [
+            [ms for answer in answers.values() for ms in answer["settings"][k]]
+            for k in range(len(moments))
+        ]
+        scene["work"] = {
+            key: [ms for answer in answers.values() for ms in answer[key]]
+            for key in ("list_ms", "settings_ms")
+        }
         for number in self.real:
             lines = self._log_lines(number)
             lists = [line for line in lines if line["event"] == "list"]
@@ -474,7 +556,7 @@
             with open(place[0], "rb") as file:
                 file.seek(place[1])
                 data = file.read()
-            whole = data[:data.rfind(b"\n") + 1]
+            whole = data[: data.rfind(b"\n") + 1]
             place[1] += len(whole)
             for line in whole.splitlines():
                 line = orjson.loads(line)
@@ -489,7 +571,9 @@
         state = self.ask("discovery", do="state")
         while time.monotonic() < since + LAST_S:
             told = self.ask_all(self.groups, do="versions")
-            if all(version == state["index"] for each in told.values() for version in each["versions"]):
+            if all(
+                version == state["index"] for each in told.values() for version in each["versions"]
+            ):
                 break
             wait(0.1, self.look)
         return {"after_s": round(time.monotonic() - since, 2), **state}
@@ -498,14 +582,23 @@
         """Who holds which version and which list; real ones tell it in the operators' call."""
         state = self.ask("discovery", do="state")
         answers = self.ask_all(self.groups, do="check", **state)
-        hollow = {key: sum(answer[key] for answer in answers.values())
-                  for key in ("nodes", "current", "right", "twice", "lost", "faults")}
+        hollow = {
+            key: sum(answer[key] for answer in answers.values())
+            for key in ("nodes", "current", "right", "twice", "lost", "faults")
+        }
         wrong = {f"n{number}": self._wrong(number, state["changed"]) for number in self.real}
         pss = {name: pss_mb(pid) for name, pid in self._processes()}
-        return {"version": state["index"], "hollow": hollow, "pss_mb": pss,
-                "real": {"nodes": len(self.real), "wrong": wrong,
-                         "right": sum(count == 0 for count in wrong.values())},
-                "watches": self.ask("discovery", do="figures")["watches"]}
+        return {
+            "version": state["index"],
+            "hollow": hollow,
+            "pss_mb": pss,
+            "real": {
+                "nodes": len(self.real),
+                "wrong": wrong,
+                "right": sum(count == 0 for count in wrong.values()),
+            },
+            "watches": self.ask("discovery", do="figures")["watches"],
+        }
 
     def _wrong(self, number, changed):
         """How many backends a real node tells otherwise than discovery, which it may yet hear; -1: it doesn't
@@ -522,8 +615,10 @@
 
     def _requests(self):
         """(the rows of clients through nodes, those straight, the verdict of the auditor)."""
-        read = [records.read(self.children.path(f"clients-n{number}.jsonl")) for number in
-                range(self.plan.nodes.loaded)]
+        read = [
+            records.read(self.children.path(f"clients-n{number}.jsonl"))
+            for number in range(self.plan.nodes.loaded)
+        ]
         straight, _ = records.read(self.children.path("clients-straight.jsonl"))
         clients = sorted((row for rows, _ in read for row in rows), key=lambda row: row["t_ms"])
         backends, holes = records.read(self.children.path("backends.jsonl"))
@@ -534,9 +629,16 @@
             backends += rows
         backends.sort(key=lambda row: row["t_ms"])
         limit = self.plan.load.limit_ms
-        terms = rules.Terms(grace_ms=500.0, offerings={
-            name: (repeats.replace("-", "_"), "all", 0.0, limit) for name, repeats in REPEATS.items()})
-        verdict = rules.audit(terms, clients, backends, [hole for _, some in read for hole in some] + holes)
+        terms = rules.Terms(
+            grace_ms=500.0,
+            offerings={
+                name: (repeats.replace("-", "_"), "all", 0.0, limit)
+                for name, repeats in REPEATS.items()
+            },
+        )
+        verdict = rules.audit(
+            terms, clients, backends, [hole for _, some in read for hole in some] + holes
+        )
         return clients, straight, verdict
 
     def end(self):
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -25,10 +25,21 @@
     chance = np.random.default_rng([*seed, 1])
     one_shot = chance.random(len(at)) < plan.load.one_shot
     tenants = chance.integers(plan.tenants.count, size=len(at))
-    rows = [Recorded(float(moment), "pay" if once else "look", f"tenant-{tenant}")
-            for moment, once, tenant in zip(at, one_shot, tenants)]
-    return loads.Load(spec["target"], "/", at, patience_s=plan.load.limit_ms / 1000, seed=sum(seed),
-                      rows=rows, repeats=REPEATS, node=spec["node"], ledger=spec["ledger"])
+    rows = [
+        Recorded(float(moment), "pay" if once else "look", f"tenant-{tenant}")
+        for moment, once, tenant in zip(at, one_shot, tenants)
+    ]
+    return loads.Load(
+        spec["target"],
+        "/",
+        at,
+        patience_s=plan.load.limit_ms / 1000,
+        seed=sum(seed),
+        rows=rows,
+        repeats=REPEATS,
+        node=spec["node"],
+        ledger=spec["ledger"],
+    )
 
 
 def _end_with_input():
@@ -45,7 +56,7 @@
         return
     threading.Thread(target=_end_with_input, daemon=True).start()
     gc.freeze()
-    gc.disable()    # a collection is a stall of the sender; what it leaves is bounded by the plan
+    gc.disable()  # a collection is a stall of the sender; what it leaves is bounded by the plan
     tally = loads.play(load)
     child.say({"tally": tally.packed().decode()})
     threading.Event().wait()
--- a/pierglade/tenants.py
+++ b/pierglade/tenants.py
@@ -11,7 +11,7 @@
 from pierglade.records import Tenant
 
 # Constants. Times are tenths of a millisecond.
-LATELY = 150000         # 15 s; a tenant's rate and pace have faded 5 s after its last answer
+LATELY = 150000  # 15 s; a tenant's rate and pace have faded 5 s after its last answer
 
 
 class Stale(ValueError):
@@ -44,7 +44,7 @@
         self.total = sum(self.shares.values())
         # Those with traffic, in two generations: who did not ask through the whole of one is dropped.
         self.young, self.old, self.turns_at = {}, {}, None
-        self.order = None       # names by place, for callers that count
+        self.order = None  # names by place, for callers that count
 
     def __len__(self):
         return len(self.shares)
@@ -107,8 +107,8 @@
 
     def __init__(self, span):
         self.span = span
-        self.newest = {}        # name to (figure, when), the longest unseen first
-        self.figures = []       # the same figures, sorted
+        self.newest = {}  # name to (figure, when), the longest unseen first
+        self.figures = []  # the same figures, sorted
 
     def see(self, now, name, figure):
         self._drop(self.newest.pop(name, None))
--- a/pierglade/terms.py
+++ b/pierglade/terms.py
@@ -8,14 +8,20 @@
 from pierglade.tenants import Tenants
 
 # What reports hold, as settings name it and as backends on sockets may.
-GAUGES = {"throughput": "pace", "qps": "pace", "backlog": "queue", "queue": "queue", "utilization": "busy",
-          "util": "busy"}
+GAUGES = {
+    "throughput": "pace",
+    "qps": "pace",
+    "backlog": "queue",
+    "queue": "queue",
+    "utilization": "busy",
+    "util": "busy",
+}
 REPORTS = {"piggyback": r.WITH_ANSWERS, "pull": r.WITH_PROBES, "silent": None}
 REPEATS = {"free": r.HARMLESS, "guarded": r.STAMPED, "single_shot": r.ONE_SHOT}
 
 BUDGET = ("lookBackUs", "extraFloor", "resendRatio")
-FIGURES = {}            # shares by themselves: most of many thousand tenants have one of a few
-FAR_OFF = 10 ** 12      # microseconds; over a week; no client waits for so long, and 1e400 is no figure
+FIGURES = {}  # shares by themselves: most of many thousand tenants have one of a few
+FAR_OFF = 10**12  # microseconds; over a week; no client waits for so long, and 1e400 is no figure
 
 
 def down(us):
@@ -45,12 +51,19 @@
 
 
 def _one_of(known, settings, place):
-    return _checked(settings, place, lambda value: value in list(known), f"none of {', '.join(known)}", None)
+    return _checked(
+        settings, place, lambda value: value in list(known), f"none of {', '.join(known)}", None
+    )
 
 
 def _count(settings, place, least):
-    return _checked(settings, place, lambda value: type(value) is int and value >= least,
-                    f"no whole number from {least} on", least)
+    return _checked(
+        settings,
+        place,
+        lambda value: type(value) is int and value >= least,
+        f"no whole number from {least} on",
+        least,
+    )
 
 
 def _over_zero(value):
@@ -66,6 +79,7 @@
 
 def _offering(i, row):
     """A row of the table. Half a row is no row: taken all the same, its invocations would all be overdue."""
+
     def told(key, fits, what):
         return _needed({"offerings": {str(i): row}}, f"offerings.{i}.{key}", fits, what)
 
@@ -73,10 +87,19 @@
         return down(told(key, _over_zero, "no figure over 0"))
 
     return r.Offering(
-        i, told("name", lambda value: isinstance(value, str) and value, "no name"),
-        REPEATS[told("idempotency", lambda value: value in list(REPEATS), f"none of {', '.join(REPEATS)}")],
-        row.get("group") or "all", down(row.get("repeatWindowUs") or 0), figure("expectedTimeUs"),
-        figure("hardLimitUs"), float(row.get("credit", 1)))
+        i,
+        told("name", lambda value: isinstance(value, str) and value, "no name"),
+        REPEATS[
+            told(
+                "idempotency", lambda value: value in list(REPEATS), f"none of {', '.join(REPEATS)}"
+            )
+        ],
+        row.get("group") or "all",
+        down(row.get("repeatWindowUs") or 0),
+        figure("expectedTimeUs"),
+        figure("hardLimitUs"),
+        float(row.get("credit", 1)),
+    )
 
 
 def short_of(told, first):
@@ -106,8 +129,13 @@
 
 
 def _figure(settings, place):
-    return _checked(settings, place, lambda value: type(value) in (int, float) and 0 <= value < FAR_OFF,
-                    "no figure from 0 on", 0)
+    return _checked(
+        settings,
+        place,
+        lambda value: type(value) in (int, float) and 0 <= value < FAR_OFF,
+        "no figure from 0 on",
+        0,
+    )
 
 
 def _budget(settings):
@@ -115,9 +143,11 @@
     told = [key for key in BUDGET if (settings.get("contract") or {}).get(key) is not None]
     if told and "lookBackUs" not in told:
         raise Wrong(f"settings.contract.{told[0]} stands without lookBackUs")
-    return dict(further_span=up(_figure(settings, "contract.lookBackUs")),
-                further_most=int(_figure(settings, "contract.extraFloor")),
-                further_share=float(_figure(settings, "contract.resendRatio")))
+    return dict(
+        further_span=up(_figure(settings, "contract.lookBackUs")),
+        further_most=int(_figure(settings, "contract.extraFloor")),
+        further_share=float(_figure(settings, "contract.resendRatio")),
+    )
 
 
 def _names(value):
@@ -135,13 +165,17 @@
         share = row.get("quotaPerS") or 0
         if type(share) not in (int, float) or not 0 <= share < FAR_OFF:
             raise Wrong(f"settings.customers.{place}.quotaPerS is {share!r}, no figure from 0 on")
-        shares[row["name"]] = FIGURES.setdefault(share, float(share)) if len(FIGURES) < 1000 else float(share)
+        shares[row["name"]] = (
+            FIGURES.setdefault(share, float(share)) if len(FIGURES) < 1000 else float(share)
+        )
     return shares
 
 
 def terms_from(settings, shares=None):
     """Keys that are not known are skipped. `shares`: of the customers, where they were read already."""
-    rows = _needed(settings, "offerings", lambda value: isinstance(value, list) and value, "no list of rows")
+    rows = _needed(
+        settings, "offerings", lambda value: isinstance(value, list) and value, "no list of rows"
+    )
     offerings = [_offering(i, row) for i, row in enumerate(rows)]
     if len({o.name for o in offerings}) < len(offerings):
         raise Wrong("settings.offerings holds a name twice")
@@ -152,11 +186,19 @@
     gauges = tuple(GAUGES.get(field) for field in fields)
     goal = {k: v for k, v in (settings.get("goal") or {}).items() if k != "tailMiss"}
     return r.Terms(
-        offerings=offerings, tenants=tenants, number=_count(settings, "me", 0),
+        offerings=offerings,
+        tenants=tenants,
+        number=_count(settings, "me", 0),
         nodes=_count(settings, "siblings", 1),
-        most_trips=_count(settings, "limits.mostTrips", 1), may_cancel=bool(limits.get("mayCancel")),
-        may_probe=_checked(settings, "limits.probes", lambda value: type(value) is bool,
-                           "neither true nor false", False),
+        most_trips=_count(settings, "limits.mostTrips", 1),
+        may_cancel=bool(limits.get("mayCancel")),
+        may_probe=_checked(
+            settings,
+            "limits.probes",
+            lambda value: type(value) is bool,
+            "neither true nor false",
+            False,
+        ),
         retry_after=down(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
         cold_for=up(contract.get("coldUs") or 0),
         cold_from=float(contract.get("startCapacity") or 1),
@@ -165,26 +207,44 @@
         connect_within=down(limits.get("connectTimeoutUs") or r.CONNECT_WITHIN * 100),
         idle_for=down(limits.get("connIdleUs") or r.IDLE_FOR * 100),
         drain_grace=down(contract.get("drainGraceUs") or 0),
-        gone_binds=not _checked(settings, "contract.onlyDrainingBinds", lambda value: type(value) is bool,
-                                "neither true nor false", False),
+        gone_binds=not _checked(
+            settings,
+            "contract.onlyDrainingBinds",
+            lambda value: type(value) is bool,
+            "neither true nor false",
+            False,
+        ),
         asks_list=_one_of(("push", "ask"), settings, "membershipMode") == "ask",
         # Where they tell neither pace nor cores in use nothing rests on them, and reading each would cost.
-        reports=reports if {"pace", "busy"} & set(gauges) else None, gauges=gauges,
-        zone=settings.get("zone"), crossing=float(_figure(settings, "deductions.crossZone")),
-        **_budget(settings))
+        reports=reports if {"pace", "busy"} & set(gauges) else None,
+        gauges=gauges,
+        zone=settings.get("zone"),
+        crossing=float(_figure(settings, "deductions.crossZone")),
+        **_budget(settings),
+    )
 
 
 def load_from(gauges, figures):
     """A report as the decisions read it; `figures` stand in the order of the settings' fields."""
-    return r.Load(**{name: float(figure) for name, figure in zip(gauges, figures)
-                     if name and figure is not None})
+    return r.Load(
+        **{
+            name: float(figure)
+            for name, figure in zip(gauges, figures)
+            if name and figure is not None
+        }
+    )
 
 
 def load_told(text):
     """The same from a header or a probe's body, "TEXT qps=71, queue=2"; None where it cannot be read."""
     try:
         pairs = [pair.split("=") for pair in text.removeprefix("TEXT").split(",")]
-        return r.Load(**{GAUGES[name.strip()]: float(figure) for name, figure in pairs
-                         if name.strip() in GAUGES})
+        return r.Load(
+            **{
+                GAUGES[name.strip()]: float(figure)
+                for name, figure in pairs
+                if name.strip() in GAUGES
+            }
+        )
     except ValueError:
         return None
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -8,22 +8,35 @@
 from pierglade import records as r
 from pierglade.choice import Node
 from pierglade.net import http
+from pierglade.net.flow import Flow
 from pierglade.net.reducer import Reducer
 from pierglade.net.state import events as ev
-from pierglade.net.flow import Flow
 from pierglade.tenants import Tenants
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-MS = 10     # tenths
+MS = 10  # tenths
 
 
 def terms(**changed):
-    offerings = [r.Offering(0, "look", r.HARMLESS, "all", 0, 400 * MS, 1000 * MS, 1.0),
-                 r.Offering(1, "hold", r.STAMPED, "zone", 300 * MS, 400 * MS, 1000 * MS, 3.0),
-                 r.Offering(2, "pay", r.ONE_SHOT, "all", 0, 400 * MS, 1000 * MS, 8.0)]
-    known = dict(offerings=offerings, tenants=Tenants({"north": 20.0, "south": 500.0}), number=0,
-                 nodes=1, most_trips=3, may_cancel=True, may_probe=True, retry_after=0,
-                 cold_for=8000 * MS, cold_from=0.25, tip_multiple=4.0, worst_offering=0.2)
+    offerings = [
+        r.Offering(0, "look", r.HARMLESS, "all", 0, 400 * MS, 1000 * MS, 1.0),
+        r.Offering(1, "hold", r.STAMPED, "zone", 300 * MS, 400 * MS, 1000 * MS, 3.0),
+        r.Offering(2, "pay", r.ONE_SHOT, "all", 0, 400 * MS, 1000 * MS, 8.0),
+    ]
+    known = dict(
+        offerings=offerings,
+        tenants=Tenants({"north": 20.0, "south": 500.0}),
+        number=0,
+        nodes=1,
+        most_trips=3,
+        may_cancel=True,
+        may_probe=True,
+        retry_after=0,
+        cold_for=8000 * MS,
+        cold_from=0.25,
+        tip_multiple=4.0,
+        worst_offering=0.2,
+    )
     known.update(changed)
     return r.Terms(**known)
 
@@ -60,8 +73,9 @@
 
     def take(self, name, offering=0, left=1000, tenant=None, hint=0):
         limit = self.now + left * MS
-        invocation = r.Invocation(name, self.terms.offerings[offering], tenant, self.now, limit,
-                                  hint or 0)
+        invocation = r.Invocation(
+            name, self.terms.offerings[offering], tenant, self.now, limit, hint or 0
+        )
         self.invocations[name] = invocation
         self.node.taken(self.now, invocation)
         self.pull()
@@ -96,9 +110,13 @@
             kind, subject = decision
             if kind is r.SEND:
                 trial = " as a trial" if subject.trial else ""
-                self.say(f"send {subject.invocation.mark} to {self.node.names[subject.backend]}{trial}")
+                self.say(
+                    f"send {subject.invocation.mark} to {self.node.names[subject.backend]}{trial}"
+                )
             elif kind is r.CALL_OFF:
-                self.say(f"call off {subject.invocation.mark} at {self.node.names[subject.backend]}")
+                self.say(
+                    f"call off {subject.invocation.mark} at {self.node.names[subject.backend]}"
+                )
             elif kind is r.ASK:
                 self.say("ask for the list")
             elif kind is r.PROBE:
@@ -113,13 +131,20 @@
 
 
 def entry(name, status="SERVING", address=None, since_ms=0):
-    return {"name": name, "address": address or f"127.0.0.1:{9000 + int(name[1:])}", "zone": "east",
-            "group": 0, "status": status, "weight": 1.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": address or f"127.0.0.1:{9000 + int(name[1:])}",
+        "zone": "east",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
 
 
 def message(data, inbox=http.Requests):
     taken = inbox()
-    taken.room()[:len(data)] = data
+    taken.room()[: len(data)] = data
     taken.filled(len(data))
     return taken.next()
 
@@ -161,9 +186,13 @@
                 subject.io = Wire(f"link {len(self.links)}")
                 self.links.append(subject)
                 rest = [subject.backend.name]
-            rest = [f"a flow of {p.length}" if isinstance(p, Flow) else p for p in rest if p is not None]
-            texts = [(str(p) if isinstance(p, (str, int)) else bytes(p).decode()).replace("\r\n", "|")
-                     for p in rest]
+            rest = [
+                f"a flow of {p.length}" if isinstance(p, Flow) else p for p in rest if p is not None
+            ]
+            texts = [
+                (str(p) if isinstance(p, (str, int)) else bytes(p).decode()).replace("\r\n", "|")
+                for p in rest
+            ]
             line = " ".join([effect, *([subject.io.name] if subject else []), *texts])
             self.say(line.replace("\n", " ").rstrip())
 
@@ -213,4 +242,6 @@
             path.write_text("\n".join(lines) + "\n")
         kept = path.read_text().splitlines()
         if kept != lines:
-            self.fail("\n" + "\n".join(difflib.unified_diff(kept, lines, "kept", "now", lineterm="")))
+            self.fail(
+                "\n" + "\n".join(difflib.unified_diff(kept, lines, "kept", "now", lineterm=""))
+            )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -17,15 +17,20 @@
 from tests.scene import Desk, TraceTest
 from tests.test_net import Peer, answer
 
-S = 10000       # tenths of a ms in a second
+S = 10000  # tenths of a ms in a second
 GET = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: f%d\r\n\r\n"
 IDS = itertools.count()
 
 
 class Gates(TraceTest):
     def test_caps_reserve_and_a_known_one_that_turns_bad(self):
-        caps = gate.Caps(per_address=3, per_prefix=5, rate_per_address=4, known=["10.0.0.0/8", "2001:db8::/32"],
-                         reserve=0.25)
+        caps = gate.Caps(
+            per_address=3,
+            per_prefix=5,
+            rate_per_address=4,
+            known=["10.0.0.0/8", "2001:db8::/32"],
+            reserve=0.25,
+        )
         door, lines = gate.Gate(caps), []
 
         def come(now, address, times, budget=16):
@@ -33,23 +38,23 @@
             lines.append(f"{now / S:g} s {address}: {' '.join(got)}")
 
         come(0, "192.0.2.1", 4)
-        come(0, "192.0.2.2", 3)             # two of the prefix's five are left
+        come(0, "192.0.2.2", 3)  # two of the prefix's five are left
         come(0, "198.51.100.1", 3)
         come(0, "203.0.113.1", 3)
         come(0, "198.51.100.9", 1)
-        come(0, "192.0.3.1", 2)             # the rest is the reserve
+        come(0, "192.0.3.1", 2)  # the rest is the reserve
         come(0, "10.1.1.1", 6)
         come(0, "2001:db8::1", 2)
         for _ in range(3):
             door.closed(S, "198.51.100.1")
-        come(S, "198.51.100.1", 4)          # its rate allowed eight at once, and four more have come since
+        come(S, "198.51.100.1", 4)  # its rate allowed eight at once, and four more have come since
         for _ in range(10):
             door.faulted(2 * S, "10.1.1.1")
-        come(2 * S, "10.1.1.1", 1)          # a stranger now: over a stranger's cap
+        come(2 * S, "10.1.1.1", 1)  # a stranger now: over a stranger's cap
         come(8 * S, "10.1.1.1", 1)
         lines += [f"open to strangers {door.strangers}", str(door.told()), str(door.top(8 * S, 3))]
         door.allow(gate.Caps(per_address=9, known=["192.0.2.0/24"]))
-        come(9 * S, "192.0.2.1", 9)         # an honest one behind a NAT, lifted by its operator
+        come(9 * S, "192.0.2.1", 9)  # an honest one behind a NAT, lifted by its operator
         lines.append(f"open to strangers {door.strangers}")
         for address, row in list(door.rows.items()):
             for _ in range(0 if address.endswith(gate.PREFIXES) else row.open):
@@ -69,8 +74,10 @@
             address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
             door.opened(now, address, 100)
             door.closed(now, address)
-        lines.append(f"after 60000 others: {door.opened(now, '192.0.2.1', 100)}; rows {len(door.rows)} "
-                     f"{len(door.resting)} {len(door.penalised)}")
+        lines.append(
+            f"after 60000 others: {door.opened(now, '192.0.2.1', 100)}; rows {len(door.rows)} "
+            f"{len(door.resting)} {len(door.penalised)}"
+        )
         self.check("admission_penalty", lines)
 
 
@@ -106,6 +113,7 @@
     def second(self, rate):
         """One second at `rate` first tries: (answered within 250 ms, their credit, refused)."""
         from heapq import heappop, heappush
+
         start = self.now
         for number in range(rate):
             at = start + S * number / rate
@@ -144,7 +152,9 @@
             lines.append("with the bar" if with_bar else "without")
             for rate in (1000, 1000, 5000, 5000, 5000, 3000, 3000, 1000, 1000, 1000):
                 good, credit, refused = core.second(rate)
-                lines.append(f"  {rate} a second: in time {good}, credit {credit}, refused {refused}")
+                lines.append(
+                    f"  {rate} a second: in time {good}, credit {credit}, refused {refused}"
+                )
         self.check("admission_steps", lines)
 
     def test_clients_that_keep_the_core_just_busy_are_no_overload(self):
@@ -180,27 +190,39 @@
         bar.refuses = lambda *what: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
         for what, head in (
-                ("harmless", get), ("one-shot", post + "Content-Length: 0\r\n"),
-                ("stamped", self.HEAD.replace("GET /look", "POST /hold") + "Idempotency-Key: k\r\n"),
-                ("an id that is out", get.replace("{id}", "out")), ("no id", get.replace("X-Trace-Id", "X-Other")),
-                ("two ids", get + "X-Trace-Id: 2\r\n"), ("a body", post + "Content-Length: 2\r\n\r\nab"),
-                ("chunks", post + "Transfer-Encoding: chunked\r\n"), ("waits", post + "Expect: 100-continue\r\n"),
-                ("closes", get + "Connection: close\r\n"), ("no host", get.replace("Host: h\r\n", "")),
-                ("half", get[:-8]), ("one ahead", get + "\r\n" + get), ("no HTTP", get + "no field\r\n"),
-                ("older", get.replace("1.1", "1.0")), ("another offering", get.replace("look", "none")),
-                ("another method", get.replace("GET", "POST")), ("health", get.replace("/look/1", "/health/live")),
-                ("a key too much", get + "Idempotency-Key: k\r\n")):
+            ("harmless", get),
+            ("one-shot", post + "Content-Length: 0\r\n"),
+            ("stamped", self.HEAD.replace("GET /look", "POST /hold") + "Idempotency-Key: k\r\n"),
+            ("an id that is out", get.replace("{id}", "out")),
+            ("no id", get.replace("X-Trace-Id", "X-Other")),
+            ("two ids", get + "X-Trace-Id: 2\r\n"),
+            ("a body", post + "Content-Length: 2\r\n\r\nab"),
+            ("chunks", post + "Transfer-Encoding: chunked\r\n"),
+            ("waits", post + "Expect: 100-continue\r\n"),
+            ("closes", get + "Connection: close\r\n"),
+            ("no host", get.replace("Host: h\r\n", "")),
+            ("half", get[:-8]),
+            ("one ahead", get + "\r\n" + get),
+            ("no HTTP", get + "no field\r\n"),
+            ("older", get.replace("1.1", "1.0")),
+            ("another offering", get.replace("look", "none")),
+            ("another method", get.replace("GET", "POST")),
+            ("health", get.replace("/look/1", "/health/live")),
+            ("a key too much", get + "Idempotency-Key: k\r\n"),
+        ):
             name = what.replace(" ", "-")
             data = (head.replace("{id}", name) + "\r\n").encode()
             inbox = http.Requests()
-            inbox.room()[:len(data)] = data
+            inbox.room()[: len(data)] = data
             inbox.filled(len(data))
             desk.open(name)
             refusal = desk.reducer.glance(desk.now, desk.clients[name], inbox, desk.now, desk.now)
             lines.append(f"{what}: {'refused' if refusal else 'ordinary'}")
         lines.append(refusal.decode() if refusal else str(desk.reducer.refusals))
         owed = desk.clients["busy"]
-        lines.append(f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, inbox, desk.now, desk.now)}")
+        lines.append(
+            f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, inbox, desk.now, desk.now)}"
+        )
         self.check("admission_glance", lines)
 
 
@@ -228,6 +250,7 @@
         backend = Peer(lambda message: answer(200, b"served"))
         stop, lines = threading.Event(), []
         with tempfile.NamedTemporaryFile("w+", suffix=".toml") as file:
+
             def write(most):
                 file.seek(0)
                 file.truncate()
@@ -235,10 +258,13 @@
                 file.flush()
 
             write(8)
-            node = subprocess.Popen([sys.executable, "-m", "pierglade.cli", "serve", file.name],
-                                    stdout=subprocess.PIPE)
+            node = subprocess.Popen(
+                [sys.executable, "-m", "pierglade.cli", "serve", file.name], stdout=subprocess.PIPE
+            )
             seen, started = [], threading.Event()
-            threading.Thread(target=self.read, args=(node.stdout, seen, started), daemon=True).start()
+            threading.Thread(
+                target=self.read, args=(node.stdout, seen, started), daemon=True
+            ).start()
             started.wait(20)
             place = tuple(seen[0]["listen"].rsplit(":", 1))
             place = place[0], int(place[1])
@@ -246,7 +272,7 @@
             flood.start()
             self.until(lambda: any("open" in line.get("why", ()) for line in seen))
             lines.append(f"known: {self.known(place, 50)}")
-            write(0)        # no caps: whoever comes now is let in
+            write(0)  # no caps: whoever comes now is let in
             node.send_signal(signal.SIGHUP)
             self.until(lambda: any(line["event"] == "configuration read" for line in seen))
             lines.append(f"known: {self.known(place, 50)}")
@@ -292,6 +318,8 @@
         got = Counter()
         for number in range(count):
             with socket.create_connection(place, 20) as sock:
-                sock.sendall(GET % (10 ** 6 + next(IDS)))
+                sock.sendall(GET % (10**6 + next(IDS)))
                 got[sock.recv(4096)[9:12].decode()] += 1
-        return f"answered {got['200'] + got['503']} of {count}, most served {got['200'] > 0.8 * count}"
+        return (
+            f"answered {got['200'] + got['503']} of {count}, most served {got['200'] > 0.8 * count}"
+        )
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -18,23 +18,52 @@
 from pierglade.load import run
 from tests.scene import TraceTest
 
-BASE = {"kind": [{"cores": 8}], "place": [{"count": 3}],
-        "offering": [{"name": "look", "work_ms": 2, "spread": "fixed", "hard_limit_ms": 1200,
-                      "expected_ms": 200},
-                     {"name": "pay", "work_ms": 2, "spread": "fixed", "repeats": "one-shot",
-                      "hard_limit_ms": 1200, "expected_ms": 200}]}
-COLD = {"kind": [{"cores": 1, "cold_from": 0.1, "cold_for_s": 60, "tip_multiple": 1.5, "tip_s": 0.5}],
-        "offering": [{"name": "look", "work_ms": 20, "spread": "fixed", "hard_limit_ms": 2000}]}
+BASE = {
+    "kind": [{"cores": 8}],
+    "place": [{"count": 3}],
+    "offering": [
+        {
+            "name": "look",
+            "work_ms": 2,
+            "spread": "fixed",
+            "hard_limit_ms": 1200,
+            "expected_ms": 200,
+        },
+        {
+            "name": "pay",
+            "work_ms": 2,
+            "spread": "fixed",
+            "repeats": "one-shot",
+            "hard_limit_ms": 1200,
+            "expected_ms": 200,
+        },
+    ],
+}
+COLD = {
+    "kind": [{"cores": 1, "cold_from": 0.1, "cold_for_s": 60, "tip_multiple": 1.5, "tip_s": 0.5}],
+    "offering": [{"name": "look", "work_ms": 20, "spread": "fixed", "hard_limit_ms": 2000}],
+}
 # fault of the node: (plan, path, method, budget)
 CASES = {
     "none": ({}, "/look/x", "GET", None),
     "twice": ({}, "/look/x", "GET", None),
     "late": ({}, "/look/x", "GET", None),
     "again": ({"befall": [{"at_s": 0, "what": "errors", "part": 0.5}]}, "/pay/x", "POST", None),
-    "drained": ({"befall": [{"at_s": 1.2, "what": "drain", "backends": ["b0"]}]}, "/look/x", "GET", None),
-    "flood": ({**COLD, "befall": [{"at_s": 0.1, "what": "restart", "backends": ["b0"]}]}, "/look/x", "GET",
-              None),
-    "overdraw": ({}, "/look/x", "GET", (0.5, 3, 0.2)), "left": ({}, "/look/x", "GET", None)}
+    "drained": (
+        {"befall": [{"at_s": 1.2, "what": "drain", "backends": ["b0"]}]},
+        "/look/x",
+        "GET",
+        None,
+    ),
+    "flood": (
+        {**COLD, "befall": [{"at_s": 0.1, "what": "restart", "backends": ["b0"]}]},
+        "/look/x",
+        "GET",
+        None,
+    ),
+    "overdraw": ({}, "/look/x", "GET", (0.5, 3, 0.2)),
+    "left": ({}, "/look/x", "GET", None),
+}
 
 
 def judged(plan, budget):
@@ -50,7 +79,9 @@
         more, path, method, budget = CASES[fault]
         with tempfile.TemporaryDirectory() as folder:
             ours, theirs = os.path.join(folder, "clients"), os.path.join(folder, "backends")
-            plan = plans.made({**BASE, **more, "ledger": {"path": theirs}, "discovery": {"notice_s": 0.1}})
+            plan = plans.made(
+                {**BASE, **more, "ledger": {"path": theirs}, "discovery": {"notice_s": 0.1}}
+            )
             up, over = threading.Event(), threading.Event()
             told = {}
 
@@ -65,14 +96,33 @@
             fleet = threading.Thread(target=asyncio.run, args=(play(),))
             fleet.start()
             up.wait(10)
-            node = subprocess.Popen([sys.executable, "-m", "pierglade.fleet.plain", "--fault", fault,
-                                     "--discovery", told["address"], "--with-parent"],
-                                    stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            node = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "pierglade.fleet.plain",
+                    "--fault",
+                    fault,
+                    "--discovery",
+                    told["address"],
+                    "--with-parent",
+                ],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+            )
             try:
                 where = json.loads(node.stdout.readline())["listen"]
                 moments = loads.moments([loads.Shape(rate=60, seconds=1.5)], "even", 1) + 0.3
-                run.play(run.Load(where, path, moments, method, patience_s=0.3 if fault == "left" else 3.0,
-                                  ledger=ours))
+                run.play(
+                    run.Load(
+                        where,
+                        path,
+                        moments,
+                        method,
+                        patience_s=0.3 if fault == "left" else 3.0,
+                        ledger=ours,
+                    )
+                )
             finally:
                 node.kill()
                 node.communicate()
@@ -84,15 +134,20 @@
             kept = self.cut(plan, ours, theirs) if fault == "none" else []
         broken = sorted({each.rule for each in verdict.breaks})
         first = verdict.breaks[0] if verdict.breaks else None
-        return [f"{fault}: {', '.join(broken) or 'all held'}, holes {len(verdict.holes)}, a timeline "
-                f"{bool(first and first.lines)}"] + kept
+        return [
+            f"{fault}: {', '.join(broken) or 'all held'}, holes {len(verdict.holes)}, a timeline "
+            f"{bool(first and first.lines)}"
+        ] + kept
 
     def cut(self, plan, ours, theirs):
         """The same ledgers with a line cut in two, with a line missing, and none at all."""
         lines = []
         whole = pathlib.Path(theirs).read_bytes()
-        for what, data in (("cut off", whole[:len(whole) // 2]), ("empty", b""),
-                           ("spoilt", whole.replace(b'"event"', b"event", 1))):
+        for what, data in (
+            ("cut off", whole[: len(whole) // 2]),
+            ("empty", b""),
+            ("spoilt", whole.replace(b'"event"', b"event", 1)),
+        ):
             pathlib.Path(theirs).write_bytes(data)
             clients, holes = records.read(ours)
             backends, more = records.read(theirs)
@@ -103,4 +158,6 @@
 
     def test_each_planted_fault_and_a_good_run(self):
         with ThreadPoolExecutor(4) as beside:
-            self.check("audit", [line for lines in beside.map(self.played, CASES) for line in lines])
+            self.check(
+                "audit", [line for lines in beside.map(self.played, CASES) for line in lines]
+            )
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -8,35 +8,110 @@
 from pierglade.benchlink.link import Link, Malformed
 from tests.scene import TraceTest
 
-CONF = {"offerings": [{"name": "look", "idempotency": "free", "expectedTimeUs": 400000,
-                       "hardLimitUs": 1000000, "unknown": 1},
-                      {"name": "pay", "idempotency": "single_shot", "expectedTimeUs": 400000,
-                       "hardLimitUs": 1000000}],
-        "limits": {"mostTrips": 2, "mayCancel": True},
-        "contract": {"coldUs": 8000050}, "siblings": 2, "new": {}}
-BACKENDS = [{"backend": f"10.0.0.{n}:80", "status": "Ready", "cluster": 0, "zone": "z", "sinceUs": None,
-             "powerHint": 1, "familyType": "box"} for n in (1, 2)]
+CONF = {
+    "offerings": [
+        {
+            "name": "look",
+            "idempotency": "free",
+            "expectedTimeUs": 400000,
+            "hardLimitUs": 1000000,
+            "unknown": 1,
+        },
+        {
+            "name": "pay",
+            "idempotency": "single_shot",
+            "expectedTimeUs": 400000,
+            "hardLimitUs": 1000000,
+        },
+    ],
+    "limits": {"mostTrips": 2, "mayCancel": True},
+    "contract": {"coldUs": 8000050},
+    "siblings": 2,
+    "new": {},
+}
+BACKENDS = [
+    {
+        "backend": f"10.0.0.{n}:80",
+        "status": "Ready",
+        "cluster": 0,
+        "zone": "z",
+        "sinceUs": None,
+        "powerHint": 1,
+        "familyType": "box",
+    }
+    for n in (1, 2)
+]
 SESSION = [
-    {"Sync": {"wallUs": 1000}}, {"OverToYou": {}},
-    {"Sync": {"wallUs": 2000}}, {"Boot": {"who": "node_1", "seed": 7, "conf": CONF}},
+    {"Sync": {"wallUs": 1000}},
+    {"OverToYou": {}},
+    {"Sync": {"wallUs": 2000}},
+    {"Boot": {"who": "node_1", "seed": 7, "conf": CONF}},
     {"Census": {"ref": 0, "entries": BACKENDS}},
-    {"Discovery": {"who": "node_1", "ref": 0, "gen": 1, "scope": "restored"}}, {"OverToYou": {}},
+    {"Discovery": {"who": "node_1", "ref": 0, "gen": 1, "scope": "restored"}},
+    {"OverToYou": {}},
     {"Sync": {"wallUs": 7050}},
-    {"Incoming": {"who": "node_1", "call": 11, "marks": 0, "leftUs": 500099, "item": None, "grade": "look",
-                  "party": None, "hintUs": None, "odd": True}},
+    {
+        "Incoming": {
+            "who": "node_1",
+            "call": 11,
+            "marks": 0,
+            "leftUs": 500099,
+            "item": None,
+            "grade": "look",
+            "party": None,
+            "hintUs": None,
+            "odd": True,
+        }
+    },
     {"Incoming": {"who": "node_1", "call": 12, "marks": 0, "leftUs": 500099, "grade": "pay"}},
     {"OverToYou": {}},
     {"Sync": {"wallUs": 12000}},
-    {"Completed": {"who": "node_1", "call": 11, "sendNo": 0, "backend": "10.0.0.1:80",
-                   "reason": "unreachable", "durationUs": 4950, "doneFlag": False, "gauge": None}},
-    {"Completed": {"who": "node_1", "call": 12, "sendNo": 0, "backend": "10.0.0.1:80", "reason": "broken",
-                   "durationUs": 4950, "doneFlag": False, "gauge": None}},
-    {"ClientGone": {"who": "node_1", "call": 99}}, {"Ring": {"who": "node_1", "mark": "forgotten"}},
+    {
+        "Completed": {
+            "who": "node_1",
+            "call": 11,
+            "sendNo": 0,
+            "backend": "10.0.0.1:80",
+            "reason": "unreachable",
+            "durationUs": 4950,
+            "doneFlag": False,
+            "gauge": None,
+        }
+    },
+    {
+        "Completed": {
+            "who": "node_1",
+            "call": 12,
+            "sendNo": 0,
+            "backend": "10.0.0.1:80",
+            "reason": "broken",
+            "durationUs": 4950,
+            "doneFlag": False,
+            "gauge": None,
+        }
+    },
+    {"ClientGone": {"who": "node_1", "call": 99}},
+    {"Ring": {"who": "node_1", "mark": "forgotten"}},
+    {"OverToYou": {}},
+    {"Sync": {"wallUs": 17000}},
+    {"ClientGone": {"who": "node_1", "call": 11}},
+    {"OverToYou": {}},
+    {"Sync": {"wallUs": 18000}},
+    {"Kill": {"who": "node_1"}},
+    {
+        "Completed": {
+            "who": "node_1",
+            "call": 11,
+            "sendNo": 1,
+            "backend": "10.0.0.2:80",
+            "reason": "withdrawn",
+            "durationUs": 10,
+            "doneFlag": True,
+            "gauge": None,
+        }
+    },
     {"OverToYou": {}},
-    {"Sync": {"wallUs": 17000}}, {"ClientGone": {"who": "node_1", "call": 11}}, {"OverToYou": {}},
-    {"Sync": {"wallUs": 18000}}, {"Kill": {"who": "node_1"}},
-    {"Completed": {"who": "node_1", "call": 11, "sendNo": 1, "backend": "10.0.0.2:80", "reason": "withdrawn",
-                   "durationUs": 10, "doneFlag": True, "gauge": None}}, {"OverToYou": {}}]
+]
 
 
 def run(messages):
@@ -52,14 +127,26 @@
         self.check("session", run(SESSION))
 
     def test_malformed(self):
-        for line in (b"{", b"[]", b"3", b'{"Sync":{"wallUs":1},"OverToYou":{}}', b'{"Surprise":{}}',
-                     b'{"Sync":{}}', b'{"Sync":3}', b'{"Discovery":{"ref":0}}'):
+        for line in (
+            b"{",
+            b"[]",
+            b"3",
+            b'{"Sync":{"wallUs":1},"OverToYou":{}}',
+            b'{"Surprise":{}}',
+            b'{"Sync":{}}',
+            b'{"Sync":3}',
+            b'{"Discovery":{"ref":0}}',
+        ):
             with self.subTest(line), self.assertRaises(Malformed):
                 Link(io.BytesIO()).read(line)
 
     def test_malformed_ends_the_process(self):
-        done = subprocess.run([sys.executable, "-m", "pierglade.benchlink"], input=b'{"Surprise":{}}\n',
-                              capture_output=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "pierglade.benchlink"],
+            input=b'{"Surprise":{}}\n',
+            capture_output=True,
+            timeout=60,
+        )
         self.assertEqual((done.returncode, done.stdout), (2, b""))
         self.assertEqual(len(done.stderr.splitlines()), 1)
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -20,27 +20,44 @@
 from tests import test_net
 from tests.scene import Desk, TraceTest, terms
 
-TEXTS = ('a', '}', '{"', '},{', '\\"}', ']', '"},{"name":"x"', 'é\u2028', '\\', ',')
+TEXTS = ("a", "}", '{"', "},{", '\\"}', "]", '"},{"name":"x"', "é\u2028", "\\", ",")
 
 
 def value(chance, depth):
     kind = chance.randrange(6 if depth else 3)
     if kind < 3:
-        return (chance.randrange(10 ** 6), "".join(chance.choices(TEXTS, k=chance.randrange(6))), None)[kind]
+        return (
+            chance.randrange(10**6),
+            "".join(chance.choices(TEXTS, k=chance.randrange(6))),
+            None,
+        )[kind]
     if kind == 3:
-        return {f"{chance.choice(TEXTS)}{n}": value(chance, depth - 1) for n in range(chance.randrange(9))}
+        return {
+            f"{chance.choice(TEXTS)}{n}": value(chance, depth - 1)
+            for n in range(chance.randrange(9))
+        }
     return [value(chance, depth - 1) for _ in range(chance.randrange(30))]
 
 
 def customers(chance, count):
-    return [{"name": f"{chance.choice(TEXTS)}{n}", "quotaPerS": chance.choice((0, 3, 0.5, None)),
-             "more": value(chance, 1)} for n in range(count)]
+    return [
+        {
+            "name": f"{chance.choice(TEXTS)}{n}",
+            "quotaPerS": chance.choice((0, 3, 0.5, None)),
+            "more": value(chance, 1),
+        }
+        for n in range(count)
+    ]
 
 
 def written(chance, told):
     """The text, with white space as some writers leave it."""
-    return json.dumps(told, ensure_ascii=chance.random() < 0.5, indent=chance.choice((None, None, 1, 0)),
-                      separators=chance.choice(((",", ":"), (" ,\n", " : ")))).encode()
+    return json.dumps(
+        told,
+        ensure_ascii=chance.random() < 0.5,
+        indent=chance.choice((None, None, 1, 0)),
+        separators=chance.choice(((",", ":"), (" ,\n", " : "))),
+    ).encode()
 
 
 def difference(before, after):
@@ -53,11 +70,17 @@
         most = 0
         for count in range(200):
             rows = customers(chance, count)
-            told = {"name": "n", "known": {"endpoints": value(chance, 2)}, "more": value(chance, 3),
-                    "settings": {"a": value(chance, 2), "customers": rows, "b": value(chance, 2)}}
+            told = {
+                "name": "n",
+                "known": {"endpoints": value(chance, 2)},
+                "more": value(chance, 3),
+                "settings": {"a": value(chance, 2), "customers": rows, "b": value(chance, 2)},
+            }
             text = written(chance, told)
-            with mock.patch.object(reading, "PIECE", chance.choice((16, 50, 300))), \
-                    mock.patch.object(reading, "WHOLE", 40):
+            with (
+                mock.patch.object(reading, "PIECE", chance.choice((16, 50, 300))),
+                mock.patch.object(reading, "WHOLE", 40),
+            ):
                 steps, taken = reading.steps(text), 0
                 while True:
                     try:
@@ -74,45 +97,82 @@
 
     def test_cut_in_half_it_is_never_taken(self):
         chance = random.Random(9)
-        told = {"settings": {"customers": customers(chance, 9)}, "known": {"endpoints": value(chance, 2)}}
+        told = {
+            "settings": {"customers": customers(chance, 9)},
+            "known": {"endpoints": value(chance, 2)},
+        }
         text = json.dumps(told).encode()
         with mock.patch.object(reading, "PIECE", 20), mock.patch.object(reading, "WHOLE", 40):
             for at in range(len(text)):
                 with self.assertRaises(ValueError, msg=text[:at]):
                     start.through(reading.steps(text[:at]))
-            for spoilt in (text.replace(b"}, {", b"} {", 1), text.replace(b"}, {", b"},, {", 1), text + b"}",
-                           text.replace(b"\"name\"", b"\"n\xff\"", 1)):
+            for spoilt in (
+                text.replace(b"}, {", b"} {", 1),
+                text.replace(b"}, {", b"},, {", 1),
+                text + b"}",
+                text.replace(b'"name"', b'"n\xff"', 1),
+            ):
                 with self.assertRaises(ValueError, msg=spoilt):
                     start.through(reading.steps(spoilt))
 
     def test_rows_under_the_same_key_elsewhere_are_not_customers(self):
         """The rows are taken from where they belong, whatever else has their key or looks like it."""
         rows = [{"name": f"t{n}", "quotaPerS": n} for n in range(50)]
-        other = {"customers": [{"of": 1}] * 20, "known": "customers", "text": '"customers": [{"name": "x"}]'}
+        other = {
+            "customers": [{"of": 1}] * 20,
+            "known": "customers",
+            "text": '"customers": [{"name": "x"}]',
+        }
         right = {"settings": {"customers": rows}}
-        decoys = ({"other": other, **right}, {**right, "other": other}, {"settings": {"a": other, "customers": rows}},
-                  {"customers": rows, "settings": {"b": 1}}, {'a"customers': [1], **right},
-                  {"settings": {"customers": None}, "other": other}, {"a": ["customers", [{"b": "}"}]], **right},
-                  {"settings": [other]}, [other], {"settings": {"customers": []}, "known": {"endpoints": rows}})
+        decoys = (
+            {"other": other, **right},
+            {**right, "other": other},
+            {"settings": {"a": other, "customers": rows}},
+            {"customers": rows, "settings": {"b": 1}},
+            {'a"customers': [1], **right},
+            {"settings": {"customers": None}, "other": other},
+            {"a": ["customers", [{"b": "}"}]], **right},
+            {"settings": [other]},
+            [other],
+            {"settings": {"customers": []}, "known": {"endpoints": rows}},
+        )
         for told in decoys:
-            shares = {row["name"]: row["quotaPerS"] for row in rows} if "settings" in told and isinstance(
-                told["settings"], dict) and told["settings"].get("customers") else {}
-            for piece, whole in ((16, 40), (400, 40), (16, 10 ** 6)):
-                with mock.patch.object(reading, "PIECE", piece), mock.patch.object(reading, "WHOLE", whole):
+            shares = (
+                {row["name"]: row["quotaPerS"] for row in rows}
+                if "settings" in told
+                and isinstance(told["settings"], dict)
+                and told["settings"].get("customers")
+                else {}
+            )
+            for piece, whole in ((16, 40), (400, 40), (16, 10**6)):
+                with (
+                    mock.patch.object(reading, "PIECE", piece),
+                    mock.patch.object(reading, "WHOLE", whole),
+                ):
                     got, read = start.through(reading.steps(json.dumps(told, indent=1).encode()))
-                left = {**told, "settings": {**told["settings"], "customers": []}} if shares else told
+                left = (
+                    {**told, "settings": {**told["settings"], "customers": []}} if shares else told
+                )
                 self.assertEqual((got, read), (left, shares))
 
     def test_the_list_that_is_known_is_left_where_nobody_needs_it(self):
-        text = json.dumps({"known": {"endpoints": [{"name": f"b{n}"} for n in range(5000)]}, "a": 1}).encode()
-        self.assertEqual(start.through(reading.steps(text, known=False)), ({"known": {}, "a": 1}, {}))
+        text = json.dumps(
+            {"known": {"endpoints": [{"name": f"b{n}"} for n in range(5000)]}, "a": 1}
+        ).encode()
+        self.assertEqual(
+            start.through(reading.steps(text, known=False)), ({"known": {}, "a": 1}, {})
+        )
 
     def test_a_customer_that_can_not_be_used_is_named_by_its_place(self):
         good = {"name": "t", "quotaPerS": 1}
-        for rows, place in (([good, {"quotaPerS": 1}], "customers.1 "), ([good] * 3000 + [3], "customers.3000 "),
-                            ([{**good, "quotaPerS": -1}], "customers.0.quotaPerS"),
-                            ([good] * 2999 + [{**good, "quotaPerS": "3"}], "customers.2999.quotaPerS"),
-                            ([{**good, "quotaPerS": True}], "customers.0.quotaPerS"), ("t", "customers ")):
+        for rows, place in (
+            ([good, {"quotaPerS": 1}], "customers.1 "),
+            ([good] * 3000 + [3], "customers.3000 "),
+            ([{**good, "quotaPerS": -1}], "customers.0.quotaPerS"),
+            ([good] * 2999 + [{**good, "quotaPerS": "3"}], "customers.2999.quotaPerS"),
+            ([{**good, "quotaPerS": True}], "customers.0.quotaPerS"),
+            ("t", "customers "),
+        ):
             with self.assertRaisesRegex(Wrong, f"settings.{place}"):
                 start.through(reading.steps(json.dumps({"settings": {"customers": rows}}).encode()))
 
@@ -122,13 +182,20 @@
         chance = random.Random(3)
         with mock.patch.object(shares, "AT_ONCE", 7):
             for _ in range(200):
-                one, other = ({f"t{chance.randrange(60)}": float(chance.randrange(3)) for _ in range(40)}
-                              for _ in range(2))
+                one, other = (
+                    {f"t{chance.randrange(60)}": float(chance.randrange(3)) for _ in range(40)}
+                    for _ in range(2)
+                )
                 table = Tenants(one)
                 told = difference(table, other)
-                self.assertEqual(len(told), sum(one.get(name) != other.get(name) for name in {*one, *other}))
+                self.assertEqual(
+                    len(told), sum(one.get(name) != other.get(name) for name in {*one, *other})
+                )
                 table.apply(told)
-                self.assertEqual((table.shares, table.total, len(table)), (other, sum(other.values()), len(other)))
+                self.assertEqual(
+                    (table.shares, table.total, len(table)),
+                    (other, sum(other.values()), len(other)),
+                )
 
     def test_lost_doubled_out_of_order_or_on_a_version_that_is_not_there_it_changes_nothing(self):
         table = Tenants({"a": 1.0, "b": 2.0})
@@ -136,11 +203,11 @@
         later = Difference(1, 2, {"c": 1.0}, ("b",))
         for told in (later, Difference(7, 8, {"a": 9.0})):
             with self.assertRaises(Stale):
-                table.apply(told)       # the first one is lost, or comes later
+                table.apply(told)  # the first one is lost, or comes later
         self.assertEqual((table.shares, table.version), ({"a": 1.0, "b": 2.0}, 0))
         table.apply(first)
         with self.assertRaises(Stale):
-            table.apply(first)          # doubled
+            table.apply(first)  # doubled
         table.apply(later)
         self.assertEqual((table.shares, table.total, table.version), ({"a": 5.0, "c": 1.0}, 6.0, 2))
 
@@ -152,7 +219,7 @@
         one = table.of("t7", 300)
         one.rate = 5.0
         for now in range(LATELY // 2, 5 * LATELY, LATELY // 2):
-            self.assertIs(table.of("t7", now), one)         # it goes on asking
+            self.assertIs(table.of("t7", now), one)  # it goes on asking
         self.assertEqual([*table.young, *table.old], ["t7"])
         self.assertEqual(table.of("t8", now).rate, 0.0)
 
@@ -161,12 +228,16 @@
         was = [table.of(name, 0) for name in "ab"]
         was[0].rate, was[1].drag = 7.0, 3.0
         table.apply(difference(table, {"a": 4.0}))
-        self.assertEqual([(t.per_second, t.rate) for t in (was[0], table.of("a", 1))], [(1.0, 7.0), (4.0, 7.0)])
+        self.assertEqual(
+            [(t.per_second, t.rate) for t in (was[0], table.of("a", 1))], [(1.0, 7.0), (4.0, 7.0)]
+        )
         self.assertIsNone(table.of("b", 1))
         later = Tenants({"a": 9.0, "c": 1.0})
         later.follow(table)
-        self.assertEqual([(t.per_second, t.rate) for t in (table.of("a", 1), later.of("a", 1))],
-                         [(4.0, 7.0), (9.0, 7.0)])
+        self.assertEqual(
+            [(t.per_second, t.rate) for t in (table.of("a", 1), later.of("a", 1))],
+            [(4.0, 7.0), (9.0, 7.0)],
+        )
 
     def test_the_middle_of_what_was_seen_lately(self):
         chance = random.Random(5)
@@ -179,7 +250,9 @@
             seen[name] = now, figure
             late = now + chance.randrange(3)
             figures = sorted(figure for at, figure in seen.values() if late - at < 50)
-            self.assertEqual(middle.figure(late), figures[(len(figures) - 1) // 2] if figures else None)
+            self.assertEqual(
+                middle.figure(late), figures[(len(figures) - 1) // 2] if figures else None
+            )
             now = late
 
 
@@ -194,8 +267,13 @@
 
     def configure(self, told, settings=None, from_=None, **changed):
         table = self.reducer.terms.tenants
-        self.desk.tell(ev.CONFIGURED, "", {"settings": settings or {"customers": []}},
-                       terms(tenants=Tenants(told), **changed), from_ or difference(table, told))
+        self.desk.tell(
+            ev.CONFIGURED,
+            "",
+            {"settings": settings or {"customers": []}},
+            terms(tenants=Tenants(told), **changed),
+            from_ or difference(table, told),
+        )
 
     def ask(self, name, tenant, path="/look"):
         self.desk.ask(name, path, headers=f"X-Customer: {tenant}\r\n")
@@ -224,11 +302,15 @@
         self.assertEqual({i.over for i in owed + more}, {True})
 
     def test_two_changes_in_one_turn_and_back_to_the_older_one(self):
-        for told in ({"north": 5.0, "south": 500.0}, {"north": 6.0, "west": 1.0}, {"north": 20.0, "south": 500.0}):
+        for told in (
+            {"north": 5.0, "south": 500.0},
+            {"north": 6.0, "west": 1.0},
+            {"north": 20.0, "south": 500.0},
+        ):
             self.configure(told)
             self.assertEqual(self.reducer.terms.tenants.shares, told)
         self.assertEqual((self.reducer.terms.tenants.version, self.reducer.node), (3, self.first))
-        self.configure({"north": 20.0, "south": 500.0})     # doubled: nothing to change
+        self.configure({"north": 20.0, "south": 500.0})  # doubled: nothing to change
         self.assertEqual((self.reducer.terms.tenants.version, self.reducer.node), (3, self.first))
 
     def test_a_difference_that_does_not_fit_is_replaced_by_the_whole(self):
@@ -236,7 +318,9 @@
         stale = difference(self.reducer.terms.tenants, {"north": 5.0, "south": 500.0})
         self.configure({"north": 6.0, "south": 500.0})
         self.configure({"north": 5.0, "south": 7.0, "west": 1.0}, from_=stale)
-        self.assertEqual(self.reducer.terms.tenants.shares, {"north": 5.0, "south": 7.0, "west": 1.0})
+        self.assertEqual(
+            self.reducer.terms.tenants.shares, {"north": 5.0, "south": 7.0, "west": 1.0}
+        )
         self.assertIsNot(self.reducer.node, self.first)
 
     def test_the_first_share_and_the_last_begin_anew(self):
@@ -244,7 +328,7 @@
         self.assertIsNot(self.reducer.node, self.first)
         self.assertFalse(self.reducer.node.shares)
         second = self.reducer.node
-        self.configure({"north": 0.0})      # a tenant without a share: as before
+        self.configure({"north": 0.0})  # a tenant without a share: as before
         self.assertIs(self.reducer.node, second)
         self.configure({"north": 3.0})
         self.assertTrue(self.reducer.node.shares)
@@ -261,13 +345,16 @@
 
 class OnSockets(TraceTest):
     """A node as users start it, whose file is long enough to be read in steps."""
+
     setUp, tearDown = test_net.Sockets.setUp, test_net.Sockets.tearDown
     configure, events = test_net.Sockets.configure, test_net.Sockets.events
     serve, ask = test_net.Sockets.serve, test_net.Sockets.ask
     COUNT = 8000
 
     def file(self, **shares):
-        rows = [{"name": f"tenant-{n}", "quotaPerS": shares.get(f"t{n}", 3)} for n in range(self.COUNT)]
+        rows = [
+            {"name": f"tenant-{n}", "quotaPerS": shares.get(f"t{n}", 3)} for n in range(self.COUNT)
+        ]
         text = json.dumps({**self.told, "settings": {**test_net.SETTINGS, "customers": rows}})
         with tempfile.NamedTemporaryFile("w", dir=self.folder.name, delete=False) as file:
             file.write(text)
@@ -281,7 +368,11 @@
 
     def test_shares_change_under_clients(self):
         """Each file in force whole or not at all; a client is answered all along, each request run once."""
-        get = b"GET /look/%d HTTP/1.1\r\n" + test_net.HOST + b"X-Customer: tenant-7\r\nX-Trace-Id: %d\r\n\r\n"
+        get = (
+            b"GET /look/%d HTTP/1.1\r\n"
+            + test_net.HOST
+            + b"X-Customer: tenant-7\r\nX-Trace-Id: %d\r\n\r\n"
+        )
         lines, answers, asking = [], [], True
 
         def client():
@@ -293,29 +384,45 @@
         asker = threading.Thread(target=client, daemon=True)
         asker.start()
         text = self.file()
-        loaded = self.reload()      # other settings than those of the start: all anew
+        loaded = self.reload()  # other settings than those of the start: all anew
         lines.append(f"all {'shares' in loaded[0]}")
         for count, told in enumerate(({"t7": 4}, {"t7": 4, "t9": 5, "t11": 6}, {})):
             self.file(**told)
             lines.append(f"{count}: {[line['shares'] for line in self.reload()[:-1]]}")
-        self.configure(text[:len(text) * 2 // 3])
-        lines.append(f"cut: {[line['event'] for line in self.reload(until='configuration refused')]}")
+        self.configure(text[: len(text) * 2 // 3])
+        lines.append(
+            f"cut: {[line['event'] for line in self.reload(until='configuration refused')]}"
+        )
         self.file(t7=8)
         self.node.send_signal(signal.SIGHUP)
         self.file(t7=8, t8=9)
         self.node.send_signal(signal.SIGHUP)
         seen = 0
         while seen < 2:
-            seen += sum(line.get("shares", 0) for line in self.reload()[:-1])   # asked once more: it is the same
+            seen += sum(
+                line.get("shares", 0) for line in self.reload()[:-1]
+            )  # asked once more: it is the same
         lines.append(f"two in a row: {seen}")
         asking = False
         asker.join(20)
         settled = sum(" 200 " in line for line in answers)
         good = all(any(f" {status} " in line for status in (200, 503, 504)) for line in answers)
-        lines.append(f"all answered {good}, each sent once "
-                     f"{settled <= len(self.backend.seen) == len(set(self.backend.seen))}")
-        self.assertEqual(lines, ["all False", "0: [1]", "1: [2]", "2: [3]", "cut: ['configuration refused']",
-                                 "two in a row: 2", "all answered True, each sent once True"])
+        lines.append(
+            f"all answered {good}, each sent once "
+            f"{settled <= len(self.backend.seen) == len(set(self.backend.seen))}"
+        )
+        self.assertEqual(
+            lines,
+            [
+                "all False",
+                "0: [1]",
+                "1: [2]",
+                "2: [3]",
+                "cut: ['configuration refused']",
+                "two in a row: 2",
+                "all answered True, each sent once True",
+            ],
+        )
 
     def test_a_stop_in_the_middle_of_a_reading(self):
         self.file(t7=4)
@@ -328,19 +435,27 @@
         self.file(t7=4)
         with mock.patch.dict(os.environ, {"BALANCER_CONFIG": self.path}):
             place = start.place_from(os.environ)
-        self.assertEqual((place.terms.tenants.shares["tenant-7"], len(place.terms.tenants)), (4.0, self.COUNT))
+        self.assertEqual(
+            (place.terms.tenants.shares["tenant-7"], len(place.terms.tenants)), (4.0, self.COUNT)
+        )
         self.assertEqual(place.told["settings"]["customers"], [])
 
 
 class Lists(unittest.TestCase):
     def test_a_long_list_is_read_in_steps_and_one_that_comes_after_a_move_is_not_told(self):
         """Discovery may move while it is read: told after that, it would stand in the list of the new place."""
-        whole = {"index": 7, "snapshot": True, "endpoints": [{"name": f"b{n}"} for n in range(9000)]}
+        whole = {
+            "index": 7,
+            "snapshot": True,
+            "endpoints": [{"name": f"b{n}"} for n in range(9000)],
+        }
         heard = []
-        follower = Discovery("127.0.0.1:1", mock.Mock(tell=lambda kind, document: heard.append(document)))
+        follower = Discovery(
+            "127.0.0.1:1", mock.Mock(tell=lambda kind, document: heard.append(document))
+        )
         follower._tell(json.dumps(whole).encode())
         self.assertEqual(heard, [whole])
-        gevent.spawn(follower.leave)    # runs as soon as a step is over
+        gevent.spawn(follower.leave)  # runs as soon as a step is over
         with self.assertRaises(Lost):
             follower._tell(json.dumps(whole).encode())
         self.assertEqual(heard, [whole])
--- a/tests/test_changes_by_chance.py
+++ b/tests/test_changes_by_chance.py
@@ -18,7 +18,7 @@
     """One play. The host's part: each trip ends in time, each decision is carried out at once."""
 
     def __init__(self, case, seed):
-        self.case, self.chance, self.now = case, random.Random(seed), 10 ** 6
+        self.case, self.chance, self.now = case, random.Random(seed), 10**6
         self.node, self.older = Node(seed, self.settings(), self.now), []
         self.owed, self.finals = [], {}
         self.hear([listed(f"b{n}") for n in range(6)])
@@ -26,13 +26,24 @@
     def settings(self):
         pick = self.chance.choice
         rows = self.chance.sample(terms().offerings, self.chance.randint(1, 3))
-        rows = [replace(row, index=n, hard_limit=pick((400, 1000)) * MS, expected=pick((200, 400)) * MS)
-                for n, row in enumerate(rows)]
-        return terms(offerings=rows, nodes=pick((1, 1, 3, 70)), tenants=pick((Tenants(), Tenants({"n": 50.0}))),
-                     most_trips=pick((1, 2, 3, 4)), may_probe=pick((False, True)), further_most=3,
-                     further_share=0.2, further_span=pick((0, 0, 5000)), gone_binds=pick((True, True, False)),
-                     cold_for=pick((0, 3000, 8000)) * MS, gauges=pick((("pace", "busy"), ("busy",))),
-                     reports=pick((None, r.WITH_ANSWERS, r.WITH_PROBES)))
+        rows = [
+            replace(row, index=n, hard_limit=pick((400, 1000)) * MS, expected=pick((200, 400)) * MS)
+            for n, row in enumerate(rows)
+        ]
+        return terms(
+            offerings=rows,
+            nodes=pick((1, 1, 3, 70)),
+            tenants=pick((Tenants(), Tenants({"n": 50.0}))),
+            most_trips=pick((1, 2, 3, 4)),
+            may_probe=pick((False, True)),
+            further_most=3,
+            further_share=0.2,
+            further_span=pick((0, 0, 5000)),
+            gone_binds=pick((True, True, False)),
+            cold_for=pick((0, 3000, 8000)) * MS,
+            gauges=pick((("pace", "busy"), ("busy",))),
+            reports=pick((None, r.WITH_ANSWERS, r.WITH_PROBES)),
+        )
 
     def nodes(self):
         return (*self.older, self.node)
@@ -43,9 +54,12 @@
 
     def entry(self, step):
         pick = self.chance.choice
-        return listed(f"b{pick(range(12))}{pick(('', 'x', str(step)))}",
-                      pick((r.READY, r.READY, r.DRAINING, r.GONE)),
-                      started=pick((0, 0, 0, self.now - pick(range(9000)) * MS)), weight=pick((1.0, 0.7, 2.0)))
+        return listed(
+            f"b{pick(range(12))}{pick(('', 'x', str(step)))}",
+            pick((r.READY, r.READY, r.DRAINING, r.GONE)),
+            started=pick((0, 0, 0, self.now - pick(range(9000)) * MS)),
+            weight=pick((1.0, 0.7, 2.0)),
+        )
 
     def step(self, number):
         self.now += self.chance.randint(1, 300)
@@ -66,7 +80,9 @@
             self.owed.append(taken)
             self.node.taken(self.now, taken)
         elif what < 0.6:
-            self.node.reported(self.now, f"b{pick(range(12))}", r.Load(pace=30.0, busy=0.7, queue=1.0))
+            self.node.reported(
+                self.now, f"b{pick(range(12))}", r.Load(pace=30.0, busy=0.7, queue=1.0)
+            )
         elif trips := [trip for each in self.owed for trip in each.trips if trip.outcome is None]:
             self.end(pick(trips), pick(OUTCOMES))
         for each in self.owed:
@@ -81,7 +97,9 @@
             self.check(node)
 
     def end(self, trip, outcome):
-        trip.invocation.by.returned(self.now, trip, outcome, max(1, self.now - trip.sent), outcome == r.SETTLED)
+        trip.invocation.by.returned(
+            self.now, trip, outcome, max(1, self.now - trip.sent), outcome == r.SETTLED
+        )
 
     def pull(self, node):
         while (decision := node.decide(self.now)) is not None:
@@ -109,12 +127,22 @@
         equal({b: name for name, b in node.index.items()}, dict(enumerate(node.names)))
         equal(node.slow_ones, sum(trouble is SLOW for trouble in node.trouble))
         equal(sorted(node.ailing), [b for b in all_of if node.trouble[b] is not None])
-        equal(node.limit.busy, sum(len(trips) for b, trips in node.flying.items()
-                                   if node.trouble[b] in COUNTED))
-        trials = [trip.backend for each in self.owed if each.by is node for trip in each.trips
-                  if trip.trial and trip.outcome is None]
+        equal(
+            node.limit.busy,
+            sum(len(trips) for b, trips in node.flying.items() if node.trouble[b] in COUNTED),
+        )
+        trials = [
+            trip.backend
+            for each in self.owed
+            if each.by is node
+            for trip in each.trips
+            if trip.trial and trip.outcome is None
+        ]
         equal(node.trials_out, [trials.count(b) for b in all_of])
-        equal({len(node.limit.missing), len(node.limit.base), len(node.limit.answers)}, {len(node.table)})
+        equal(
+            {len(node.limit.missing), len(node.limit.base), len(node.limit.answers)},
+            {len(node.table)},
+        )
 
 
 class Changes(unittest.TestCase):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -39,7 +39,6 @@
                     scene.end(name, note=False)
         self.check("crowded", scene.lines)
 
-
     def test_turns_go_by_weight_and_level(self):
         scene = Scene([listed("small"), listed("large", weight=2.0)])
         scene.flow(30)
@@ -51,7 +50,9 @@
 
     def learner(self, **changed):
         """A node of many whose tenants have no shares, and twelve backends."""
-        return Scene([f"b{n}" for n in range(12)], tenants=Tenants(), nodes=70, may_probe=False, **changed)
+        return Scene(
+            [f"b{n}" for n in range(12)], tenants=Tenants(), nodes=70, may_probe=False, **changed
+        )
 
     def stream(self, scene, seconds, every_ms, took=40, report=None, hint=None, flood=0):
         """Invocations at an even pace that all settle, each with its backend's report; `flood`: so many more
@@ -61,7 +62,9 @@
         for n in range(int(seconds * 1000 / every_ms)):
             invocation = scene.take("s", hint=hint[n % len(hint)] if hint else 0)
             for _ in range(flood):
-                left = r.Invocation("left", scene.terms.offerings[0], None, scene.now, scene.now + 1000 * MS)
+                left = r.Invocation(
+                    "left", scene.terms.offerings[0], None, scene.now, scene.now + 1000 * MS
+                )
                 scene.node.taken(scene.now, left)
                 scene.node.abandoned(scene.now, left)
             scene.after(every_ms)
@@ -74,8 +77,10 @@
             bounced += not invocation.trips
         scene.lines = lines
         node = scene.node
-        scene.say(f"{sent} sent, {bounced} not; {len(node.turn)} in view, part {node.part:.1f}, room "
-                  f"{node.room:.1f}, {'rests' if scene.now < node.rest_until else 'no rest'}")
+        scene.say(
+            f"{sent} sent, {bounced} not; {len(node.turn)} in view, part {node.part:.1f}, room "
+            f"{node.room:.1f}, {'rests' if scene.now < node.rest_until else 'no rest'}"
+        )
 
     def test_without_shares_view_and_part_follow_what_comes(self):
         """Each node had the same part, and all backends in view: the busy bounced what there was room for."""
@@ -88,13 +93,17 @@
         scene.say("half of the backends leave; the others have no room by their reports")
         scene.list([listed(f"b{n}", r.GONE) for n in range(6)])
         self.stream(scene, 10, 40, report=r.Load(pace=60.0, busy=1.0))
-        scene.say("all are asked for eight times what they settle: as its own part, that filled the fleet")
+        scene.say(
+            "all are asked for eight times what they settle: as its own part, that filled the fleet"
+        )
         self.stream(scene, 20, 40, report=r.Load(pace=60.0, busy=1.0), flood=7)
         self.check("learned", scene.lines)
 
     def test_first_probes_where_only_probes_tell_the_load(self):
         """One probe in twenty trips, twelve trips a second: the first report came after two seconds."""
-        scene = Scene([f"b{n}" for n in range(6)], tenants=Tenants(), nodes=2, reports=r.WITH_PROBES)
+        scene = Scene(
+            [f"b{n}" for n in range(6)], tenants=Tenants(), nodes=2, reports=r.WITH_PROBES
+        )
         for n in range(30):
             scene.take(f"i{n}")
             scene.after(80)
@@ -108,8 +117,11 @@
         """Turns went round all zones alike, three of four over a way that cost more than it gained."""
         lines = []
         for crossing in (0.01, 0.1):
-            scene = Scene([listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(6)], zone="east",
-                          crossing=crossing)
+            scene = Scene(
+                [listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(6)],
+                zone="east",
+                crossing=crossing,
+            )
             scene.say(f"crossing costs {crossing}")
             scene.flow(9)
             scene.say("six at once: the own zone is crowded")
@@ -132,13 +144,18 @@
         scene = Scene([f"b{n}" for n in range(4)])
         north, south = scene.terms.tenants
         out = []
-        for phase, took, seconds in (("as others", 20, 3), ("slow", 130, 6), ("as others again", 20, 8),
-                                      ("late in any case", 600, 6), ("as others at last", 20, 9)):
+        for phase, took, seconds in (
+            ("as others", 20, 3),
+            ("slow", 130, 6),
+            ("as others again", 20, 8),
+            ("late in any case", 600, 6),
+            ("as others at last", 20, 9),
+        ):
             got = {"north": [0, 0], "south": [0, 0]}
             marked, lines, scene.lines = 0, scene.lines, []
             for n in range(seconds * 50):
                 n = (phase, n)
-                for place, tenant in enumerate((north, south)[:1 + (n[1] % 3 == 0)]):
+                for place, tenant in enumerate((north, south)[: 1 + (n[1] % 3 == 0)]):
                     invocation = scene.take((n, place), tenant=tenant)
                     got[tenant.name][0 if invocation.trips else 1] += 1
                     out.append((n, place))
@@ -153,9 +170,11 @@
                         out.remove(name)
                 marked += bool(scene.node.ailing)
             scene.lines = lines
-            scene.say(f"south {phase}: north {got['north']}, south {got['south']} sent and not at once; "
-                      f"usual {scene.node.table[0].typical // MS:.0f} ms, levels "
-                      f"{[round(level, 1) for level in scene.node.level]}, some marked {marked * 20} ms")
+            scene.say(
+                f"south {phase}: north {got['north']}, south {got['south']} sent and not at once; "
+                f"usual {scene.node.table[0].typical // MS:.0f} ms, levels "
+                f"{[round(level, 1) for level in scene.node.level]}, some marked {marked * 20} ms"
+            )
         self.check("tenant_slow", scene.lines)
 
     def test_room_by_the_cores_in_use_alone(self):
@@ -170,8 +189,10 @@
                         scene.node.reported(scene.now, name, r.Load(busy=busy))
                 scene.take(n)
                 scene.after(20)
-            lines.append(f"{busy} of the cores in use, told each {each_s} s for {until_s} s: "
-                         f"room {scene.node.room:.1f} after 3 s")
+            lines.append(
+                f"{busy} of the cores in use, told each {each_s} s for {until_s} s: "
+                f"room {scene.node.room:.1f} after 3 s"
+            )
         self.check("room_by_cores", lines)
 
     def test_what_is_slower_at_all_backends_rests_once_in_step(self):
@@ -193,12 +214,14 @@
             scene = Scene(["b0", "b1", "b2"])
             for n in range(60):
                 heavy = n % 20 > 14
-                invocation = scene.take("h", hint=hint and (hint * 6 if heavy else hint))
+                scene.take("h", hint=hint and (hint * 6 if heavy else hint))
                 scene.after(240 if heavy else 40)
                 scene.end("h", note=False)
             marks = [mark for mark in scene.node.trouble]
-            lines.append(f"hints {hint}: {marks}, typical {scene.node.table[0].typical / MS:.0f} ms, levels "
-                         + " ".join(f"{level:.2f}" for level in scene.node.level))
+            lines.append(
+                f"hints {hint}: {marks}, typical {scene.node.table[0].typical / MS:.0f} ms, levels "
+                + " ".join(f"{level:.2f}" for level in scene.node.level)
+            )
         self.check("hints", lines)
 
     def test_cold_backends_get_their_part_of_what_is_settled(self):
@@ -212,8 +235,10 @@
                 for trip in invocation.trips * settled:
                     scene.node.returned(scene.now, trip, r.SETTLED, 40 * MS, True)
             scene.list(["b12"])
-            lines.append(f"asked {scene.node.asked * 10000:.0f} a second, a warm one gets "
-                         f"{scene.node.warm_pace * 10000:.1f} by what was settled")
+            lines.append(
+                f"asked {scene.node.asked * 10000:.0f} a second, a warm one gets "
+                f"{scene.node.warm_pace * 10000:.1f} by what was settled"
+            )
         self.check("cold_settled", lines)
 
     def test_many_nodes_keep_few_in_view(self):
@@ -262,8 +287,10 @@
                     scene.end(name)
                 elif trip.called_off:
                     scene.end(name, r.CALLED_OFF)
-        scene.say(f"b1 is {scene.node.trouble[scene.node.index['b1']]}, "
-                  f"pauses known: {len(scene.node.pauses[scene.node.index['b1']])}")
+        scene.say(
+            f"b1 is {scene.node.trouble[scene.node.index['b1']]}, "
+            f"pauses known: {len(scene.node.pauses[scene.node.index['b1']])}"
+        )
         self.check("hang", scene.lines)
 
     def test_a_heavy_one_alone_is_no_silence(self):
@@ -275,7 +302,7 @@
             silent = 0
             for _ in range(600):
                 invocation = scene.take("i")
-                for _ in range(int(min(990, 20 * chance.lognormvariate(-spread ** 2 / 2, spread)))):
+                for _ in range(int(min(990, 20 * chance.lognormvariate(-(spread**2) / 2, spread)))):
                     scene.after(1)
                 if invocation.out:
                     scene.end("i", note=False)
@@ -284,8 +311,10 @@
             # Where work is alike, six times the mean is still silence.
             scene.take("gone")
             scene.after(150)
-            told.append(f"spread {spread}: a backend was left out after {silent} of 600 answers; "
-                        f"150 ms without one: {[t for t in scene.node.trouble if t]}")
+            told.append(
+                f"spread {spread}: a backend was left out after {silent} of 600 answers; "
+                f"150 ms without one: {[t for t in scene.node.trouble if t]}"
+            )
         self.check("heavy", told)
 
     def test_a_restarted_backend_is_well_at_once(self):
@@ -335,7 +364,6 @@
         scene.flow(4)
         self.check("all_failed", scene.lines)
 
-
     def test_a_trial_of_what_comes(self):
         """Clients left the only harmless offering for another, and no backend in trouble was tried again. By
         the clock instead of by what comes, nodes with a few a second tried with one-shots, and lost them."""
@@ -352,7 +380,9 @@
                 for name in scene.out():
                     scene.end(name, note=False)
             name = scene.terms.offerings[offering].repeats
-            lines.append(f"{name}, one of {seldom} harmless: {len(tried)} tries, with {', '.join(tried[:3])}")
+            lines.append(
+                f"{name}, one of {seldom} harmless: {len(tried)} tries, with {', '.join(tried[:3])}"
+            )
         self.check("trial_of_what_comes", lines)
 
     def test_a_trial_goes_out_though_the_sound_are_full(self):
@@ -372,8 +402,15 @@
 class Rules(TraceTest):
     def test_each_offering_after_each_outcome(self):
         lines = []
-        for outcome in (r.TURNED_AWAY, r.UNREACHABLE, r.NEVER_SENT,
-                        r.ERROR, r.BROKEN, r.TIMED_OUT, r.CALLED_OFF):
+        for outcome in (
+            r.TURNED_AWAY,
+            r.UNREACHABLE,
+            r.NEVER_SENT,
+            r.ERROR,
+            r.BROKEN,
+            r.TIMED_OUT,
+            r.CALLED_OFF,
+        ):
             for offering, name in enumerate(("harmless", "stamped", "one-shot")):
                 scene = Scene(["b0", listed("w0", zone="west"), listed("w1", zone="west")])
                 scene.take(name, offering)
@@ -431,7 +468,9 @@
         for n in range(60):
             trips = scene.take("a").trips
             while trips and trips[-1].outcome is None:
-                scene.end("a", r.SETTLED if scene.node.names[trips[-1].backend] == "b0" else r.UNREACHABLE)
+                scene.end(
+                    "a", r.SETTLED if scene.node.names[trips[-1].backend] == "b0" else r.UNREACHABLE
+                )
             scene.list([listed(f"n{n}", r.GONE), listed(f"n{n + 1}")])
             scene.after(500)
         node = scene.node
@@ -487,7 +526,9 @@
         scene.say(f"b1 is {scene.node.state[b]}, slow ones: {scene.node.slow_ones}")
         scene.after(61000)
         scene.list(["b2"])
-        scene.say(f"b2 has the index of b1: {scene.node.index['b2'] == b}, trouble: {scene.node.trouble[b]}")
+        scene.say(
+            f"b2 has the index of b1: {scene.node.index['b2'] == b}, trouble: {scene.node.trouble[b]}"
+        )
         scene.flow(4)
         self.check("slow_and_gone", scene.lines)
 
@@ -501,7 +542,9 @@
         self.check("cold", scene.lines)
 
     def test_restart_from_an_old_list(self):
-        scene = Scene(["b0", "gone", listed("cold", started=9000 * MS)], tenants=Tenants({"north": 20.0}))
+        scene = Scene(
+            ["b0", "gone", listed("cold", started=9000 * MS)], tenants=Tenants({"north": 20.0})
+        )
         scene.take("a", 2)
         scene.take("b", 2)
         scene.after(100)
@@ -537,8 +580,12 @@
                 lost = [t for t in invocation.trips if t.outcome]
                 spent = sum(at > scene.now - 50000 for at in further)
                 allowed = 3 + 0.2 * sum(at > scene.now - 50000 for at in took)
-                early += (len(lost) == 1 and invocation.offering.repeats == r.HARMLESS and 2 * spent < allowed
-                          and not scene.node._hopeless(invocation, scene.now))
+                early += (
+                    len(lost) == 1
+                    and invocation.offering.repeats == r.HARMLESS
+                    and 2 * spent < allowed
+                    and not scene.node._hopeless(invocation, scene.now)
+                )
                 return final(invocation)
 
             scene.node._send, scene.node._final = sends, finals
@@ -552,10 +599,13 @@
                         scene.end(name, r.ERROR if lost else r.SETTLED, note=False)
             for at in further:
                 first = at - 50000
-                broken += (sum(first <= each <= at for each in further)
-                           > 3 + 0.2 * sum(first < each <= at for each in took))
-            lines.append(f"{len(further) > 30}: many further trips, windows broken {broken}, "
-                         f"given up while half was left {early}")
+                broken += sum(first <= each <= at for each in further) > 3 + 0.2 * sum(
+                    first < each <= at for each in took
+                )
+            lines.append(
+                f"{len(further) > 30}: many further trips, windows broken {broken}, "
+                f"given up while half was left {early}"
+            )
         self.check("budget", lines)
 
     def test_the_edges_of_a_window(self):
@@ -584,7 +634,10 @@
             scene.take(f"i{n}")
             scene.end(f"i{n}", r.ERROR)
         after = Node(4, scene.terms, scene.now, scene.node)
-        self.check("budget_settings", [f"{scene.node._left(scene.now)} left, {after._left(scene.now)} after"])
+        self.check(
+            "budget_settings",
+            [f"{scene.node._left(scene.now)} left, {after._left(scene.now)} after"],
+        )
 
 
 class Overload(TraceTest):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,40 +22,70 @@
 
 
 def started(*args, **more):
-    return subprocess.Popen([sys.executable, "-m", "pierglade.cli", *args], text=True, stdout=subprocess.PIPE,
-                            stderr=subprocess.PIPE, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "pierglade.cli", *args],
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        **more,
+    )
 
 
 class Command(TraceTest):
     def test_help_exit_codes_and_what_a_node_loads(self):
         lines = []
-        for args in (["nothing"], ["check", "nothing.toml"], ["fleet", "nothing.toml"],
-                     ["serve", "nothing.toml"], ["check"]):
+        for args in (
+            ["nothing"],
+            ["check", "nothing.toml"],
+            ["fleet", "nothing.toml"],
+            ["serve", "nothing.toml"],
+            ["check"],
+        ):
             child = started(*args)
             errors = child.communicate(timeout=60)[1]
             lines.append(f"{' '.join(args)}: {child.returncode} {errors.strip().splitlines()[-1]}")
         # The platform's start loads nothing of the tools.
         loaded = subprocess.run(
-            [sys.executable, "-c", "import sys; import pierglade.__main__, pierglade.net.host; print(sorted("
-             "set('click msgspec numpy structlog rich psutil hdrh asyncio'.split()) & set(sys.modules)))"],
-            capture_output=True, text=True, cwd=ROOT)
+            [
+                sys.executable,
+                "-c",
+                "import sys; import pierglade.__main__, pierglade.net.host; print(sorted("
+                "set('click msgspec numpy structlog rich psutil hdrh asyncio'.split()) & set(sys.modules)))",
+            ],
+            capture_output=True,
+            text=True,
+            cwd=ROOT,
+        )
         self.check("cli_codes", lines + [f"a node loads {loaded.stdout.strip()}"])
 
     def test_without_extras_the_help_lists_all_and_each_call_says_what_it_lacks(self):
         """An install without extras listed nothing and ended with 2: the help asked each for its line."""
         extras = sorted({package for _, packages in COMMANDS.values() for package in packages})
-        calls = [["--help"], *([name, *more] for name, (_, packages) in COMMANDS.items() if packages
-                               for more in ([], ["--help"], ["x.toml", "--json"]))]
+        calls = [
+            ["--help"],
+            *(
+                [name, *more]
+                for name, (_, packages) in COMMANDS.items()
+                if packages
+                for more in ([], ["--help"], ["x.toml", "--json"])
+            ),
+        ]
         # None in the place of a module is what an import system without it looks like.
-        script = (f"import sys; sys.modules.update(dict.fromkeys({extras}))\n"
-                  "import json; import click; from pierglade.cli import main\n"
-                  "from click.testing import CliRunner\n"
-                  f"for call in {calls}:\n"
-                  "    told = CliRunner().invoke(main, call)\n"
-                  "    print(json.dumps([call, told.exit_code, told.output]))")
-        ran = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT)
+        script = (
+            f"import sys; sys.modules.update(dict.fromkeys({extras}))\n"
+            "import json; import click; from pierglade.cli import main\n"
+            "from click.testing import CliRunner\n"
+            f"for call in {calls}:\n"
+            "    told = CliRunner().invoke(main, call)\n"
+            "    print(json.dumps([call, told.exit_code, told.output]))"
+        )
+        ran = subprocess.run(
+            [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT
+        )
         (_, code, text), *others = map(json.loads, ran.stdout.splitlines())
-        listed = [line.split()[0] for line in text.split("Commands:")[1].splitlines() if line.strip()]
+        listed = [
+            line.split()[0] for line in text.split("Commands:")[1].splitlines() if line.strip()
+        ]
         lines = [f"help: {code}, lists all {set(COMMANDS) <= set(listed)}"]
         for call, code, text in others:
             lines.append(f"{' '.join(call)}: {code} {text.strip()}")
@@ -64,6 +94,7 @@
 
 class Own(BaseHTTPRequestHandler):
     """An operator's own backend: it knows nothing of ids."""
+
     protocol_version = "HTTP/1.1"
 
     def do_GET(self):
@@ -88,7 +119,11 @@
 class Serve(TraceTest):
     def test_two_own_backends_no_ids_and_a_list_that_changes(self):
         servers = [own(word) for word in (b"one", b"two")]
-        text = (ROOT / "deploy" / "pierglade.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0")
+        text = (
+            (ROOT / "deploy" / "pierglade.toml")
+            .read_text()
+            .replace("127.0.0.1:8080", "127.0.0.1:0")
+        )
         text = text.replace('management = "127.0.0.1:8082"', "")
         for port, server in zip((9001, 9002), servers):
             text = text.replace(f":{port}", f":{server.server_port}")
@@ -109,12 +144,26 @@
                     answer = link.getresponse()
                     return f"{answer.status} {answer.read().decode().strip()}"
 
-                lines.append("GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)})))
-                lines += [f"POST /pay: {ask('POST', '/pay/1')[:3]}", f"GET /other: {ask('GET', '/other')}"]
-                for change, until in ((("[[backends]]\nname = \"b1\"", "[[members]]\nname = \"b1\""),
-                                       "configuration refused"),
-                                      ((f"127.0.0.1:{servers[1].server_port}",
-                                        f"127.0.0.1:{servers[0].server_port}"), "configuration read")):
+                lines.append(
+                    "GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)}))
+                )
+                lines += [
+                    f"POST /pay: {ask('POST', '/pay/1')[:3]}",
+                    f"GET /other: {ask('GET', '/other')}",
+                ]
+                for change, until in (
+                    (
+                        ('[[backends]]\nname = "b1"', '[[members]]\nname = "b1"'),
+                        "configuration refused",
+                    ),
+                    (
+                        (
+                            f"127.0.0.1:{servers[1].server_port}",
+                            f"127.0.0.1:{servers[0].server_port}",
+                        ),
+                        "configuration read",
+                    ),
+                ):
                     file.seek(0)
                     file.truncate()
                     file.write(text.replace(*change))
@@ -125,7 +174,9 @@
                     lines.append(until + line.get("why", "").replace(file.name, " FILE"))
                 while (line := json.loads(node.stdout.readline()))["event"] != "list":
                     pass
-                lines.append("GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)})))
+                lines.append(
+                    "GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)}))
+                )
                 link.close()
                 node.terminate()
                 lines.append(f"exit {node.wait(20)}")
@@ -142,8 +193,14 @@
     def test_a_long_file_is_read_while_clients_are_answered(self):
         """In one go it kept the node from its clients for as long as it was read: 2.6 s with 47,000 tenants."""
         server = own(b"one")
-        text = (ROOT / "deploy" / "pierglade.toml").read_text().replace("127.0.0.1:8080", "127.0.0.1:0")
-        text = text.replace('management = "127.0.0.1:8082"', "").replace(":9001", f":{server.server_port}")
+        text = (
+            (ROOT / "deploy" / "pierglade.toml")
+            .read_text()
+            .replace("127.0.0.1:8080", "127.0.0.1:0")
+        )
+        text = text.replace('management = "127.0.0.1:8082"', "").replace(
+            ":9001", f":{server.server_port}"
+        )
         text = text.replace(":9002", f":{server.server_port}")
         rows = [f'\n[[members]]\nname = "tenant-{n}"\nper_s = {{}}\n' for n in range(6000)]
         with tempfile.NamedTemporaryFile("w+", suffix=".toml") as file:
@@ -193,13 +250,21 @@
         """Each way one line at most, nothing left; a child that dies ends it as well."""
         hows = "by itself", "SIGINT", "SIGTERM", "killed outright", "the fleet dies"
         with ThreadPoolExecutor(len(hows)) as beside:
-            self.check("cli_demo", [line for lines in beside.map(self.ended, hows) for line in lines])
+            self.check(
+                "cli_demo", [line for lines in beside.map(self.ended, hows) for line in lines]
+            )
 
     def ended(self, how):
         with tempfile.TemporaryDirectory() as folder:
-            demo = started("demo", "--seconds", "3" if how == "by itself" else "60", "--rate", "60",
-                           env={**os.environ, "TMPDIR": folder})
-            demo.stdout.readline()      # its first second is over
+            demo = started(
+                "demo",
+                "--seconds",
+                "3" if how == "by itself" else "60",
+                "--rate",
+                "60",
+                env={**os.environ, "TMPDIR": folder},
+            )
+            demo.stdout.readline()  # its first second is over
             children = psutil.Process(demo.pid).children(recursive=True)
             pids = [child.pid for child in children]
             if how.startswith("SIG"):
@@ -211,9 +276,13 @@
             out, errors = demo.communicate(timeout=60)
             said = [line for line in errors.strip().splitlines() if line]
             files = len(os.listdir(folder)) if how != "killed outright" else "-"
-            lines = [f"{how}: exit {demo.returncode}, {len(pids)} children, left {len(self.left(pids))}, "
-                     f"lines on errors {len(said)}, files left {files}"]
+            lines = [
+                f"{how}: exit {demo.returncode}, {len(pids)} children, left {len(self.left(pids))}, "
+                f"lines on errors {len(said)}, files left {files}"
+            ]
             if how == "by itself":
                 rows = out.strip().splitlines()[-2:]
-                lines += [f"    {row.split('  ')[0].strip()} has a result {'p99' in row}" for row in rows]
+                lines += [
+                    f"    {row.split('  ')[0].strip()} has a result {'p99' in row}" for row in rows
+                ]
         return lines
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -26,8 +26,15 @@
         return HARSH.worst(sent, pace, HARSH.bears)[0]
 
     def test_it_holds_under_the_sum_of_all(self):
-        for nodes, at_first, case in ((5, 4, "told"), (20, 4, "told"), (30, 4, "told"), (20, 2, "told"),
-                                      (30, 2, "started"), (5, 4, "started"), (20, 4, "started")):
+        for nodes, at_first, case in (
+            (5, 4, "told"),
+            (20, 4, "told"),
+            (30, 4, "told"),
+            (20, 2, "told"),
+            (30, 2, "started"),
+            (5, 4, "started"),
+            (20, 4, "started"),
+        ):
             with self.subTest(nodes=nodes, at_first=at_first, case=case):
                 self.assertLess(self.share(nodes, at_first, case), 1)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,7 +7,6 @@
 import gc
 import json
 import os
-import signal
 import socket
 import struct
 import subprocess
@@ -26,16 +25,18 @@
 from pierglade.net import discovery, http, sending
 from pierglade.net.backends import LinkSocket
 from pierglade.net.host import Host
-from pierglade.net.state import events as ev
 from pierglade.net.state import clients as state_clients
+from pierglade.net.state import events as ev
 from pierglade.net.state import links
 from tests.scene import MS, Desk, TraceTest, entry, message, terms
-from tests.test_reducer import warm_desk
 from tests.test_net import CHUNKED, HOST, SETTINGS, Peer, answer
+from tests.test_reducer import warm_desk
 
 LONG = {"expectedTimeUs": 9000000, "hardLimitUs": 9000000}
-OFFERINGS = [{"name": "look", "idempotency": "free", **LONG},
-             {"name": "pay", "idempotency": "single_shot", **LONG}]
+OFFERINGS = [
+    {"name": "look", "idempotency": "free", **LONG},
+    {"name": "pay", "idempotency": "single_shot", **LONG},
+]
 
 
 def until(come):
@@ -90,11 +91,24 @@
 
     def __init__(self, count=1, cancel=True, listed=True, trips=3, **settings):
         self.backends = [Backend(f"b{n}") for n in range(count)]
-        self.known = {"index": 1, "snapshot": True, "endpoints": [
-            entry(b.name, address=b.address) for b in self.backends]}
-        settings = {"offerings": OFFERINGS, "limits": {
-            "mostTrips": trips, "mayCancel": cancel, "connectTimeoutUs": 8000000}, "contract": {}, **settings}
-        told = {"name": "n1", "listen": "127.0.0.1:0", "seed": "8c", "settings": settings, "known": {}}
+        self.known = {
+            "index": 1,
+            "snapshot": True,
+            "endpoints": [entry(b.name, address=b.address) for b in self.backends],
+        }
+        settings = {
+            "offerings": OFFERINGS,
+            "limits": {"mostTrips": trips, "mayCancel": cancel, "connectTimeoutUs": 8000000},
+            "contract": {},
+            **settings,
+        }
+        told = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "seed": "8c",
+            "settings": settings,
+            "known": {},
+        }
         # A socket of ours in the place of standard output: what the log says is not looked at here.
         log = mock.Mock(return_value=mock.Mock())
         with mock.patch.dict(os.environ, TMPDIR="/nowhere"):
@@ -137,15 +151,23 @@
                 sock.setblocking(False)
                 until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
         until(lambda: not any(reducer.clients.values()))
-        until(lambda: all(reducer.now - link.since >= links.REST and self.host.clock.now() - link.since
-                          >= links.REST for link in reducer.links[ev.IDLE]) or self.host.tell(ev.WOKE))
+        until(
+            lambda: (
+                all(
+                    reducer.now - link.since >= links.REST
+                    and self.host.clock.now() - link.since >= links.REST
+                    for link in reducer.links[ev.IDLE]
+                )
+                or self.host.tell(ev.WOKE)
+            )
+        )
 
     def rest(self):
         """What backends saw, once all clients are gone and later requests have come through every backend."""
         reducer = self.host.reducer
         self.gate.set()
         until(lambda: not any(reducer.clients.values()))
-        if self.first is not None:      # its backend still holds the first request
+        if self.first is not None:  # its backend still holds the first request
             self.host.tell(ev.LINK_ENDED, self.first, ev.BROKE, True, "as the test says")
         for backend in self.backends:
             backend.reply = lambda message: answer(200, b"ok")
@@ -176,7 +198,12 @@
 def request(offering, number, body=b""):
     method = b"GET" if offering == "look" else b"POST"
     head = b"%s /%s/%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\n" % (
-        method, offering.encode(), number.encode(), HOST, number.encode())
+        method,
+        offering.encode(),
+        number.encode(),
+        HOST,
+        number.encode(),
+    )
     return head + (b"Content-Length: %d\r\n" % len(body) if body else b"") + b"\r\n" + body
 
 
@@ -241,7 +268,9 @@
 
     def far_ahead(self, house, sock, offering):
         """Behind one in hand and before more than the buffer holds."""
-        link = self.first(house, sock, offering, b"".join(request(offering, str(n)) for n in range(1, 90)))
+        link = self.first(
+            house, sock, offering, b"".join(request(offering, str(n)) for n in range(1, 90))
+        )
         yield
         house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
 
@@ -270,40 +299,67 @@
     def setUp(self):
         # What a bare greenlet raises is a fault as well; and nobody is to be ended for reading slowly.
         self.raised = []
-        for patch in (mock.patch.object(type(gevent.get_hub()), "handle_error",
-                                        lambda hub, *what: self.raised.append(what)),
-                      mock.patch.object(state_clients, "SLOW_READER", 10 ** 9)):
+        for patch in (
+            mock.patch.object(
+                type(gevent.get_hub()), "handle_error", lambda hub, *what: self.raised.append(what)
+            ),
+            mock.patch.object(state_clients, "SLOW_READER", 10**9),
+        ):
             patch.start()
             self.addCleanup(patch.stop)
 
     def test_nothing_is_sent_on(self):
         lines = []
-        places = (self.connecting, self.connecting_at_once, self.full_body, self.line, self.ahead,
-                  self.far_ahead, self.decisions, self.again, self.kernel)
+        places = (
+            self.connecting,
+            self.connecting_at_once,
+            self.full_body,
+            self.line,
+            self.ahead,
+            self.far_ahead,
+            self.decisions,
+            self.again,
+            self.kernel,
+        )
         for place in places:
             for offering in ("look", "pay"):
                 if place == self.full_body and offering == "look":
-                    continue        # what is harmless has no body
+                    continue  # what is harmless has no body
                 for cancel in (True, False):
                     counts, faults = [], 0
                     for how in ("close", "half", "reset"):
-                        house = House(1 + (place in (self.ahead, self.far_ahead, self.again)), cancel)
+                        house = House(
+                            1 + (place in (self.ahead, self.far_ahead, self.again)), cancel
+                        )
                         try:
-                            if place not in (self.connecting, self.connecting_at_once, self.full_body):
+                            if place not in (
+                                self.connecting,
+                                self.connecting_at_once,
+                                self.full_body,
+                            ):
                                 house.warm()
                             sock = house.client()
                             steps = place(house, sock, offering)
                             next(steps)
                             leave(sock, how)
                             next(steps, None)
-                            counts.append(len([url for url in house.rest()
-                                               if "first" not in url or place == self.again]))
+                            counts.append(
+                                len(
+                                    [
+                                        url
+                                        for url in house.rest()
+                                        if "first" not in url or place == self.again
+                                    ]
+                                )
+                            )
                             faults += house.host.faults + len(self.raised)
                         finally:
                             sock.close()
                             house.close()
-                    lines.append(f"{place.__name__} {offering} may_cancel={cancel}: sent on after close, "
-                                 f"half, reset {counts}, faults {faults}")
+                    lines.append(
+                        f"{place.__name__} {offering} may_cancel={cancel}: sent on after close, "
+                        f"half, reset {counts}, faults {faults}"
+                    )
         self.check("crossings_left", lines)
 
     def test_a_reader_that_ends_before_the_next_one_sent_ahead_is_taken(self):
@@ -333,8 +389,12 @@
             seat.sock = gevent.socket.socket(fileno=ours.detach())
             seat.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             seat.write(b"x" * 100000, b"")
-            writing = [each for each in gc.get_objects() if isinstance(each, gevent.Greenlet)
-                       and getattr(each, "_run", None) == seat._write_rest]
+            writing = [
+                each
+                for each in gc.get_objects()
+                if isinstance(each, gevent.Greenlet)
+                and getattr(each, "_run", None) == seat._write_rest
+            ]
             for _ in range(turns):
                 gevent.sleep(0)
             seat.end()
@@ -363,14 +423,20 @@
                 with mock.patch.object(sending, "set_up", small):
                     sock = house.client()
                     sock.sendall(request("pay", "1", b"x" * 60000))
-                    until(lambda house=house: any(link.io.whole is False and link.trip
-                                                  for link in house.host.reducer.links[ev.BUSY]))
+                    until(
+                        lambda house=house: any(
+                            link.io.whole is False and link.trip
+                            for link in house.host.reducer.links[ev.BUSY]
+                        )
+                    )
                     gevent.sleep(0)
                     sock.close()
                     until(lambda house=house: not house.host.reducer.clients[ev.FRESH])
                     go.set()
                     seen = house.rest()
-                lines.append(f"may_cancel={cancel}: whole at the backend {seen}, faults {house.host.faults}")
+                lines.append(
+                    f"may_cancel={cancel}: whole at the backend {seen}, faults {house.host.faults}"
+                )
             finally:
                 house.close()
         self.check("crossings_half_written", lines)
@@ -395,13 +461,19 @@
             until(lambda: "/look/passed" in backend.seen)
             house.gate.set()
             until(lambda: len(reducer.links[ev.IDLE]) == 2 == len(backend.socks))
-            until(lambda: all(house.host.clock.now() - link.since > links.REST
-                              for link in reducer.links[ev.IDLE]))
+            until(
+                lambda: all(
+                    house.host.clock.now() - link.since > links.REST
+                    for link in reducer.links[ev.IDLE]
+                )
+            )
             fresh = next(link for link in reducer.links[ev.IDLE] if not link.io.answers.end)
             fresh.backend.idle.sort(key=lambda link: link is fresh)
             until(lambda: len(reducer.clients[ev.FRESH]) + len(reducer.clients[ev.IDLE]) == 3)
             client = next(iter(reducer.clients[ev.FRESH]))
-            backend.socks[1]._sock.shutdown(socket.SHUT_RDWR)       # and the loop does not turn before it is written
+            backend.socks[1]._sock.shutdown(
+                socket.SHUT_RDWR
+            )  # and the loop does not turn before it is written
             house.host.tell(ev.ASKED, client, message(request("pay", "once")))
             three.setblocking(False)
             until(lambda: sending.waiting(mock.Mock(_sock=three)))
@@ -431,7 +503,7 @@
             if what == "moved":
                 desk.hear([entry("b0", address="127.0.0.1:8999")], 2, whole=False)
             elif what == "late":
-                desk.now += 9960        # its time-out is due in the same turn, and not seen yet
+                desk.now += 9960  # its time-out is due in the same turn, and not seen yet
             else:
                 desk.hear([entry(desk.links[link].backend.name, "DRAINING")], 2, whole=False)
             desk.up(link)
@@ -489,20 +561,28 @@
     def test_the_end_comes_with_the_settings_own_limits(self):
         """Limits of 0.6 s: the process may be killed at 1.3 s. One with no limit near it on a link that comes
         up later, one half read, one that asks when the end is near: each is answered, nothing goes out."""
-        rows = [r.Offering(0, "look", r.HARMLESS, "all", 0, 300 * MS, 600 * MS, 1.0),
-                r.Offering(1, "pay", r.ONE_SHOT, "all", 0, 300 * MS, 600 * MS, 1.0)]
+        rows = [
+            r.Offering(0, "look", r.HARMLESS, "all", 0, 300 * MS, 600 * MS, 1.0),
+            r.Offering(1, "pay", r.ONE_SHOT, "all", 0, 300 * MS, 600 * MS, 1.0),
+        ]
         desk = Desk(["b0"], offerings=rows, may_cancel=False, connect_within=5000 * MS)
         for name in ("half", "late"):
             desk.open(name)
         desk.tell(ev.BEGUN, desk.clients["half"], None)
         desk.tell(ev.STOP)
-        desk.tell(ev.STOP)      # two, and new settings behind them, change nothing of the end
-        desk.tell(ev.CONFIGURED, "", {"settings": 1}, terms(offerings=rows, may_cancel=False,
-                                                            connect_within=5000 * MS, retry_after=10000 * MS))
+        desk.tell(ev.STOP)  # two, and new settings behind them, change nothing of the end
+        desk.tell(
+            ev.CONFIGURED,
+            "",
+            {"settings": 1},
+            terms(
+                offerings=rows, may_cancel=False, connect_within=5000 * MS, retry_after=10000 * MS
+            ),
+        )
         desk.after(600)
         desk.ask("body", "/pay", left=600)
         invocation = desk.clients["body"].invocation
-        invocation.limit += 90000       # as where a body is still coming
+        invocation.limit += 90000  # as where a body is still coming
         invocation.trips[0].until += 90000
         desk.reducer._watch(desk.links[0])
         desk.reducer._owes(desk.clients["body"])
@@ -516,25 +596,39 @@
 class Starting(TraceTest):
     def test_signals_of_the_start(self):
         """SIGHUP as soon as the file was read, SIGTERM behind it: it is read again, the end in order."""
-        code = ("import os, signal, sys\n"
-                "from pierglade import __main__ as m\n"
-                "def first():\n"
-                "    place = m.place_from(os.environ)\n"
-                "    os.kill(os.getpid(), signal.SIGHUP)\n"
-                "    os.kill(os.getpid(), signal.SIGTERM)\n"
-                "    return place\n"
-                "sys.exit(m.run(first, m.place_again))\n")
-        told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c",
-                "settings": SETTINGS}
+        code = (
+            "import os, signal, sys\n"
+            "from pierglade import __main__ as m\n"
+            "def first():\n"
+            "    place = m.place_from(os.environ)\n"
+            "    os.kill(os.getpid(), signal.SIGHUP)\n"
+            "    os.kill(os.getpid(), signal.SIGTERM)\n"
+            "    return place\n"
+            "sys.exit(m.run(first, m.place_again))\n"
+        )
+        told = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": "8c",
+            "settings": SETTINGS,
+        }
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "config.json")
             with open(path, "w") as file:
                 json.dump(told, file)
-            done = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20,
-                                  env={**os.environ, "BALANCER_CONFIG": path, "TMPDIR": folder})
+            done = subprocess.run(
+                [sys.executable, "-c", code],
+                capture_output=True,
+                timeout=20,
+                env={**os.environ, "BALANCER_CONFIG": path, "TMPDIR": folder},
+            )
         events = [json.loads(line)["event"] for line in done.stdout.splitlines()]
-        kept = [event for event in events
-                if event in ("started", "configuration read", "stopping", "stopped")]
+        kept = [
+            event
+            for event in events
+            if event in ("started", "configuration read", "stopping", "stopped")
+        ]
         self.check("crossings_start", [f"{', '.join(kept)}, exit {done.returncode}"])
 
 
@@ -560,8 +654,11 @@
                 until(lambda tries=tries: tries)
                 getattr(watch, what)()
                 gate.set()
-                until(lambda watch=watch, running=running, told=told:
-                      running.dead if watch.left else "heard" in told)
+                until(
+                    lambda watch=watch, running=running, told=told: (
+                        running.dead if watch.left else "heard" in told
+                    )
+                )
                 running.kill()
             lines.append(f"{what}: {told[:2]}, a fault {running.exception!r}")
         self.check("crossings_left_watch", lines)
@@ -586,7 +683,9 @@
             running = gevent.spawn(watch.run)
             until(lambda: peer.seen)
             ready.set()
-            time.sleep(0.6)     # no turn of the loop: the answer and the time-out are both there at the next
+            time.sleep(
+                0.6
+            )  # no turn of the loop: the answer and the time-out are both there at the next
             come.wait(20)
             running.kill()
         self.check("crossings_late_itself", told[:1])
@@ -618,6 +717,8 @@
                 waits.append(node.ask_at - 100)
             most = 1.5 * gap
             apart = max(waits) - min(waits) > most / 2
-            lines.append(f"waited {waited / 10:.0f} ms: within {most / 10:.0f} ms {max(waits) <= most}, "
-                         f"well apart {apart}")
+            lines.append(
+                f"waited {waited / 10:.0f} ms: within {most / 10:.0f} ms {max(waits) <= most}, "
+                f"well apart {apart}"
+            )
         self.check("crossings_silent", lines)
--- a/tests/test_day.py
+++ b/tests/test_day.py
@@ -25,7 +25,7 @@
     def __init__(self, line):
         self.method, self.path = line.encode().split()
         self.name = line
-        self.io = self      # the desk prints whoever an effect concerns by its name
+        self.io = self  # the desk prints whoever an effect concerns by its name
 
 
 def call(desk, *lines):
@@ -122,8 +122,10 @@
         desk = Desk(["b0", "b1"])
         desk.ask("c0")
         desk.up()
-        rows = [r.Offering(0, "pay", r.HARMLESS, "all", 0, 4000, 10000, 1.0),
-                r.Offering(1, "top", r.ONE_SHOT, "all", 0, 4000, 10000, 1.0)]
+        rows = [
+            r.Offering(0, "pay", r.HARMLESS, "all", 0, 4000, 10000, 1.0),
+            r.Offering(1, "top", r.ONE_SHOT, "all", 0, 4000, 10000, 1.0),
+        ]
         desk.tell(ev.CONFIGURED, "", {"settings": 1}, terms(offerings=rows, most_trips=1))
         desk.ask("c1", "/look")
         desk.ask("c2", "/pay")
@@ -171,6 +173,7 @@
 
 class Calls(test_net.Sockets):
     """Sockets' own tests run beside a management address too."""
+
     test_serves_and_stops = test_a_new_configuration_moves_discovery = None
     test_new_settings_are_loaded_and_taken_back_while_clients_ask = None
     test_a_one_shot_that_is_out_keeps_its_rules_and_both_limits_are_in_use = None
@@ -200,8 +203,18 @@
         half = [self.connect() for _ in range(management.CALLS * 3)]
         for sock in half:
             sock.sendall(b"GET /sta")
-        lines = [self.call(line) for line in ("GET /status", "PUT /standby", "GET /status", "PUT /active",
-                                              "DELETE /status", "GET /nothing", "nonsense")]
+        lines = [
+            self.call(line)
+            for line in (
+                "GET /status",
+                "PUT /standby",
+                "GET /status",
+                "PUT /active",
+                "DELETE /status",
+                "GET /nothing",
+                "nonsense",
+            )
+        ]
         for sock in half:
             sock.close()
         lines += self.ask(READY)
@@ -216,9 +229,15 @@
         self.check("day_drained", lines)
 
     def start_second(self, **more):
-        environ = {**os.environ, "BALANCER_CONFIG": self.path, "BALANCER_LISTEN": "%s:%d" % self.place,
-                   **more}
-        return subprocess.Popen([sys.executable, "-m", "pierglade"], stdout=subprocess.PIPE, env=environ)
+        environ = {
+            **os.environ,
+            "BALANCER_CONFIG": self.path,
+            "BALANCER_LISTEN": "%s:%d" % self.place,
+            **more,
+        }
+        return subprocess.Popen(
+            [sys.executable, "-m", "pierglade"], stdout=subprocess.PIPE, env=environ
+        )
 
     def test_an_address_that_is_taken(self):
         second = self.start_second(BALANCER_MANAGEMENT=self.manage)
@@ -239,8 +258,11 @@
         new.stdout.readline()
         while " 200 " not in self.call("GET /status", address):
             pass
-        held = threading.Thread(target=lambda: lines.extend(self.ask(
-            b"GET /look/held HTTP/1.1\r\n%sX-Trace-Id: h\r\n\r\n" % test_net.HOST)))
+        held = threading.Thread(
+            target=lambda: lines.extend(
+                self.ask(b"GET /look/held HTTP/1.1\r\n%sX-Trace-Id: h\r\n\r\n" % test_net.HOST)
+            )
+        )
         held.start()
         self.held.wait(20)
         self.node.send_signal(signal.SIGTERM)
@@ -269,12 +291,18 @@
                 count += 1
                 name = b"%d-%d" % (number, count)
                 try:
-                    answers.extend(self.ask(b"POST /pay/%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\n\r\n"
-                                            % (name, test_net.HOST, name)))
+                    answers.extend(
+                        self.ask(
+                            b"POST /pay/%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\n\r\n"
+                            % (name, test_net.HOST, name)
+                        )
+                    )
                 except OSError as fault:
                     faults.append(repr(fault))
 
-        askers = [threading.Thread(target=client, args=(number,), daemon=True) for number in range(4)]
+        askers = [
+            threading.Thread(target=client, args=(number,), daemon=True) for number in range(4)
+        ]
         for asker in askers:
             asker.start()
         lines, old = [], self.node
@@ -288,7 +316,9 @@
             new = self.start_second(BALANCER_MANAGEMENT=address)
             # Read all along: of a pipe that is full the node drops lines, and the one waited for with them.
             seen_events, started = set(), threading.Event()
-            threading.Thread(target=read_events, args=(new.stdout, seen_events, started), daemon=True).start()
+            threading.Thread(
+                target=read_events, args=(new.stdout, seen_events, started), daemon=True
+            ).start()
             started.wait(20)
             while " 200 " not in (told := self.call("GET /status", address)):
                 pass
@@ -328,10 +358,12 @@
     def test_who_serves_and_who_follows(self):
         with tempfile.TemporaryDirectory() as folder:
             old, new = (handover.Tenure("127.0.0.1:1", folder) for _ in range(2))
-            self.assertEqual([old.alone(), old.followed(), new.alone(), old.followed()],
-                             [True, False, False, True])
+            self.assertEqual(
+                [old.alone(), old.followed(), new.alone(), old.followed()],
+                [True, False, False, True],
+            )
             for file in old.files:
-                os.close(file)      # it has ended, however
+                os.close(file)  # it has ended, however
             self.assertEqual([new.alone(), new.followed()], [True, False])
             other = handover.Tenure("127.0.0.1:1", os.path.join(folder, "none"))
             self.assertEqual([other.alone(), other.followed()], [True, False])
@@ -339,13 +371,30 @@
 
 class Broken(TraceTest):
     """A file that cannot be used is refused whole at SIGHUP, and the line names the place."""
-    ROW = {"name": "look", "idempotency": "free", "expectedTimeUs": 400000, "hardLimitUs": 1000000,
-           "credit": 1}
-    GOOD = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c",
-            "limits": {"sockets": 99}, "known": {},
-            "settings": {"offerings": [ROW, {**ROW, "name": "pay", "idempotency": "single_shot"}],
-                         "limits": {"mostTrips": 2, "mayCancel": True}, "customers": [],
-                         "contract": {"drainGraceUs": 500000}, "siblings": 2, "me": 0}}
+
+    ROW = {
+        "name": "look",
+        "idempotency": "free",
+        "expectedTimeUs": 400000,
+        "hardLimitUs": 1000000,
+        "credit": 1,
+    }
+    GOOD = {
+        "name": "n",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "8c",
+        "limits": {"sockets": 99},
+        "known": {},
+        "settings": {
+            "offerings": [ROW, {**ROW, "name": "pay", "idempotency": "single_shot"}],
+            "limits": {"mostTrips": 2, "mayCancel": True},
+            "customers": [],
+            "contract": {"drainGraceUs": 500000},
+            "siblings": 2,
+            "me": 0,
+        },
+    }
 
     def test_every_broken_file(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -363,25 +412,37 @@
             whole = json.dumps(self.GOOD)
             with open(path, "w") as file:
                 file.write(whole)
-            with mock.patch.dict(os.environ, {"BALANCER_CONFIG": path, "BALANCER_LISTEN": "127.0.0.1:0",
-                                              "BALANCER_NAME": "n"}):
+            with mock.patch.dict(
+                os.environ,
+                {"BALANCER_CONFIG": path, "BALANCER_LISTEN": "127.0.0.1:0", "BALANCER_NAME": "n"},
+            ):
                 first = start.place_from(os.environ)
                 cut = {told(whole[:at]) == "taken" for at in range(len(whole))}
                 lines = [f"cut at each of its places, taken {cut}"]
-                for place in ("", "settings", "settings.limits", "settings.contract", "settings.offerings.1"):
+                for place in (
+                    "",
+                    "settings",
+                    "settings.limits",
+                    "settings.contract",
+                    "settings.offerings.1",
+                ):
                     for key in list(at(self.GOOD, place)):
                         less = json.loads(whole)
                         del at(less, place)[key]
                         lines.append(f"without {place}.{key}: {told(less)}")
-                for place, key in (("settings.offerings.0", "hardLimitUs"), ("settings.limits", "mostTrips"),
-                                   ("settings.offerings.1", "expectedTimeUs")):
+                for place, key in (
+                    ("settings.offerings.0", "hardLimitUs"),
+                    ("settings.limits", "mostTrips"),
+                    ("settings.offerings.1", "expectedTimeUs"),
+                ):
                     for value in (0, -1, True, "5", 1e300, None):
                         other = json.loads(whole)
                         at(other, place)[key] = value
                         lines.append(f"{key} {value}: {told(other)}")
                 more = json.loads(whole)
                 more["settings"]["offerings"][1:] = 2 * [
-                    {**self.ROW, "name": "hold", "idempotency": "guarded"}]
+                    {**self.ROW, "name": "hold", "idempotency": "guarded"}
+                ]
                 lines.append(f"a name twice: {told(more)}")
                 more["settings"]["offerings"].pop()
                 lines.append(f"one dropped, another added: {told(more)}")
