--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,25 +16,43 @@
 
 class Counts(TraceTest):
     def test_added_up_over_nodes_and_nothing_guessed_from_what_cannot_be_read(self):
-        logs = {"n0": [(0, "started", {}), (1000, "counts", {"trips": 4, "probes": 1}),
-                       (1200, "list", {"changed": [["b1", "gone"]]}),
-                       (1300, "trip lost", {"backend": "b1"}), (2000, "counts", {"trips": 2, "no word": 1})],
-                "n1": [(10, "started", {}), (1010, "counts", {"trips": 3, "links opened": 5}),
-                       (1300, "trip lost", {"backend": "b1"}), (1900, "list", {"changed": [["b1", "gone"]]}),
-                       (2500, "started", {})]}
+        logs = {
+            "n0": [
+                (0, "started", {}),
+                (1000, "counts", {"trips": 4, "probes": 1}),
+                (1200, "list", {"changed": [["b1", "gone"]]}),
+                (1300, "trip lost", {"backend": "b1"}),
+                (2000, "counts", {"trips": 2, "no word": 1}),
+            ],
+            "n1": [
+                (10, "started", {}),
+                (1010, "counts", {"trips": 3, "links opened": 5}),
+                (1300, "trip lost", {"backend": "b1"}),
+                (1900, "list", {"changed": [["b1", "gone"]]}),
+                (2500, "started", {}),
+            ],
+        }
         lines = []
         with tempfile.TemporaryDirectory() as folder:
             place = pathlib.Path(folder)
 
             def count(*arguments):
-                ran = subprocess.run([sys.executable, COUNT, *arguments], capture_output=True, text=True)
-                said = (ran.stdout + ran.stderr).replace(folder, "FOLDER").replace(str(COUNT), "count.py")
+                ran = subprocess.run(
+                    [sys.executable, COUNT, *arguments], capture_output=True, text=True
+                )
+                said = (
+                    (ran.stdout + ran.stderr)
+                    .replace(folder, "FOLDER")
+                    .replace(str(COUNT), "count.py")
+                )
                 lines.extend([*said.splitlines(), f"exit {ran.returncode}"])
 
             count(folder)
             for node, told in logs.items():
-                text = [json.dumps({"at_ms": 5e6 + at, "node": node, "event": event, **fields})
-                        for at, event, fields in told]
+                text = [
+                    json.dumps({"at_ms": 5e6 + at, "node": node, "event": event, **fields})
+                    for at, event, fields in told
+                ]
                 text[0] = "a shell's word\n0.01 " + text[0]
                 (place / f"{node}.log").write_text("\n".join(text))
             count(folder)
@@ -49,8 +67,14 @@
 
     def nodes(self, **changed):
         self.begin = self.now = 10000 * MS
-        nodes = [Node(f"seed {n}", terms(number=n, nodes=40, tenants=Tenants({"north": 1200.0}), **changed),
-                      self.now) for n in range(40)]
+        nodes = [
+            Node(
+                f"seed {n}",
+                terms(number=n, nodes=40, tenants=Tenants({"north": 1200.0}), **changed),
+                self.now,
+            )
+            for n in range(40)
+        ]
         self.tell(nodes, [listed(f"b{b}") for b in range(60)], True)
         return nodes
 
@@ -61,7 +85,9 @@
     def run_for(self, nodes, ms, carry):
         """Moves the clock on, and counts what is carried out in each second."""
         end, seconds = self.now + ms * MS, [0] * (ms // 1000)
-        while (wake := min((node.wake(self.now) or end, n) for n, node in enumerate(nodes)))[0] < end:
+        while (wake := min((node.wake(self.now) or end, n) for n, node in enumerate(nodes)))[
+            0
+        ] < end:
             self.now, node = wake[0], nodes[wake[1]]
             while (decision := node.decide(self.now)) is not None:
                 seconds[(self.now - self.begin) // (1000 * MS)] += carry(node, *decision) or 0
@@ -85,7 +111,9 @@
         """Drawn by chance, some backends were in two thirds more views than the mean; evened at each change
         of the list, the views of a third of the nodes moved with each."""
         nodes, lines, before = self.nodes(), [], [set()] * 40
-        for n in range(-1, 76):     # Six in ten backends are replaced within 7 s; then nothing happens.
+        for n in range(
+            -1, 76
+        ):  # Six in ten backends are replaced within 7 s; then nothing happens.
             if 0 <= n < 36:
                 self.now += 200 * MS
                 self.tell(nodes, [listed(f"c{n}"), listed(f"b{n}", r.GONE)])
@@ -96,8 +124,10 @@
                 held = [{node.names[b] for b in node.turn} for node in nodes]
                 seen = [sum(nodes[0].names[b] in view for view in held) for b in nodes[0].ranked]
                 moved = sum(len(view - old) for view, old in zip(held, before))
-                lines.append(f"{self.now / MS - 10000:8.1f}  {min(seen)} to {max(seen)} nodes see each of "
-                             f"{len(seen)} backends, {moved} new in views")
+                lines.append(
+                    f"{self.now / MS - 10000:8.1f}  {min(seen)} to {max(seen)} nodes see each of "
+                    f"{len(seen)} backends, {moved} new in views"
+                )
                 before = held
         self.check("fleet_views", lines)
 
@@ -116,8 +146,13 @@
 
         rates = self.run_for(seers, 16000, probe)
         last = max(found.values()) / 10000
-        self.check("fleet_dead", [f"{len(seers)} nodes see it; probes in each second: {rates}",
-                                  f"{len(found)} found it back, the last {last:.1f} s after"])
+        self.check(
+            "fleet_dead",
+            [
+                f"{len(seers)} nodes see it; probes in each second: {rates}",
+                f"{len(found)} found it back, the last {last:.1f} s after",
+            ],
+        )
 
     def test_a_cold_backend_gets_what_it_can_from_all_together(self):
         """Held to half the usual pace until warm, six in ten backends that were replaced had idle cores; over
@@ -126,14 +161,18 @@
         self.tell(nodes, [listed("cold", started=self.now)])
         seers = [node for node in nodes if node.index["cold"] in node.turn]
         warm = nodes[0].warm_pace * nodes[0].size[0] * 10000 * len(seers)
-        for second in range(8):     # Each sends all that it may, as with work waiting all the time.
+        for second in range(8):  # Each sends all that it may, as with work waiting all the time.
             sent = 0
-            for self.now in range(self.begin + second * 10000, self.begin + (second + 1) * 10000, MS):
+            for self.now in range(
+                self.begin + second * 10000, self.begin + (second + 1) * 10000, MS
+            ):
                 for node in seers:
                     if node._cold_allows(cold := node.index["cold"], self.now):
                         node.allowance[cold] -= 1
                         sent += 1
             can = 0.36 + 0.64 * second / 8
-            lines.append(f"second {second}: {sent} sent by {len(seers)} nodes, it can do {can:.2f} of a warm "
-                         f"one's {warm:.0f}, and falls over at {3 * can * warm:.0f}")
+            lines.append(
+                f"second {second}: {sent} sent by {len(seers)} nodes, it can do {can:.2f} of a warm "
+                f"one's {warm:.0f}, and falls over at {3 * can * warm:.0f}"
+            )
         self.check("together_cold", lines)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,8 +18,13 @@
 
 
 def plan(**changed):
-    raw = dict(fleet=dict(kind=[dict(count=2, cores=2)]), offering=[dict(name="look", work_ms=20)],
-               load=dict(rate=100), seconds=5, left_out_s=1)
+    raw = dict(
+        fleet=dict(kind=[dict(count=2, cores=2)]),
+        offering=[dict(name="look", work_ms=20)],
+        load=dict(rate=100),
+        seconds=5,
+        left_out_s=1,
+    )
     return plans.made({**raw, **changed})
 
 
@@ -53,6 +58,7 @@
 
         def slower():
             backend.slowed = 2.0
+
         backend.change(slower)
         self.say("40 of 100 ms done, twice slower")
         self.clock.run(1 * SECOND)
@@ -67,13 +73,17 @@
         self.check("lab_called_off", self.lines)
 
     def test_overdriven_it_turns_slower_until_it_rested(self):
-        backend = self.backend(plans.Overdrive(at=2, over_s=1, slower=3, below=0.3, rest_s=1), cores=1)
+        backend = self.backend(
+            plans.Overdrive(at=2, over_s=1, slower=3, below=0.3, rest_s=1), cores=1
+        )
         for n in range(20):
             self.clock.at(n * 100 * MS, self.offer, backend, f"job {n}", 250)
         for tenth in range(1, 300):
             self.clock.run(tenth * 1000.0)
             tipped = backend.tipped_at is not None
-            if tipped != (self.lines and "tipped" in self.lines[-1]) and "job" not in str(self.lines[-1:]):
+            if tipped != (self.lines and "tipped" in self.lines[-1]) and "job" not in str(
+                self.lines[-1:]
+            ):
                 self.say("tipped" if tipped else "well")
             self.lines = [line for line in self.lines if "job" not in line]
         self.say(f"tips {backend.tips}")
@@ -102,43 +112,72 @@
 class Draws(TraceTest):
     def test_mean_and_spread(self):
         lines = []
-        for spread, cv in (("fixed", 1), ("exp", 1), ("lognormal", 0.5), ("lognormal", 1.5), ("pareto", 2)):
+        for spread, cv in (
+            ("fixed", 1),
+            ("exp", 1),
+            ("lognormal", 0.5),
+            ("lognormal", 1.5),
+            ("pareto", 2),
+        ):
             sizes = Sizes(np.random.default_rng(1), spread, 50.0, cv)
             drawn = np.array([sizes.next() for _ in range(200000)])
-            lines.append(f"{spread} {cv}: mean {drawn.mean():.0f}, cv {drawn.std() / drawn.mean():.1f}")
+            lines.append(
+                f"{spread} {cv}: mean {drawn.mean():.0f}, cv {drawn.std() / drawn.mean():.1f}"
+            )
         self.check("lab_draws", lines)
 
 
 class Plans(TraceTest):
     def test_what_cannot_be_read(self):
-        good = ('[[fleet.kind]]\n[[offering]]\nname = "look"\nwork_ms = 20\n[load]\nrate = 10\n')
-        cases = ("", good + "rat = 1\n", good.replace("20", "-1"), good.replace("20", '"x"'),
-                 good + "kept = 3\n",
-                 "seconds = 3\n" + good, good + "[[change]]\nat_s = 1\nwhat = 'boom'\n",
-                 good + "[[change]]\nat_s = 99\nwhat = 'gone'\n", 'vary."offering.3.work_ms" = [1]\n' + good,
-                 "vary.seed = 3\n" + good, good.replace("rate = 10", "rate_share = 0.5").replace(
-                     "[[fleet.kind]]", "[[fleet.kind]]\ncores = 0"), "[fleet\n",
-                 good + good.split("\n[load")[0])
+        good = '[[fleet.kind]]\n[[offering]]\nname = "look"\nwork_ms = 20\n[load]\nrate = 10\n'
+        cases = (
+            "",
+            good + "rat = 1\n",
+            good.replace("20", "-1"),
+            good.replace("20", '"x"'),
+            good + "kept = 3\n",
+            "seconds = 3\n" + good,
+            good + "[[change]]\nat_s = 1\nwhat = 'boom'\n",
+            good + "[[change]]\nat_s = 99\nwhat = 'gone'\n",
+            'vary."offering.3.work_ms" = [1]\n' + good,
+            "vary.seed = 3\n" + good,
+            good.replace("rate = 10", "rate_share = 0.5").replace(
+                "[[fleet.kind]]", "[[fleet.kind]]\ncores = 0"
+            ),
+            "[fleet\n",
+            good + good.split("\n[load")[0],
+        )
         lines = []
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "plan.toml")
             for text in cases:
                 path.write_text(text)
                 ended = CliRunner().invoke(main, [str(path)])
-                lines.append(f"{ended.exit_code} {ended.output.strip().replace(str(path), 'plan.toml')}")
+                lines.append(
+                    f"{ended.exit_code} {ended.output.strip().replace(str(path), 'plan.toml')}"
+                )
             ended = CliRunner().invoke(main, [str(path) + "x"])
-            lines.append(f"{ended.exit_code} {ended.output.strip().replace(str(path), 'plan.toml')}")
+            lines.append(
+                f"{ended.exit_code} {ended.output.strip().replace(str(path), 'plan.toml')}"
+            )
         self.check("lab_plans", lines)
 
     def test_a_plan_is_varied_and_played(self):
         with tempfile.TemporaryDirectory() as folder:
             path, out = pathlib.Path(folder, "plan.toml"), pathlib.Path(folder, "out.json")
-            path.write_text('seconds = 2\nleft_out_s = 1\nvary."nodes.count" = [1, 2]\n[[fleet.kind]]\n'
-                            '[[offering]]\nname = "look"\nwork_ms = 20\n[load]\nrate = 50\n')
+            path.write_text(
+                'seconds = 2\nleft_out_s = 1\nvary."nodes.count" = [1, 2]\n[[fleet.kind]]\n'
+                '[[offering]]\nname = "look"\nwork_ms = 20\n[load]\nrate = 50\n'
+            )
             ended = CliRunner().invoke(main, [str(path), "--all", "--json", str(out)])
             heads = [line.split()[:2] for line in ended.output.splitlines()]
-            self.check("lab_command", [f"exit {ended.exit_code}, summaries {out.read_text().count('share')}",
-                                       *map(" ".join, heads)])
+            self.check(
+                "lab_command",
+                [
+                    f"exit {ended.exit_code}, summaries {out.read_text().count('share')}",
+                    *map(" ".join, heads),
+                ],
+            )
 
 
 class Counts(TraceTest):
@@ -146,12 +185,14 @@
         """Settled in each 100 ms and what was at the backends, as (seconds, figure); the change at 5 s."""
         lines = []
         for name, rates, beyond in (
-                ("nothing felt", [(30, 10)], [(30, 1)]), ("half from then on", [(5, 10), (25, 5)], [(30, 1)]),
-                ("a third for four seconds", [(5, 10), (4, 3), (21, 10)], [(30, 1)]),
-                ("never at rest", [(5, 10), (20, 5), (5, 10)], [(30, 1)]),
-                ("three times too much for two seconds", [(30, 10)], [(5, 1), (2, 3), (23, 1)]),
-                ("for one, nearly twice", [(30, 10)], [(5, 1), (1, 1.9), (24, 1)]),
-                ("to the end", [(30, 10)], [(5, 1), (25, 2)])):
+            ("nothing felt", [(30, 10)], [(30, 1)]),
+            ("half from then on", [(5, 10), (25, 5)], [(30, 1)]),
+            ("a third for four seconds", [(5, 10), (4, 3), (21, 10)], [(30, 1)]),
+            ("never at rest", [(5, 10), (20, 5), (5, 10)], [(30, 1)]),
+            ("three times too much for two seconds", [(30, 10)], [(5, 1), (2, 3), (23, 1)]),
+            ("for one, nearly twice", [(30, 10)], [(5, 1), (1, 1.9), (24, 1)]),
+            ("to the end", [(30, 10)], [(5, 1), (25, 2)]),
+        ):
             tally = Tally(plan(seconds=30, change=[dict(at_s=5, what="cores", times=0.5)]), Clock())
             tally.bins["in_time"][:300] = np.concatenate([np.full(s * 10, n) for s, n in rates])
             tally.beyond = [n for s, n in beyond for _ in range(s * 10)]
@@ -174,6 +215,7 @@
             def ended(trip, outcome, seat=made.seats[0]):
                 seats.PlainSeat.ended(seat, trip, outcome)
                 trip.ask.answered(r.SETTLED)
+
             made.seats[0].ended = ended
 
         def again(made):
@@ -182,6 +224,7 @@
             def ended(trip, outcome):
                 if trip.ask.ran < 2:
                     send(seat, seats.Sent(trip.ask, "b0"), trip.ask, "b0", trip.ask.limit)
+
             seat.ended = ended
 
         def after(made):
@@ -192,18 +235,23 @@
                     seats.PlainSeat.ended(seat, trip, outcome)
                 if trip.ask.ran < 2:
                     made.send(seat, seats.Sent(trip.ask, "b0"), trip.ask, "b0", trip.ask.limit)
+
             seat.ended = ended
 
         def late(made):
             seat = made.seats[0]
-            seat.ended = lambda trip, outcome: made.clock.at(trip.ask.limit + 1, trip.ask.answered, r.BOUNCE)
+            seat.ended = lambda trip, outcome: made.clock.at(
+                trip.ask.limit + 1, trip.ask.answered, r.BOUNCE
+            )
 
         one_shot = [dict(name="pay", work_ms=20, repeats="one-shot")]
         cases = dict(none=lambda made: None, twice=twice, again=again, after=after, late=late)
         lines = []
         for name, spoil in cases.items():
             limits = dict(one_shot[0], expected_ms=500, hard_limit_ms=1000)
-            lines.append(f"{name}: {'; '.join(self.broken(spoil, offering=[limits], load=dict(rate=10)))}")
+            lines.append(
+                f"{name}: {'; '.join(self.broken(spoil, offering=[limits], load=dict(rate=10)))}"
+            )
         self.check("lab_rules", lines)
 
     def test_the_same_seed_plays_the_same(self):
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -17,8 +17,10 @@
 def upload(desk, name, size=None, path="/pay", left=1000):
     """A request whose body is on its way; the flow."""
     desk.open(name)
-    taken = message(f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {name}\r\n"
-                    f"X-Expires-In-Ms: {left}\r\n\r\n".encode())
+    taken = message(
+        f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {name}\r\n"
+        f"X-Expires-In-Ms: {left}\r\n\r\n".encode()
+    )
     taken.flow = flow.Flow(size)
     taken.flow.add(b"x" * 100)
     desk.tell(ev.ASKED, desk.clients[name], taken)
@@ -122,8 +124,10 @@
         desk.up()
         desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
         desk.lose(ev.CUT, whole=False)
-        desk.say(f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.trouble}, "
-                 f"errors {desk.reducer.node.errors}")
+        desk.say(
+            f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.trouble}, "
+            f"errors {desk.reducer.node.errors}"
+        )
         self.check("large_left", lines + desk.lines)
 
     def test_a_sender_that_stops_and_a_backend_that_takes_nothing(self):
@@ -198,6 +202,7 @@
 
 class Pieces(test_net.Sockets):
     """32 MB both ways through a node that may hold a few, taken slowly; and one that ends too early."""
+
     test_serves_and_stops = test_a_new_configuration_moves_discovery = None
     test_new_settings_are_loaded_and_taken_back_while_clients_ask = None
     test_a_one_shot_that_is_out_keeps_its_rules_and_both_limits_are_in_use = None
@@ -209,16 +214,20 @@
             return test_net.answer(200, bytes(self.SIZE))
         if b"chunked" in asked.url:
             piece = b"%x\r\n%s\r\n" % (self.SIZE // 4, bytes(self.SIZE // 4))
-            return b"HTTP/1.1 200 .\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 4 + b"0\r\n\r\n"
+            return (
+                b"HTTP/1.1 200 .\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 4 + b"0\r\n\r\n"
+            )
         if b"short" in asked.url:
-            return test_net.answer(200, bytes(self.SIZE))[:self.SIZE // 2]
+            return test_net.answer(200, bytes(self.SIZE))[: self.SIZE // 2]
         return test_net.answer(200, b"%d" % asked.flow)
 
     def fetch(self, path, body=(), headers=b""):
         """The answer's head, its body's size and whether the connection ended as it may."""
         got = bytearray()
         with socket.create_connection(self.place, 20) as sock:
-            sock.sendall(self.HEAD % (path, path.split(b"/")[-1]) + headers + b"Connection: close\r\n\r\n")
+            sock.sendall(
+                self.HEAD % (path, path.split(b"/")[-1]) + headers + b"Connection: close\r\n\r\n"
+            )
             for piece in body:
                 sock.sendall(piece)
             try:
@@ -229,23 +238,36 @@
         head, _, rest = bytes(got).partition(b"\r\n\r\n")
         chunks = at = 0
         if b"chunked" in head:
-            while size := int(rest[at:(end := rest.index(b"\r\n", at))], 16):
+            while size := int(rest[at : (end := rest.index(b"\r\n", at))], 16):
                 chunks, at = chunks + size, end + size + 4
             rest = rest[at:]
         return f"{head.split()[1].decode()} {len(rest)} {rest[:8]}, {chunks} in chunks"
 
     def test_32_mb_both_ways(self):
         lines, chunk = [], b"8000\r\n" + bytes(0x8000) + b"\r\n"
-        short = []      # it stands still in the middle, until the node gives it up
+        short = []  # it stands still in the middle, until the node gives it up
         cut = threading.Thread(target=lambda: short.append(self.fetch(b"GET /look/short")))
         cut.start()
-        lines += [self.fetch(b"GET /look/counted"), self.fetch(b"GET /look/chunked"),
-                  self.fetch(b"POST /pay/up", [bytes(32000)] * (self.SIZE // 32000),
-                             b"Content-Length: %d\r\n" % self.SIZE),
-                  self.fetch(b"POST /pay/chunks", [chunk] * 1000 + [b"0\r\n\r\n"],
-                             b"Transfer-Encoding: chunked\r\n")]
-        askers = [threading.Thread(target=lambda n=n: lines.append(self.fetch(b"GET /look/counted-%d" % n)))
-                  for n in range(8)]
+        lines += [
+            self.fetch(b"GET /look/counted"),
+            self.fetch(b"GET /look/chunked"),
+            self.fetch(
+                b"POST /pay/up",
+                [bytes(32000)] * (self.SIZE // 32000),
+                b"Content-Length: %d\r\n" % self.SIZE,
+            ),
+            self.fetch(
+                b"POST /pay/chunks",
+                [chunk] * 1000 + [b"0\r\n\r\n"],
+                b"Transfer-Encoding: chunked\r\n",
+            ),
+        ]
+        askers = [
+            threading.Thread(
+                target=lambda n=n: lines.append(self.fetch(b"GET /look/counted-%d" % n))
+            )
+            for n in range(8)
+        ]
         for asker in askers:
             asker.start()
         for asker in (cut, *askers):
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -22,28 +22,66 @@
 from pierglade.net import learning
 from tests.scene import Desk, TraceTest, entry
 
-S = 10000       # tenths of a ms in a second
-FIGURES = {"level": 3.0, "quick": 0.5, "mean_pause": 4000, "work": 900, "pauses": [100, 300, 500, 700],
-           "work_due": 1100.0, "window": 20, "usual": 8.0, "usual_of": 12}
+S = 10000  # tenths of a ms in a second
+FIGURES = {
+    "level": 3.0,
+    "quick": 0.5,
+    "mean_pause": 4000,
+    "work": 900,
+    "pauses": [100, 300, 500, 700],
+    "work_due": 1100.0,
+    "window": 20,
+    "usual": 8.0,
+    "usual_of": 12,
+}
 
 
 def snapshot(**more):
-    plain = dict(node="n1", written=100 * S, began=0, asked=0.0, index=7, list=[entry("b0")], offerings={
-        "look": {"expected": 4000, "hard_limit": 10000, "repeats": "harmless", "typical": 900.0, "skew": 0.4,
-                 "hinted": 0.0, "answers": 5000, "usual_left": 10000, "usual_votes": 9}},
-        backends={"b0": form.Backend("127.0.0.1:9000", 0, FIGURES)})
+    plain = dict(
+        node="n1",
+        written=100 * S,
+        began=0,
+        asked=0.0,
+        index=7,
+        list=[entry("b0")],
+        offerings={
+            "look": {
+                "expected": 4000,
+                "hard_limit": 10000,
+                "repeats": "harmless",
+                "typical": 900.0,
+                "skew": 0.4,
+                "hinted": 0.0,
+                "answers": 5000,
+                "usual_left": 10000,
+                "usual_votes": 9,
+            }
+        },
+        backends={"b0": form.Backend("127.0.0.1:9000", 0, FIGURES)},
+    )
     return form.Snapshot(**{**plain, **more})
 
 
-PLAIN = some.recursive(some.none() | some.booleans() | some.integers(-2 ** 40, 2 ** 40) | some.text(max_size=8)
-                       | some.floats(allow_nan=False), lambda inner: some.lists(inner, max_size=4)
-                       | some.dictionaries(some.text(max_size=6), inner, max_size=4), max_leaves=12)
+PLAIN = some.recursive(
+    some.none()
+    | some.booleans()
+    | some.integers(-(2**40), 2**40)
+    | some.text(max_size=8)
+    | some.floats(allow_nan=False),
+    lambda inner: (
+        some.lists(inner, max_size=4) | some.dictionaries(some.text(max_size=6), inner, max_size=4)
+    ),
+    max_leaves=12,
+)
 
 
 class Forms(TraceTest):
     @settings(max_examples=60, deadline=None)
-    @given(some.dictionaries(some.text(max_size=6), PLAIN.map(lambda one: {"x": one}), max_size=3),
-           some.integers(0, 2 ** 50), some.floats(0, 1e6))
+    @given(
+        some.dictionaries(some.text(max_size=6), PLAIN.map(lambda one: {"x": one}), max_size=3),
+        some.integers(0, 2**50),
+        some.floats(0, 1e6),
+    )
     def test_there_and_back(self, offerings, written, asked):
         one = snapshot(offerings=offerings, written=written, asked=asked)
         self.assertEqual(form.decode(form.encode(one)), one)
@@ -52,7 +90,9 @@
         good = form.encode(snapshot())
         spoilt = [good[:n] for n in range(len(good))] + [good + b"x"]
         for at in range(len(good)):
-            spoilt += [good[:at] + bytes([good[at] ^ bit]) + good[at + 1:] for bit in (1, 128, 255)]
+            spoilt += [
+                good[:at] + bytes([good[at] ^ bit]) + good[at + 1 :] for bit in (1, 128, 255)
+            ]
         for data in spoilt:
             with self.assertRaises(form.Spoilt):
                 form.decode(data)
@@ -69,8 +109,12 @@
             del raw["node"]
             return raw
 
-        for what, steps, upto in (("two steps", {1: add, 2: lambda raw: raw}, 3), ("a step missing", {1: add}, 3),
-                                  ("a step that spoils", {1: drop}, 2), ("newer", {}, 0)):
+        for what, steps, upto in (
+            ("two steps", {1: add, 2: lambda raw: raw}, 3),
+            ("a step missing", {1: add}, 3),
+            ("a step that spoils", {1: drop}, 2),
+            ("newer", {}, 0),
+        ):
             try:
                 lines.append(f"{what}: asked {form.decode(data, steps, upto).asked}")
             except form.Spoilt as fault:
@@ -89,36 +133,86 @@
             return str(fault)
         node = desk.reducer.node
         b, row = node.index["b0"], node.table[0]
-        return (f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
-                f"{node.level[b]:.2f}, pause {node.mean_pause[b]}, due {node.work_due[b]} at work {node.work[b]}, "
-                f"usual {node.usual[b]:g} of {node.usual_of[b]}; trouble {node.trouble[b]}")
+        return (
+            f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
+            f"{node.level[b]:.2f}, pause {node.mean_pause[b]}, due {node.work_due[b]} at work {node.work[b]}, "
+            f"usual {node.usual[b]:g} of {node.usual_of[b]}; trouble {node.trouble[b]}"
+        )
 
     def test_by_age_and_by_what_it_tells_of(self):
         desk = Desk(["b0"])
         o = desk.reducer.terms.offerings[0]
-        row = {"expected": o.expected, "hard_limit": o.hard_limit, "repeats": o.repeats, "typical": 900.0,
-               "skew": 0.4, "hinted": 0.0, "answers": 5000, "usual_left": 10000, "usual_votes": 9}
+        row = {
+            "expected": o.expected,
+            "hard_limit": o.hard_limit,
+            "repeats": o.repeats,
+            "typical": 900.0,
+            "skew": 0.4,
+            "hinted": 0.0,
+            "answers": 5000,
+            "usual_left": 10000,
+            "usual_votes": 9,
+        }
         address = desk.reducer.backends["b0"].address
-        whole = snapshot(offerings={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)})
-        busy = msgspec.structs.replace(whole, asked=0.05)      # 500 a second; a gap is 200
+        whole = snapshot(
+            offerings={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)}
+        )
+        busy = msgspec.structs.replace(whole, asked=0.05)  # 500 a second; a gap is 200
         cases = (
-            ("at once", whole, 100), ("after a half-life", whole, 160), ("after two", whole, 220),
-            ("hours later", whole, 20000), ("a clock set back", whole, 90), ("a clock off by 3 s", whole, 97),
-            ("0.05 s of 500 a second", busy, 100.05), ("1 s of it", busy, 101),
+            ("at once", whole, 100),
+            ("after a half-life", whole, 160),
+            ("after two", whole, 220),
+            ("hours later", whole, 20000),
+            ("a clock set back", whole, 90),
+            ("a clock off by 3 s", whole, 97),
+            ("0.05 s of 500 a second", busy, 100.05),
+            ("1 s of it", busy, 101),
             ("another deployment", msgspec.structs.replace(whole, offerings={"sale": row}), 100),
-            ("other limits", msgspec.structs.replace(whole, offerings={o.name: {**row, "expected": 1}}), 100),
-            ("moved", msgspec.structs.replace(whole, backends={"b0": form.Backend("x:1", 0, FIGURES)}), 100),
-            ("replaced", msgspec.structs.replace(
-                whole, backends={"b0": form.Backend(address, -5, FIGURES)}), 100),
-            ("figures that are none", msgspec.structs.replace(whole, backends={"b0": form.Backend(
-                address, 0, {**FIGURES, "level": "high", "work": float("nan"), "pauses": [1, None]})}), 100))
-        lines = [f"{what}: {self.remembered(one, int(at) if at == int(at) else at)}" for what, one, at in cases]
+            (
+                "other limits",
+                msgspec.structs.replace(whole, offerings={o.name: {**row, "expected": 1}}),
+                100,
+            ),
+            (
+                "moved",
+                msgspec.structs.replace(whole, backends={"b0": form.Backend("x:1", 0, FIGURES)}),
+                100,
+            ),
+            (
+                "replaced",
+                msgspec.structs.replace(whole, backends={"b0": form.Backend(address, -5, FIGURES)}),
+                100,
+            ),
+            (
+                "figures that are none",
+                msgspec.structs.replace(
+                    whole,
+                    backends={
+                        "b0": form.Backend(
+                            address,
+                            0,
+                            {**FIGURES, "level": "high", "work": float("nan"), "pauses": [1, None]},
+                        )
+                    },
+                ),
+                100,
+            ),
+        )
+        lines = [
+            f"{what}: {self.remembered(one, int(at) if at == int(at) else at)}"
+            for what, one, at in cases
+        ]
         self.check("learned_ages", lines)
 
     def test_which_list_is_the_newer_one(self):
         one, lines = snapshot(), []
-        for known in (None, {"index": 6, "endpoints": [entry("b1")]}, {"index": 7, "endpoints": [entry("b2")]},
-                      {"index": None, "endpoints": [entry("b3")]}, {"index": 9, "endpoints": []}):
+        for known in (
+            None,
+            {"index": 6, "endpoints": [entry("b1")]},
+            {"index": 7, "endpoints": [entry("b2")]},
+            {"index": None, "endpoints": [entry("b3")]},
+            {"index": 9, "endpoints": []},
+        ):
             got = ageing.newer_list(one, known)
             lines.append(f"{known and known['index']}: {[e['name'] for e in got['endpoints']]}")
         lines.append(f"nothing kept: {ageing.newer_list(snapshot(list=[]), None)}")
@@ -165,7 +259,9 @@
         lines = []
         with tempfile.TemporaryDirectory() as path:
             folder, other = files.Folder(path, "n1"), files.Folder(path, "n1")
-            lines.append(f"locks: {folder.lock_it()} {other.lock_it()}, in use {files.in_use(path, 'n1')}")
+            lines.append(
+                f"locks: {folder.lock_it()} {other.lock_it()}, in use {files.in_use(path, 'n1')}"
+            )
             for written in (1, 2, 3):
                 folder.write(form.encode(snapshot(written=written)))
             newest = pathlib.Path(path, "n1.learned")
@@ -191,12 +287,20 @@
         notes = []
         with tempfile.TemporaryDirectory() as path:
             host = SimpleNamespace(
-                clock=SimpleNamespace(now=lambda: 100 * S), faults=0, reducer=Desk(["b0"]).reducer,
-                note=lambda event, **fields: notes.append(f"{event} {fields['why'].replace(path, 'FOLDER')}"))
+                clock=SimpleNamespace(now=lambda: 100 * S),
+                faults=0,
+                reducer=Desk(["b0"]).reducer,
+                note=lambda event, **fields: notes.append(
+                    f"{event} {fields['why'].replace(path, 'FOLDER')}"
+                ),
+            )
             keeps = learning.Learning(host, learning.Keeping(path, 10.0, 60.0, 1.0), "n1")
             notes.append(f"kept {keeps.keep()}")
-            for fault in (OSError(28, "No space left on device"), OSError(28, "No space left on device"),
-                          OSError(30, "Read-only file system")):
+            for fault in (
+                OSError(28, "No space left on device"),
+                OSError(28, "No space left on device"),
+                OSError(30, "Read-only file system"),
+            ):
                 with mock.patch("os.write", side_effect=fault):
                     notes.append(f"kept {keeps.keep()}, next after {keeps.gap} periods")
             notes.append(f"still there {keeps.files.read()[1]}")
@@ -206,7 +310,9 @@
                 for _ in range(50):
                     gevent.sleep(0)
                     turns += 1
-                notes.append(f"turns of the loop while the disk is slow {turns}, done {writing.ready()}")
+                notes.append(
+                    f"turns of the loop while the disk is slow {turns}, done {writing.ready()}"
+                )
                 slow.set()
                 notes.append(f"kept {writing.get()}, next after {keeps.gap} period")
             host.faults = 1
@@ -231,16 +337,30 @@
                 folder.write(form.encode(snapshot(written=S)))
             pathlib.Path(path, "torn.learned").write_bytes(b"PGLE")
             pathlib.Path(path, "cut.learned.part").write_bytes(b"PG")
-            for words in (["verify", path], ["show", f"{path}/torn.learned"], ["show", f"{path}/old.learned"],
-                          ["prune", path], ["verify", path], ["verify", f"{path}/none"]):
-                done = subprocess.run([sys.executable, "-m", "pierglade.cli", "learned", *words],
-                                      capture_output=True, text=True)
+            for words in (
+                ["verify", path],
+                ["show", f"{path}/torn.learned"],
+                ["show", f"{path}/old.learned"],
+                ["prune", path],
+                ["verify", path],
+                ["verify", f"{path}/none"],
+            ):
+                done = subprocess.run(
+                    [sys.executable, "-m", "pierglade.cli", "learned", *words],
+                    capture_output=True,
+                    text=True,
+                )
                 said = done.stdout + done.stderr
                 if words[0] == "show" and not done.returncode:
                     said = f"level {json.loads(said)['backends']['b0']['figures']['level']}"
                 lines.append(f"{words[0]}: {done.returncode}")
-                lines += ["    " + " ".join("AGE" if word.isdigit() and len(word) > 6 else word
-                                            for word in line.replace(path, "FOLDER").split(" "))
-                          for line in said.splitlines()]
+                lines += [
+                    "    "
+                    + " ".join(
+                        "AGE" if word.isdigit() and len(word) > 6 else word
+                        for word in line.replace(path, "FOLDER").split(" ")
+                    )
+                    for line in said.splitlines()
+                ]
             running.release()
         self.check("learned_command", lines)
--- a/tests/test_learned_over_settings.py
+++ b/tests/test_learned_over_settings.py
@@ -34,15 +34,28 @@
 
 def reachable(node):
     """What may change of all that a node holds, by identity; not what two nodes share by intent."""
-    found, todo = {}, [value for name, value in vars(node).items()
-                       if name not in ("terms", "spent", "earned", "pick")]
+    found, todo = (
+        {},
+        [
+            value
+            for name, value in vars(node).items()
+            if name not in ("terms", "spent", "earned", "pick")
+        ],
+    )
     while todo:
         each = todo.pop()
-        if id(each) in found or not isinstance(each, (list, dict, deque, OrderedDict, Row, Room, Middle)):
+        if id(each) in found or not isinstance(
+            each, (list, dict, deque, OrderedDict, Row, Room, Middle)
+        ):
             continue
         found[id(each)] = each
-        todo += each.values() if isinstance(each, dict) else each if isinstance(each, (list, deque)) else (
-            vars(each).values())
+        todo += (
+            each.values()
+            if isinstance(each, dict)
+            else each
+            if isinstance(each, (list, deque))
+            else (vars(each).values())
+        )
     return found
 
 
@@ -62,7 +75,9 @@
                     scene.after(300)
                     node = scene.node
                     for name, b in node.index.items():
-                        scene.say(f"{name} {node.level[b]:.6f} {node.forecast[b]} {node.trouble[b]}")
+                        scene.say(
+                            f"{name} {node.level[b]:.6f} {node.forecast[b]} {node.trouble[b]}"
+                        )
                 lines.append(scene.lines)
             self.assertEqual(*lines)
 
@@ -72,18 +87,29 @@
         before = changed(scene, worst_offering=0.5)
         node = scene.node
         for name in FIRST:
-            self.assertEqual(list(getattr(node, name)), list(getattr(before, name)) if name != "allowance"
-                             else list(node.allowance), name)
+            self.assertEqual(
+                list(getattr(node, name)),
+                list(getattr(before, name)) if name != "allowance" else list(node.allowance),
+                name,
+            )
         self.assertGreater(min(map(len, node.samples)), 30)
         self.assertGreater(len(node.pauses[node.index["b1"]]), 2)
-        self.assertEqual([pauses.maxlen for pauses in node.pauses if pauses],
-                         [pauses.maxlen for pauses in before.pauses if pauses])
+        self.assertEqual(
+            [pauses.maxlen for pauses in node.pauses if pauses],
+            [pauses.maxlen for pauses in before.pauses if pauses],
+        )
         self.assertEqual([vars(row) for row in node.table], [vars(row) for row in before.table])
-        self.assertEqual((node.limit.each, node.limit.base, node.limit.answers, node.limit.busy),
-                         (before.limit.each, before.limit.base, before.limit.answers, 0))
-        self.assertEqual((node.turn, node.ranked, node.anchor), (before.turn, before.ranked, before.anchor))
-        self.assertEqual((node.lost, node.drag, node.done, node.asked_over, node.count),
-                         (before.lost, before.drag, before.done, before.asked_over, before.count))
+        self.assertEqual(
+            (node.limit.each, node.limit.base, node.limit.answers, node.limit.busy),
+            (before.limit.each, before.limit.base, before.limit.answers, 0),
+        )
+        self.assertEqual(
+            (node.turn, node.ranked, node.anchor), (before.turn, before.ranked, before.anchor)
+        )
+        self.assertEqual(
+            (node.lost, node.drag, node.done, node.asked_over, node.count),
+            (before.lost, before.drag, before.done, before.asked_over, before.count),
+        )
 
     def test_nothing_that_changes_is_shared(self):
         scene = Scene(["b0", "b1", "b2"], tenants=Tenants({"north": 20.0}))
@@ -128,7 +154,7 @@
                         scene.after(5)
                         scene.end("i", r.ERROR if at_b1 else r.SETTLED)
                 else:
-                    while not (trips := [t for t in scene.take("i").trips if t.backend == b]):
+                    while not [t for t in scene.take("i").trips if t.backend == b]:
                         scene.after(5)
                         scene.end("i")
                     scene.after(950)
@@ -178,7 +204,9 @@
         changed(scene, retry_after=1)
         self.assertEqual((scene.node.slow_ones, list(scene.node.ailing)), (1, [b]))
         scene.after(6000)
-        self.assertEqual((scene.node.slow_ones, scene.node.ailing, scene.node.trouble[b]), (0, {}, None))
+        self.assertEqual(
+            (scene.node.slow_ones, scene.node.ailing, scene.node.trouble[b]), (0, {}, None)
+        )
 
     def test_back_to_the_older_settings(self):
         scene = Scene(["b0", "b1", "b2"])
@@ -190,7 +218,9 @@
         self.assertEqual(scene.node.level, second.level)
         self.assertNotEqual(scene.node.level, first.level)
         self.assertEqual(scene.node.pauses, second.pauses)
-        self.assertGreaterEqual(min(map(len, filter(None, second.pauses))), min(map(len, filter(None, first.pauses))))
+        self.assertGreaterEqual(
+            min(map(len, filter(None, second.pauses))), min(map(len, filter(None, first.pauses)))
+        )
 
 
 class Rows(unittest.TestCase):
@@ -205,14 +235,21 @@
     def test_by_name_where_rows_move_come_and_go(self):
         scene = self.learned()
         look, _, pay = scene.terms.offerings
-        rows = [replace(pay, index=0), r.Offering(1, "new", r.HARMLESS, "all", 0, 800 * MS, 1000 * MS, 1.0),
-                replace(look, index=2)]
+        rows = [
+            replace(pay, index=0),
+            r.Offering(1, "new", r.HARMLESS, "all", 0, 800 * MS, 1000 * MS, 1.0),
+            replace(look, index=2),
+        ]
         before = changed(scene, offerings=rows)
         node = scene.node
-        self.assertEqual([row.typical for row in node.table],
-                         [before.table[2].typical, FIRST_TYPICAL * 800 * MS, before.table[0].typical])
-        self.assertEqual([row.answers for row in node.table],
-                         [before.table[2].answers, 2, before.table[0].answers])
+        self.assertEqual(
+            [row.typical for row in node.table],
+            [before.table[2].typical, FIRST_TYPICAL * 800 * MS, before.table[0].typical],
+        )
+        self.assertEqual(
+            [row.answers for row in node.table],
+            [before.table[2].answers, 2, before.table[0].answers],
+        )
         self.assertEqual(node.limit.base, [before.limit.base[2], 0.0, before.limit.base[0]])
         self.assertEqual(node.limit.answers, [before.limit.answers[2], 0, before.limit.answers[0]])
         self.assertEqual(len(node.limit.missing), 3)
@@ -230,7 +267,9 @@
         changed(scene, offerings=rows[:1])
         scene.flow(150)
         changed(scene, offerings=rows)
-        self.assertEqual([scene.node.asked_at[kind] for kind in (r.HARMLESS, r.STAMPED, r.ONE_SHOT)], [210] * 3)
+        self.assertEqual(
+            [scene.node.asked_at[kind] for kind in (r.HARMLESS, r.STAMPED, r.ONE_SHOT)], [210] * 3
+        )
 
     def test_fewer_rows_while_the_round_is_open(self):
         scene = self.learned()
@@ -245,19 +284,27 @@
 
     def test_none_of_the_rows_is_left(self):
         scene = self.learned()
-        changed(scene, offerings=[r.Offering(0, "new", r.STAMPED, "all", 0, 400 * MS, 1000 * MS, 1.0)])
+        changed(
+            scene, offerings=[r.Offering(0, "new", r.STAMPED, "all", 0, 400 * MS, 1000 * MS, 1.0)]
+        )
         node = scene.node
-        self.assertEqual((node.limit.base, node.limit.answers, node.table[0].answers), ([0.0], [0], 2))
+        self.assertEqual(
+            (node.limit.base, node.limit.answers, node.table[0].answers), ([0.0], [0], 2)
+        )
         self.assertGreater(node.asked_at[r.STAMPED], node.count - 100)
         scene.flow(10)
 
     def test_another_hard_limit_brings_another_usual_time(self):
         scene = self.learned()
-        rows = [replace(row, hard_limit=2000 * MS if row.index == 0 else row.hard_limit)
-                for row in scene.terms.offerings]
+        rows = [
+            replace(row, hard_limit=2000 * MS if row.index == 0 else row.hard_limit)
+            for row in scene.terms.offerings
+        ]
         before = changed(scene, offerings=rows)
-        self.assertEqual([row.usual_left for row in scene.node.table],
-                         [0, *(row.usual_left for row in before.table[1:])])
+        self.assertEqual(
+            [row.usual_left for row in scene.node.table],
+            [0, *(row.usual_left for row in before.table[1:])],
+        )
 
     def test_a_row_that_nothing_was_learned_of_follows_its_expected_time(self):
         scene = Scene(["b0"])
@@ -278,11 +325,15 @@
             before = changed(scene, tenants=shares, **settings)
             fresh = Scene(names, tenants=shares, **settings).node
             # At once to the even place: one by one it would be there after minutes.
-            self.assertEqual(set(scene.node.names[b] for b in scene.node.turn),
-                             set(fresh.names[b] for b in fresh.turn))
+            self.assertEqual(
+                set(scene.node.names[b] for b in scene.node.turn),
+                set(fresh.names[b] for b in fresh.turn),
+            )
             self.assertEqual(scene.node.limit.nodes, settings["nodes"])
-            self.assertEqual(scene.node.limit.answers == before.limit.answers,
-                             settings["nodes"] == before.terms.nodes)
+            self.assertEqual(
+                scene.node.limit.answers == before.limit.answers,
+                settings["nodes"] == before.terms.nodes,
+            )
             self.assertEqual(scene.node.level, before.level)
 
     def test_the_same_place_is_kept_on_the_way_to_the_even_one(self):
@@ -295,17 +346,21 @@
         self.assertEqual(scene.node.turn, view)
         scene.after(30000)
         fresh = Scene([f"b{n}" for n in range(30, 100)], nodes=10, number=5, tenants=shares).node
-        self.assertNotEqual([scene.node.names[b] for b in view], [fresh.names[b] for b in fresh.turn])
+        self.assertNotEqual(
+            [scene.node.names[b] for b in view], [fresh.names[b] for b in fresh.turn]
+        )
 
     def test_other_shares_only_move_the_view(self):
         names = [f"b{n}" for n in range(100)]
         scene = Scene(names, nodes=10, number=3, tenants=Tenants({"north": 200.0}))
         scene.flow(60)
         before = changed(scene, nodes=10, number=3, tenants=Tenants({"north": 400.0}))
-        self.assertEqual(scene.node.turn[:len(before.turn)], before.turn)
+        self.assertEqual(scene.node.turn[: len(before.turn)], before.turn)
         self.assertEqual(len(scene.node.turn), 2 * len(before.turn))
-        self.assertEqual((scene.node.limit.asked, scene.node.limit.answers),
-                         (2 * before.limit.asked, before.limit.answers))
+        self.assertEqual(
+            (scene.node.limit.asked, scene.node.limit.answers),
+            (2 * before.limit.asked, before.limit.answers),
+        )
 
     def test_from_shares_to_a_learned_part_and_back(self):
         names = [f"b{n}" for n in range(12)]
@@ -321,8 +376,10 @@
         scene.node.part = 3.0
         scene.flow(60)
         before = changed(scene, retry_after=1, **learned)
-        self.assertEqual((scene.node.part, scene.node.in_view, scene.node.asked, scene.node.limit.each),
-                         (3.0, before.in_view, before.asked, before.limit.each))
+        self.assertEqual(
+            (scene.node.part, scene.node.in_view, scene.node.asked, scene.node.limit.each),
+            (3.0, before.in_view, before.asked, before.limit.each),
+        )
         self.assertGreater(sum(scene.node.limit.answers), 0)
         changed(scene, **shares)
         self.assertEqual((scene.node.part, scene.node.limit.answers), (1.0, [0, 0, 0]))
@@ -353,8 +410,12 @@
 
         The settings change each `every_ms`; what is out at the earlier ones is lost then, so that they send on.
         """
-        scene = Scene(["b0", "b1", "b2", listed("b3", started=10000 * MS)], tenants=Tenants({"north": 100.0}),
-                      cold_from=0.1, tip_multiple=2.0)
+        scene = Scene(
+            ["b0", "b1", "b2", listed("b3", started=10000 * MS)],
+            tenants=Tenants({"north": 100.0}),
+            cold_from=0.1,
+            tip_multiple=2.0,
+        )
         cold, sent, due = scene.node.index["b3"], 0, every_ms
         for n in range(800):
             # One is owed by the earlier node at each change, and may go to the cold one from there.
@@ -362,8 +423,10 @@
             scene.after(5)
             if due is not None and n * 10 >= due:
                 due += every_ms
-                before, scene.terms = scene.node, terms(tenants=Tenants({"north": 100.0}), cold_from=0.1,
-                                                        tip_multiple=2.0)
+                before, scene.terms = (
+                    scene.node,
+                    terms(tenants=Tenants({"north": 100.0}), cold_from=0.1, tip_multiple=2.0),
+                )
                 scene.node = Node(n, scene.terms, scene.now, before)
                 take_over(scene.node, before, scene.now)
                 before.returned(scene.now, taken[0].trips[-1], r.UNREACHABLE, 10, False)
@@ -380,7 +443,7 @@
         """If both nodes kept what was saved up, each change would add what the earlier one still sends."""
         steady = self.sent_to_cold(None)
         self.assertGreater(steady, 50)
-        self.assertLessEqual(self.sent_to_cold(20), steady + 2 * steady ** 0.5 + 2)
+        self.assertLessEqual(self.sent_to_cold(20), steady + 2 * steady**0.5 + 2)
 
     def test_gone_binds_from_now_on(self):
         scene = Scene(["b0", "b1", "b2"], gone_binds=False)
@@ -416,7 +479,9 @@
         if self.desk.links[-1].state == "connecting":
             self.desk.up()
         self.desk.after(15)
-        self.desk.reply(link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None))
+        self.desk.reply(
+            link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None)
+        )
         self.desk.after(15)
 
     def test_kept_over_two_changes_in_one_turn(self):
@@ -435,7 +500,7 @@
         self.configure(most_trips=1)
         self.assertEqual(self.reducer.press.bar, 0.5)
         self.configure(offerings=[replace(row, credit=1.0) for row in terms().offerings])
-        self.assertEqual(self.reducer.press.bar, 0.0)       # Its classes are others.
+        self.assertEqual(self.reducer.press.bar, 0.0)  # Its classes are others.
 
     def test_settings_that_shrink_while_requests_are_owed(self):
         """Fewer attempts, a shorter limit: what was taken before has both as it was taken."""
@@ -447,14 +512,18 @@
         first = self.reducer.node
         node = self.configure(offerings=rows, most_trips=1)
         self.assertEqual(self.reducer.older, [first])
-        self.desk.lose(link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None))
+        self.desk.lose(
+            link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None)
+        )
         self.assertEqual((len(owed.trips), owed.over), (2, False))
         self.desk.up()
         self.desk.after(250)
         self.assertFalse(owed.over)
         self.desk.lines = []
         self.desk.reply()
-        self.assertTrue(any("answer owed HTTP/1.1 200" in line for line in self.desk.lines), self.desk.lines)
+        self.assertTrue(
+            any("answer owed HTTP/1.1 200" in line for line in self.desk.lines), self.desk.lines
+        )
         self.assertEqual((self.reducer.older, self.reducer.node), ([], node))
         self.assertEqual(node.limit.busy, 0)
 
@@ -481,7 +550,9 @@
         node = self.configure(most_trips=1)
         self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
         for each in (first, node):
-            self.assertEqual([each.names[b] for b in each.ranked], [each.names[b] for b in node.ranked])
+            self.assertEqual(
+                [each.names[b] for b in each.ranked], [each.names[b] for b in node.ranked]
+            )
             self.assertEqual(sorted(each.names[b] for b in each.ranked), ["b1", "b2"])
         self.assertEqual(len(first.names), 3)
 
@@ -512,5 +583,6 @@
         def taken_over():
             node = Node(4, terms(nodes=720), 1, known)
             return lambda: take_over(node, known, 1)
+
         first, again = least(start, taken_over, lambda first, again: 8 * again < first)
         self.assertLess(8 * again, first, f"{again * 1000:.1f} ms, a start {first * 1000:.1f} ms")
--- a/tests/test_limit.py
+++ b/tests/test_limit.py
@@ -89,15 +89,22 @@
         self.keep_full(room, 72000, took, expected=4000 * MS)
         # A minute of limits in full would hang on the last bit of a logarithm.
         rested = sum(line.endswith("rested") for line in self.lines)
-        self.check("limit_rest", [f"rested {rested}, tipped over {len(tips)}, well again {not self.slow}, "
-                                  f"below what tipped it {room.trips() < self.bears}"])
+        self.check(
+            "limit_rest",
+            [
+                f"rested {rested}, tipped over {len(tips)}, well again {not self.slow}, "
+                f"below what tipped it {room.trips() < self.bears}"
+            ],
+        )
 
     def test_drains_to_learn_what_answers_take_at_ease(self):
         """Full from the first moment on, a node has only seen answers that waited; shares spare it that."""
         for asked in (None, 400 / 10000):
             self.now, self.out = 0, []
             room = self.room(asked=asked)
-            self.keep_full(room, 15000, lambda out: int(100 * MS * max(1.0, out / 4)), 200, 4000 * MS)
+            self.keep_full(
+                room, 15000, lambda out: int(100 * MS * max(1.0, out / 4)), 200, 4000 * MS
+            )
             self.lines.append(f"unhurried {exp(room.base[0]) / MS:.0f} ms, unsure {room.unsure}")
         self.check("limit_drain", self.lines)
 
@@ -116,7 +123,9 @@
                 self.now += 10 * MS if n else took
                 room.answered(self.now, 0, room.round, self.now - took, took, 9000 * MS)
             self.now += 1000 * MS
-            self.lines.append(f"{took / MS:.0f} ms: base {exp(room.base[0]) / MS:.0f}, unsure {room.unsure}")
+            self.lines.append(
+                f"{took / MS:.0f} ms: base {exp(room.base[0]) / MS:.0f}, unsure {room.unsure}"
+            )
         self.check("limit_drain_kept", self.lines[:3] + self.lines[-1:])
 
     def test_a_rest_is_not_judged_by_those_back_when_its_time_is_up(self):
@@ -172,9 +181,20 @@
 
 def played(seconds, left_out, kinds, offering, load, nodes=1, change=(), seed=1, **fleet):
     offerings = [{"name": f"o{n}", **each} for n, each in enumerate(offering)]
-    return world.play(plans.made(dict(
-        seed=seed, seconds=seconds, left_out_s=left_out, fleet=dict(kind=kinds, **fleet), offering=offerings,
-        load=load, nodes=dict(count=nodes), change=list(change))))
+    return world.play(
+        plans.made(
+            dict(
+                seed=seed,
+                seconds=seconds,
+                left_out_s=left_out,
+                fleet=dict(kind=kinds, **fleet),
+                offering=offerings,
+                load=load,
+                nodes=dict(count=nodes),
+                change=list(change),
+            )
+        )
+    )
 
 
 class Fleets(TraceTest):
@@ -185,50 +205,119 @@
 
     def within(self, name, play, share, tips=0):
         """Settled in time over what is possible, and how often a backend was overdriven."""
-        self.check(f"fleet_{name}", [f"share over {share} {play['share'] > share}, up to {tips} tips "
-                                     f"{play['tips'] <= tips}, broken {play['broken']}"])
+        self.check(
+            f"fleet_{name}",
+            [
+                f"share over {share} {play['share'] > share}, up to {tips} tips "
+                f"{play['tips'] <= tips}, broken {play['broken']}"
+            ],
+        )
 
     def test_room_is_found_from_a_cold_start(self):
         lines = []
         for backends, nodes, ms, kept in ((1, 1, 5, 4), (4, 30, 100, 64)):
-            play = played(8, 6, [dict(count=backends, cores=0)],
-                          [dict(work_ms=ms, spread="fixed", expected_ms=1000)], dict(kept=kept), nodes)
-            lines.append(f"{backends} backends, {nodes} nodes, {ms} ms: 90% within 5 s "
-                         f"{play['found_after_s'] is not None and play['found_after_s'] <= 5}, "
-                         f"then {play['share'] >= 0.95}, broken {play['broken']}")
+            play = played(
+                8,
+                6,
+                [dict(count=backends, cores=0)],
+                [dict(work_ms=ms, spread="fixed", expected_ms=1000)],
+                dict(kept=kept),
+                nodes,
+            )
+            lines.append(
+                f"{backends} backends, {nodes} nodes, {ms} ms: 90% within 5 s "
+                f"{play['found_after_s'] is not None and play['found_after_s'] <= 5}, "
+                f"then {play['share'] >= 0.95}, broken {play['broken']}"
+            )
         self.check("fleet_cold", lines)
 
     def test_room_is_found_with_uneven_work(self):
-        self.within("uneven", played(10, 8, [dict(count=2, cores=32)], self.WORK, dict(kept_each=24)), 0.9)
+        self.within(
+            "uneven", played(10, 8, [dict(count=2, cores=32)], self.WORK, dict(kept_each=24)), 0.9
+        )
 
     def test_half_of_the_room_goes(self):
         """One node follows at once; no backend may be tipped over by what it still sends."""
         for change in (dict(what="gone", share=0.5), dict(what="cores", times=0.5)):
-            play = played(14, 11, [dict(count=4, cores=8)], self.WORK, dict(kept=100), overdrive={},
-                          change=[dict(at_s=8, **change)])
+            play = played(
+                14,
+                11,
+                [dict(count=4, cores=8)],
+                self.WORK,
+                dict(kept=100),
+                overdrive={},
+                change=[dict(at_s=8, **change)],
+            )
             self.within(f"half_{change['what']}", play, 0.45)
 
     def test_after_a_tip_it_comes_back(self):
         """A quarter of the cores for four seconds tips both over, once; then all room is found again."""
         change = [dict(at_s=8, what="cores", times=0.25), dict(at_s=12, what="cores")]
-        self.within("tip", played(32, 26, [dict(count=2, cores=8)], self.WORK, dict(kept=50), overdrive={},
-                                  change=change), 0.8, 4)
+        self.within(
+            "tip",
+            played(
+                32,
+                26,
+                [dict(count=2, cores=8)],
+                self.WORK,
+                dict(kept=50),
+                overdrive={},
+                change=change,
+            ),
+            0.8,
+            4,
+        )
 
     def test_one_backend_with_a_fifth_of_the_room(self):
-        self.within("fifth", played(10, 7, [dict(count=1, cores=4), dict(count=3, cores=20)], self.WORK,
-                                    dict(rate_share=0.9), 3), 0.95)
+        self.within(
+            "fifth",
+            played(
+                10,
+                7,
+                [dict(count=1, cores=4), dict(count=3, cores=20)],
+                self.WORK,
+                dict(rate_share=0.9),
+                3,
+            ),
+            0.95,
+        )
 
     def test_a_slow_offering_leaves_room_for_a_quick_one(self):
-        play = played(12, 5, [dict(count=6, cores=8)], [
-            dict(work_ms=2, share=20, expected_ms=200, hard_limit_ms=1000),
-            dict(work_ms=900, share=1, expected_ms=4000, hard_limit_ms=10000)], dict(rate_share=0.5))
-        self.check("fleet_two", [f"share over 0.95 {play['share'] > 0.95}, quick p99 under 100 ms "
-                                 f"{play['offerings']['o0']['p99_ms'] < 100}"])
+        play = played(
+            12,
+            5,
+            [dict(count=6, cores=8)],
+            [
+                dict(work_ms=2, share=20, expected_ms=200, hard_limit_ms=1000),
+                dict(work_ms=900, share=1, expected_ms=4000, hard_limit_ms=10000),
+            ],
+            dict(rate_share=0.5),
+        )
+        self.check(
+            "fleet_two",
+            [
+                f"share over 0.95 {play['share'] > 0.95}, quick p99 under 100 ms "
+                f"{play['offerings']['o0']['p99_ms'] < 100}"
+            ],
+        )
 
     def test_bursts(self):
-        self.within("bursts", played(16, 5, [dict(count=8, cores=32)], [dict(work_ms=50)], dict(
-            rate_share=0.1, burst_times=10, burst_ms=200), overdrive={}), 0.95)
+        self.within(
+            "bursts",
+            played(
+                16,
+                5,
+                [dict(count=8, cores=32)],
+                [dict(work_ms=50)],
+                dict(rate_share=0.1, burst_times=10, burst_ms=200),
+                overdrive={},
+            ),
+            0.95,
+        )
 
     def test_near_what_the_fleet_can_do(self):
-        self.within("near", played(20, 8, [dict(count=4, cores=2)], self.WORK, dict(rate_share=1.0),
-                                   overdrive={}), 0.85)
+        self.within(
+            "near",
+            played(20, 8, [dict(count=4, cores=2)], self.WORK, dict(rate_share=1.0), overdrive={}),
+            0.85,
+        )
--- a/tests/test_lists_at_size.py
+++ b/tests/test_lists_at_size.py
@@ -12,8 +12,8 @@
 from pierglade.tenants import Tenants
 from tests.scene import MS, Desk, Scene, entry, listed, terms
 
-HARD_LIMIT = 1000       # ms; the longest of the scene's offerings
-FORGOTTEN = FORGET * HARD_LIMIT + 1     # ms after which a gone backend's index is used again
+HARD_LIMIT = 1000  # ms; the longest of the scene's offerings
+FORGOTTEN = FORGET * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
 
 
 def fleet(first, count):
@@ -46,7 +46,9 @@
 
     def check(self, call):
         few, many = least(lambda: call(1000), lambda: call(4000), lambda few, many: many < 8 * few)
-        self.assertLess(many, 8 * few, f"{few * 1000:.1f} ms for 1000, {many * 1000:.1f} ms for 4000")
+        self.assertLess(
+            many, 8 * few, f"{few * 1000:.1f} ms for 1000, {many * 1000:.1f} ms for 4000"
+        )
 
     def node(self, count):
         node = Node(4, terms(nodes=720), 0)
@@ -57,12 +59,14 @@
         def first(count):
             node, entries = Node(4, terms(nodes=720), 0), fleet(0, count)
             return lambda: node.listed(0, entries, True)
+
         self.check(first)
 
     def test_half_of_the_list_replaced(self):
         def replaced(count):
             node, entries = self.node(count), fleet(count // 2, count)
             return lambda: node.listed(1, entries, True)
+
         self.check(replaced)
 
     def test_all_new_after_all_are_gone_for_long(self):
@@ -70,16 +74,21 @@
             node, entries = self.node(count), fleet(count, count)
             node.listed(1, [], True)
             return lambda: node.listed(1 + FORGOTTEN * MS, entries, True)
+
         self.check(anew)
 
     def test_all_in_view_and_one_leaves(self):
         """Looked for in the new rotation one by one, each of the old cost all of them."""
+
         def leaves(count):
             node = Node(4, terms(tenants=Tenants()), 0)
             node.listed(0, fleet(0, count), True)
             node.at = count - 1
             node.listed(1, [listed(node.names[node.turn[-1]], r.GONE)], False)
-            return lambda: node.listed(2, [listed(f"b{n}", r.GONE) for n in range(count // 2)], False)
+            return lambda: node.listed(
+                2, [listed(f"b{n}", r.GONE) for n in range(count // 2)], False
+            )
+
         self.check(leaves)
 
 
@@ -154,7 +163,9 @@
     def test_half_replaced_leaves_the_rest_in_its_order(self):
         scene, node = self.scene(300)
         scene.list([f"b{n}" for n in range(150, 450)], whole=True)
-        self.assertEqual(sorted(node.names[b] for b in node.ranked), sorted(f"b{n}" for n in range(150, 450)))
+        self.assertEqual(
+            sorted(node.names[b] for b in node.ranked), sorted(f"b{n}" for n in range(150, 450))
+        )
         ranks = [node.rank[b] for b in node.ranked]
         self.assertEqual(ranks, sorted(ranks))
 
@@ -206,18 +217,37 @@
         self.assertEqual((len(self.desk.lines), self.desk.reducer.index), (lines, 2))
 
     def test_each_difference_is_told(self):
-        for change in (dict(zone="west"), dict(group=3), dict(weight=2.0), dict(since_ms=5),
-                       dict(address="127.0.0.1:9990"), dict(status="DRAINING")):
+        for change in (
+            dict(zone="west"),
+            dict(group=3),
+            dict(weight=2.0),
+            dict(since_ms=5),
+            dict(address="127.0.0.1:9990"),
+            dict(status="DRAINING"),
+        ):
             with self.subTest(change):
                 self.setUp()
                 told = self.hear(["b0", "b1", "b2", "b3"], {**entry("b4"), **change})
                 self.assertEqual(told, [("b4", r.DRAINING if "status" in change else r.READY)])
                 backend = self.desk.reducer.backends["b4"]
-                self.assertEqual((backend.entry.zone, backend.entry.cell, backend.entry.weight,
-                                  backend.entry.started, backend.address, backend.state),
-                                 (change.get("zone", "east"), change.get("group", 0), change.get("weight", 1.0),
-                                  change.get("since_ms", 0) * 10, change.get("address", "127.0.0.1:9004"),
-                                  r.DRAINING if "status" in change else r.READY))
+                self.assertEqual(
+                    (
+                        backend.entry.zone,
+                        backend.entry.cell,
+                        backend.entry.weight,
+                        backend.entry.started,
+                        backend.address,
+                        backend.state,
+                    ),
+                    (
+                        change.get("zone", "east"),
+                        change.get("group", 0),
+                        change.get("weight", 1.0),
+                        change.get("since_ms", 0) * 10,
+                        change.get("address", "127.0.0.1:9004"),
+                        r.DRAINING if "status" in change else r.READY,
+                    ),
+                )
 
     def test_left_out_and_back_as_it_was(self):
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3"]), [("b4", r.GONE)])
@@ -226,7 +256,10 @@
         self.assertEqual(len(self.desk.reducer.gone), 0)
 
     def test_named_twice_the_last_word_holds(self):
-        for twice in ((entry("b4", "DRAINING"), entry("b4")), (entry("b4"), entry("b4", "DRAINING"))):
+        for twice in (
+            (entry("b4", "DRAINING"), entry("b4")),
+            (entry("b4"), entry("b4", "DRAINING")),
+        ):
             self.setUp()
             self.hear(["b0", "b1", "b2", "b3"], *twice)
             backend = self.desk.reducer.backends["b4"]
@@ -236,8 +269,14 @@
 
     def test_refused_nothing_of_it_is_applied(self):
         """Also where the fault stands behind a good difference, or in one that is equal but for it."""
-        for wrong in ({**entry("b4"), "since_ms": "soon"}, {**entry("b4"), "status": "UP"},
-                      {**entry("b4"), "weight": None}, {**entry("b4"), "address": "nowhere"}, {"name": "b4"}, 7):
+        for wrong in (
+            {**entry("b4"), "since_ms": "soon"},
+            {**entry("b4"), "status": "UP"},
+            {**entry("b4"), "weight": None},
+            {**entry("b4"), "address": "nowhere"},
+            {"name": "b4"},
+            7,
+        ):
             with self.subTest(wrong):
                 self.setUp()
                 self.desk.hear([entry("b0", "DRAINING"), entry("b1"), wrong], index=2)
@@ -283,8 +322,11 @@
     def test_a_long_line_tells_of_the_first_and_how_many_more(self):
         desk = Desk([])
         desk.now += 1
-        effects = desk.reducer.apply(desk.now, ev.HEARD, {"index": 1, "snapshot": True, "endpoints": [
-            entry(f"b{n}") for n in range(NAMED + 5)]})
+        effects = desk.reducer.apply(
+            desk.now,
+            ev.HEARD,
+            {"index": 1, "snapshot": True, "endpoints": [entry(f"b{n}") for n in range(NAMED + 5)]},
+        )
         fields = next(effect[2] for effect in effects if effect[:2] == (ev.NOTE, "list"))
         self.assertEqual((len(fields["changed"]), fields["more"]), (NAMED, 5))
 
@@ -307,8 +349,9 @@
         return desk
 
     def tell(self, desk, endpoints, whole=True):
-        desk.reducer.apply(desk.reducer.now + 1, ev.HEARD,
-                           {"index": 1, "snapshot": whole, "endpoints": endpoints})
+        desk.reducer.apply(
+            desk.reducer.now + 1, ev.HEARD, {"index": 1, "snapshot": whole, "endpoints": endpoints}
+        )
 
     def test_one_change_does_not_go_through_all(self):
         """Looked through at each change for what to forget, all cost more than the change itself."""
@@ -321,7 +364,9 @@
     def test_the_whole_again_costs_little_of_the_first(self):
         endpoints = [entry(f"b{n}") for n in range(4000)]
         desk = self.desk(4000)
-        first, again = least(lambda: partial(self.tell, Desk([], nodes=720), endpoints),
-                             lambda: lambda: self.tell(desk, endpoints),
-                             lambda first, again: 3 * again < first)
+        first, again = least(
+            lambda: partial(self.tell, Desk([], nodes=720), endpoints),
+            lambda: lambda: self.tell(desk, endpoints),
+            lambda first, again: 3 * again < first,
+        )
         self.assertLess(3 * again, first, f"{again * 1000:.1f} ms, the first {first * 1000:.1f} ms")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -66,54 +66,79 @@
 
         A busy machine may add to them; a load that waits for its answers shows 0.001 s."""
         target = Target(0.7, 0.6)
-        load = run.Load(target.address, "/look/x", plan.moments([plan.Shape(rate=200, seconds=2)], "even", 1))
+        load = run.Load(
+            target.address, "/look/x", plan.moments([plan.Shape(rate=200, seconds=2)], "even", 1)
+        )
         result = run.play(load).summary()
         target.end()
         at = result["latency_ms"]
-        self.check("load_stall", [
-            f"planned {result['planned']}, sent {result['sent']}, answered {result['answered']}",
-            f"p90 {340 < at['p90'] < 800}, p99 {520 < at['p99'] < 1000}, max at least the stall's length "
-            f"{at['max'] > 570}"])
+        self.check(
+            "load_stall",
+            [
+                f"planned {result['planned']}, sent {result['sent']}, answered {result['answered']}",
+                f"p90 {340 < at['p90'] < 800}, p99 {520 < at['p99'] < 1000}, max at least the stall's length "
+                f"{at['max'] > 570}",
+            ],
+        )
 
     def test_plans(self):
         """So many as the area under the rate, and at the moments at which it is reached."""
         lines = []
-        for told, spacing in (([plan.Shape(rate=100, seconds=2)], "even"),
-                              ([plan.Shape(shape="ramp", rate=0, to=200, seconds=2)], "even"),
-                              ([plan.Shape(shape="wave", rate=50, to=150, seconds=10)], "even"),
-                              ([plan.Shape(rate=10, seconds=1),
-                                plan.Shape(shape="surge", rate=10, seconds=1)], "even"),
-                              ([plan.Shape(rate=1000, seconds=10)], "poisson"),
-                              ([plan.Shape(rate=0, seconds=1)], "even")):
+        for told, spacing in (
+            ([plan.Shape(rate=100, seconds=2)], "even"),
+            ([plan.Shape(shape="ramp", rate=0, to=200, seconds=2)], "even"),
+            ([plan.Shape(shape="wave", rate=50, to=150, seconds=10)], "even"),
+            (
+                [plan.Shape(rate=10, seconds=1), plan.Shape(shape="surge", rate=10, seconds=1)],
+                "even",
+            ),
+            ([plan.Shape(rate=1000, seconds=10)], "poisson"),
+            ([plan.Shape(rate=0, seconds=1)], "even"),
+        ):
             at = plan.moments(told, spacing, 3)
             counts = np.histogram(at, bins=4, range=(0, sum(s.seconds for s in told)))[0]
             if spacing == "poisson":
                 near = abs(len(at) - 10000) < 400 and abs(np.std(np.diff(at)) * 1000 - 1) < 0.1
-                lines.append(f"poisson: near 10000 with gaps as uneven as chance makes them {bool(near)}")
+                lines.append(
+                    f"poisson: near 10000 with gaps as uneven as chance makes them {bool(near)}"
+                )
             else:
-                lines.append(f"{told[-1].shape}: {len(at)}, by quarters {counts.tolist()}, in order "
-                             f"{bool((np.diff(at) >= 0).all())}")
+                lines.append(
+                    f"{told[-1].shape}: {len(at)}, by quarters {counts.tolist()}, in order "
+                    f"{bool((np.diff(at) >= 0).all())}"
+                )
         self.check("load_plans", lines)
 
     def test_traces(self):
         lines = []
-        for text in ("offset,offering,customer,size\n0.5,look,acme,3\n0.7,pay,,0\n",
-                     '{"offset": 1, "offering": "look"}\n\n{"offset": 2}\n', "offset\n2\n1\n",
-                     "offset\nsoon\n", "", "when\n1\n", '{"offset": 1}\n{"offset"\n',
-                     '{"offset": 1}\n[2]\n', "offset,size\n1,-4\n"):
+        for text in (
+            "offset,offering,customer,size\n0.5,look,acme,3\n0.7,pay,,0\n",
+            '{"offset": 1, "offering": "look"}\n\n{"offset": 2}\n',
+            "offset\n2\n1\n",
+            "offset\nsoon\n",
+            "",
+            "when\n1\n",
+            '{"offset": 1}\n{"offset"\n',
+            '{"offset": 1}\n[2]\n',
+            "offset,size\n1,-4\n",
+        ):
             with tempfile.NamedTemporaryFile("w", suffix=".trace") as file:
                 file.write(text)
                 file.flush()
                 try:
                     at, rows = plan.recorded(file.name, 2.0)
-                    lines.append(f"{at.tolist()} {[(row.offering, row.customer, row.size) for row in rows]}")
+                    lines.append(
+                        f"{at.tolist()} {[(row.offering, row.customer, row.size) for row in rows]}"
+                    )
                 except Unreadable as fault:
                     lines.append(str(fault).replace(file.name, "FILE"))
         self.check("load_traces", lines)
 
     def test_a_worker_that_is_killed_voids_the_run(self):
         target = Target()
-        load = run.Load(target.address, "/", plan.moments([plan.Shape(rate=50, seconds=30)], "even", 1))
+        load = run.Load(
+            target.address, "/", plan.moments([plan.Shape(rate=50, seconds=30)], "even", 1)
+        )
         work = run._work
 
         def dies(load, share, begins, pipe):
@@ -132,12 +157,30 @@
         target, lines = Target(), []
         with tempfile.TemporaryDirectory() as folder:
             out = str(pathlib.Path(folder) / "out.json")
-            for seconds, signals in (("1", (signal.SIGSTOP, signal.SIGCONT)), ("60", (signal.SIGINT,))):
+            for seconds, signals in (
+                ("1", (signal.SIGSTOP, signal.SIGCONT)),
+                ("60", (signal.SIGINT,)),
+            ):
                 target.first = None
                 child = subprocess.Popen(
-                    [sys.executable, "-m", "pierglade.cli", "load", "--target", f"http://{target.address}/x",
-                     "--rate", "100", "--seconds", seconds, "--json", out],
-                    stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+                    [
+                        sys.executable,
+                        "-m",
+                        "pierglade.cli",
+                        "load",
+                        "--target",
+                        f"http://{target.address}/x",
+                        "--rate",
+                        "100",
+                        "--seconds",
+                        seconds,
+                        "--json",
+                        out,
+                    ],
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.PIPE,
+                    text=True,
+                )
                 while target.first is None:
                     time.sleep(0.01)
                 for number in signals:
@@ -145,16 +188,27 @@
                     time.sleep(0.3 if number is signal.SIGSTOP else 0)
                 _, errors = child.communicate(timeout=100)
                 told = json.loads(pathlib.Path(out).read_text())
-                lines += [f"exit {child.returncode}: {errors.strip()}", f"    behind {told['behind']}, "
-                          f"all sent {told['sent'] == told['planned']}, keys {' '.join(sorted(told))}"]
+                lines += [
+                    f"exit {child.returncode}: {errors.strip()}",
+                    f"    behind {told['behind']}, "
+                    f"all sent {told['sent'] == told['planned']}, keys {' '.join(sorted(told))}",
+                ]
         target.end()
         self.check("load_behind", lines)
 
     def test_outside_of_loopback_is_refused(self):
         lines = []
-        for url in ("http://10.0.0.1:80/", "http://example.org/", "https://127.0.0.1/", "ftp://127.0.0.1/",
-                    "http://127.0.0.1:99999/"):
-            done = subprocess.run([sys.executable, "-m", "pierglade.cli", "load", "--target", url],
-                                  capture_output=True, text=True)
+        for url in (
+            "http://10.0.0.1:80/",
+            "http://example.org/",
+            "https://127.0.0.1/",
+            "ftp://127.0.0.1/",
+            "http://127.0.0.1:99999/",
+        ):
+            done = subprocess.run(
+                [sys.executable, "-m", "pierglade.cli", "load", "--target", url],
+                capture_output=True,
+                text=True,
+            )
             lines.append(f"{done.returncode} {done.stderr.strip()}")
         self.check("load_refused", lines)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,19 +18,24 @@
 
 from pierglade import __main__ as start
 from pierglade.net import clients, discovery, http
-from pierglade.net.state import events as ev
 from pierglade.net.backends import LinkSocket
 from pierglade.net.clients import ClientSocket
 from pierglade.net.clock import Clock, Timer, Turns
 from pierglade.net.flow import Space
 from pierglade.net.log import Log
+from pierglade.net.state import events as ev
 from tests.scene import TraceTest, entry, message
 
 HOST = b"Host: h\r\n"
 TIMES = {"expectedTimeUs": 400000, "hardLimitUs": 1000000}
-SETTINGS = {"offerings": [{"name": "look", "idempotency": "free", **TIMES},
-                          {"name": "pay", "idempotency": "single_shot", **TIMES}],
-            "limits": {"mostTrips": 2, "mayCancel": True}, "contract": {"drainGraceUs": 500000}}
+SETTINGS = {
+    "offerings": [
+        {"name": "look", "idempotency": "free", **TIMES},
+        {"name": "pay", "idempotency": "single_shot", **TIMES},
+    ],
+    "limits": {"mostTrips": 2, "mayCancel": True},
+    "contract": {"drainGraceUs": 500000},
+}
 
 
 def read(inbox, data, step):
@@ -40,7 +45,7 @@
     def take():
         """Whether there is a message, the whole of it if it is one that flows."""
         nonlocal flowing
-        message, body = (flowing or (inbox.next(), b""))
+        message, body = flowing or (inbox.next(), b"")
         if message is None:
             return False
         body = body + inbox.piece() if inbox.flows else body
@@ -48,8 +53,10 @@
         if flowing:
             return False
         body = body or message.body
-        lines.append(f"{message.method.decode()}{message.status or ''} {message.url.decode()} "
-                     f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * inbox.flows}")
+        lines.append(
+            f"{message.method.decode()}{message.status or ''} {message.url.decode()} "
+            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * inbox.flows}"
+        )
         inbox.release()
         return True
 
@@ -57,7 +64,7 @@
         at = 0
         while at < len(data):
             count = min(step, len(room), len(data) - at)
-            room[:count] = data[at:at + count]
+            room[:count] = data[at : at + count]
             at += count
             inbox.filled(count)
             while take():
@@ -77,7 +84,9 @@
         b"GET /a?b=c HTTP/1.1\r\n" + HOST + b"\r\nPOST /d HTTP/1.1\r\nContent-Length: 3\r\n\r\nxyz"
         b"GET /e HTTP/1.0\r\n\r\n",
         POSTED + b"4\r\na\nbc\r\n1\r\nd\r\n0\r\n\r\nGET /f HTTP/1.1\r\n\r\n",
-        b"POST /b HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536 + b"GET /a HTTP/1.1\r\n\r\n",
+        b"POST /b HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"
+        + b"x" * 65536
+        + b"GET /a HTTP/1.1\r\n\r\n",
         POSTED + b"400\r\n%s\r\n" % (b"y" * 1024) * 65,
         b"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
         POSTED + b"1;" + b"a" * 5000 + b"\r\n",
@@ -89,24 +98,40 @@
         b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
         b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
         b"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
-        b"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n", b"POST / HTTP/1.1\r\nContent-Length: 9%s\r\n\r\n"
-        % (b"0" * 30), b"POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\n",
-        b"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", b"GET / HTTP/1.1\r\nA: b\0\r\n\r\n", b"GET / HTTP/1.1\r\n\n",
-        b"\r\nGET / HTTP/1.1\r\n\r\n", POSTED + b"0x4\r\n", POSTED + b"4\nabcd", POSTED + b"4\r\nabcde\r\n",
-        b"\x16\x03\x01\x02\r\n", b"GET / HTTP/9\r\n\r\n", b"GET / HTTP/1.1\nHost: h\n\n"]
+        b"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n",
+        b"POST / HTTP/1.1\r\nContent-Length: 9%s\r\n\r\n" % (b"0" * 30),
+        b"POST / HTTP/1.1\r\nContent-Length : 3\r\n\r\n",
+        b"GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n",
+        b"GET / HTTP/1.1\r\nA: b\0\r\n\r\n",
+        b"GET / HTTP/1.1\r\n\n",
+        b"\r\nGET / HTTP/1.1\r\n\r\n",
+        POSTED + b"0x4\r\n",
+        POSTED + b"4\nabcd",
+        POSTED + b"4\r\nabcde\r\n",
+        b"\x16\x03\x01\x02\r\n",
+        b"GET / HTTP/9\r\n\r\n",
+        b"GET / HTTP/1.1\nHost: h\n\n",
+    ]
     ANSWERS = [
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-        b"HTTP/1.1 100 Continue\r\n\r\n" * 9, b"HTTP/1.1 101 Other\r\n\r\n", b"noise",
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 9,
+        b"HTTP/1.1 101 Other\r\n\r\n",
+        b"noise",
         b"HTTP/1.1 200 OK\r\nA: " + b"a" * 20000,
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
-        b"HTTP/1.1 204 None\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\nuntil the end", b"SSH-2.0-x\r\n",
+        b"HTTP/1.1 204 None\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\nuntil the end",
+        b"SSH-2.0-x\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + b"z" * 400000,
-        b"HTTP/1.1 200 OK\r\n\r\n" + b"u" * 100000, b"HTTP/1.0 200 OK\r\nContent-LENGTH:  2 \t\r\n\r\nok",
+        b"HTTP/1.1 200 OK\r\n\r\n" + b"u" * 100000,
+        b"HTTP/1.0 200 OK\r\nContent-LENGTH:  2 \t\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked \r\n\r\n2;a=b;c\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"8\r\nab\r\nc\nd\n\r\n" * 9000
-        + b"0\r\n\r\nHTTP/1.1 204 None\r\n\r\n"]
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"8\r\nab\r\nc\nd\n\r\n" * 9000
+        + b"0\r\n\r\nHTTP/1.1 204 None\r\n\r\n",
+    ]
 
     def test_messages(self):
         lines = []
@@ -122,12 +147,12 @@
         """The reader waits with a view taken before the message in hand was let go."""
         inbox = http.Requests()
         first, second = b"GET /a HTTP/1.1\r\n\r\n", b"GET /b HTTP/1.1\r\n\r\n"
-        inbox.room()[:len(first)] = first
+        inbox.room()[: len(first)] = first
         inbox.filled(len(first))
         taken, room = inbox.next(), inbox.room()
         self.assertEqual(taken.url, b"/a")
         inbox.release()
-        room[:len(second)] = second
+        room[: len(second)] = second
         inbox.filled(len(second))
         self.assertEqual(inbox.next().url, b"/b")
 
@@ -141,18 +166,24 @@
             self.assertIsNone(gone())
 
     def test_what_is_passed_on(self):
-        taken = message(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close, x-once\r\nX-Once: 1\r\n"
-                        b"x-kept: 2\r\nKeep-Alive: 3\r\nConnection: X-TWICE\r\nX-Twice: 4\r\n"
-                        b"X-But: 5\r\n\r\n")
-        self.assertEqual(http.passed_on(taken, http.HOP_BY_HOP | {b"x-but"}),
-                         [(b"Host", b"h"), (b"x-kept", b"2")])
+        taken = message(
+            b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close, x-once\r\nX-Once: 1\r\n"
+            b"x-kept: 2\r\nKeep-Alive: 3\r\nConnection: X-TWICE\r\nX-Twice: 4\r\n"
+            b"X-But: 5\r\n\r\n"
+        )
+        self.assertEqual(
+            http.passed_on(taken, http.HOP_BY_HOP | {b"x-but"}),
+            [(b"Host", b"h"), (b"x-kept", b"2")],
+        )
 
     def test_watch(self):
         watch, lines = discovery.Watch(), []
-        data = (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                b"9\r\n{\"a\":1}\n{\r\n1\r\n\n\r\n3\r\n\n}\n\r\n0\r\n\r\n")
+        data = (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            b'9\r\n{"a":1}\n{\r\n1\r\n\n\r\n3\r\n\n}\n\r\n0\r\n\r\n'
+        )
         for n in range(len(data)):
-            lines += watch.feed(data[n:n + 1])
+            lines += watch.feed(data[n : n + 1])
         self.assertEqual((lines, watch.over), ([b'{"a":1}', b"{\n\n}"], True))
         for status, fault in ((503, discovery.Lost), (410, ValueError)):
             with self.assertRaises(fault):
@@ -174,7 +205,6 @@
         self.assertEqual([json.loads(line).get("lines") for line in last], [lost, None])
         self.assertEqual(log.dropped, 0)
 
-
     def test_the_timer_tells_how_late_it_is(self):
         called = []
         clock = mock.Mock(now=lambda: 1000)
@@ -207,7 +237,7 @@
         timer = Timer(mock.Mock(now=lambda: times[0]), called.append)
         timer.set(1010)
         timer.set(1030)
-        while timer.rings != 1030:      # It rang for the first moment.
+        while timer.rings != 1030:  # It rang for the first moment.
             gevent.sleep(0.001)
         times[0] = 1031
         while not called:
@@ -217,28 +247,52 @@
 
 class Start(TraceTest):
     def test_unusable(self):
-        good = {"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c",
-                "settings": SETTINGS}
+        good = {
+            "name": "n",
+            "listen": "127.0.0.1:0",
+            "discovery": "127.0.0.1:1",
+            "seed": "8c",
+            "settings": SETTINGS,
+        }
         lines = []
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "config.json")
-            for text in ("{", "[]", {"name": "n"}, {**good, "settings": {}}, {**good, "listen": "here"},
-                         {**good, "seed": None}, *({**good, "settings": {**SETTINGS, **wrong}} for wrong in (
-                             {"membershipMode": "often"}, {"loadInfo": {"via": "post"}}, {"siblings": 0},
-                             {"loadInfo": {"fields": "throughput"}}, {"me": -1},
-                             {"limits": {"probes": "yes"}}, {"loadInfo": []},
-                             {"contract": {"extraFloor": 3}}, {"contract": {"lookBackUs": -1}},
-                             {"contract": {"lookBackUs": 9, "resendRatio": True}},
-                             {"deductions": {"crossZone": "dear"}},
-                             {"loadInfo": {"via": "pull", "fields": ["utilization"]}},
-                             {"loadInfo": {"via": "pull", "fields": ["throughput"]}})),
-                         {**good, "limits": {"sockets": "many"}}, good):
+            for text in (
+                "{",
+                "[]",
+                {"name": "n"},
+                {**good, "settings": {}},
+                {**good, "listen": "here"},
+                {**good, "seed": None},
+                *(
+                    {**good, "settings": {**SETTINGS, **wrong}}
+                    for wrong in (
+                        {"membershipMode": "often"},
+                        {"loadInfo": {"via": "post"}},
+                        {"siblings": 0},
+                        {"loadInfo": {"fields": "throughput"}},
+                        {"me": -1},
+                        {"limits": {"probes": "yes"}},
+                        {"loadInfo": []},
+                        {"contract": {"extraFloor": 3}},
+                        {"contract": {"lookBackUs": -1}},
+                        {"contract": {"lookBackUs": 9, "resendRatio": True}},
+                        {"deductions": {"crossZone": "dear"}},
+                        {"loadInfo": {"via": "pull", "fields": ["utilization"]}},
+                        {"loadInfo": {"via": "pull", "fields": ["throughput"]}},
+                    )
+                ),
+                {**good, "limits": {"sockets": "many"}},
+                good,
+            ):
                 with open(path, "w") as file:
                     file.write(text if isinstance(text, str) else json.dumps(text))
                 try:
                     place = start.place_from({"BALANCER_CONFIG": path, "BALANCER_NAME": "n3"})
-                    lines.append(f"{place.name} {place.listen} {place.sockets} {place.terms.drain_grace} "
-                                 f"{place.terms.reports}")
+                    lines.append(
+                        f"{place.name} {place.listen} {place.sockets} {place.terms.drain_grace} "
+                        f"{place.terms.reports}"
+                    )
                 except start.Unusable as fault:
                     lines.append(str(fault).replace(path, "config"))
         self.check("net_unusable", lines)
@@ -269,7 +323,7 @@
                 inbox.filled(count)
                 while (message := inbox.next()) is not None:
                     if inbox.flows:
-                        message.flow = len(inbox.piece())       # only how much it was is kept
+                        message.flow = len(inbox.piece())  # only how much it was is kept
                         while not inbox.over and (count := sock.recv_into(inbox.room())):
                             inbox.filled(count)
                             message.flow += len(inbox.piece())
@@ -295,7 +349,7 @@
         def serve(message):
             if b"follow" not in message.url:
                 return answer(200, b'{"index":%d}' % len(told))
-            return CHUNKED + (b"c\r\n{\"index\":9}\n\r\n" if len(told) > 2 else b"")
+            return CHUNKED + (b'c\r\n{"index":9}\n\r\n' if len(told) > 2 else b"")
 
         def tell(kind, what, *more):
             told.append(f"{kind} {what}")
@@ -314,7 +368,6 @@
         lines = [line.partition("index")[0] for line in told + peer.seen]
         self.check("net_following", [line for line, _ in itertools.groupby(lines)])
 
-
     def test_a_lost_list_is_asked_for_when_the_decisions_say_so(self):
         """Asked again every 0.2 s by each of many nodes, a list that has to be asked served none."""
         told, lost = [], Event()
@@ -363,7 +416,7 @@
             told.append(f"{kind} {what}")
             watch.leave()
 
-        peer = Peer(lambda message: CHUNKED + b"c\r\n{\"index\":9}\n\r\n" * 2)
+        peer = Peer(lambda message: CHUNKED + b'c\r\n{"index":9}\n\r\n' * 2)
         watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
         watch.index = 1
         watch.run()
@@ -372,9 +425,14 @@
 
 def host_of(tell, came):
     """What a client's connection asks of its host, with time to spare."""
-    return mock.Mock(tell=tell, came=came, space=Space(1 << 20), refuse=lambda *what: None,
-                     reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
-                     line=mock.Mock(full=lambda: False))
+    return mock.Mock(
+        tell=tell,
+        came=came,
+        space=Space(1 << 20),
+        refuse=lambda *what: None,
+        reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
+        line=mock.Mock(full=lambda: False),
+    )
 
 
 class Faulty(TraceTest):
@@ -384,8 +442,11 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        seat = ClientSocket(gevent.socket.socket(fileno=ours.detach()), host_of(lambda *what, came=0: told.append(
-            " ".join(map(str, what[::2]))), lambda: 0), "")
+        seat = ClientSocket(
+            gevent.socket.socket(fileno=ours.detach()),
+            host_of(lambda *what, came=0: told.append(" ".join(map(str, what[::2]))), lambda: 0),
+            "",
+        )
         reading = gevent.spawn(seat.run)
         theirs.sendall(b"no HTTP\r\n")
         theirs.setblocking(False)
@@ -412,13 +473,17 @@
         def tell(kind, _, *what, came=ev.NEVER):
             if kind is ev.ASKED:
                 since = "-" if came == ev.NEVER else came
-                lines.append(f"asked {what[0].url.decode()} body {bytes(what[0].body)} since {since}")
+                lines.append(
+                    f"asked {what[0].url.decode()} body {bytes(what[0].body)} since {since}"
+                )
                 asked.set()
             elif kind is not ev.OPENED:
                 lines.append(f"{kind} {what}")
 
         asked = Event()
-        seat = ClientSocket(gevent.socket.socket(fileno=ours.detach()), host_of(tell, lambda: next(moments)), "")
+        seat = ClientSocket(
+            gevent.socket.socket(fileno=ours.detach()), host_of(tell, lambda: next(moments)), ""
+        )
         reading = gevent.spawn(seat.run)
         post = b"POST /%d HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
         theirs.sendall(post % 1 + post % 2 + (post % 3)[:-1])
@@ -445,8 +510,12 @@
         lines = []
         for behind in (b"", answer(200, b"copy"), b"\x00noise"):
             ours, theirs = socket.socketpair()
-            link = LinkSocket(mock.Mock(state=ev.BUSY), lambda kind, _, *what: lines.append(
-                f"{kind} {[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in what]}"))
+            link = LinkSocket(
+                mock.Mock(state=ev.BUSY),
+                lambda kind, _, *what: lines.append(
+                    f"{kind} {[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in what]}"
+                ),
+            )
             link.sock.close()
             link.sock, link.whole = gevent.socket.socket(fileno=ours.detach()), True
             theirs.sendall(answer(200, b"good") + behind)
@@ -461,19 +530,32 @@
 
     def setUp(self):
         self.backend = Peer(self.serve)
-        known = {"index": 1, "snapshot": True, "endpoints": [entry("b0", address=self.backend.address)]}
+        known = {
+            "index": 1,
+            "snapshot": True,
+            "endpoints": [entry("b0", address=self.backend.address)],
+        }
         whole = answer(200, json.dumps(known).encode())
-        changes = CHUNKED + b"2c\r\n{\"index\":1,\"snapshot\":false,\"endpoints\":[]}\n\r\n"
-        agent, self.agent = (Peer(lambda message: changes if b"follow" in message.url else whole)
-                             for _ in range(2))
+        changes = CHUNKED + b'2c\r\n{"index":1,"snapshot":false,"endpoints":[]}\n\r\n'
+        agent, self.agent = (
+            Peer(lambda message: changes if b"follow" in message.url else whole) for _ in range(2)
+        )
         self.folder = tempfile.TemporaryDirectory()
         self.path = path = os.path.join(self.folder.name, "config.json")
-        self.told = {"name": "n1", "listen": "127.0.0.1:0", "discovery": agent.address, "seed": "8c",
-                     "settings": SETTINGS, "known": known}
+        self.told = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "discovery": agent.address,
+            "seed": "8c",
+            "settings": SETTINGS,
+            "known": known,
+        }
         self.configure(json.dumps(self.told))
-        self.node = subprocess.Popen([sys.executable, "-m", "pierglade"], stdout=subprocess.PIPE,
-                                     env={**os.environ, "BALANCER_CONFIG": path,
-                                          "BALANCER_DISCOVERY": agent.address})
+        self.node = subprocess.Popen(
+            [sys.executable, "-m", "pierglade"],
+            stdout=subprocess.PIPE,
+            env={**os.environ, "BALANCER_CONFIG": path, "BALANCER_DISCOVERY": agent.address},
+        )
         started = json.loads(self.node.stdout.readline())
         host, _, port = started["listen"].rpartition(":")
         self.place = host, int(port)
@@ -499,7 +581,9 @@
     def serve(self, message):
         if b"break" in message.url:
             return None
-        return answer(200, b"z" * 60000 if b"large" in message.url else b"served " + bytes(message.body))
+        return answer(
+            200, b"z" * 60000 if b"large" in message.url else b"served " + bytes(message.body)
+        )
 
     def ask(self, *requests):
         """Sends the requests on one connection; the answers, and whether it then ends."""
@@ -511,8 +595,10 @@
                     if not (count := sock.recv_into(inbox.room())):
                         return lines + ["ended"]
                     inbox.filled(count)
-                lines.append(f"{data[:20]} {message.status} {len(message.body)} {bytes(message.body[:10])}"
-                             + ("" if message.keep else " close"))
+                lines.append(
+                    f"{data[:20]} {message.status} {len(message.body)} {bytes(message.body[:10])}"
+                    + ("" if message.keep else " close")
+                )
                 inbox.release()
         return lines
 
@@ -531,8 +617,13 @@
     def test_new_settings_are_loaded_and_taken_back_while_clients_ask(self):
         """What is out when settings change comes to its one end; what cannot be used changes nothing."""
         get = b"POST /pay/%d HTTP/1.1\r\n" + HOST + b"X-Trace-Id: %d\r\n\r\n"
-        moved = {**SETTINGS, "customers": [], "siblings": 70, "membershipMode": "ask",
-                 "loadInfo": {"via": "piggyback", "fields": ["throughput", "utilization"]}}
+        moved = {
+            **SETTINGS,
+            "customers": [],
+            "siblings": 70,
+            "membershipMode": "ask",
+            "loadInfo": {"via": "piggyback", "fields": ["throughput", "utilization"]},
+        }
         wrong = {**moved, "loadInfo": {"via": "post"}}
         lines, answers, asking = [], [], True
 
@@ -544,16 +635,22 @@
 
         asker = threading.Thread(target=client, daemon=True)
         asker.start()
-        for settings, until in ((moved, "configuration read"), (wrong, "configuration refused"),
-                                (SETTINGS, "configuration read")):
+        for settings, until in (
+            (moved, "configuration read"),
+            (wrong, "configuration refused"),
+            (SETTINGS, "configuration read"),
+        ):
             seen = len(self.backend.seen)
             while len(self.backend.seen) < seen + 3:
                 time.sleep(0.001)
             self.configure(json.dumps({**self.told, "settings": settings}))
             self.node.send_signal(signal.SIGHUP)
             told = self.events(until)
-            lines += [line["event"] + ("" if "why" not in line else ": " + line["why"].partition(": ")[2])
-                      for line in told if line["event"] in ("settings loaded", until)]
+            lines += [
+                line["event"] + ("" if "why" not in line else ": " + line["why"].partition(": ")[2])
+                for line in told
+                if line["event"] in ("settings loaded", until)
+            ]
         asking = False
         asker.join(20)
         # A machine that stands still for long makes the node refuse some: an answer as well.
@@ -577,14 +674,23 @@
         self.backend.answer = serve
         long = {"expectedTimeUs": 9000000, "hardLimitUs": 9000000}
         offerings = [{"name": "look", "idempotency": "free", **long}]
-        before, after = ({**SETTINGS, "offerings": offerings + [{"name": "pay", "idempotency": kind, **long}],
-                          "limits": {"mostTrips": 5, "mayCancel": True}} for kind in ("single_shot", "free"))
+        before, after = (
+            {
+                **SETTINGS,
+                "offerings": offerings + [{"name": "pay", "idempotency": kind, **long}],
+                "limits": {"mostTrips": 5, "mayCancel": True},
+            }
+            for kind in ("single_shot", "free")
+        )
         got, lines = [], []
         for settings in (before, after):
             self.configure(json.dumps({**self.told, "settings": settings}))
             self.node.send_signal(signal.SIGHUP)
-            lines += [f"{line['event']} {line.get('owed', '')}".strip() for line in self.events(
-                "configuration read") if line["event"] == "settings loaded"]
+            lines += [
+                f"{line['event']} {line.get('owed', '')}".strip()
+                for line in self.events("configuration read")
+                if line["event"] == "settings loaded"
+            ]
             if settings is before:
                 post = b"POST /pay/held HTTP/1.1\r\n" + HOST + b"X-Trace-Id: held\r\n\r\n"
                 asker = threading.Thread(target=lambda: got.extend(self.ask(post)), daemon=True)
@@ -602,10 +708,16 @@
     def test_serves_and_stops(self):
         get = b"GET /look/%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\n\r\n"
         post = b"POST /pay%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\nContent-Length: 4\r\n\r\nfive"
-        lines = self.ask(get % (b"1", HOST, b"a"), post % (b"", HOST, b"b"), get % (b"large", HOST, b"c"),
-                         post % (b"/2", HOST, b"d"))
+        lines = self.ask(
+            get % (b"1", HOST, b"a"),
+            post % (b"", HOST, b"b"),
+            get % (b"large", HOST, b"c"),
+            post % (b"/2", HOST, b"d"),
+        )
         lines += self.ask(b"nonsense\r\n\r\n" + get % (b"unread", HOST, b"e"))
-        lines += self.ask(*(b"GET %s HTTP/1.1\r\n%s\r\n" % (path, HOST) for path in (b"/health/ready", b"/")))
+        lines += self.ask(
+            *(b"GET %s HTTP/1.1\r\n%s\r\n" % (path, HOST) for path in (b"/health/ready", b"/"))
+        )
         lines += self.ask(post % (b"/break", HOST, b"f"))
         lines += [f"backend saw {' '.join(self.backend.seen)}"]
         self.node.send_signal(signal.SIGTERM)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -70,11 +70,18 @@
     def test_what_may_have_run(self):
         """A break after the last byte, and a 503 that does not say otherwise, end a one-shot for good."""
         lines = []
-        for path, how, *end in (("/pay", "lose", ev.BROKE, True), ("/pay", "lose", ev.BROKE, False),
-                                ("/pay", "reply", 400), ("/look", "reply", 429), ("/pay", "reply", 429),
-                                ("/pay", "reply", 503), ("/pay", "reply", 504, "X-Never-Ran: 1\r\n"),
-                                ("/pay", "lose", ev.GARBLED, True), ("/look", "reply", 503),
-                                ("/hold", "lose", ev.BROKE, True)):
+        for path, how, *end in (
+            ("/pay", "lose", ev.BROKE, True),
+            ("/pay", "lose", ev.BROKE, False),
+            ("/pay", "reply", 400),
+            ("/look", "reply", 429),
+            ("/pay", "reply", 429),
+            ("/pay", "reply", 503),
+            ("/pay", "reply", 504, "X-Never-Ran: 1\r\n"),
+            ("/pay", "lose", ev.GARBLED, True),
+            ("/look", "reply", 503),
+            ("/hold", "lose", ev.BROKE, True),
+        ):
             desk = Desk(["b0", "b1"])
             desk.ask("c0", path)
             desk.up()
@@ -98,12 +105,16 @@
         for waited in (50, 130):
             desk.now += 2000
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {waited}\r\n\r\n"
-            desk.tell(ev.ASKED, desk.clients["c0"], message(head.encode()), came=desk.now - waited * 10)
+            desk.tell(
+                ev.ASKED, desk.clients["c0"], message(head.encode()), came=desk.now - waited * 10
+            )
             if waited == 50:
                 desk.up()
                 desk.now += 1000
                 answer = b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n"
-                desk.tell(ev.REPLIED, desk.links[0], message(answer, http.Answers), came=desk.now - 800)
+                desk.tell(
+                    ev.REPLIED, desk.links[0], message(answer, http.Answers), came=desk.now - 800
+                )
                 desk.taken("c0")
         typical = desk.reducer.node.table[0].typical
         desk.say(f"typical {typical / 10:.0f} of 100 at first")
@@ -117,8 +128,13 @@
             desk.open(f"c{n}")
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {n}\r\n\r\n"
             desk.say(f"idle {idle} ms ago, waited {waited} ms")
-            desk.tell(ev.ASKED, desk.clients[f"c{n}"], message(head.encode()),
-                      came=desk.now - waited * 10, idle=desk.now - idle * 10)
+            desk.tell(
+                ev.ASKED,
+                desk.clients[f"c{n}"],
+                message(head.encode()),
+                came=desk.now - waited * 10,
+                idle=desk.now - idle * 10,
+            )
         desk.after(1001)
         self.check("node_pressed", [line for line in desk.lines if "link" not in line])
 
@@ -161,7 +177,6 @@
         desk.after(998)
         self.check("node_fault", desk.lines)
 
-
     def test_a_link_that_is_free_before_another_is_up(self):
         """Tied to the one it opened, a trip waited for a handshake beside an idle link."""
         desk = Desk(["b0"])
@@ -177,7 +192,9 @@
         desk.up(2)
         desk.reply(link=0)
         desk.after(10)
-        desk.say(f"{[link.state for link in desk.links]}, {desk.reducer.backends['b0'].coming_up} coming up")
+        desk.say(
+            f"{[link.state for link in desk.links]}, {desk.reducer.backends['b0'].coming_up} coming up"
+        )
         self.check("node_free_first", desk.lines)
 
     def test_a_link_rests_before_its_next_trip(self):
@@ -198,7 +215,9 @@
         desk.taken("c0")
         desk.hear(["b0", "b1"], 5)
         desk.ask("c0", "/health/ready", "GET")
-        desk.say("changes older than what is known, then half a message: the whole list is asked for")
+        desk.say(
+            "changes older than what is known, then half a message: the whole list is asked for"
+        )
         desk.hear([entry("b1", "DELETED")], 4, whole=False)
         desk.tell(ev.HEARD, {"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]})
         desk.tell(ev.HEARD, [])
@@ -247,7 +266,6 @@
         desk.after(210)
         self.check("node_probe_silent", desk.lines)
 
-
     def test_an_answer_that_nobody_asked_for(self):
         desk = Desk(["b0"])
         desk.ask("c0")
@@ -289,7 +307,6 @@
             desk.after(100)
         self.assertLess(len(desk.reducer.due), 40)
 
-
     def test_a_new_configuration(self):
         """Discovery elsewhere: nothing is forgotten until its whole list is there, whatever its version."""
         desk = Desk(["b0", "b1"])
@@ -301,8 +318,7 @@
         desk.hear(["b0"], 0)
         self.check("node_configured", desk.lines)
 
-
-    @mock.patch("pierglade.choice.FIRST_PROBES", 0)      # as after the start
+    @mock.patch("pierglade.choice.FIRST_PROBES", 0)  # as after the start
     def test_new_settings_while_trips_are_out(self):
         """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
         desk = Desk(["b0", "b1"])
@@ -334,7 +350,13 @@
         self.check("node_settings", desk.lines)
 
     def test_reports_and_hints_are_heeded_where_a_decision_rests_on_them(self):
-        desk = Desk(["b0", "b1"], tenants=Tenants(), nodes=70, reports=r.WITH_ANSWERS, gauges=("pace", "busy"))
+        desk = Desk(
+            ["b0", "b1"],
+            tenants=Tenants(),
+            nodes=70,
+            reports=r.WITH_ANSWERS,
+            gauges=("pace", "busy"),
+        )
         desk.ask("c0", headers="X-Props: item=a,hintUs=12000\r\n")
         desk.say(f"hint {desk.clients['c0'].invocation.hint}")
         desk.up()
@@ -348,16 +370,26 @@
         desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
         self.check("node_reports", desk.lines)
 
-    @mock.patch("pierglade.choice.FIRST_PROBES", 0)      # as after the start
+    @mock.patch("pierglade.choice.FIRST_PROBES", 0)  # as after the start
     def test_one_probe_to_twenty_trips_brings_the_report(self):
-        desk = Desk(["b0", "b1"], tenants=Tenants(), nodes=70, reports=r.WITH_PROBES, gauges=("pace", "queue"))
+        desk = Desk(
+            ["b0", "b1"],
+            tenants=Tenants(),
+            nodes=70,
+            reports=r.WITH_PROBES,
+            gauges=("pace", "queue"),
+        )
         for n in range(21):
             desk.lines = []
             desk.ask("c0")
             trip = next(iter(desk.reducer.carried))
             link = desk.reducer.carried[trip]
             desk.tell(ev.UP, link)
-            desk.tell(ev.REPLIED, link, message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", http.Answers))
+            desk.tell(
+                ev.REPLIED,
+                link,
+                message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", http.Answers),
+            )
             desk.taken("c0")
             desk.after(10)
             if any(link.probing for link in desk.links):
@@ -396,19 +428,35 @@
         desk = Desk(["b0"])
         lines = []
         host, trace = "Host: h\r\n", "X-Trace-Id: t\r\n"
-        for n, (first, headers) in enumerate((
-                ("GET /look", host), ("GET /look", trace),
+        for n, (first, headers) in enumerate(
+            (
+                ("GET /look", host),
+                ("GET /look", trace),
                 ("GET /look", host + trace + "X-Expires-In-Ms: soon\r\n"),
-                ("GET /elsewhere", host + trace), ("GET /", host + trace), ("OPTIONS *", host + trace),
-                ("POST /look", host + trace), ("GET /pay", host + trace), ("POST /hold", host + trace),
-                ("POST /pay", host + trace + "Idempotency-Key: k\r\n"), ("POST /health/live", host),
-                ("POST /pay", host + trace + trace), ("POST /pay", host + host + trace),
+                ("GET /elsewhere", host + trace),
+                ("GET /", host + trace),
+                ("OPTIONS *", host + trace),
+                ("POST /look", host + trace),
+                ("GET /pay", host + trace),
+                ("POST /hold", host + trace),
+                ("POST /pay", host + trace + "Idempotency-Key: k\r\n"),
+                ("POST /health/live", host),
+                ("POST /pay", host + trace + trace),
+                ("POST /pay", host + host + trace),
                 ("GET /look", host + trace + "X-Expires-In-Ms: -5\r\n"),
                 ("GET /look", host + "X-Trace-Id: " + "t" * 300 + "\r\n"),
-                ("HEAD /health/ready", host), ("GET /health/live", host), ("HEAD /pay", host + trace))):
+                ("HEAD /health/ready", host),
+                ("GET /health/live", host),
+                ("HEAD /pay", host + trace),
+            )
+        ):
             desk.open(f"c{n}")
             desk.lines = []
-            desk.tell(ev.ASKED, desk.clients[f"c{n}"], message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode()))
+            desk.tell(
+                ev.ASKED,
+                desk.clients[f"c{n}"],
+                message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode()),
+            )
             lines += [f"{first} with {headers.split()[::2]}", *desk.lines]
         self.check("node_bad_requests", lines)
 
@@ -468,7 +516,9 @@
         desk = Desk(["b0"], sockets=ev.SPARE + 16)
         for n in range(7):
             desk.open(f"c{n}")
-            desk.tell(ev.ASKED, desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
+            desk.tell(
+                ev.ASKED, desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+            )
             desk.taken(f"c{n}")
             desk.after(150)
         desk.say("c1 has something unread, which the node was late to see: it is served and stays")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,9 +29,13 @@
 from tests.test_cli import started
 
 ROOT = pathlib.Path(__file__).parents[1]
-TINY = {"nodes": {"count": 5, "loaded": 1, "idle": 0, "full": 1, "processes": 1},
-        "backends": {"count": 10, "services": 2, "answer_ms": 1.0}, "tenants": {"count": 5},
-        "load": {"rate": 20.0}, "scene": [{"what": "list", "seconds": 60, "multiple": 1000.0}]}
+TINY = {
+    "nodes": {"count": 5, "loaded": 1, "idle": 0, "full": 1, "processes": 1},
+    "backends": {"count": 10, "services": 2, "answer_ms": 1.0},
+    "tenants": {"count": 5},
+    "load": {"rate": 20.0},
+    "scene": [{"what": "list", "seconds": 60, "multiple": 1000.0}],
+}
 
 
 def tiny(**changed):
@@ -42,8 +46,11 @@
     def test_the_shape_with_the_least_error(self):
         xs = 850, 1700, 3400, 6800
         wobble = 1.02, 0.97, 1.03, 0.98
-        for shape, grows, exponent in (("constant", lambda x: 40.0, 0), ("linear", lambda x: 5 + 0.3 * x, 1),
-                                       ("square", lambda x: 3 + 4e-5 * x * x, 2)):
+        for shape, grows, exponent in (
+            ("constant", lambda x: 40.0, 0),
+            ("linear", lambda x: 5 + 0.3 * x, 1),
+            ("square", lambda x: 3 + 4e-5 * x * x, 2),
+        ):
             with self.subTest(shape):
                 one = fit([(x, grows(x) * part) for x, part in zip(xs, wobble)])
                 self.assertEqual(one.shape, shape)
@@ -64,13 +71,19 @@
     def test_none_over_0_and_too_few(self):
         one = fit([(1, 0.0), (2, 0.0), (4, 0.0)])
         self.assertEqual((one.shape, one.base, one.error), ("constant", 0, 0))
-        self.assertNotEqual(one.exponent, one.exponent)     # nan
+        self.assertNotEqual(one.exponent, one.exponent)  # nan
         with self.assertRaises(ValueError):
             fit([(1, 2.0), (2, 4.0)])
 
     def test_a_figure_that_a_point_lacks_is_left_out(self):
-        runs = [{"axis": "nodes", "x": x, "measures": {"grows": 2.0 * x, "lacks": None if x == 4 else 1.0}}
-                for x in (1, 2, 4)]
+        runs = [
+            {
+                "axis": "nodes",
+                "x": x,
+                "measures": {"grows": 2.0 * x, "lacks": None if x == 4 else 1.0},
+            }
+            for x in (1, 2, 4)
+        ]
         self.assertEqual([(one["what"], one["shape"]) for one in fits(runs)], [("grows", "linear")])
 
 
@@ -86,21 +99,32 @@
             "unknown key": tiny(nods={}),
             "too many processes": tiny(nodes={"count": 720, "full": 190}),
             "over the plan's own": tiny(limits={"processes": 5}),
-            "720 with the whole list": tiny(nodes={"count": 720, "full": 150}, backends={"count": 6800},
-                                            tenants={"count": 47000}),
+            "720 with the whole list": tiny(
+                nodes={"count": 720, "full": 150},
+                backends={"count": 6800},
+                tenants={"count": 47000},
+            ),
             "no axes": tiny(),
             "axes that are too large": tiny(axes={"nodes": [20, 700], "tenants": [100, 900000000]}),
         }
         lines = []
-        with tempfile.TemporaryDirectory() as folder, \
-                mock.patch.object(plans.psutil, "virtual_memory", lambda: memory), \
-                mock.patch.object(play, "Children", side_effect=AssertionError("something was started")):
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            mock.patch.object(plans.psutil, "virtual_memory", lambda: memory),
+            mock.patch.object(
+                play, "Children", side_effect=AssertionError("something was started")
+            ),
+        ):
             for name, raw in cases.items():
                 path = os.path.join(folder, "plan.json")
                 with open(path, "w") as file:
                     json.dump(raw, file)
-                told = CliRunner().invoke(main, ["scale", path, *(["--axes"] if "axes" in name else [])])
-                lines.append(f"{name}: {told.exit_code} {told.output.strip().replace(path, 'PLAN')}")
+                told = CliRunner().invoke(
+                    main, ["scale", path, *(["--axes"] if "axes" in name else [])]
+                )
+                lines.append(
+                    f"{name}: {told.exit_code} {told.output.strip().replace(path, 'PLAN')}"
+                )
             told = CliRunner().invoke(main, ["scale", os.path.join(folder, "none.toml")])
             lines.append(f"no file: {told.exit_code} {told.output.strip().replace(folder, 'DIR')}")
         self.check("scale_plans", lines)
@@ -113,7 +137,9 @@
     def test_the_target_is_the_letter_s(self):
         plan = plans.read(str(ROOT / "experiments" / "scale" / "target.toml"))
         names = plans.names(plan)
-        self.assertEqual((plan.nodes.count, len(set(names)), plan.tenants.count), (720, 6800, 47000))
+        self.assertEqual(
+            (plan.nodes.count, len(set(names)), plan.tenants.count), (720, 6800, 47000)
+        )
         self.assertEqual(len({name.rpartition("-")[0] for name in names}), 210)
         self.assertEqual(len({plans.address(number, 1) for number in range(6800)}), 6800)
         self.assertEqual(sum(count for _, count, _ in plan.groups().values()), 720 - 3)
@@ -124,7 +150,9 @@
     def test_an_axis_moves_alone(self):
         plan = plans.made(tiny(axes={"backends": [32, 6800]}))
         point = plans.at_axis(plan, "backends", 0.25)
-        self.assertEqual((point.nodes.count, point.backends.count, point.tenants.count), (20, 1700, 100))
+        self.assertEqual(
+            (point.nodes.count, point.backends.count, point.tenants.count), (20, 1700, 100)
+        )
         self.assertEqual(plan.backends.count, 10)
 
 
@@ -159,37 +187,58 @@
     def test_when_a_version_was_in_force(self):
         at = time.monotonic()
         self.told(3, a="DRAINING")
-        self.assertLess(self.node.delay(2, at), 1.0)     # what came with a later version counts as well
+        self.assertLess(
+            self.node.delay(2, at), 1.0
+        )  # what came with a later version counts as well
         self.assertIsNone(self.node.delay(4, at))
         self.node.down()
         now = time.monotonic()
-        self.assertIs(self.node.delay(4, now), False)    # nobody waits for a node that is down
+        self.assertIs(self.node.delay(4, now), False)  # nobody waits for a node that is down
 
 
 class Figures(unittest.TestCase):
     def test_first_half_and_last_and_who_never_had_it(self):
         told = figures.in_force([[5.0, 1.0, 2.0, -1], [9.0, 3.0, 4.0, 8.0]])
-        self.assertEqual(told, {"changes": 2, "never": 1, "nodes": 4, "first_ms": 3.0, "half_ms": 4.0,
-                                "p99_ms": 9.0, "last_ms": 9.0})
+        self.assertEqual(
+            told,
+            {
+                "changes": 2,
+                "never": 1,
+                "nodes": 4,
+                "first_ms": 3.0,
+                "half_ms": 4.0,
+                "p99_ms": 9.0,
+                "last_ms": 9.0,
+            },
+        )
         self.assertEqual(figures.in_force([[-1, -1]]), {"changes": 1, "never": 2})
 
     def test_a_cut_log_line_is_taken_for_the_version(self):
         lines = [{"at": 1.0, "index": 4}, {"at": 2.0, "cut": 5000}, {"at": 3.0, "index": 9}]
-        told = [figures.since(at, lines, index) for at, index in ((0.5, 4), (1.5, 9), (2.5, 9), (3.5, 9))]
+        told = [
+            figures.since(at, lines, index)
+            for at, index in ((0.5, 4), (1.5, 9), (2.5, 9), (3.5, 9))
+        ]
         self.assertEqual(told, [500.0, 500.0, 500.0, -1])
 
     def test_what_a_real_node_tells_of_its_list(self):
         """It leaves out what its settings of now never sent to: a draining one, not one that serves."""
         names, changed = ["a", "b", "c"], {"b": ["DRAINING", 0], "c": ["SERVING", 5]}
-        for states, wrong in (("ready draining ready", 0), ("ready - ready", 0), ("ready draining -", 1),
-                              ("ready ready gone", 2)):
+        for states, wrong in (
+            ("ready draining ready", 0),
+            ("ready - ready", 0),
+            ("ready draining -", 1),
+            ("ready ready gone", 2),
+        ):
             rows = {name: state for name, state in zip(names, states.split()) if state != "-"}
             self.assertEqual(figures.wrong_rows(rows, names, changed), wrong, states)
 
     def test_answers_count_from_the_planned_moment(self):
-        rows = [{"event": "sent", "id": "x", "t_ms": 100.0, "late_ms": 4.0},
-                {"event": "answer", "id": "x", "t_ms": 120.0, "status": 200},
-                {"event": "answer", "id": "x", "t_ms": 900.0, "status": 200, "unasked": True}]
+        rows = [
+            {"event": "sent", "id": "x", "t_ms": 100.0, "late_ms": 4.0},
+            {"event": "answer", "id": "x", "t_ms": 120.0, "status": 200},
+            {"event": "answer", "id": "x", "t_ms": 900.0, "status": 200, "unasked": True},
+        ]
         answers = figures.Answers(rows)
         self.assertEqual(answers.within(90.0, 100.0).tolist(), [24.0])
         self.assertEqual(answers.within(100.0, 200.0).tolist(), [])
@@ -203,7 +252,9 @@
         one.look()
         self.assertEqual(one.take(), {"a": 30.0, "b": 40.0})
         some.append(("c", 3))
-        with self.assertRaisesRegex(guard.Over, "the run took 120 MB, 100 are allowed; it was ended"):
+        with self.assertRaisesRegex(
+            guard.Over, "the run took 120 MB, 100 are allowed; it was ended"
+        ):
             one.look()
         taken[3] = 1.0
         with self.assertRaisesRegex(guard.Over, "the run had 3 processes, 2 are allowed"):
@@ -217,12 +268,15 @@
 
     def test_what_a_process_used_and_waited_for(self):
         """In a process of its own: threads of other tests end meanwhile, and what they used goes with them."""
-        script = ("import os, time; from pierglade.scale import guard; before = guard.cpu_s(os.getpid())\n"
-                  "until = time.process_time() + 0.05\n"
-                  "while time.process_time() < until: pass\n"
-                  "print(*(now - then for now, then in zip(guard.cpu_s(os.getpid()), before)))")
-        told = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT,
-                              check=True)
+        script = (
+            "import os, time; from pierglade.scale import guard; before = guard.cpu_s(os.getpid())\n"
+            "until = time.process_time() + 0.05\n"
+            "while time.process_time() < until: pass\n"
+            "print(*(now - then for now, then in zip(guard.cpu_s(os.getpid()), before)))"
+        )
+        told = subprocess.run(
+            [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT, check=True
+        )
         used, waited = map(float, told.stdout.split())
         self.assertGreater(used, 0.02)
         self.assertGreaterEqual(waited, 0.0)
@@ -280,8 +334,10 @@
             left = self.left(mark)
             files = len(os.listdir(os.path.join(folder, "tmp"))) if how != "SIGKILL" else "-"
         said = errors.strip().replace(str(port), "PORT")
-        return [f"{how}: exit {run.returncode}, left {left}, files left {files}",
-                *(f"    {_plain(line)}" for line in said.splitlines())]
+        return [
+            f"{how}: exit {run.returncode}, left {left}, files left {files}",
+            *(f"    {_plain(line)}" for line in said.splitlines()),
+        ]
 
     def lighter(self, folder):
         """A folder whose sitecustomize makes the estimate too low."""
@@ -302,7 +358,10 @@
         while time.monotonic() < until:
             for child in psutil.Process(run.pid).children():
                 try:
-                    if word in " ".join(child.cmdline()) and len(child.net_connections()) >= connections:
+                    if (
+                        word in " ".join(child.cmdline())
+                        and len(child.net_connections()) >= connections
+                    ):
                         return child
                 except psutil.NoSuchProcess:
                     continue
@@ -310,15 +369,26 @@
         self.fail(f"no {word} came up")
 
     def test_each_way_that_it_ends(self):
-        hows = ("discovery's port is in use", "the backends' port is in use", "a hollow process dies",
-                "it takes more than it may", "SIGTERM", "SIGKILL")
+        hows = (
+            "discovery's port is in use",
+            "the backends' port is in use",
+            "a hollow process dies",
+            "it takes more than it may",
+            "SIGTERM",
+            "SIGKILL",
+        )
         with ThreadPoolExecutor(len(hows)) as beside:
-            self.check("scale_ends", [line for lines in beside.map(self.played, hows) for line in lines])
+            self.check(
+                "scale_ends", [line for lines in beside.map(self.played, hows) for line in lines]
+            )
 
 
 def _has(process, mark):
     try:
-        return process.environ().get("PIERGLADE_TEST") == mark and process.status() != psutil.STATUS_ZOMBIE
+        return (
+            process.environ().get("PIERGLADE_TEST") == mark
+            and process.status() != psutil.STATUS_ZOMBIE
+        )
     except psutil.Error:
         return False
 
@@ -326,5 +396,7 @@
 def _plain(line):
     """Without the figure of what was taken, which differs from run to run."""
     words = line.split()
-    return " ".join("N" if word.replace(",", "").isdigit() and words[k + 1:k + 2] == ["MB,"] else word
-                    for k, word in enumerate(words))
+    return " ".join(
+        "N" if word.replace(",", "").isdigit() and words[k + 1 : k + 2] == ["MB,"] else word
+        for k, word in enumerate(words)
+    )
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -14,10 +14,14 @@
 from pierglade.lab.plan import Unreadable
 from tests.scene import TraceTest
 
-BASE = {"kind": [{"cores": 2}], "place": [{"count": 2}],
-        "offering": [{"name": "look", "work_ms": 1, "spread": "fixed"},
-                     {"name": "hold", "work_ms": 1, "spread": "fixed", "repeats": "stamped",
-                      "window_ms": 5000}]}
+BASE = {
+    "kind": [{"cores": 2}],
+    "place": [{"count": 2}],
+    "offering": [
+        {"name": "look", "work_ms": 1, "spread": "fixed"},
+        {"name": "hold", "work_ms": 1, "spread": "fixed", "repeats": "stamped", "window_ms": 5000},
+    ],
+}
 
 
 class HandLoop:
@@ -49,8 +53,17 @@
         link.request(method, path, headers=dict(headers))
         answer = link.getresponse()
         body = answer.read()
-        return " ".join([str(answer.status), *(f"{name}={value}" for name, value in answer.getheaders()
-                                               if name.startswith(("X-N", "Endp"))), f"{len(body)} bytes"])
+        return " ".join(
+            [
+                str(answer.status),
+                *(
+                    f"{name}={value}"
+                    for name, value in answer.getheaders()
+                    if name.startswith(("X-N", "Endp"))
+                ),
+                f"{len(body)} bytes",
+            ]
+        )
     except (OSError, http.client.HTTPException) as fault:
         return type(fault).__name__
     finally:
@@ -77,16 +90,20 @@
             return {"at_s": at_s, "what": what, **more}
 
         for more in (
-                dict(befall=[befall(5, "hang", for_s=4), befall(7, "slow", backends=["b1"])]),
-                dict(befall=[befall(5, "crash"), befall(9, "drain")]),
-                dict(befall=[befall(5, "restart"), befall(5, "hang")]),
-                dict(befall=[befall(5, "hang", backends=["b0"]), befall(3, "hang", backends=["b1"])]),
-                dict(befall=[befall(12, "hang")], seconds=10),
-                dict(befall=[befall(1, "hang", backends=["b9"])]),
-                dict(befall=[befall(1, "silent", zone="a")]), dict(befall=[befall(1, "restart", for_s=2)]),
-                dict(befall=[befall(1, "explode")]), dict(place=[{"kind": "big"}]),
-                dict(place=[{"port": 9000, "count": 2}, {"port": 9001}]), dict(surprise=1),
-                dict(befall=[befall(1, "hang", for_s=2, zone="b")])):
+            dict(befall=[befall(5, "hang", for_s=4), befall(7, "slow", backends=["b1"])]),
+            dict(befall=[befall(5, "crash"), befall(9, "drain")]),
+            dict(befall=[befall(5, "restart"), befall(5, "hang")]),
+            dict(befall=[befall(5, "hang", backends=["b0"]), befall(3, "hang", backends=["b1"])]),
+            dict(befall=[befall(12, "hang")], seconds=10),
+            dict(befall=[befall(1, "hang", backends=["b9"])]),
+            dict(befall=[befall(1, "silent", zone="a")]),
+            dict(befall=[befall(1, "restart", for_s=2)]),
+            dict(befall=[befall(1, "explode")]),
+            dict(place=[{"kind": "big"}]),
+            dict(place=[{"port": 9000, "count": 2}, {"port": 9001}]),
+            dict(surprise=1),
+            dict(befall=[befall(1, "hang", for_s=2, zone="b")]),
+        ):
             try:
                 made(**more)
                 lines.append(f"{more}: good")
@@ -98,6 +115,7 @@
 class Befalls(TraceTest):
     def test_each_and_its_end(self):
         """What a node would meet of each, and the same once it is over."""
+
         def scene(what):
             def seen(fleet):
                 stand = fleet.stands["b0"]
@@ -107,7 +125,8 @@
                 if what == "drain":
                     lines[-1] += f", listed {fleet.agent.entries['b0']['status']}"
                 fleet.clock.loop.call_soon_threadsafe(
-                    fleet.script._strike, fleet.plan.befall[0], False) if what in plans.LASTING else None
+                    fleet.script._strike, fleet.plan.befall[0], False
+                ) if what in plans.LASTING else None
                 if what in plans.LASTING:
                     fleet.struck.wait(5)
                 told = {"drain": {"b1"}, "replace": {"b0r1", "b1"}}.get(what, {"b0", "b1"})
@@ -115,14 +134,20 @@
                 while time.monotonic() < until and set(fleet.agent.entries) != told:
                     time.sleep(0.001)
                 names, cold = sorted(fleet.agent.entries), stand.model.started is not None
-                return lines + [f"    over: {ask(stand.address)}, named {stand.name}, "
-                                f"cold since its start {cold}, listed {' '.join(names)}"]
+                return lines + [
+                    f"    over: {ask(stand.address)}, named {stand.name}, "
+                    f"cold since its start {cold}, listed {' '.join(names)}"
+                ]
+
             return seen
 
         lines = []
         for what in (*(what for what in plans.BEFALLS if what != "pause"),):
-            plan = made(befall=[{"at_s": 0, "what": what, "backends": ["b0"], "times": 50}],
-                        kind=[{"cores": 2, "cold_from": 0.9, "cold_for_s": 60}], discovery={"notice_s": 0})
+            plan = made(
+                befall=[{"at_s": 0, "what": what, "backends": ["b0"], "times": 50}],
+                kind=[{"cores": 2, "cold_from": 0.9, "cold_for_s": 60}],
+                discovery={"notice_s": 0},
+            )
             got, _ = asyncio.run(played(plan, scene(what)))
             lines += got
         self.check("standin_befalls", lines)
@@ -131,10 +156,13 @@
         def scene(fleet):
             one, other = (fleet.stands[name].address for name in ("b0", "b1"))
             stamp = {"X-Trace-Id": "t1", "Idempotency-Key": "k"}
-            lines = [f"stamped at b0: {ask(one, '/hold/1', stamp.items(), 'POST')}",
-                     f"again at b1: {ask(other, '/hold/1', stamp.items(), 'POST')}",
-                     f"no id: {ask(one, headers=())}", f"no such offering: {ask(one, '/x')}",
-                     f"probe: {ask(one, '/stats')}"]
+            lines = [
+                f"stamped at b0: {ask(one, '/hold/1', stamp.items(), 'POST')}",
+                f"again at b1: {ask(other, '/hold/1', stamp.items(), 'POST')}",
+                f"no id: {ask(one, headers=())}",
+                f"no such offering: {ask(one, '/x')}",
+                f"probe: {ask(one, '/stats')}",
+            ]
             held = http.client.HTTPConnection(*one.split(":"))
             held.connect()
             while not fleet.stands["b0"].connections:
@@ -155,10 +183,16 @@
         with tempfile.TemporaryDirectory() as folder:
             small = str(pathlib.Path(folder) / "ledger.jsonl")
             for path, most in (("/dev/full", 1.0), (small, 0.0002)):
-                _, summary = asyncio.run(played(made(ledger={"path": path, "most_mb": most}), lambda fleet: [
-                    ask(fleet.stands["b0"].address) for _ in range(4)]))
+                _, summary = asyncio.run(
+                    played(
+                        made(ledger={"path": path, "most_mb": most}),
+                        lambda fleet: [ask(fleet.stands["b0"].address) for _ in range(4)],
+                    )
+                )
                 told = summary["ledger"]
-                lines.append(f"{told['hole']}: missing {told['missing'] > 0}, ran {summary['counts']['ran']}")
+                lines.append(
+                    f"{told['hole']}: missing {told['missing'] > 0}, ran {summary['counts']['ran']}"
+                )
             rows = [json.loads(line) for line in pathlib.Path(small).read_text().splitlines()]
             lines.append(f"last line {rows[-1]['event']}: {rows[-1]['why']}")
         self.check("standin_ledger", lines)
@@ -187,4 +221,5 @@
                 return str(fault).replace(str(port), "PORT")
             finally:
                 await first.stop()
+
         self.check("standin_taken", [asyncio.run(both())])
--- a/tests/test_terms_of_acceptance.py
+++ b/tests/test_terms_of_acceptance.py
@@ -24,13 +24,13 @@
 from tests.test_crossings import OFFERINGS, House, leave, request, until
 from tests.test_net import CHUNKED, SETTINGS, Peer, answer
 
-TOLD_IN = 6.0       # s; from when discovery had a change and could be reached
-READY_IN = 10.0     # s; a process that was started anew
-TENANTS, BACKENDS = 47000, 6800     # the target
-IN_LINE = 1.5       # s; for which a call waits its turn where lists are asked for
-CALLS = 6           # in trouble; backoffs are at their longest by then
-GIVEN_UP = 60.0     # s after the return
-LATER = 1e9         # s; it does not come
+TOLD_IN = 6.0  # s; from when discovery had a change and could be reached
+READY_IN = 10.0  # s; a process that was started anew
+TENANTS, BACKENDS = 47000, 6800  # the target
+IN_LINE = 1.5  # s; for which a call waits its turn where lists are asked for
+CALLS = 6  # in trouble; backoffs are at their longest by then
+GIVEN_UP = 60.0  # s after the return
+LATER = 1e9  # s; it does not come
 
 
 class Told(BaseException):
@@ -65,13 +65,13 @@
     "its version is refused, 410": (0.001, [(0, answer(410))]),
     "an answer that cannot be read": (0.001, [(0, b"nonsense\r\n\r\n")]),
 }
-LISTS = {       # what is beside these met by a call for the whole list
+LISTS = {  # what is beside these met by a call for the whole list
     "half an answer, then silence": (0.001, [(0, answer(200, whole(7))[:60])]),
     "half an answer late, then silence": (0.001, [(3.0, answer(200, whole(7))[:60])]),
     "half an answer, then the end": (0.001, [(0, answer(200, whole(7))[:60]), (0.1, None)]),
     "a list that is none": (0.001, [(0, answer(200, b"[]"))]),
 }
-WATCHES = {     # and by one for a watch
+WATCHES = {  # and by one for a watch
     "up, then silence": (0.001, [(0, CHUNKED)]),
     "half a line, then silence": (0.001, [(0, CHUNKED + chunk(line(7)[:20]))]),
     "heartbeats, then silence": (0.001, [(0, CHUNKED)] + [HEARTBEAT] * 2),
@@ -91,11 +91,12 @@
     def __init__(self, asked, index, faults, reached, seed):
         self.now, self.faults, self.reached = 0.0, faults, reached
         self.line = IN_LINE if asked else 0.001
-        self.begun = 0          # calls
-        self.heard = []         # when each call began, and when its last piece came
+        self.begun = 0  # calls
+        self.heard = []  # when each call began, and when its last piece came
         self.desk = Desk(("b0", "b1"), asks_list=asked)
-        self.desk.reducer.node.pick = mock.Mock(side_effect=lambda most: most - 1 if seed is None else
-                                                seed * most // 4)
+        self.desk.reducer.node.pick = mock.Mock(
+            side_effect=lambda most: most - 1 if seed is None else seed * most // 4
+        )
         self.desk.reducer.index = 7
         self.start = self.desk.now
         self.watch = discovery.Discovery("127.0.0.1:1", self, index)
@@ -106,9 +107,11 @@
     def run(self):
         """When the change was told, or the calls were enough."""
         place = mock.Mock(socket=lambda: Connection(self))
-        with (mock.patch.object(discovery, "monotonic", lambda: self.now),
-              mock.patch.object(discovery, "socket", place),
-              mock.patch.object(discovery.gevent, "sleep", self.sleep)):
+        with (
+            mock.patch.object(discovery, "monotonic", lambda: self.now),
+            mock.patch.object(discovery, "socket", place),
+            mock.patch.object(discovery.gevent, "sleep", self.sleep),
+        ):
             try:
                 self.watch.run()
             except Told:
@@ -184,7 +187,7 @@
             takes, pieces = calls.faults[calls.watch.index is not None]
             self.pieces = list(pieces)
             if HEARTBEAT not in pieces:
-                calls.heard.append(calls.now)   # else it still tells what there is
+                calls.heard.append(calls.now)  # else it still tells what there is
             if not takes:
                 raise ConnectionRefusedError(111, "Connection refused")
         self.wait(takes)
@@ -209,7 +212,7 @@
             return 0
         if not self.pieces:
             self.calls.heard.append(self.calls.now)
-        room[:len(data)] = data
+        room[: len(data)] = data
         return len(data)
 
 
@@ -232,7 +235,7 @@
     def worst(self, asked, index, faults):
         """The longest time from the worst moments for discovery to come back, with long and short draws."""
         worst = 0
-        for seed in (None, 0, 2):       # the longest draws, the shortest, those in the middle
+        for seed in (None, 0, 2):  # the longest draws, the shortest, those in the middle
             trouble = Calls(asked, index, faults, LATER, seed)
             trouble.run()
             for begun in trouble.heard:
@@ -252,14 +255,18 @@
             for index, name, faults in kinds:
                 took = self.worst(asked, index, faults)
                 if took > TOLD_IN:
-                    late.append(f"{'asked' if asked else 'pushed'}, {'list' if index is None else 'watch'}: "
-                                f"{name}: {took:.2f} s")
+                    late.append(
+                        f"{'asked' if asked else 'pushed'}, {'list' if index is None else 'watch'}: "
+                        f"{name}: {took:.2f} s"
+                    )
         self.assertEqual(late, [])
 
     def test_all_are_told_by_a_discovery_that_serves_three_calls_a_second(self):
         """Lost to forty nodes at once, and back. It answers in turn, and refuses who has waited for 2 s."""
         begin = now = 10000 * MS
-        nodes = [Node(f"seed {n}", terms(number=n, nodes=40, asks_list=True), now) for n in range(40)]
+        nodes = [
+            Node(f"seed {n}", terms(number=n, nodes=40, asks_list=True), now) for n in range(40)
+        ]
         for node in nodes:
             node.decide(now)
             node.unlisted(now, 0)
@@ -278,7 +285,9 @@
                 told[line.pop(0)[1]] = now - begin
                 free = now + 3333
         last = max(told.values()) // MS / 1000
-        self.assertEqual((len(told), last <= 20, calls <= 120), (40, True, True), f"{last} s, {calls} calls")
+        self.assertEqual(
+            (len(told), last <= 20, calls <= 120), (40, True, True), f"{last} s, {calls} calls"
+        )
 
 
 class Gone(unittest.TestCase):
@@ -290,9 +299,12 @@
 
     def setUp(self):
         self.raised = []
-        for patch in (mock.patch.object(type(gevent.get_hub()), "handle_error",
-                                        lambda hub, *what: self.raised.append(what)),
-                      mock.patch.object(state_clients, "SLOW_READER", 10 ** 9)):
+        for patch in (
+            mock.patch.object(
+                type(gevent.get_hub()), "handle_error", lambda hub, *what: self.raised.append(what)
+            ),
+            mock.patch.object(state_clients, "SLOW_READER", 10**9),
+        ):
             patch.start()
             self.addCleanup(patch.stop)
 
@@ -348,8 +360,12 @@
 
     def test_no_attempt_begins(self):
         sent_on = []
-        for place in (self.further_connecting, self.further_connecting_at_once, self.further_apart,
-                      self.kept_while_busy):
+        for place in (
+            self.further_connecting,
+            self.further_connecting_at_once,
+            self.further_apart,
+            self.kept_while_busy,
+        ):
             for offering, cancel in (("look", True), ("pay", False)):
                 for how in ("close", "half", "reset"):
                     house = House(2, cancel)
@@ -382,8 +398,11 @@
                 until(lambda reducer=reducer: len(reducer.clients[ev.OWED]) == 60)
                 until(lambda house=house: not house.connecting())
                 until(lambda house=house: len(house.seen()) == len(house.host.reducer.carried))
-                waiting = {client.id.decode() for client in reducer.clients[ev.OWED]
-                           if not client.invocation.trips}
+                waiting = {
+                    client.id.decode()
+                    for client in reducer.clients[ev.OWED]
+                    if not client.invocation.trips
+                }
                 self.assertGreater(len(waiting), 10)
                 for number in waiting:
                     leave(socks[int(number)], how)
@@ -406,16 +425,26 @@
     def __init__(self, folder, told, descriptors=None):
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.management = free.getsockname()
-        told = {"name": "n1", "listen": "127.0.0.1:0", "seed": "8c",
-                "management": "%s:%d" % self.management, **told}
+        told = {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "seed": "8c",
+            "management": "%s:%d" % self.management,
+            **told,
+        }
         path = os.path.join(folder, "config.json")
         with open(path, "w") as file:
             json.dump(told, file)
-        limit = descriptors and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors,) * 2))
+        limit = descriptors and (
+            lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors,) * 2)
+        )
         self.log, started = [], threading.Event()
-        self.process = subprocess.Popen([sys.executable, "-m", "pierglade"], stdout=subprocess.PIPE,
-                                        env={**os.environ, "BALANCER_CONFIG": path, "TMPDIR": folder},
-                                        preexec_fn=limit)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "pierglade"],
+            stdout=subprocess.PIPE,
+            env={**os.environ, "BALANCER_CONFIG": path, "TMPDIR": folder},
+            preexec_fn=limit,
+        )
         threading.Thread(target=self.read, args=(started,), daemon=True).start()
         started.wait(20)
         host, _, port = self.log[0]["listen"].rpartition(":")
@@ -477,9 +506,14 @@
         desk.lines = []
         desk.ask("c3")
         told = [line.split()[1:] for line in desk.lines]
-        self.assertEqual([line for line in told if line[0] in ("let", "connect", "answer")],
-                         [["let", "go", "c0", "yielded"], ["let", "go", "c1", "yielded"],
-                          ["connect", "link", "0", "b0"]])
+        self.assertEqual(
+            [line for line in told if line[0] in ("let", "connect", "answer")],
+            [
+                ["let", "go", "c0", "yielded"],
+                ["let", "go", "c1", "yielded"],
+                ["connect", "link", "0", "b0"],
+            ],
+        )
 
     def idle(self, node, number, stop):
         """A client that is let go comes again; every second one has asked once."""
@@ -504,37 +538,61 @@
                 if b"held" in message.url:
                     release.wait(20)
                 return answer(200, name)
+
             return reply
 
         peers = {name: Peer(serve(name.encode())) for name in ("b0", "b1")}
         entries = {name: entry(name, address=peer.address) for name, peer in peers.items()}
-        moved = json.dumps({"index": 2, "snapshot": False, "endpoints": [
-            {**entries["b0"], "status": "DELETED"}, entries["b1"]]}).encode() + b"\n"
+        moved = (
+            json.dumps(
+                {
+                    "index": 2,
+                    "snapshot": False,
+                    "endpoints": [{**entries["b0"], "status": "DELETED"}, entries["b1"]],
+                }
+            ).encode()
+            + b"\n"
+        )
 
         def agent(message):
             if back.is_set():
                 return CHUNKED + chunk(moved)
-            stop.wait(0.1)      # silent, then closed
+            stop.wait(0.1)  # silent, then closed
 
-        settings = {**SETTINGS, "offerings": OFFERINGS, "limits": {"mostTrips": 3, "mayCancel": False}}
+        settings = {
+            **SETTINGS,
+            "offerings": OFFERINGS,
+            "limits": {"mostTrips": 3, "mayCancel": False},
+        }
         with tempfile.TemporaryDirectory() as folder:
-            node = Process(folder, {
-                "discovery": Peer(agent).address, "limits": {"sockets": 64}, "settings": settings,
-                "known": {"index": 1, "snapshot": True, "endpoints": [entries["b0"]]}}, descriptors=64)
+            node = Process(
+                folder,
+                {
+                    "discovery": Peer(agent).address,
+                    "limits": {"sockets": 64},
+                    "settings": settings,
+                    "known": {"index": 1, "snapshot": True, "endpoints": [entries["b0"]]},
+                },
+                descriptors=64,
+            )
             try:
                 held = [socket.create_connection(node.place, 20) for _ in range(4)]
                 for n, sock in enumerate(held):
                     sock.sendall(request("pay", f"held{n}"))
                 await_that(lambda: sum("held" in url for url in peers["b0"].seen) == 4)
-                idle = [threading.Thread(target=self.idle, args=(node, n, stop), daemon=True)
-                        for n in range(80)]
+                idle = [
+                    threading.Thread(target=self.idle, args=(node, n, stop), daemon=True)
+                    for n in range(80)
+                ]
                 for thread in idle:
                     thread.start()
                 await_that(lambda: node.events("crowded"))
                 self.assertEqual([node.call(b"/status")[0] for _ in range(5)], [200] * 5)
                 # Its own connection may be shut unread, as an idle one; then it is asked once more.
                 for n in range(10):
-                    await_that(lambda n=n: node.ask(f"before{n}-{time.monotonic_ns()}") == (200, b"b0"))
+                    await_that(
+                        lambda n=n: node.ask(f"before{n}-{time.monotonic_ns()}") == (200, b"b0")
+                    )
                 back.set()
                 await_that(lambda: any(line["index"] == 2 for line in node.events("list")))
                 await_that(lambda: node.ask(f"after-{time.monotonic_ns()}") == (200, b"b1"))
@@ -558,23 +616,36 @@
 class Restarted(unittest.TestCase):
     def test_a_process_is_ready_in_time_with_the_tenants_and_the_list_of_the_target(self):
         """Known from its file, and told once more of all as the watch opens, indented, one of them new."""
-        entries = [entry(f"b{n}", address=f"127.{n >> 8}.{n & 255}.1:8081", since_ms=1796184000000 + n)
-                   for n in range(BACKENDS)]
+        entries = [
+            entry(f"b{n}", address=f"127.{n >> 8}.{n & 255}.1:8081", since_ms=1796184000000 + n)
+            for n in range(BACKENDS)
+        ]
         known = {"index": 1, "snapshot": True, "endpoints": entries[:-1]}
-        told = json.dumps({"index": 2, "snapshot": True, "endpoints": entries}, indent=2).encode() + b"\n"
+        told = (
+            json.dumps({"index": 2, "snapshot": True, "endpoints": entries}, indent=2).encode()
+            + b"\n"
+        )
         tenants = [{"name": f"tenant-{n}", "quotaPerS": 3} for n in range(TENANTS)]
         agent = Peer(lambda message: CHUNKED + chunk(told))
         with tempfile.TemporaryDirectory() as folder:
             begun = time.monotonic()
-            node = Process(folder, {"discovery": agent.address, "known": known,
-                                    "settings": {**SETTINGS, "customers": tenants}})
+            node = Process(
+                folder,
+                {
+                    "discovery": agent.address,
+                    "known": known,
+                    "settings": {**SETTINGS, "customers": tenants},
+                },
+            )
             try:
                 ready = b"GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
                 await_that(lambda: node.send(ready)[:12] == b"HTTP/1.1 200")
                 took = time.monotonic() - begun
                 await_that(lambda: any(line["index"] == 2 for line in node.events("list")))
                 rows = json.loads(node.call(b"/backends")[1])["backends"]
-                self.assertEqual((len(rows), len({row["name"] for row in rows})), (BACKENDS, BACKENDS))
+                self.assertEqual(
+                    (len(rows), len({row["name"] for row in rows})), (BACKENDS, BACKENDS)
+                )
                 self.assertEqual(node.events("fault", "list refused"), [])
                 self.assertLess(took, READY_IN)
             finally:
--- a/tests/test_untrue.py
+++ b/tests/test_untrue.py
@@ -41,48 +41,75 @@
                     ends[outcome] += 1
                     if report:
                         self.node.reported(self.now, backend, report(backend))
-                    self.node.returned(self.now, trip, outcome, self.now - trip.sent, outcome == r.SETTLED)
+                    self.node.returned(
+                        self.now, trip, outcome, self.now - trip.sent, outcome == r.SETTLED
+                    )
                     self.pull()
         probed = Counter(line.split()[-1] for line in self.lines if " probe " in line)
         ended = sum(" bounce " in line or " give up " in line for line in self.lines)
         self.lines = lines
         counts = sent, trials, probed, ends
         sent, trials, probed, ends = (dict(sorted((+count).items())) for count in counts)
-        self.say(f"{what}: sent {sent}, trials {trials}, probes {probed}; ends {ends}; refused {ended}, "
-                 f"one-shots sent again {resent}")
+        self.say(
+            f"{what}: sent {sent}, trials {trials}, probes {probed}; ends {ends}; refused {ended}, "
+            f"one-shots sent again {resent}"
+        )
 
 
 class Untrue(TraceTest):
     def test_reports_that_say_idle_while_answers_crawl_and_full_while_they_do_not(self):
         """Turns go by what answers take, whatever is told; the limit is not lifted by one that says idle."""
-        scene = Play([f"b{n}" for n in range(6)], tenants=Tenants(), nodes=2, reports=r.WITH_ANSWERS,
-                     may_probe=False)
+        scene = Play(
+            [f"b{n}" for n in range(6)],
+            tenants=Tenants(),
+            nodes=2,
+            reports=r.WITH_ANSWERS,
+            may_probe=False,
+        )
         told = {"b0": r.Load(pace=1.0, busy=0.02), "b1": r.Load(pace=8.0, busy=1.0)}
         honest = r.Load(pace=8.0, busy=0.6)
-        scene.drive("all tell the truth", 8, lambda b, at, n: (40, r.SETTLED), report=lambda b: honest)
-        scene.drive("b0 crawls and says idle, b1 says full and does not", 8, lambda b, at, n: (
-            250 if b == "b0" else 40, r.SETTLED), report=lambda b: told.get(b, honest))
+        scene.drive(
+            "all tell the truth", 8, lambda b, at, n: (40, r.SETTLED), report=lambda b: honest
+        )
+        scene.drive(
+            "b0 crawls and says idle, b1 says full and does not",
+            8,
+            lambda b, at, n: (250 if b == "b0" else 40, r.SETTLED),
+            report=lambda b: told.get(b, honest),
+        )
         self.check("untrue_reports", scene.lines)
 
     def test_fails_and_recovers_every_second(self):
         """Half of its time it is bad: trials find it well again, and few of what it gets is lost."""
         scene = Play([f"b{n}" for n in range(4)])
-        scene.drive("b2 answers with errors in every second second", 12, lambda b, at, n: (
-            (5, r.ERROR) if b == "b2" and at // 1000 % 2 else (20, r.SETTLED)), mixed=True)
+        scene.drive(
+            "b2 answers with errors in every second second",
+            12,
+            lambda b, at, n: (5, r.ERROR) if b == "b2" and at // 1000 % 2 else (20, r.SETTLED),
+            mixed=True,
+        )
         self.check("untrue_flapping", scene.lines)
 
     def test_one_that_this_node_alone_cannot_reach(self):
         """Probes pass and trips get no answer: a probe admits a trial, of harmless work, later each time."""
         scene = Play([f"b{n}" for n in range(4)])
-        scene.drive("b3 swallows what this node sends", 12, lambda b, at, n: (
-            (990, r.TIMED_OUT) if b == "b3" else (20, r.SETTLED)), mixed=True)
+        scene.drive(
+            "b3 swallows what this node sends",
+            12,
+            lambda b, at, n: (990, r.TIMED_OUT) if b == "b3" else (20, r.SETTLED),
+            mixed=True,
+        )
         self.check("untrue_hole", scene.lines)
 
     def test_a_way_on_which_a_third_is_lost(self):
         """Two of four are behind it: they go on being used as far as they are well, and no one-shot twice."""
         scene = Play([listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(4)])
-        scene.drive("a third of what goes west is lost", 12, lambda b, at, n: (
-            (600, r.BROKEN) if b > "b1" and n % 3 == 2 else (20, r.SETTLED)), mixed=True)
+        scene.drive(
+            "a third of what goes west is lost",
+            12,
+            lambda b, at, n: (600, r.BROKEN) if b > "b1" and n % 3 == 2 else (20, r.SETTLED),
+            mixed=True,
+        )
         self.check("untrue_way", scene.lines)
 
 
@@ -95,8 +122,11 @@
             scene.drive(f"gone binds {binds}", 1, lambda b, at, n: (20, r.SETTLED))
             scene.list([listed("b1", r.GONE)])
             scene.drive("b1 is listed as gone and answers", 3, lambda b, at, n: (20, r.SETTLED))
-            scene.drive("b1 is down", 12, lambda b, at, n: (
-                (5, r.UNREACHABLE) if b == "b1" else (20, r.SETTLED)))
+            scene.drive(
+                "b1 is down",
+                12,
+                lambda b, at, n: (5, r.UNREACHABLE) if b == "b1" else (20, r.SETTLED),
+            )
             scene.say(f"b1 is {scene.node.state[scene.node.index['b1']]}")
             scene.list([listed("b0", r.DRAINING)])
             scene.list([listed("b0", r.GONE)])
@@ -110,7 +140,9 @@
         for binds in (True, False):
             desk = Desk(["b0"], gone_binds=binds)
             for status in ("DELETED", "DRAINING", "DELETED"):
-                desk.tell(ev.HEARD, {"index": 2, "snapshot": False, "endpoints": [entry("b0", status)]})
+                desk.tell(
+                    ev.HEARD, {"index": 2, "snapshot": False, "endpoints": [entry("b0", status)]}
+                )
                 desk.after(200)
                 backend = desk.reducer.backends["b0"]
                 left_alone = desk.reducer._binds(backend)
