--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -133,9 +133,9 @@
 
 
 def play(tenants, backends, nodes):
-    from pierglade import records as r
-    from pierglade import terms as t
-    from pierglade.choice import Node
+    from pierglade.balancer.balancer import Node
+    from pierglade.model import request as r
+    from pierglade.settings import platform as t
 
     found = {}
     document = document_of(tenants, nodes)
@@ -195,16 +195,16 @@
     import msgspec
 
     from pierglade.__main__ import GARBAGE, place_again, place_from
-    from pierglade.net.reducer import Reducer
-    from pierglade.net.state import events as ev
+    from pierglade.proxy.state import events as ev
+    from pierglade.proxy.state.machine import Reducer
 
     try:
         from pierglade.__main__ import steps_again
-        from pierglade.change import shares
+        from pierglade.reconfiguration import quota_changes as shares
     except ImportError:
         shares = None  # before changes by difference
     try:
-        from pierglade.change.reading import parsed
+        from pierglade.reconfiguration.document_reader import parsed
     except ImportError:
         parsed = None  # before lists were read in steps
     found = {}
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -27,9 +27,9 @@
     settings_of,
 )
 
-from pierglade import records as r  # noqa: E402
-from pierglade import terms as t
-from pierglade.choice import Node  # noqa: E402
+from pierglade.balancer.balancer import Node  # noqa: E402
+from pierglade.model import request as r
+from pierglade.settings import platform as t
 
 TENANTS = 100  # who shares the 170,000 requests/s is no matter here
 AFTER = 600000  # tenths of a ms; a minute after the zone went, it is back
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -30,9 +30,9 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade import records as r  # noqa: E402 - the checkout that this file stands in
-from pierglade.choice import COLD_MARGIN, Node  # noqa: E402
-from pierglade.tenants import Tenants  # noqa: E402
+from pierglade.balancer.balancer import COLD_MARGIN, Node  # noqa: E402
+from pierglade.model import request as r
+from pierglade.tenants.registry import Tenants  # noqa: E402
 
 SECOND = 10000  # tenths of a millisecond
 TOOK = 500
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -19,8 +19,9 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
 from pierglade.cli.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
-from pierglade.learned import files, form  # noqa: E402
 from pierglade.load import plan, run  # noqa: E402
+from pierglade.snapshot import schema as form
+from pierglade.snapshot import store as files
 
 NODES, RATE, RESTART_AT, AFTER, EXPECTED_MS = 2, 420, 20, 32, 120
 WINDOWS = (5, 10, 30)
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -11,8 +11,10 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.learned import ageing, files, form  # noqa: E402 - the checkout that this file stands in
-from tests.scene import Desk, entry  # noqa: E402
+from pierglade.snapshot import aging as ageing
+from pierglade.snapshot import schema as form
+from pierglade.snapshot import store as files
+from tests.support.scene import Desk, entry  # noqa: E402
 
 
 def middle(call, times=15):
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -22,8 +22,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.lab import plan, world  # noqa: E402 - the checkout that this file stands in
-from pierglade.lab.backend import Backend  # noqa: E402
+from pierglade.simulation import plan, world  # noqa: E402 - the checkout that this file stands in
+from pierglade.simulation.backend import Backend  # noqa: E402
 
 RATE, BACKENDS, ASKED = 810.0, 32, 950.0  # requests a second; the same that tenants may ask for
 EVERY = 127  # answers from one pause to the next where pauses come by work: 5 s of a backend's part
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -6,9 +6,9 @@
 import sys
 from dataclasses import dataclass
 
-from pierglade.change import reading
-from pierglade.records import Terms
-from pierglade.terms import Wrong, short_of, terms_from
+from pierglade.model.request import Terms
+from pierglade.reconfiguration import document_reader as reading
+from pierglade.settings.platform import Wrong, short_of, terms_from
 
 SOCKETS = 1024  # descriptors; where no limit is told
 MEMORY = 192  # MB; likewise
@@ -154,7 +154,7 @@
     try:
         place = first()
         # Imported late, so that a bad configuration is told with nothing else loaded.
-        from pierglade.net.host import Host
+        from pierglade.proxy.server import Host
 
         try:
             host = Host(place)
--- a/pierglade/choice.py
+++ b/pierglade/balancer/balancer.py
@@ -4,7 +4,7 @@
 Whatever comes in is told at once by `listed`, `taken`, `returned`, `streaming`, `abandoned` and `probed`;
 these only update what is known. The host then pulls `decide(now)` until it answers None, carries each
 decision out, and calls again no later than `wake(now)`. A decision is a pair of a kind and its subject.
-The types of this interface, and the kinds, are in `pierglade/records.py`; docs/design.md has the reasons.
+The types of this interface, and the kinds, are in `pierglade/model/request.py`; docs/design.md has the reasons.
 """
 
 import random
@@ -14,8 +14,8 @@
 from heapq import heappop, heappush
 from math import exp, log, sqrt
 
-from pierglade.limit.room import Room
-from pierglade.records import (
+from pierglade.concurrency.limiter import Room
+from pierglade.model.request import (
     ASK,
     BOUNCE,
     CALL_OFF,
@@ -38,7 +38,7 @@
     WITH_PROBES,
     Trip,
 )
-from pierglade.tenants import Middle
+from pierglade.tenants.registry import Middle
 
 # Constants. Times are tenths of a millisecond.
 WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = (
@@ -318,7 +318,7 @@
         }
 
     def remember(self, rows, backends):
-        """The part of it that is still taken for true (`pierglade/learned/`); the backends are listed."""
+        """The part of it that is still taken for true (`pierglade/snapshot/`); the backends are listed."""
         for row, told in zip(self.table, rows):
             vars(row).update(told)
         for name, told in backends.items():
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -67,8 +67,8 @@
     Ends with 4 where a rule was broken, with 3 where a ledger has a hole and none was seen broken.
     """
     from pierglade.audit import records, rules
-    from pierglade.fleet import plan as plans
-    from pierglade.lab.plan import Unreadable
+    from pierglade.simulation.plan import Unreadable
+    from pierglade.testbed import plan as plans
 
     try:
         plan = plans.read(plan_path)
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -282,7 +282,7 @@
         children.look()
     plain = children.start(
         "plain node",
-        "pierglade.fleet.plain",
+        "pierglade.testbed.plain",
         "--with-parent",
         "--discovery",
         fleets[1]["discovery"],
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -36,7 +36,7 @@
 
 def plan_of(file, seed):
     from pierglade.experiment import plan as plans
-    from pierglade.lab.plan import Unreadable
+    from pierglade.simulation.plan import Unreadable
 
     try:
         plan = plans.read(file)
@@ -177,7 +177,7 @@
     import msgspec
 
     from pierglade.experiment import cost
-    from pierglade.lab.plan import Unreadable
+    from pierglade.simulation.plan import Unreadable
 
     try:
         plan = cost.read(file)
--- a/pierglade/cli/fleet.py
+++ b/pierglade/cli/fleet.py
@@ -21,9 +21,9 @@
     where it was itself too late to be trusted, or the ledger has a hole.
     """
     from pierglade.cli.say import json_lines
-    from pierglade.fleet import plan as plans
-    from pierglade.fleet import run
-    from pierglade.lab.plan import Unreadable
+    from pierglade.simulation.plan import Unreadable
+    from pierglade.testbed import plan as plans
+    from pierglade.testbed import run
 
     try:
         plan = plans.read(file)
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -16,7 +16,7 @@
 
 
 def _found(folder):
-    from pierglade.learned import files
+    from pierglade.snapshot import store as files
 
     try:
         return list(files.found(folder))
@@ -39,7 +39,8 @@
     """FILE as JSON; ends with 1 and one line where it can't be used."""
     import msgspec
 
-    from pierglade.learned import files, form
+    from pierglade.snapshot import schema as form
+    from pierglade.snapshot import store as files
 
     try:
         snapshot = files.load(file)
@@ -78,7 +79,7 @@
 )
 def prune(folder, older_than_h):
     """Removes what can't be used or is too old; nothing of a node that runs."""
-    from pierglade.learned import files
+    from pierglade.snapshot import store as files
 
     for name, told in _found(folder):
         node = name.partition(files.SUFFIX)[0]
--- a/pierglade/cli/load.py
+++ b/pierglade/cli/load.py
@@ -30,8 +30,8 @@
 def _moments(rate, seconds, spacing, shapes, trace, speed, seed):
     import msgspec
 
-    from pierglade.lab.plan import Unreadable
     from pierglade.load import plan
+    from pierglade.simulation.plan import Unreadable
 
     try:
         if trace:
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -24,10 +24,10 @@
     import msgspec
 
     from pierglade.cli.children import Stopped
-    from pierglade.lab.plan import Unreadable
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
     from pierglade.scale.guard import Over
+    from pierglade.simulation.plan import Unreadable
 
     began = time.monotonic()
 
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -66,7 +66,7 @@
 
 def _caps(told):
     """The caps of the operator's file, None where it states none."""
-    from pierglade.admission.gate import Caps
+    from pierglade.admission.connection_admission import Caps
 
     if not (told.per_address or told.per_prefix or told.rate_per_address or told.reserve):
         return None
--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -6,7 +6,7 @@
 
 import sys
 
-from pierglade.net.log import Log
+from pierglade.proxy.logging import Log
 
 LEVELS = ("debug", "info", "warning", "error")
 COLOURS = {"debug": "\033[2m", "info": "", "warning": "\033[33m", "error": "\033[31m"}
--- a/pierglade/experiment/compare.py
+++ b/pierglade/experiment/compare.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from pierglade.experiment import play as plays
-from pierglade.fleet.plain import POLICIES  # noqa: F401 - whose broken rules are no fault of ours
+from pierglade.testbed.plain import POLICIES  # noqa: F401 - whose broken rules are no fault of ours
 
 # What is set side by side: its name, how it is found in a summary, and whether more of it is better.
 FIGURES = (
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -10,7 +10,7 @@
 
 from pierglade.experiment import plan as plans
 from pierglade.experiment import play as plays
-from pierglade.lab.plan import Count, Positive, Share, Struct, Unreadable, tables
+from pierglade.simulation.plan import Count, Positive, Share, Struct, Unreadable, tables
 
 HARD = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
 TOO_FAR = 16  # doublings of the first rate after which the search ends
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -9,7 +9,7 @@
 
 from pierglade.config import structs
 from pierglade.config.platform import to_platform
-from pierglade.fleet.plain import POLICIES
+from pierglade.testbed.plain import POLICIES
 
 OURS = "pierglade"
 HERE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
@@ -127,7 +127,7 @@
     if build.plain:
         words = [
             "-m",
-            "pierglade.fleet.plain",
+            "pierglade.testbed.plain",
             "--policy",
             build.label,
             "--seed",
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -12,9 +12,17 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.fleet import plan as fleets
-from pierglade.lab.plan import Count, NotNegative, Positive, Share, Struct, Unreadable, tables
 from pierglade.load.plan import Recorded, Shape, moments
+from pierglade.simulation.plan import (
+    Count,
+    NotNegative,
+    Positive,
+    Share,
+    Struct,
+    Unreadable,
+    tables,
+)
+from pierglade.testbed import plan as fleets
 
 BASES = 4  # how many files may stand on one another
 
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -11,7 +11,7 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.lab.plan import Positive, Struct, Unreadable
+from pierglade.simulation.plan import Positive, Struct, Unreadable
 
 MOST = 20_000_000  # requests of a plan; their moments alone are 160 MB
 WAVE = 32  # points that a wave's rate is drawn with in each of its turns
--- a/pierglade/records.py
+++ b/pierglade/model/request.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from pierglade.tenants import Tenants
+    from pierglade.tenants.registry import Tenants
 
 # What a repeat of an offering's invocation may do.
 HARMLESS, STAMPED, ONE_SHOT = "harmless", "stamped", "one-shot"
@@ -82,7 +82,7 @@
     """The settings as received, in our words."""
 
     offerings: list
-    tenants: "Tenants"  # of pierglade/tenants.py
+    tenants: "Tenants"  # of pierglade/tenants/registry.py
     number: int  # the node's own, among so many
     nodes: int
     most_trips: int
--- a/pierglade/net/line.py
+++ b/pierglade/proxy/admission_queue.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from pierglade.admission.fair import Fair
+from pierglade.admission.fair_queue import Fair
 
 # 25 ms in tenths of a ms; that a turn spends on clients before the others wait. Shorter turns are dearer: with
 # 10 ms, 64 clients that ask at once cost a sixth more an answer.
--- a/pierglade/net/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -7,11 +7,11 @@
 from gevent import socket
 from gevent.event import Event
 
-from pierglade.change import reading
-from pierglade.net import sending
-from pierglade.net.clock import PER_SECOND, in_steps
-from pierglade.net.http import Answers, Malformed, request_head
-from pierglade.net.state import events
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.event_loop import PER_SECOND, in_steps
+from pierglade.proxy.http.message import Answers, Malformed, request_head
+from pierglade.proxy.state import events
+from pierglade.reconfiguration import document_reader as reading
 
 LIST_PATH = b"/registry/instances"
 ANSWER_IN = (
--- a/pierglade/net/clients.py
+++ b/pierglade/proxy/downstream.py
@@ -6,10 +6,10 @@
 from gevent import socket
 from gevent.event import Event
 
-from pierglade.net import sending
-from pierglade.net.flow import GATHER_MOST, GATHER_PART, WINDOW, WINDOW_COST, Flow
-from pierglade.net.http import GO_ON, Malformed, Requests
-from pierglade.net.state import events
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.http.body_stream import GATHER_MOST, GATHER_PART, WINDOW, WINDOW_COST, Flow
+from pierglade.proxy.http.message import GO_ON, Malformed, Requests
+from pierglade.proxy.state import events
 
 BACKLOG = 4096  # connections; whatever the kernel's queue holds counts as taken
 ACCEPTS = 64  # connections taken in a turn, where descriptors are not short
--- a/pierglade/net/management.py
+++ b/pierglade/proxy/management.py
@@ -5,9 +5,9 @@
 import gevent
 from gevent import socket
 
-from pierglade.net import sending
-from pierglade.net.http import Malformed, Requests, answer_head
-from pierglade.net.state import events
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.http.message import Malformed, Requests, answer_head
+from pierglade.proxy.state import events
 
 CALLS = 8  # connections at once; each holds a descriptor, and staff call one by one
 QUEUE = 64  # connections that the kernel holds until then
--- a/pierglade/net/host.py
+++ b/pierglade/proxy/server.py
@@ -9,19 +9,19 @@
 import gevent
 from gevent.event import Event
 
-from pierglade.admission.gate import Caps, Gate
-from pierglade.change import shares
-from pierglade.net.backends import LinkSocket
-from pierglade.net.clients import ClientSocket, Door
-from pierglade.net.clock import Clock, Timer, Turns, in_steps
-from pierglade.net.discovery import Discovery
-from pierglade.net.flow import Space
-from pierglade.net.handover import AGAIN, Tenure
-from pierglade.net.line import Line
-from pierglade.net.log import Log
-from pierglade.net.management import CALLS, Management
-from pierglade.net.reducer import Reducer
-from pierglade.net.state import events as ev
+from pierglade.admission.connection_admission import Caps, Gate
+from pierglade.proxy.admission_queue import Line
+from pierglade.proxy.discovery import Discovery
+from pierglade.proxy.downstream import ClientSocket, Door
+from pierglade.proxy.event_loop import Clock, Timer, Turns, in_steps
+from pierglade.proxy.http.body_stream import Space
+from pierglade.proxy.logging import Log
+from pierglade.proxy.management import CALLS, Management
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.machine import Reducer
+from pierglade.proxy.takeover import AGAIN, Tenure
+from pierglade.proxy.upstream import LinkSocket
+from pierglade.reconfiguration import quota_changes as shares
 
 AFTER_FAULT = (
     500  # tenths of a ms; what is due is looked after this much later if nobody can say when
@@ -72,7 +72,7 @@
         self.learning = None
         if place.keeping is not None:
             # loads what a node without a folder need not
-            from pierglade.net.learning import Keeping, Learning
+            from pierglade.proxy.snapshot_writer import Keeping, Learning
 
             self.learning = Learning(self, Keeping(*place.keeping), place.name)
         self.reducer.known(self.learning.list_or(place.known) if self.learning else place.known)
--- a/pierglade/net/learning.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -6,8 +6,9 @@
 
 import gevent
 
-from pierglade.learned import ageing, form
-from pierglade.learned.files import Folder
+from pierglade.snapshot import aging as ageing
+from pierglade.snapshot import schema as form
+from pierglade.snapshot.store import Folder
 
 JITTER = 0.2  # share of the period, by chance: nodes that start together must not write together
 GAPS = 16  # times the period; the longest gap between tries where nothing can be written
--- a/pierglade/net/state/clients.py
+++ b/pierglade/proxy/state/downstream.py
@@ -1,8 +1,8 @@
 """The clients' part of a node's state: who is open, what each is owed, and who yields when room is short."""
 
-from pierglade import records as r
-from pierglade.net import http
-from pierglade.net.state.events import (
+from pierglade.model import request as r
+from pierglade.proxy.http import message as http
+from pierglade.proxy.state.events import (
     ANSWER,
     END_CLIENT,
     ENDED,
@@ -20,7 +20,7 @@
     WRITING,
     Client,
 )
-from pierglade.terms import down
+from pierglade.settings.platform import down
 
 # Constants. Times are tenths of a millisecond.
 FIRST_ASK = 20000  # 2 s; from connecting to a request's first byte
--- a/pierglade/net/state/listing.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 from sys import intern
 
-from pierglade import records as r
-from pierglade.change.shares import fits_in_place
-from pierglade.learned.takeover import take_over
-from pierglade.net.state.events import ASK, MOVE, OPEN_DOOR, OWED, RELIST, Backend
+from pierglade.model import request as r
+from pierglade.proxy.state.events import ASK, MOVE, OPEN_DOOR, OWED, RELIST, Backend
+from pierglade.reconfiguration.quota_changes import fits_in_place
+from pierglade.snapshot.handover import take_over
 
 # Constants. Times are tenths of a millisecond.
 FIRST_WORD = 3000  # 0.3 s; with the list it was started with, a node waits so long for a newer one
--- a/pierglade/net/state/stopping.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -2,8 +2,8 @@
 
 import orjson
 
-from pierglade import records as r
-from pierglade.net.state.events import (
+from pierglade.model import request as r
+from pierglade.proxy.state.events import (
     ACTIVE_CALL,
     ADMISSION_CALL,
     BACKENDS_CALL,
--- a/pierglade/net/reducer.py
+++ b/pierglade/proxy/state/machine.py
@@ -11,11 +11,12 @@
 from dataclasses import replace
 from heapq import heappop, heappush
 
-from pierglade import records as r
-from pierglade.admission.press import Press
-from pierglade.choice import Node
-from pierglade.net.state.clients import Clients
-from pierglade.net.state.events import (
+from pierglade.admission.load_shedder import Press
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.proxy.state.downstream import Clients
+from pierglade.proxy.state.endpoints import Listing
+from pierglade.proxy.state.events import (
     ALONE,
     ANSWERED,
     ASKED,
@@ -53,10 +54,9 @@
     WOKE,
     WRITING,
 )
-from pierglade.net.state.links import Links
-from pierglade.net.state.listing import Listing
-from pierglade.net.state.memory import Memory
-from pierglade.net.state.stopping import Stopping
+from pierglade.proxy.state.lifecycle import Stopping
+from pierglade.proxy.state.snapshot import Memory
+from pierglade.proxy.state.upstream import Links
 
 # Constants. Times are tenths of a millisecond.
 FORGET = 2  # times the longest hard limit; then nothing out can concern a gone backend
--- a/pierglade/net/state/memory.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -1,8 +1,8 @@
 """What a node's state gives to keep over a restart, and takes back: plain figures, for
-`pierglade/learned/`."""
+`pierglade/snapshot/`."""
 
-from pierglade import records as r
-from pierglade.learned.ageing import aged
+from pierglade.model import request as r
+from pierglade.snapshot.aging import aged
 
 STATUSES = {r.READY: "SERVING", r.DRAINING: "DRAINING"}
 
--- a/pierglade/net/state/links.py
+++ b/pierglade/proxy/state/upstream.py
@@ -1,8 +1,8 @@
 """The backends' part of a node's state: decisions carried out on links, and what comes back on them."""
 
-from pierglade import records as r
-from pierglade.net import http
-from pierglade.net.state.events import (
+from pierglade.model import request as r
+from pierglade.proxy.http import message as http
+from pierglade.proxy.state.events import (
     ASK,
     BUSY,
     CONNECT,
@@ -22,7 +22,7 @@
     WRITE,
     Link,
 )
-from pierglade.terms import load_told
+from pierglade.settings.platform import load_told
 
 # Constants. Times are tenths of a millisecond.
 REST = 100  # 10 ms; second answers came up to 4 ms late, and must not answer the next trip
--- a/pierglade/net/backends.py
+++ b/pierglade/proxy/upstream.py
@@ -4,10 +4,10 @@
 from gevent import socket
 from gevent.event import Event
 
-from pierglade.net import sending
-from pierglade.net.flow import Flow
-from pierglade.net.http import Answers, Malformed
-from pierglade.net.state import events
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.http.body_stream import Flow
+from pierglade.proxy.http.message import Answers, Malformed
+from pierglade.proxy.state import events
 
 
 class LinkSocket:
--- a/pierglade/change/reading.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from pierglade.terms import Wrong, shares_from
+from pierglade.settings.platform import Wrong, shares_from
 
 # Constants.
 WHOLE = 1 << 16  # bytes that are parsed at once
--- a/pierglade/change/shares.py
+++ b/pierglade/reconfiguration/quota_changes.py
@@ -1,6 +1,6 @@
 """What later shares say otherwise than those in force."""
 
-from pierglade.tenants import Difference
+from pierglade.tenants.registry import Difference
 
 # Constants.
 AT_ONCE = 1000  # names in one step, under half a ms
--- a/pierglade/scale/discovery.py
+++ b/pierglade/scale/discovery.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from pierglade.audit.ledger import Ledger
-from pierglade.fleet.discovery import Agent
 from pierglade.scale import child
 from pierglade.scale.plan import Plan, entries
+from pierglade.testbed.discovery import Agent
 
 LEDGER_MB = 256.0
 
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -1,6 +1,6 @@
 """`python -m pierglade.scale.hollow SPEC`: hollow nodes, many or one to a process.
 
-A hollow node has its own real watch on a socket (`pierglade.net.discovery`) and reads each message itself. A
+A hollow node has its own real watch on a socket (`pierglade.proxy.discovery`) and reads each message itself. A
 full one holds the list and the settings in a real reducer over the real decisions, as a node does that nobody
 asks. One that only watches accounts what it was told: the version, and where the list is not as at the start.
 SPEC is a JSON file: `plan`, `discovery`, `port_of_backends`, `first`, `count`, `full`, `config`.
@@ -15,13 +15,13 @@
 import msgspec
 from gevent.fileobject import FileObjectPosix
 
-from pierglade import records as r
 from pierglade.__main__ import GARBAGE, Unusable, place_from, steps_again
-from pierglade.change import shares
-from pierglade.net.clock import Clock, Timer, in_steps
-from pierglade.net.discovery import Discovery
-from pierglade.net.reducer import Reducer
-from pierglade.net.state import events as ev
+from pierglade.model import request as r
+from pierglade.proxy.discovery import Discovery
+from pierglade.proxy.event_loop import Clock, Timer, in_steps
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.machine import Reducer
+from pierglade.reconfiguration import quota_changes as shares
 from pierglade.scale import child
 from pierglade.scale.plan import Plan, names
 
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -9,7 +9,15 @@
 import psutil
 from msgspec import Meta
 
-from pierglade.lab.plan import Count, NotNegative, Positive, Share, Struct, Unreadable, tables
+from pierglade.simulation.plan import (
+    Count,
+    NotNegative,
+    Positive,
+    Share,
+    Struct,
+    Unreadable,
+    tables,
+)
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Some = Annotated[int, Meta(ge=0)]
--- a/pierglade/scale/report.py
+++ b/pierglade/scale/report.py
@@ -8,7 +8,7 @@
 
 def axes(plan, path, play, say):
     """Plays each axis at each share; {"runs": [...], "fits": [...]}."""
-    from pierglade.lab.plan import Unreadable
+    from pierglade.simulation.plan import Unreadable
 
     if plan.axes is None:
         raise Unreadable(f"{path}: $.axes: there is none")
--- a/pierglade/terms.py
+++ b/pierglade/settings/platform.py
@@ -4,8 +4,8 @@
 that must have passed round up, so no limit is ever seen later than it is.
 """
 
-from pierglade import records as r
-from pierglade.tenants import Tenants
+from pierglade.model import request as r
+from pierglade.tenants.registry import Tenants
 
 # What reports hold, as settings name it and as backends on sockets may.
 GAUGES = {
--- a/pierglade/lab/__main__.py
+++ b/pierglade/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""Plays a plan in virtual time: `python -m pierglade.lab PLAN.toml`."""
+"""Plays a plan in virtual time: `python -m pierglade.simulation PLAN.toml`."""
 
 import os
 import sys
@@ -6,12 +6,12 @@
 import click
 import msgspec
 
-from pierglade.lab import plan as plans
-from pierglade.lab import runs, world
+from pierglade.simulation import plan as plans
+from pierglade.simulation import runs, world
 
 
 @click.command(
-    epilog="Example: python -m pierglade.lab experiments/limit/cold.toml --policy node --all"
+    epilog="Example: python -m pierglade.simulation experiments/limit/cold.toml --policy node --all"
 )
 @click.argument("path", metavar="PLAN.toml")
 @click.option(
--- a/pierglade/lab/backend.py
+++ b/pierglade/simulation/backend.py
@@ -7,7 +7,7 @@
 from collections import deque
 from math import sqrt
 
-from pierglade import records as r
+from pierglade.model import request as r
 
 LOOK = 1000.0  # 100 ms; how often overdrive and cold starts are judged, a tenth of what they span
 KEPT_LOOKS = 50  # looks; covers five seconds, more than any span that is judged
--- a/pierglade/lab/clients.py
+++ b/pierglade/simulation/clients.py
@@ -2,8 +2,8 @@
 
 import random
 
-from pierglade import records as r
-from pierglade.lab.clock import MS, SECOND
+from pierglade.model import request as r
+from pierglade.simulation.clock import MS, SECOND
 
 
 class Ask:
--- a/pierglade/lab/runs.py
+++ b/pierglade/simulation/runs.py
@@ -2,7 +2,7 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from pierglade.lab import world
+from pierglade.simulation import world
 
 COLUMNS = (
     ("share", "share"),
--- a/pierglade/lab/seats.py
+++ b/pierglade/simulation/seats.py
@@ -9,7 +9,7 @@
 from collections import deque
 from heapq import heappop, heappush
 
-from pierglade import records as r
+from pierglade.model import request as r
 
 
 class NodeSeat:
--- a/pierglade/lab/tally.py
+++ b/pierglade/simulation/tally.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from pierglade import records as r
+from pierglade.model import request as r
 
 BIN = 1000.0  # 100 ms, in tenths of a millisecond
 RECENT = (
--- a/pierglade/lab/world.py
+++ b/pierglade/simulation/world.py
@@ -4,14 +4,14 @@
 
 import numpy as np
 
-from pierglade import records as r
-from pierglade.lab import seats
-from pierglade.lab.backend import Backend, Job
-from pierglade.lab.clients import Ask, Clients
-from pierglade.lab.clock import MS, SECOND, Clock
-from pierglade.lab.tally import BIN, Tally
-from pierglade.lab.work import Picks, Sizes
-from pierglade.tenants import Tenants
+from pierglade.model import request as r
+from pierglade.simulation import seats
+from pierglade.simulation.backend import Backend, Job
+from pierglade.simulation.clients import Ask, Clients
+from pierglade.simulation.clock import MS, SECOND, Clock
+from pierglade.simulation.tally import BIN, Tally
+from pierglade.simulation.work import Picks, Sizes
+from pierglade.tenants.registry import Tenants
 
 FIXED = (2, 4, 16)  # trips a backend of the fixed baselines
 BASELINES = {
@@ -36,7 +36,7 @@
         if policy not in POLICIES:
             raise ValueError(f"no such policy: {policy}")
         if node is None:
-            from pierglade.choice import Node as node
+            from pierglade.balancer.balancer import Node as node
         self.plan, self.clock = plan, Clock()
         self.tally = Tally(plan, self.clock)
         self.broken = {}
--- a/pierglade/benchlink/__main__.py
+++ b/pierglade/simulator_adapter/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m pierglade.benchlink`: nodes on standard input and output until the input ends."""
+"""`python -m pierglade.simulator_adapter`: nodes on standard input and output until the input ends."""
 
 import sys
 
-from pierglade.benchlink.link import Link, Malformed
+from pierglade.simulator_adapter.connection import Link, Malformed
 
 
 def main():
@@ -11,7 +11,7 @@
         for line in sys.stdin.buffer:
             link.read(line)
     except Malformed as fault:
-        print(f"pierglade.benchlink: {fault}", file=sys.stderr)
+        print(f"pierglade.simulator_adapter: {fault}", file=sys.stderr)
         return 2
     return 0
 
--- a/pierglade/benchlink/link.py
+++ b/pierglade/simulator_adapter/connection.py
@@ -1,14 +1,14 @@
 """Reads the wire's messages into calls on the decisions, and writes the decisions as messages.
 
 The wire counts microseconds; the decisions count whole tenths of a millisecond, rounded as in
-`pierglade/terms.py`.
+`pierglade/settings/platform.py`.
 """
 
 import orjson
 
-from pierglade import records as r
-from pierglade.choice import Node
-from pierglade.terms import down, load_from, terms_from
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.settings.platform import down, load_from, terms_from
 
 OUTCOMES = {
     "success": r.SETTLED,
--- a/pierglade/learned/ageing.py
+++ b/pierglade/snapshot/aging.py
@@ -88,7 +88,7 @@
 
 def _backend(told, weight, done):
     """The same of a backend; `done`: what it has likely settled for this node while that was away."""
-    from pierglade.choice import FIRST
+    from pierglade.balancer.balancer import FIRST
 
     kept = {key: _faded(told[key], FIRST[key], weight) for key in FADING if _number(told.get(key))}
     kept = {
@@ -114,7 +114,7 @@
 
 
 def _most_pauses():
-    from pierglade.choice import PAUSES_KEPT
+    from pierglade.balancer.balancer import PAUSES_KEPT
 
     return PAUSES_KEPT
 
--- a/pierglade/learned/takeover.py
+++ b/pierglade/snapshot/handover.py
@@ -17,8 +17,8 @@
 
 from collections import OrderedDict
 
-from pierglade.choice import COMES, FIRST
-from pierglade.records import GONE, Listed
+from pierglade.balancer.balancer import COMES, FIRST
+from pierglade.model.request import GONE, Listed
 
 PASTS = ("samples", "pauses")
 REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
--- a/pierglade/learned/files.py
+++ b/pierglade/snapshot/store.py
@@ -9,7 +9,7 @@
 import os
 import re
 
-from pierglade.learned import form
+from pierglade.snapshot import schema as form
 
 SUFFIX, BEFORE, PART, LOCK = ".learned", ".learned.1", ".learned.part", ".lock"
 NAME = re.compile(r"[A-Za-z0-9._-]{1,100}")
--- a/pierglade/tenants.py
+++ b/pierglade/tenants/registry.py
@@ -8,7 +8,7 @@
 from bisect import bisect_left, insort
 from dataclasses import replace
 
-from pierglade.records import Tenant
+from pierglade.model.request import Tenant
 
 # Constants. Times are tenths of a millisecond.
 LATELY = 150000  # 15 s; a tenant's rate and pace have faded 5 s after its last answer
--- a/pierglade/fleet/backend.py
+++ b/pierglade/testbed/backend.py
@@ -1,6 +1,6 @@
 """One stand-in backend: the protocol's side of a backend on a listening socket, over the model of one.
 
-The model (`pierglade.lab.backend.Backend`) says when an invocation's answer leaves and how it ended; here it
+The model (`pierglade.simulation.backend.Backend`) says when an invocation's answer leaves and how it ended; here it
 is read, answered and written down. Times are tenths of a millisecond, as in the model.
 """
 
@@ -10,9 +10,9 @@
 
 import httptools
 
-from pierglade import records as r
-from pierglade.lab.backend import Backend, Job
-from pierglade.lab.plan import Fleet
+from pierglade.model import request as r
+from pierglade.simulation.backend import Backend, Job
+from pierglade.simulation.plan import Fleet
 
 BACKLOG = 512  # connections that the kernel holds
 BODY_MOST = 1 << 26  # bytes of a request's body; more ends its connection
@@ -137,7 +137,7 @@
 
 
 class Stand:
-    """A stand-in backend. `fleet` is what holds all of them (`pierglade.fleet.run.StandIn`)."""
+    """A stand-in backend. `fleet` is what holds all of them (`pierglade.testbed.run.StandIn`)."""
 
     def __init__(self, fleet, name, place, port):
         self.fleet, self.clock, self.name, self.place = fleet, fleet.clock, name, place
--- a/pierglade/fleet/clock.py
+++ b/pierglade/testbed/clock.py
@@ -8,7 +8,7 @@
 
 
 class RealClock:
-    """What `pierglade.lab.clock.Clock` is to a play: `now`, `at` and `after`, in tenths of a millisecond.
+    """What `pierglade.simulation.clock.Clock` is to a play: `now`, `at` and `after`, in tenths of a millisecond.
 
     Times in calls are since the clock was made. A call that raises ends the loop's run with that fault.
     """
--- a/pierglade/fleet/plain.py
+++ b/pierglade/testbed/plain.py
@@ -236,8 +236,8 @@
 
 
 def main():
-    """`python -m pierglade.fleet.plain`: one plain node until SIGTERM."""
-    words = argparse.ArgumentParser(prog="pierglade.fleet.plain", description=main.__doc__)
+    """`python -m pierglade.testbed.plain`: one plain node until SIGTERM."""
+    words = argparse.ArgumentParser(prog="pierglade.testbed.plain", description=main.__doc__)
     words.add_argument("--listen", default="127.0.0.1:0")
     words.add_argument("--policy", choices=POLICIES, default="turns")
     words.add_argument("--fault", choices=FAULTS, default="none")
--- a/pierglade/fleet/plan.py
+++ b/pierglade/testbed/plan.py
@@ -1,7 +1,7 @@
 """A stand-in fleet's plan, read from TOML into typed structs: who is in it, and what befalls whom when.
 
 Times carry their unit in the name; shares are of 1. What can't be used is one line that names the place.
-The kinds of backend, overdrive and offerings are those of the model (`pierglade.lab.plan`).
+The kinds of backend, overdrive and offerings are those of the model (`pierglade.simulation.plan`).
 """
 
 from typing import Annotated, Literal
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from pierglade.lab.plan import (
+from pierglade.simulation.plan import (
     Kind,
     NotNegative,
     Offered,
--- a/pierglade/fleet/run.py
+++ b/pierglade/testbed/run.py
@@ -11,11 +11,11 @@
 import numpy as np
 
 from pierglade.audit.ledger import Ledger
-from pierglade.fleet.backend import Stand
-from pierglade.fleet.clock import RealClock
-from pierglade.fleet.discovery import Agent
-from pierglade.fleet.script import Script
-from pierglade.lab.work import Sizes
+from pierglade.simulation.work import Sizes
+from pierglade.testbed.backend import Stand
+from pierglade.testbed.clock import RealClock
+from pierglade.testbed.discovery import Agent
+from pierglade.testbed.script import Script
 
 FLUSH = 1000.0  # 100 ms in tenths of a millisecond; the ledger is written that often
 IDLE_LOOK = 10000.0  # 1 s; how often connections that rest are looked for
--- a/tests/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -12,10 +12,12 @@
 import time
 from collections import Counter
 
-from pierglade.admission import fair, gate, press
-from pierglade.net import http
-from tests.scene import Desk, TraceTest
-from tests.test_net import Peer, answer
+from pierglade.admission import connection_admission as gate
+from pierglade.admission import fair_queue as fair
+from pierglade.admission import load_shedder as press
+from pierglade.proxy.http import message as http
+from tests.proxy.test_sockets import Peer, answer
+from tests.support.scene import Desk, TraceTest
 
 S = 10000  # tenths of a ms in a second
 GET = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: f%d\r\n\r\n"
--- a/tests/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -12,11 +12,11 @@
 
 from pierglade.audit import records, rules
 from pierglade.cli.audit import terms_of
-from pierglade.fleet import plan as plans
-from pierglade.fleet import run as fleets
 from pierglade.load import plan as loads
 from pierglade.load import run
-from tests.scene import TraceTest
+from pierglade.testbed import plan as plans
+from pierglade.testbed import run as fleets
+from tests.support.scene import TraceTest
 
 BASE = {
     "kind": [{"cores": 8}],
@@ -100,7 +100,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "pierglade.fleet.plain",
+                    "pierglade.testbed.plain",
                     "--fault",
                     fault,
                     "--discovery",
--- a/tests/test_choice.py
+++ b/tests/balancer/test_balancer.py
@@ -2,10 +2,10 @@
 
 import random
 
-from pierglade import records as r
-from pierglade.choice import Node
-from pierglade.tenants import Tenants
-from tests.scene import MS, Scene, TraceTest, listed
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import MS, Scene, TraceTest, listed
 
 
 class Rotation(TraceTest):
--- a/tests/test_cold_budget.py
+++ b/tests/balancer/test_slow_start.py
@@ -9,7 +9,7 @@
 import sys
 import unittest
 
-PATH = pathlib.Path(__file__).parent.parent / "experiments" / "cold" / "budget.py"
+PATH = pathlib.Path(__file__).parents[2] / "experiments" / "cold" / "budget.py"
 SPEC = importlib.util.spec_from_file_location("cold_budget", PATH)
 budget = sys.modules["cold_budget"] = importlib.util.module_from_spec(SPEC)
 SPEC.loader.exec_module(budget)
--- a/tests/test_untrue.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -3,10 +3,10 @@
 import random
 from collections import Counter
 
-from pierglade import records as r
-from pierglade.net.state import events as ev
-from pierglade.tenants import Tenants
-from tests.scene import MS, Desk, Scene, TraceTest, entry, listed
+from pierglade.model import request as r
+from pierglade.proxy.state import events as ev
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import MS, Desk, Scene, TraceTest, entry, listed
 
 
 class Play(Scene):
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,9 +16,9 @@
 import psutil
 
 from pierglade.cli import COMMANDS
-from tests.scene import TraceTest
+from tests.support.scene import TraceTest
 
-ROOT = pathlib.Path(__file__).parents[1]
+ROOT = pathlib.Path(__file__).parents[2]
 
 
 def started(*args, **more):
@@ -49,7 +49,7 @@
             [
                 sys.executable,
                 "-c",
-                "import sys; import pierglade.__main__, pierglade.net.host; print(sorted("
+                "import sys; import pierglade.__main__, pierglade.proxy.server; print(sorted("
                 "set('click msgspec numpy structlog rich psutil hdrh asyncio'.split()) & set(sys.modules)))",
             ],
             capture_output=True,
--- a/tests/test_limit.py
+++ b/tests/concurrency/test_limiter.py
@@ -2,10 +2,10 @@
 
 from math import exp, log
 
-from pierglade.lab import plan as plans
-from pierglade.lab import world
-from pierglade.limit.room import DRAINED, RESTED, Room
-from tests.scene import MS, TraceTest
+from pierglade.concurrency.limiter import DRAINED, RESTED, Room
+from pierglade.simulation import plan as plans
+from pierglade.simulation import world
+from tests.support.scene import MS, TraceTest
 
 
 class Rounds(TraceTest):
--- a/tests/test_config.py
+++ b/tests/config/test_config.py
@@ -11,10 +11,10 @@
 
 from pierglade.cli.check import lines_of
 from pierglade.config import logged, page, platform, read
-from pierglade.terms import terms_from
-from tests.scene import Scene, TraceTest
+from pierglade.settings.platform import terms_from
+from tests.support.scene import Scene, TraceTest
 
-ROOT = pathlib.Path(__file__).parents[1]
+ROOT = pathlib.Path(__file__).parents[2]
 EXAMPLE = (ROOT / "deploy" / "pierglade.toml").read_text()
 KEYS = [match.start() for match in re.finditer(r"^[a-z_]+ = ", EXAMPLE, re.M)]
 OTHERS = (
--- a/tests/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -13,8 +13,8 @@
 import psutil
 
 from pierglade.experiment import compare, plan, report, sums
-from pierglade.lab.plan import Unreadable
-from tests.scene import TraceTest
+from pierglade.simulation.plan import Unreadable
+from tests.support.scene import TraceTest
 
 BASE = {
     "fleet": {
--- a/tests/test_load.py
+++ b/tests/load/test_load.py
@@ -14,9 +14,9 @@
 
 import numpy as np
 
-from pierglade.lab.plan import Unreadable
 from pierglade.load import plan, run
-from tests.scene import TraceTest
+from pierglade.simulation.plan import Unreadable
+from tests.support.scene import TraceTest
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
--- a/tests/test_reducer.py
+++ b/tests/proxy/state/test_machine.py
@@ -2,12 +2,12 @@
 
 from unittest import mock
 
-from pierglade import records as r
-from pierglade.net import http
-from pierglade.net.flow import Flow
-from pierglade.net.state import events as ev
-from pierglade.tenants import Tenants
-from tests.scene import Desk, TraceTest, entry, message, terms
+from pierglade.model import request as r
+from pierglade.proxy.http import message as http
+from pierglade.proxy.http.body_stream import Flow
+from pierglade.proxy.state import events as ev
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import Desk, TraceTest, entry, message, terms
 
 
 def warm_desk():
@@ -318,7 +318,7 @@
         desk.hear(["b0"], 0)
         self.check("node_configured", desk.lines)
 
-    @mock.patch("pierglade.choice.FIRST_PROBES", 0)  # as after the start
+    @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
     def test_new_settings_while_trips_are_out(self):
         """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
         desk = Desk(["b0", "b1"])
@@ -370,7 +370,7 @@
         desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
         self.check("node_reports", desk.lines)
 
-    @mock.patch("pierglade.choice.FIRST_PROBES", 0)  # as after the start
+    @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
     def test_one_probe_to_twenty_trips_brings_the_report(self):
         desk = Desk(
             ["b0", "b1"],
--- a/tests/test_changes_by_chance.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -4,11 +4,11 @@
 import unittest
 from dataclasses import replace
 
-from pierglade import records as r
-from pierglade.choice import COUNTED, FIRST, SLOW, Node
-from pierglade.learned.takeover import take_over
-from pierglade.tenants import Tenants
-from tests.scene import MS, listed, terms
+from pierglade.balancer.balancer import COUNTED, FIRST, SLOW, Node
+from pierglade.model import request as r
+from pierglade.snapshot.handover import take_over
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import MS, listed, terms
 
 SEEDS, STEPS = 12, 300
 OUTCOMES = (r.SETTLED,) * 5 + (r.ERROR, r.TURNED_AWAY, r.UNREACHABLE, r.TIMED_OUT, r.BROKEN)
--- a/tests/test_terms_of_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -15,14 +15,15 @@
 import gevent
 from gevent.event import Event
 
-from pierglade import records as r
-from pierglade.choice import Node
-from pierglade.net import discovery, sending
-from pierglade.net.state import clients as state_clients
-from pierglade.net.state import events as ev
-from tests.scene import MS, Desk, entry, terms
-from tests.test_crossings import OFFERINGS, House, leave, request, until
-from tests.test_net import CHUNKED, SETTINGS, Peer, answer
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.proxy import discovery
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.state import downstream as state_clients
+from pierglade.proxy.state import events as ev
+from tests.proxy.test_crossing_events import OFFERINGS, House, leave, request, until
+from tests.proxy.test_sockets import CHUNKED, SETTINGS, Peer, answer
+from tests.support.scene import MS, Desk, entry, terms
 
 TOLD_IN = 6.0  # s; from when discovery had a change and could be reached
 READY_IN = 10.0  # s; a process that was started anew
--- a/tests/test_crossings.py
+++ b/tests/proxy/test_crossing_events.py
@@ -19,18 +19,20 @@
 import gevent
 from gevent.event import Event
 
-from pierglade import records as r
 from pierglade.__main__ import place_of
-from pierglade.choice import ASK_GAP, ASK_SOON, Node
-from pierglade.net import discovery, http, sending
-from pierglade.net.backends import LinkSocket
-from pierglade.net.host import Host
-from pierglade.net.state import clients as state_clients
-from pierglade.net.state import events as ev
-from pierglade.net.state import links
-from tests.scene import MS, Desk, TraceTest, entry, message, terms
-from tests.test_net import CHUNKED, HOST, SETTINGS, Peer, answer
-from tests.test_reducer import warm_desk
+from pierglade.balancer.balancer import ASK_GAP, ASK_SOON, Node
+from pierglade.model import request as r
+from pierglade.proxy import discovery
+from pierglade.proxy import socket_io as sending
+from pierglade.proxy.http import message as http
+from pierglade.proxy.server import Host
+from pierglade.proxy.state import downstream as state_clients
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state import upstream as links
+from pierglade.proxy.upstream import LinkSocket
+from tests.proxy.state.test_machine import warm_desk
+from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
+from tests.support.scene import MS, Desk, TraceTest, entry, message, terms
 
 LONG = {"expectedTimeUs": 9000000, "hardLimitUs": 9000000}
 OFFERINGS = [
--- a/tests/test_large.py
+++ b/tests/proxy/test_large_bodies.py
@@ -7,11 +7,12 @@
 
 import gevent
 
-from pierglade.net import flow, http
-from pierglade.net.backends import LinkSocket
-from pierglade.net.state import events as ev
-from tests import test_net
-from tests.scene import Desk, TraceTest, message
+from pierglade.proxy.http import body_stream as flow
+from pierglade.proxy.http import message as http
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.upstream import LinkSocket
+from tests.proxy import test_sockets as test_net
+from tests.support.scene import Desk, TraceTest, message
 
 
 def upload(desk, name, size=None, path="/pay", left=1000):
--- a/tests/test_lists_at_size.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -5,12 +5,12 @@
 import unittest
 from functools import partial
 
-from pierglade import records as r
-from pierglade.choice import FORGET, Node
-from pierglade.net.state import events as ev
-from pierglade.net.state.listing import NAMED
-from pierglade.tenants import Tenants
-from tests.scene import MS, Desk, Scene, entry, listed, terms
+from pierglade.balancer.balancer import FORGET, Node
+from pierglade.model import request as r
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.endpoints import NAMED
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import MS, Desk, Scene, entry, listed, terms
 
 HARD_LIMIT = 1000  # ms; the longest of the scene's offerings
 FORGOTTEN = FORGET * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
--- a/tests/test_day.py
+++ b/tests/proxy/test_operations.py
@@ -13,12 +13,13 @@
 from unittest import mock
 
 from pierglade import __main__ as start
-from pierglade import records as r
-from pierglade.net import handover, management
-from pierglade.net.reducer import Reducer
-from pierglade.net.state import events as ev
-from tests import test_net
-from tests.scene import Desk, TraceTest, message, terms
+from pierglade.model import request as r
+from pierglade.proxy import management
+from pierglade.proxy import takeover as handover
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.machine import Reducer
+from tests.proxy import test_sockets as test_net
+from tests.support.scene import Desk, TraceTest, message, terms
 
 
 class Call:
--- a/tests/test_net.py
+++ b/tests/proxy/test_sockets.py
@@ -17,14 +17,16 @@
 from gevent.event import Event
 
 from pierglade import __main__ as start
-from pierglade.net import clients, discovery, http
-from pierglade.net.backends import LinkSocket
-from pierglade.net.clients import ClientSocket
-from pierglade.net.clock import Clock, Timer, Turns
-from pierglade.net.flow import Space
-from pierglade.net.log import Log
-from pierglade.net.state import events as ev
-from tests.scene import TraceTest, entry, message
+from pierglade.proxy import discovery
+from pierglade.proxy import downstream as clients
+from pierglade.proxy.downstream import ClientSocket
+from pierglade.proxy.event_loop import Clock, Timer, Turns
+from pierglade.proxy.http import message as http
+from pierglade.proxy.http.body_stream import Space
+from pierglade.proxy.logging import Log
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.upstream import LinkSocket
+from tests.support.scene import TraceTest, entry, message
 
 HOST = b"Host: h\r\n"
 TIMES = {"expectedTimeUs": 400000, "hardLimitUs": 1000000}
--- a/tests/test_change.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -12,13 +12,14 @@
 import gevent
 
 from pierglade import __main__ as start
-from pierglade.change import reading, shares
-from pierglade.net.discovery import Discovery, Lost
-from pierglade.net.state import events as ev
-from pierglade.tenants import LATELY, Difference, Middle, Stale, Tenants
-from pierglade.terms import Wrong
-from tests import test_net
-from tests.scene import Desk, TraceTest, terms
+from pierglade.proxy.discovery import Discovery, Lost
+from pierglade.proxy.state import events as ev
+from pierglade.reconfiguration import document_reader as reading
+from pierglade.reconfiguration import quota_changes as shares
+from pierglade.settings.platform import Wrong
+from pierglade.tenants.registry import LATELY, Difference, Middle, Stale, Tenants
+from tests.proxy import test_sockets as test_net
+from tests.support.scene import Desk, TraceTest, terms
 
 TEXTS = ("a", "}", '{"', "},{", '\\"}', "]", '"},{"name":"x"', "é\u2028", "\\", ",")
 
--- a/tests/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -19,16 +19,16 @@
 from click.testing import CliRunner
 
 from pierglade.cli import main
-from pierglade.net.state import events as ev
+from pierglade.proxy.state import events as ev
 from pierglade.scale import figures, guard, play
 from pierglade.scale import plan as plans
 from pierglade.scale.fit import fit
 from pierglade.scale.hollow import Watching
 from pierglade.scale.report import fits
-from tests.scene import TraceTest
-from tests.test_cli import started
+from tests.cli.test_cli import started
+from tests.support.scene import TraceTest
 
-ROOT = pathlib.Path(__file__).parents[1]
+ROOT = pathlib.Path(__file__).parents[2]
 TINY = {
     "nodes": {"count": 5, "loaded": 1, "idle": 0, "full": 1, "processes": 1},
     "backends": {"count": 10, "services": 2, "answer_ms": 1.0},
--- a/tests/test_lab.py
+++ b/tests/simulation/test_simulation.py
@@ -6,15 +6,15 @@
 import numpy as np
 from click.testing import CliRunner
 
-from pierglade import records as r
-from pierglade.lab import plan as plans
-from pierglade.lab import seats, world
-from pierglade.lab.__main__ import main
-from pierglade.lab.backend import Backend, Job
-from pierglade.lab.clock import MS, SECOND, Clock
-from pierglade.lab.tally import Tally
-from pierglade.lab.work import Sizes
-from tests.scene import TraceTest
+from pierglade.model import request as r
+from pierglade.simulation import plan as plans
+from pierglade.simulation import seats, world
+from pierglade.simulation.__main__ import main
+from pierglade.simulation.backend import Backend, Job
+from pierglade.simulation.clock import MS, SECOND, Clock
+from pierglade.simulation.tally import Tally
+from pierglade.simulation.work import Sizes
+from tests.support.scene import TraceTest
 
 
 def plan(**changed):
--- a/tests/test_benchlink.py
+++ b/tests/simulator_adapter/test_connection.py
@@ -5,8 +5,8 @@
 import subprocess
 import sys
 
-from pierglade.benchlink.link import Link, Malformed
-from tests.scene import TraceTest
+from pierglade.simulator_adapter.connection import Link, Malformed
+from tests.support.scene import TraceTest
 
 CONF = {
     "offerings": [
@@ -142,7 +142,7 @@
 
     def test_malformed_ends_the_process(self):
         done = subprocess.run(
-            [sys.executable, "-m", "pierglade.benchlink"],
+            [sys.executable, "-m", "pierglade.simulator_adapter"],
             input=b'{"Surprise":{}}\n',
             capture_output=True,
             timeout=60,
--- a/tests/test_learned_over_settings.py
+++ b/tests/snapshot/test_handover.py
@@ -6,14 +6,14 @@
 from collections import OrderedDict, deque
 from dataclasses import replace
 
-from pierglade import records as r
-from pierglade.choice import FAILING, FIRST, FIRST_TYPICAL, SILENCE, SLOW, Node, Row
-from pierglade.learned.takeover import REPORTED, take_over
-from pierglade.limit.room import Room
-from pierglade.net.state import events as ev
-from pierglade.tenants import Middle, Tenants
-from tests.scene import MS, Desk, Scene, entry, listed, terms
-from tests.test_lists_at_size import fleet, least
+from pierglade.balancer.balancer import FAILING, FIRST, FIRST_TYPICAL, SILENCE, SLOW, Node, Row
+from pierglade.concurrency.limiter import Room
+from pierglade.model import request as r
+from pierglade.proxy.state import events as ev
+from pierglade.snapshot.handover import REPORTED, take_over
+from pierglade.tenants.registry import Middle, Tenants
+from tests.proxy.test_large_endpoint_lists import fleet, least
+from tests.support.scene import MS, Desk, Scene, entry, listed, terms
 
 
 def changed(scene, **settings):
--- a/tests/test_learned.py
+++ b/tests/snapshot/test_snapshot.py
@@ -18,9 +18,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from pierglade.learned import ageing, files, form
-from pierglade.net import learning
-from tests.scene import Desk, TraceTest, entry
+from pierglade.proxy import snapshot_writer as learning
+from pierglade.snapshot import aging as ageing
+from pierglade.snapshot import schema as form
+from pierglade.snapshot import store as files
+from tests.support.scene import Desk, TraceTest, entry
 
 S = 10000  # tenths of a ms in a second
 FIGURES = {
@@ -221,8 +223,9 @@
 
 WRITER = """
 import sys
-from pierglade.learned import files, form
-from tests.test_learned import snapshot
+from pierglade.snapshot import store as files
+from pierglade.snapshot import schema as form
+from tests.snapshot.test_snapshot import snapshot
 folder, number = files.Folder(sys.argv[1], "n1"), 0
 folder.lock_it()
 while True:
@@ -252,7 +255,7 @@
 
 class Files(TraceTest):
     def test_killed_while_writing(self):
-        """The full thousand: python -c 'from tests.test_learned import *; print(killed_while_writing(1000))'."""
+        """The full thousand: python -c 'from tests.snapshot.test_snapshot import *; print(killed_while_writing(1000))'."""
         self.assertEqual(killed_while_writing(8), (8, 0, 0))
 
     def test_falls_back_to_the_one_before_and_one_process_writes(self):
--- a/tests/scene.py
+++ b/tests/support/scene.py
@@ -5,15 +5,15 @@
 import pathlib
 import unittest
 
-from pierglade import records as r
-from pierglade.choice import Node
-from pierglade.net import http
-from pierglade.net.flow import Flow
-from pierglade.net.reducer import Reducer
-from pierglade.net.state import events as ev
-from pierglade.tenants import Tenants
-
-TRACES = pathlib.Path(__file__).parent / "traces"
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.proxy.http import message as http
+from pierglade.proxy.http.body_stream import Flow
+from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.machine import Reducer
+from pierglade.tenants.registry import Tenants
+
+TRACES = pathlib.Path(__file__).parents[1] / "traces"
 MS = 10  # tenths
 
 
--- a/tests/test_standin.py
+++ b/tests/testbed/test_stand_in_backend.py
@@ -8,11 +8,11 @@
 import threading
 import time
 
-from pierglade.fleet import plan as plans
-from pierglade.fleet import run
-from pierglade.fleet.clock import RealClock
-from pierglade.lab.plan import Unreadable
-from tests.scene import TraceTest
+from pierglade.simulation.plan import Unreadable
+from pierglade.testbed import plan as plans
+from pierglade.testbed import run
+from pierglade.testbed.clock import RealClock
+from tests.support.scene import TraceTest
 
 BASE = {
     "kind": [{"cores": 2}],
--- a/tests/test_fleet.py
+++ b/tests/testbed/test_testbed.py
@@ -6,12 +6,12 @@
 import sys
 import tempfile
 
-from pierglade import records as r
-from pierglade.choice import Node
-from pierglade.tenants import Tenants
-from tests.scene import MS, TraceTest, listed, terms
+from pierglade.balancer.balancer import Node
+from pierglade.model import request as r
+from pierglade.tenants.registry import Tenants
+from tests.support.scene import MS, TraceTest, listed, terms
 
-COUNT = pathlib.Path(__file__).parent.parent / "experiments" / "fleet" / "count.py"
+COUNT = pathlib.Path(__file__).parents[2] / "experiments" / "fleet" / "count.py"
 
 
 class Counts(TraceTest):
