--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -141,7 +141,8 @@
     document = document_of(tenants, nodes)
     text = orjson.dumps(document["settings"])
     listed = [
-        r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(backends)
+        r.Endpoint(e["name"], r.READY, e["zone"], e["group"], 0, 1.0)
+        for e in endpoints_of(backends)
     ]
     del document
     before = memory_mb()
@@ -156,7 +157,7 @@
         for k in range(CHANGES):
             e = listed[k * 7 % backends]
             state = r.READY if k % 2 else r.DRAINING
-            node.listed(NOW + k, [r.Listed(e.name, state, e.zone, e.cell, 0, 1.0)], False)
+            node.listed(NOW + k, [r.Endpoint(e.name, state, e.zone, e.cell, 0, 1.0)], False)
 
     found["change_us"] = cpu_ms(changes)[1] * 1e3 / CHANGES
 
@@ -164,21 +165,25 @@
 
     def requests():
         now, out = NOW + 10**5, []
-        offering = terms.offerings[0]
+        request_class = terms.request_classes[0]
         for k in range(REQUESTS):
             now += GAP
             begin = time.process_time()
             node.taken(
                 now,
-                r.Invocation(
-                    k, offering, terms.members[k % tenants], now, now + offering.hard_limit
+                r.Request(
+                    k,
+                    request_class,
+                    terms.members[k % tenants],
+                    now,
+                    now + request_class.request_timeout,
                 ),
             )
             while (decision := node.decide(now)) is not None:
                 if decision[0] == r.SEND:
                     out.append((now + TOOK, decision[1]))
             while out and out[0][0] <= now:
-                node.returned(now, out.pop(0)[1], r.SETTLED, TOOK, True)
+                node.returned(now, out.pop(0)[1], r.SUCCESS, TOOK, True)
             steps.append((time.process_time() - begin) * 1e6)
 
     found["request_us"] = cpu_ms(requests)[1] * 1e3 / REQUESTS
@@ -287,7 +292,10 @@
 
         for name, change in (
             ("reload", lambda settings: settings["customers"][0].update(quotaPerS=now / 10**9)),
-            ("reload_other", lambda settings: settings["offerings"][0].update(credit=now / 10**9)),
+            (
+                "reload_other",
+                lambda settings: settings["offerings"][0].update(priority_weight=now / 10**9),
+            ),
         ):
             spans = [reload(change) for _ in range(RELOADS)]
             found[f"{name}_ms"] = sum(ms for ms, _ in spans) / RELOADS
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -63,11 +63,13 @@
     node.listed(now, entries, True)
     gone, out, sent, probed, count = node.turn[0], [], 0, 0, 0
     half, end = NOW + MINUTE * 5000, NOW + MINUTE * 10000
-    offering = terms.offerings[0]
+    request_class = terms.request_classes[0]
     while now < end:
         now += GAP
         count += 1
-        node.taken(now, r.Invocation(count, offering, None, now, now + offering.hard_limit))
+        node.taken(
+            now, r.Request(count, request_class, None, now, now + request_class.request_timeout)
+        )
         while (decision := node.decide(now)) is not None:
             kind, subject = decision
             if kind == r.SEND:
@@ -77,16 +79,17 @@
                 probed += subject == gone and now >= half
                 node.probed(now, node.names[subject], subject != gone, 5)
         while out and out[0][0] <= now:
-            trip = out.pop(0)[1]
-            lost = trip.backend == gone
-            node.returned(now, trip, r.UNREACHABLE if lost else r.SETTLED, TOOK, not lost)
+            attempt = out.pop(0)[1]
+            lost = attempt.backend == gone
+            node.returned(now, attempt, r.CONNECT_FAILED if lost else r.SUCCESS, TOOK, not lost)
     return {"sends_a_minute": sent * 2, "probes_a_minute": probed * 2}
 
 
 def main(path, nodes=NODES):
     terms = t.terms_from(settings_of(TENANTS, NODES))
     entries = [
-        r.Listed(e["name"], r.READY, e["zone"], e["group"], 0, 1.0) for e in endpoints_of(BACKENDS)
+        r.Endpoint(e["name"], r.READY, e["zone"], e["group"], 0, 1.0)
+        for e in endpoints_of(BACKENDS)
     ]
     names = [e.name for e in entries]
     kept = [e.name for e in entries if e.zone != "z3"]
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -113,8 +113,8 @@
     def _terms(self, number):
         undivided = self.case == "undivided"
         shares = {"all": self.asked} if self.shares else {}
-        return r.Terms(
-            offerings=[r.Offering(0, "look", r.HARMLESS, "all", 0, 4000, 10000, 1.0)],
+        return r.BalancerSettings(
+            request_classes=[r.RequestClass(0, "look", r.SAFE, "all", 0, 4000, 10000, 1.0)],
             tenants=Tenants(shares),
             number=0 if undivided else number,
             nodes=1 if undivided else self.count,
@@ -144,7 +144,7 @@
 
     def _entry(self, b):
         cold = (b == 0 or self.all_cold) and self.now >= self.start
-        return r.Listed(f"b{b}", r.READY, "z", 0, self.start if cold else 0, 1.0)
+        return r.Endpoint(f"b{b}", r.READY, "z", 0, self.start if cold else 0, 1.0)
 
     def _begin(self):
         entries = [self._entry(b) for b in range(self.backends)]
@@ -184,7 +184,7 @@
         tenant = node.terms.tenants.of("all", self.now) if self.shares else None
         node.taken(
             self.now,
-            r.Invocation(None, node.terms.offerings[0], tenant, self.now, self.now + 10000),
+            r.Request(None, node.terms.request_classes[0], tenant, self.now, self.now + 10000),
         )
         self._pull(number)
         self._arrive()
@@ -207,9 +207,9 @@
             self.woken[number] = None
             self._pull(number)
 
-    def _end(self, number, trip):
-        if trip.outcome is None:
-            self.nodes[number].returned(self.now, trip, r.SETTLED, self.now - trip.sent, True)
+    def _end(self, number, attempt):
+        if attempt.outcome is None:
+            self.nodes[number].returned(self.now, attempt, r.SUCCESS, self.now - attempt.sent, True)
             self._pull(number)
 
 
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -76,7 +76,7 @@
     kept = files.Folder(folder, name)
     one, _, _ = kept.read()
     one.written = int(time.time() * 10000 - age_s * 10000)
-    for row in one.offerings.values():
+    for row in one.request_classes.values():
         row["typical"] *= 2
     for backend in one.backends.values():
         told = backend.figures
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -38,13 +38,15 @@
             folder = files.Folder(path, "n1")
 
             def gather():
-                offerings, backends, _, entries = desk.reducer.kept(ageing.KEYS, ageing.ROW_KEYS)
+                request_classes, backends, _, entries = desk.reducer.kept(
+                    ageing.KEYS, ageing.ROW_KEYS
+                )
                 return form.Snapshot(
                     "n1",
                     desk.now,
                     0,
                     0.0,
-                    offerings,
+                    request_classes,
                     {name: form.Backend(*told) for name, told in backends.items()},
                     1,
                     entries,
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -6,9 +6,9 @@
 import sys
 from dataclasses import dataclass
 
-from pierglade.model.request import Terms
+from pierglade.model.request import BalancerSettings
 from pierglade.reconfiguration import document_reader as reading
-from pierglade.settings.platform import Wrong, short_of, terms_from
+from pierglade.settings.platform import InvalidSettingsError, short_of, terms_from
 
 SOCKETS = 1024  # descriptors; where no limit is told
 MEMORY = 192  # MB; likewise
@@ -27,7 +27,7 @@
     seed: str
     sockets: int
     known: dict
-    terms: Terms
+    terms: BalancerSettings
     told: dict  # the file itself, without its customers and the list that is known
     management: str | None = None  # where operators call; None: nowhere
     memory_mb: int = MEMORY
@@ -70,7 +70,7 @@
         told, shares = yield from reading.steps(text, known)
     except OSError as fault:
         raise Unusable(f"{path} cannot be read: {fault.strerror}") from None
-    except Wrong as fault:
+    except InvalidSettingsError as fault:
         raise Unusable(f"{path}: {fault}") from None
     except ValueError as fault:
         raise Unusable(f"{path} is no JSON: {fault}") from None
@@ -105,7 +105,7 @@
             told={**told, "known": {}} if told.get("known") is not None else told,
             management=environ.get("BALANCER_MANAGEMENT") or told.get("management"),
         )
-    except Wrong as fault:
+    except InvalidSettingsError as fault:
         raise Unusable(f"{path}: {fault}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
         raise Unusable(f"{path}: {type(fault).__name__}: {fault}") from None
--- a/pierglade/admission/load_shedder.py
+++ b/pierglade/admission/load_shedder.py
@@ -39,10 +39,13 @@
         # Of offering, whether it is a second try, and whether its client is known: the class.
         self.classes = [
             [
-                [order.index(credit) + len(order) * (first + 2 * known) for known in (False, True)]
+                [
+                    order.index(priority_weight) + len(order) * (first + 2 * known)
+                    for known in (False, True)
+                ]
                 for first in (True, False)
             ]
-            for credit in credits
+            for priority_weight in credits
         ]
         self.seen = [0.0] * (4 * len(order))  # lately, by class
         self.parts = [0.0] * (4 * len(order))  # of each, what is refused
@@ -55,9 +58,9 @@
         if self.moved is None or now - self.moved >= STEP:
             self._move(now)
 
-    def refuses(self, offering, second, known=False):
+    def refuses(self, request_class, second, known=False):
         """Whether one of `offering` (its place) is refused."""
-        of = self.classes[offering][second][known]
+        of = self.classes[request_class][second][known]
         self.seen[of] += 1
         part = self.parts[of]
         return part > 0.0 and (part >= 1.0 or self.chance() < part)
--- a/pierglade/audit/rules.py
+++ b/pierglade/audit/rules.py
@@ -19,10 +19,10 @@
 ENDS = frozenset(("ran", "never ran", "error", "dropped", "repeat", "called off"))
 
 
-class Terms(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
+class AuditSettings(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """What the rules are judged by. `offerings`: name to (repeats, group, window in ms, hard limit in ms)."""
 
-    offerings: dict[str, tuple[str, str, float, float]]
+    request_classes: dict[str, tuple[str, str, float, float]]
     places: dict[str, tuple[str, int]] = {}  # backend to its zone and cell
     grace_ms: float = 1000.0
     cold_ms: float = 0.0  # a backend is cold for so long after its start
@@ -130,7 +130,7 @@
     if not sent:
         return
     left = any(row["event"] == "left" for row in case.client)
-    told = terms.offerings.get(sent[0].get("offering", ""))
+    told = terms.request_classes.get(sent[0].get("offering", ""))
     limit = sent[0].get("limit_ms") or (told[3] if told else None)
     if len(answers) > 1:
         yield Break("one answer", name, f"{len(answers)} answers", case.lines())
@@ -171,10 +171,10 @@
 
 def _effects(terms, name, case):
     """Rule 2: nothing that may have run goes out again but as its offering allows; never two out at once."""
-    trips = [row for row in case.backends if row["event"] == "arrived"]
-    if not trips:
+    attempts = [row for row in case.backends if row["event"] == "arrived"]
+    if not attempts:
         return
-    told = terms.offerings.get(trips[0].get("offering", ""))
+    told = terms.request_classes.get(attempts[0].get("offering", ""))
     if told is None:
         return
     repeats, group, window, _ = told
@@ -182,7 +182,7 @@
     ran = [row for row in case.backends if row["event"] == "ran"]
     if repeats == "one_shot" and len(ran) > 1:
         yield Break("no effect twice", name, f"a one-shot ran {len(ran)} times", case.lines())
-    for before, after in zip(trips, trips[1:]):
+    for before, after in zip(attempts, attempts[1:]):
         never = any(
             row["backend"] == before["backend"]
             and before["t_ms"] <= row["t_ms"] <= after["t_ms"] + terms.slack_ms
@@ -203,18 +203,18 @@
                 what = f"a stamped one was sent on to another {group}"
                 yield Break("no effect twice", name, what, case.lines())
                 return
-            if after["t_ms"] > trips[0]["t_ms"] + window + terms.slack_ms:
+            if after["t_ms"] > attempts[0]["t_ms"] + window + terms.slack_ms:
                 what = "a stamped one was sent on after its window"
                 yield Break("no effect twice", name, what, case.lines())
                 return
     if not (terms.copies and repeats == "harmless"):
-        yield from _two_out(terms, name, case, trips)
+        yield from _two_out(terms, name, case, attempts)
 
 
-def _two_out(terms, name, case, trips):
+def _two_out(terms, name, case, attempts):
     """Two trips at work at the same time: the earlier one was neither answered nor called off by then."""
     ends = [row for row in case.backends if row["event"] in ENDS]
-    for before, after in zip(trips, trips[1:]):
+    for before, after in zip(attempts, attempts[1:]):
         # Of this trip: one connection may have carried several of them.
         there = before["backend"], before.get("conn")
         end = min(
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -17,26 +17,26 @@
 from pierglade.concurrency.limiter import Room
 from pierglade.model.request import (
     ASK,
-    BOUNCE,
-    CALL_OFF,
-    CALLED_OFF,
-    GIVE_UP,
+    CANCEL_ATTEMPT,
+    CANCELLED,
+    CLIENT_ERROR,
+    CONNECT_FAILED,
+    FAIL_REQUEST,
     GONE,
-    HARMLESS,
+    KEYED,
     NEVER_RAN,
-    NEVER_SENT,
-    ONE_SHOT,
+    NOT_SENT,
     PROBE,
     READY,
-    REJECTED,
+    REJECT_REQUEST,
+    REJECTED_UNPROCESSED,
+    SAFE,
     SEND,
-    SETTLED,
-    STAMPED,
-    TIMED_OUT,
-    TURNED_AWAY,
-    UNREACHABLE,
+    SUCCESS,
+    TIMEOUT,
+    UNSAFE,
     WITH_PROBES,
-    Trip,
+    Attempt,
 )
 from pierglade.tenants.registry import Middle
 
@@ -223,10 +223,10 @@
 class Row:
     """What a node knows of one offering; the table has a row for each."""
 
-    def __init__(self, offering):
-        self.credit = offering.credit
+    def __init__(self, request_class):
+        self.priority_weight = request_class.priority_weight
         # Smoothed latency. A first answer alone is a poor guide: by a very quick one all would look silent.
-        self.typical = FIRST_TYPICAL * offering.expected
+        self.typical = FIRST_TYPICAL * request_class.expected
         self.skew = 0.0  # log of the mean answer over the usual one, half the variance of that log
         self.hinted = 0.0  # smoothed hint of the work
         self.answers = 2  # how many that rests on; the first guess counts as two
@@ -246,10 +246,10 @@
         self.pick = chance.randrange
         # How many invocations had come when one of the kind last did.
         self.asked_at = {
-            kind: 0 if any(o.repeats == kind for o in terms.offerings) else -COMES
-            for kind in (HARMLESS, STAMPED, ONE_SHOT)
+            kind: 0 if any(o.repeats == kind for o in terms.request_classes) else -COMES
+            for kind in (SAFE, KEYED, UNSAFE)
         }
-        self.table = [Row(o) for o in terms.offerings]
+        self.table = [Row(o) for o in terms.request_classes]
         # What is known of each backend, under a dense index: the arrays of FIRST.
         self.index, self.gone = (
             {},
@@ -270,7 +270,7 @@
         )
         self.part = 1.0  # times the mean of all nodes that this one is asked for
         self.forget, self.most = (
-            FORGET * max(o.hard_limit for o in terms.offerings),
+            FORGET * max(o.request_timeout for o in terms.request_classes),
             0,
         )  # ready at once
         self.warm_pace = 0.0  # what a warm backend in view gets from this node, by size and time
@@ -278,12 +278,15 @@
         self.turn, self.at, self.anchor, self.move_at = [], 0, b"", now
         self.largest, self.slow_ones, self.steep = 1.0, 0, STEEP if self.learns else 1
         # Heaps of (moment of the expected time, count, invocation), one an offering.
-        self.held = [[] for _ in terms.offerings]
+        self.held = [[] for _ in terms.request_classes]
         self.line = deque()  # the same in order of arrival, some already gone
         self.again = []  # invocations that wait for a further trip
         self.finals, self.probes = deque(), deque()  # decisions already made
         self.limit = Room(
-            terms.nodes, len(terms.offerings), now, SOME if self.learns else self.asked or None
+            terms.nodes,
+            len(terms.request_classes),
+            now,
+            SOME if self.learns else self.asked or None,
         )
         self.count, self.extra = 0, EXTRA_MOST
         # Moments of further trips and of what was taken, as far back as the budget looks.
@@ -405,7 +408,9 @@
             # Where tenants have no shares, what was settled lately: what is asked may be an overload. A trip
             # at a time of all nodes is none; with all cold and nothing settled, nothing at all would be sent.
             least = (
-                len(self.ranked) / self.terms.nodes / max(o.expected for o in self.terms.offerings)
+                len(self.ranked)
+                / self.terms.nodes
+                / max(o.expected for o in self.terms.request_classes)
             )
             asked = self.asked if self.shares else max(least, self._seen(now, "got"))
             self.warm_pace = asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
@@ -499,45 +504,46 @@
                 self.usual[b] += (does - self.usual[b]) * max(USUALLY, 1 / self.usual_of[b])
         self.told_at[b] = now
 
-    def taken(self, now, invocation):
+    def taken(self, now, request):
         """An invocation has come in; from here on it is owed one final answer."""
         self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
         if self.terms.further_span:
             self.earned.append(now)
-        tenant = invocation.tenant
+        tenant = request.tenant
         if tenant is not None:
             tenant.rate = tenant.rate * max(0.0, 1 - (now - tenant.seen) / RATE_SPAN) + 1
             tenant.seen = now
-        invocation.held = invocation.arrived
-        invocation.expected = invocation.arrived + self._time_left(invocation)
+        request.held = request.arrived
+        request.expected = request.arrived + self._time_left(request)
         self.count += 1
-        o = invocation.offering.index
+        o = request.request_class.index
         row = self.table[o]
         row.asked += 1
-        self.asked_at[invocation.offering.repeats] = self.count
-        if invocation.hint:
+        self.asked_at[request.request_class.repeats] = self.count
+        if request.hint:
             # Few invocations cost what their offering does in the mean: unweighed, heavy ones look queued.
-            row.hinted += (invocation.hint - row.hinted) * (TYPICAL if row.hinted else 1)
-            invocation.cost = max(COST_LEAST, min(COST_MOST, invocation.hint / row.hinted))
+            row.hinted += (request.hint - row.hinted) * (TYPICAL if row.hinted else 1)
+            request.cost = max(COST_LEAST, min(COST_MOST, request.hint / row.hinted))
         elif tenant is not None and (drag := self._drag(tenant, now) / self.drag) > DRAGS:
             # Some go out all the same, or nobody would see that the others are as quick as ever again.
             tenant.slow += 1
-            invocation.cost = drag if tenant.slow % DRAG_TRIES else min(drag, COST_MOST)
-        heappush(self.held[o], (invocation.expected, self.count, invocation))
-        self.line.append(invocation)
+            request.cost = drag if tenant.slow % DRAG_TRIES else min(drag, COST_MOST)
+        heappush(self.held[o], (request.expected, self.count, request))
+        self.line.append(request)
         self._due(now + SWEEP)
 
     def _drag(self, tenant, now):
         """Fades by itself, so that what is bounced for it is tried again, one more and one more."""
         return 1 + (tenant.drag - 1) * max(0.0, 1 - (now - tenant.dragged) / DRAG_SPAN)
 
-    def _see_drag(self, now, invocation, took, whole):
+    def _see_drag(self, now, request, took, whole):
         """A tenant's work may be slow at every backend: no backend is slow or silent for that."""
-        tenant = invocation.tenant
-        if tenant is None or invocation.hint:
+        tenant = request.tenant
+        if tenant is None or request.hint:
             return
         ratio = min(
-            DRAG_MOST, max(took, GRAIN) / max(self.table[invocation.offering.index].typical, GRAIN)
+            DRAG_MOST,
+            max(took, GRAIN) / max(self.table[request.request_class.index].typical, GRAIN),
         )
         drag = self._drag(tenant, now)
         if not whole and ratio < drag:
@@ -545,10 +551,10 @@
         tenant.drag, tenant.dragged = drag + (ratio - drag) * DRAG_HEED, now
         self.drags.see(now, tenant.name, tenant.drag)
 
-    def _time_left(self, invocation):
+    def _time_left(self, request):
         """How much of the expected time is left, which runs from the client's first try."""
-        offering, left = invocation.offering, invocation.limit - invocation.arrived
-        row = self.table[offering.index]
+        request_class, left = request.request_class, request.limit - request.arrived
+        row = self.table[request_class.index]
         usual = row.usual_left
         # A vote, not the longest seen: by repeats with more time all first tries look late.
         row.usual_votes += 1 if abs(left - usual) <= USUAL * usual else -1
@@ -558,75 +564,73 @@
         # Less time than first tries bring shows a late repeat; beyond those not settled, less patience.
         spent = 0
         # One of hundreds of nodes gets the repeats of others, and cannot count them.
-        if self._short(offering, left) and (
+        if self._short(request_class, left) and (
             self.unsettled >= 1 or len(self.turn) < len(self.ranked)
         ):
             self.unsettled -= 1
-            spent = offering.hard_limit - left
-        return min(left, offering.expected - spent)
+            spent = request_class.request_timeout - left
+        return min(left, request_class.expected - spent)
 
-    def _short(self, offering, left):
+    def _short(self, request_class, left):
         """Whether it came with less time than first tries usually do."""
-        return left < (1 - USUAL) * self.table[offering.index].usual_left
+        return left < (1 - USUAL) * self.table[request_class.index].usual_left
 
-    def pressed(self, now, idle, offering, came, left, refused=False):
+    def pressed(self, now, idle, request_class, came, left, refused=False):
         """Whether what has come is bounced unseen, as the host is short of its core: idle last at `idle`, or
         `refused` at the door already.
 
         Taken all the same, all would come late to their turn, and what is left of the core go into bounces.
         """
-        bounced = refused or now - idle > BEHIND and now - came > WAITED * offering.expected
-        self.unsettled += bounced and not self._short(offering, left)
+        bounced = refused or now - idle > BEHIND and now - came > WAITED * request_class.expected
+        self.unsettled += bounced and not self._short(request_class, left)
         return bounced
 
-    def returned(self, now, trip, outcome, took, done):
+    def returned(self, now, attempt, outcome, took, done):
         """A trip has ended."""
-        invocation, b = trip.invocation, trip.backend
-        trip.outcome = outcome
-        invocation.out -= 1
+        request, b = attempt.request, attempt.backend
+        attempt.outcome = outcome
+        request.out -= 1
         # A trip that is no longer waited for may still be worked on; filled at once, its place overdrives.
-        if outcome == TIMED_OUT or outcome == CALLED_OFF:
-            trip.until = now + int(GHOST * self.table[invocation.offering.index].typical)
-            self._due(trip.until)
+        if outcome == TIMEOUT or outcome == CANCELLED:
+            attempt.until = now + int(GHOST * self.table[request.request_class.index].typical)
+            self._due(attempt.until)
         else:
-            self._leave_flight(b, trip, now)
-        if trip.trial:
+            self._leave_flight(b, attempt, now)
+        if attempt.trial:
             self.trials_out[b] -= 1
-        if outcome in NEVER_RAN and invocation.risky is trip:
-            invocation.risky = next(
-                (t for t in invocation.trips if t.outcome not in NEVER_RAN), None
-            )
-        self._learn(now, trip, outcome, took)
-        if invocation.over:
+        if outcome in NEVER_RAN and request.risky is attempt:
+            request.risky = next((t for t in request.attempts if t.outcome not in NEVER_RAN), None)
+        self._learn(now, attempt, outcome, took)
+        if request.over:
             return
         if done:
-            invocation.over = True
-            self.table[invocation.offering.index].got += (
-                outcome == SETTLED and now <= invocation.expected
+            request.over = True
+            self.table[request.request_class.index].got += (
+                outcome == SUCCESS and now <= request.expected
             )
-            self._call_off_rest(invocation)
-        elif not invocation.out:
-            self._after_loss(now, invocation, outcome)
+            self._call_off_rest(request)
+        elif not request.out:
+            self._after_loss(now, request, outcome)
 
-    def _leave_flight(self, b, trip, now):
-        del self.flying[b][trip]
+    def _leave_flight(self, b, attempt, now):
+        del self.flying[b][attempt]
         if not self.flying[b]:
             del self.flying[b]
         if self.trouble[b] in COUNTED:
             self.limit.counts(now, -1)
 
-    def streaming(self, trip):
+    def streaming(self, attempt):
         """The answer has started; the trip belongs to the client."""
-        trip.called_off = trip.invocation.over = True
+        attempt.cancelled = attempt.request.over = True
 
-    def abandoned(self, now, invocation):
+    def abandoned(self, now, request):
         """The client has gone; no answer is owed."""
-        if not invocation.over:
-            invocation.over = True
+        if not request.over:
+            request.over = True
             self.unsettled += not self._short(
-                invocation.offering, invocation.limit - invocation.arrived
+                request.request_class, request.limit - request.arrived
             )
-            self._call_off_rest(invocation)
+            self._call_off_rest(request)
 
     def probed(self, now, name, good, took):
         """A probe's result. It proves no more than a running process, so it only admits a trial trip."""
@@ -646,33 +650,33 @@
             self._sweep(now)
         if self.finals:
             return self.finals.popleft()
-        for invocation in self.again:
-            if invocation.over or self._hopeless(invocation, now):
-                self.again.remove(invocation)
-                return self.decide(now) if invocation.over else self._final(invocation)
+        for request in self.again:
+            if request.over or self._hopeless(request, now):
+                self.again.remove(request)
+                return self.decide(now) if request.over else self._final(request)
             # A window that was used up by others since it was lost may have room again in time.
             may = not self.terms.further_span or self._left(now) >= 1
-            b = self._choose(invocation, now) if may else None
+            b = self._choose(request, now) if may else None
             if b is not None:
-                self.again.remove(invocation)
-                return self._send(invocation, b, now)
+                self.again.remove(request)
+                return self._send(request, b, now)
         while (queue := self._next_queue()) is not None:
-            invocation = queue[0][2]
+            request = queue[0][2]
             if (
-                self._hopeless(invocation, now)
-                or now - invocation.held > PATIENCE * invocation.offering.expected
+                self._hopeless(request, now)
+                or now - request.held > PATIENCE * request.request_class.expected
             ):
                 # Held so long, it would come out of the backend late: an early no leaves room for the others.
                 heappop(queue)
-                return self._final(invocation)
+                return self._final(request)
             full = self.limit.full(now, queue is self.ahead)
             if full and (opens := self.limit.opens(now)) is not None:
                 self._due(opens)
-            b = None if full else self._choose(invocation, now)
+            b = None if full else self._choose(request, now)
             if b is None:
                 break
             heappop(queue)
-            return self._send(invocation, b, now)
+            return self._send(request, b, now)
         # A node with others to draw into view keeps to the limit: hundreds beyond it overdrive the fleet.
         if self.limit.sound * 2 <= len(self.turn) == len(self.ranked):
             for b in self.ailing:
@@ -699,23 +703,19 @@
 
     # What an invocation may still do.
 
-    def _may_send(self, invocation, b, now):
+    def _may_send(self, request, b, now):
         """Rule 2 in one place: may this invocation go to this backend, after what its trips have proved?"""
-        if (
-            now >= invocation.limit
-            or len(invocation.trips) >= self.terms.most_trips
-            or invocation.out
-        ):
+        if now >= request.limit or len(request.attempts) >= self.terms.most_trips or request.out:
             return False
-        risky = invocation.risky
-        if risky is None or invocation.offering.repeats == HARMLESS:
+        risky = request.risky
+        if risky is None or request.request_class.repeats == SAFE:
             return True
         if (
-            invocation.offering.repeats == ONE_SHOT
-            or now >= risky.sent + invocation.offering.window
+            request.request_class.repeats == UNSAFE
+            or now >= risky.sent + request.request_class.window
         ):
             return False
-        group = invocation.offering.group
+        group = request.request_class.group
         return (
             group == "all"
             or group == "zone"
@@ -724,54 +724,52 @@
             and self.cell[b] == self.cell[risky.backend]
         )
 
-    def _may_bounce(self, invocation):
+    def _may_bounce(self, request):
         """A bounce promises that trying again is harmless."""
         return (
-            invocation.risky is None
-            or invocation.offering.repeats == HARMLESS
-            or invocation.offering.repeats == STAMPED
-            and invocation.offering.group == "all"
+            request.risky is None
+            or request.request_class.repeats == SAFE
+            or request.request_class.repeats == KEYED
+            and request.request_class.group == "all"
         )
 
-    def _final(self, invocation):
-        invocation.over = True
+    def _final(self, request):
+        request.over = True
         # Only first tries count: if what was taken for a repeat did, each would make another one look so.
-        self.unsettled += not self._short(
-            invocation.offering, invocation.limit - invocation.arrived
-        )
-        return BOUNCE if self._may_bounce(invocation) else GIVE_UP, invocation
+        self.unsettled += not self._short(request.request_class, request.limit - request.arrived)
+        return REJECT_REQUEST if self._may_bounce(request) else FAIL_REQUEST, request
 
-    def _hopeless(self, invocation, now):
-        return now >= self._last_chance(invocation)
+    def _hopeless(self, request, now):
+        return now >= self._last_chance(request)
 
-    def _last_chance(self, invocation, sure=False):
+    def _last_chance(self, request, sure=False):
         """The moment from which a trip would no longer come back by the expected time."""
-        offering = invocation.offering
+        request_class = request.request_class
         # Not all of the expected time, or what was once slow would never be tried again.
         room = not self.overloaded and len(self.turn) == len(self.ranked)
         times = CHANCE if room and not sure else HOPELESS
-        need = invocation.cost * self.table[offering.index].typical
-        if invocation.cost <= COST_MOST:
-            need = min(times * need, HOPELESS_MOST * offering.expected)
-        return invocation.expected - max(HOPELESS_LEAST, int(need))
+        need = request.cost * self.table[request_class.index].typical
+        if request.cost <= COST_MOST:
+            need = min(times * need, HOPELESS_MOST * request_class.expected)
+        return request.expected - max(HOPELESS_LEAST, int(need))
 
-    def _after_loss(self, now, invocation, outcome):
+    def _after_loss(self, now, request, outcome):
         """A trip came to nothing: a further one, or the final answer at once."""
         # Where it was lost at every ready backend there is no way back: held, it would only wait in vain.
         may = (
             self._left(now) >= 1
-            and not self._hopeless(invocation, now)
-            and outcome != NEVER_SENT
-            and any(self._may_send(invocation, b, now) for b in self.turn)
-            and not {t.backend for t in invocation.trips}.issuperset(self.ranked)
+            and not self._hopeless(request, now)
+            and outcome != NOT_SENT
+            and any(self._may_send(request, b, now) for b in self.turn)
+            and not {t.backend for t in request.attempts}.issuperset(self.ranked)
         )
         if may:
             self.extra -= 1
-            invocation.held = now
-            self.again.append(invocation)
+            request.held = now
+            self.again.append(request)
             self._due(now + SWEEP)
         else:
-            self.finals.append(self._final(invocation))
+            self.finals.append(self._final(request))
 
     def _left(self, now):
         """How many further trips may go out: where a budget is stated, no window of it may hold more.
@@ -789,14 +787,14 @@
             self.earned.popleft()
         return terms.further_most + int(terms.further_share * len(self.earned)) - len(self.spent)
 
-    def _call_off_rest(self, invocation):
-        for trip in invocation.trips:
-            self._call_off(trip)
+    def _call_off_rest(self, request):
+        for attempt in request.attempts:
+            self._call_off(attempt)
 
-    def _call_off(self, trip):
-        if trip.outcome is None and not trip.called_off and self.terms.may_cancel:
-            trip.called_off = True
-            self.finals.append((CALL_OFF, trip))
+    def _call_off(self, attempt):
+        if attempt.outcome is None and not attempt.cancelled and self.terms.may_cancel:
+            attempt.cancelled = True
+            self.finals.append((CANCEL_ATTEMPT, attempt))
 
     # Holding.
 
@@ -832,8 +830,8 @@
         """What one more settled invocation of an offering adds to the service, for each unit of time."""
         gain = (
             (1 - self.terms.worst_offering)
-            * row.credit
-            / sum(each.credit * max(each.asked, 1.0) for each in self.table)
+            * row.priority_weight
+            / sum(each.priority_weight * max(each.asked, 1.0) for each in self.table)
         )
         if row is min(self.table, key=lambda each: each.got / max(each.asked, 1.0)):
             gain += self.terms.worst_offering / max(row.asked, 1.0)
@@ -842,9 +840,9 @@
     def _relieve(self, now):
         """Overload is told by the oldest held wait; what tenants ask beyond their share goes first."""
         line = self.line
-        while line and (line[0].over or line[0].trips):
+        while line and (line[0].over or line[0].attempts):
             line.popleft()
-        waited = (now - line[0].held) / line[0].offering.expected if line else 0.0
+        waited = (now - line[0].held) / line[0].request_class.expected if line else 0.0
         self.overloaded = waited > WAITED
         # A node with room for two trips waits long for one to end: what gains most and is little goes ahead.
         work = [max(row.asked, 1.0) * row.typical for row in self.table]
@@ -853,11 +851,9 @@
         if line:
             self._due(now + SWEEP)
         if waited > PATIENCE:
-            for invocation in line:
-                if not (invocation.over or invocation.trips) and self._over_share(
-                    invocation.tenant, now
-                ):
-                    self.finals.append(self._final(invocation))
+            for request in line:
+                if not (request.over or request.attempts) and self._over_share(request.tenant, now):
+                    self.finals.append(self._final(request))
 
     def _over_share(self, tenant, now):
         if tenant is None or not tenant.per_second:
@@ -867,7 +863,7 @@
 
     # The rotation.
 
-    def _choose(self, invocation, now):
+    def _choose(self, request, now):
         """The next in turn that nothing speaks against; the first that may take it if all are skipped."""
         turn, at, fallback = self.turn, self.at, None
         count = len(turn)
@@ -877,7 +873,7 @@
             b = turn[place]
             if step < 0 and self.zone[b] != self.home:
                 continue
-            skip = self._skip(invocation, b, now)
+            skip = self._skip(request, b, now)
             if skip is None:
                 # Even turns would overdrive the small machines at a load that the fleet can bear.
                 self.owed[b] += min(
@@ -895,17 +891,17 @@
         self.at = fallback + 1 if fallback + 1 < count else 0
         return turn[fallback]
 
-    def _skip(self, invocation, b, now):
+    def _skip(self, request, b, now):
         """Why the next in turn is passed over, or None."""
-        if invocation.trips:
-            if not self._may_send(invocation, b, now):
+        if request.attempts:
+            if not self._may_send(request, b, now):
                 return "may not"
-            if any(t.backend == b for t in invocation.trips):
+            if any(t.backend == b for t in request.attempts):
                 return "tried"
         if now < self.cold_until[b] and not self._cold_allows(b, now):
             return "cold"
         trouble = self.trouble[b]
-        if trouble is not None and not self._is_trial(invocation, b):
+        if trouble is not None and not self._is_trial(request, b):
             if trouble is not SLOW:
                 return trouble
             # Shared trouble: when most backends are slow at once, skipping them all helps nobody.
@@ -916,7 +912,7 @@
             return "crowded"
         forecast = self.forecast[b]
         if forecast is not None:
-            threshold = self.table[invocation.offering.index].typical * self.level[b]
+            threshold = self.table[request.request_class.index].typical * self.level[b]
             if forecast - threshold <= now:
                 if now <= forecast + self.mean_pause[b]:
                     return "forecast"
@@ -924,12 +920,12 @@
                 self.forecast[b] = self.work_due[b] = None
         return None
 
-    def _is_trial(self, invocation, b):
+    def _is_trial(self, request, b):
         """Of the kinds that come, the least harmful; a row that nobody asks for would bring no trial ever."""
         return (
             self.trial_due[b]
             and not self.trials_out[b]
-            and invocation.offering.repeats
+            and request.request_class.repeats
             == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
         )
 
@@ -946,12 +942,12 @@
         self.allowance[b], self.allowed_at[b] = saved, now
         return self.allowance[b] >= 1
 
-    def _send(self, invocation, b, now):
-        trial = self._is_trial(invocation, b)
-        trip = Trip(invocation, len(invocation.trips), b, now, invocation.limit, trial)
+    def _send(self, request, b, now):
+        trial = self._is_trial(request, b)
+        attempt = Attempt(request, len(request.attempts), b, now, request.limit, trial)
         if self.trouble[b] in COUNTED:
             self.limit.counts(now, 1)
-            trip.round = self.limit.sent(now, invocation.offering.index)
+            attempt.round = self.limit.sent(now, request.request_class.index)
         if trial:
             self.trials_out[b] += 1
             self._next_trial(b, now)
@@ -962,32 +958,32 @@
             if self.unprobed >= 1:
                 self.unprobed -= 1
                 self.probes.append(min(self.turn, key=self.told_at.__getitem__))
-        self.flying.setdefault(b, {})[trip] = None
+        self.flying.setdefault(b, {})[attempt] = None
         self._due(
-            now + max(SWEEP, int(SILENT_LEAST * self.table[invocation.offering.index].typical))
+            now + max(SWEEP, int(SILENT_LEAST * self.table[request.request_class.index].typical))
         )
-        if invocation.trips and self.terms.further_span:
+        if request.attempts and self.terms.further_span:
             self.spent.append(now)
-        invocation.trips.append(trip)
-        invocation.out += 1
-        if invocation.risky is None:
-            invocation.risky = trip
-        return SEND, trip
+        request.attempts.append(attempt)
+        request.out += 1
+        if request.risky is None:
+            request.risky = attempt
+        return SEND, attempt
 
     # Server health.
 
-    def _learn(self, now, trip, outcome, took):
-        b, row = trip.backend, self.table[trip.invocation.offering.index]
-        if outcome != SETTLED or self.trouble[b] is not None:
-            self.limit.lost(trip.invocation.offering.index, trip.round)
-        if outcome == SETTLED and self.trouble[b] is None or outcome in (TIMED_OUT, CALLED_OFF):
-            self._see_drag(now, trip.invocation, took, outcome == SETTLED)
-        if outcome == SETTLED:
+    def _learn(self, now, attempt, outcome, took):
+        b, row = attempt.backend, self.table[attempt.request.request_class.index]
+        if outcome != SUCCESS or self.trouble[b] is not None:
+            self.limit.lost(attempt.request.request_class.index, attempt.round)
+        if outcome == SUCCESS and self.trouble[b] is None or outcome in (TIMEOUT, CANCELLED):
+            self._see_drag(now, attempt.request, took, outcome == SUCCESS)
+        if outcome == SUCCESS:
             self.done += 1
             heed = min(QUICK, max(LEVEL, (now - self.last_answer[b]) / LEVEL_SPAN))
             self.last_answer[b] = now
             self.errors[b] *= 1 - ERRORS
-            alike = took / trip.invocation.cost
+            alike = took / attempt.request.cost
             ratio = min(RATIO_CAP, max(alike, GRAIN) / max(row.typical, GRAIN))
             self.quick[b] += (ratio - self.quick[b]) * QUICK
             level = max(self.level[b], 1.0)
@@ -1000,38 +996,43 @@
                 )
                 self.level[b] += (ratio - self.level[b]) * heed
                 self._sample(b, now)
-                offering = trip.invocation.offering
+                request_class = attempt.request.request_class
                 self.limit.answered(
-                    now, offering.index, trip.round, trip.sent, int(alike), offering.expected
+                    now,
+                    request_class.index,
+                    attempt.round,
+                    attempt.sent,
+                    int(alike),
+                    request_class.expected,
                 )
                 if self.quick[b] > FAR * level:
                     self._begin(b, SLOW, now)
-            elif trip.sent < self.since[b] and self.trouble[b] is not SILENCE:
+            elif attempt.sent < self.since[b] and self.trouble[b] is not SILENCE:
                 pass  # An answer from before the trouble says nothing about its end.
             elif ratio <= GOOD * level and self.errors[b] <= ERRORS_GOOD:
                 self._end(b, now)
             else:
                 self.trial_due[b] = self.trouble[b] is FAILING
-        elif outcome not in (CALLED_OFF, NEVER_SENT):
-            if outcome in (TURNED_AWAY, REJECTED):
+        elif outcome not in (CANCELLED, NOT_SENT):
+            if outcome in (REJECTED_UNPROCESSED, CLIENT_ERROR):
                 self.last_answer[b] = now
-            if outcome == REJECTED:
+            if outcome == CLIENT_ERROR:
                 return  # What a client got wrong says nothing against the backend.
             # Turned away counts too: whoever says no at once has nothing in flight and would attract work.
             self.errors[b] += (1 - self.errors[b]) * (
-                UNREACHED if outcome == UNREACHABLE else ERRORS
+                UNREACHED if outcome == CONNECT_FAILED else ERRORS
             )
             if self.trouble[b] is None:
                 self.lost += (1 - self.lost) * COMMON
-                if outcome == TURNED_AWAY and self.state[b] == READY:
-                    self.limit.refused(now, trip.sent)
+                if outcome == REJECTED_UNPROCESSED and self.state[b] == READY:
+                    self.limit.refused(now, attempt.sent)
             # What all backends lose alike is no one's outage: left out for it, they would leave no room.
             many = IN_A_ROW
             if len(self.turn) == len(self.ranked):
                 many = max(many, log(BY_CHANCE) / log(min(LOST_MOST, self.lost)) - 0.5)
             if self.errors[b] >= 1 - (1 - ERRORS) ** many:
                 self._begin(b, FAILING, now)
-                if trip.trial:
+                if attempt.trial:
                     self._next_trial(b, now, worse=True)
 
     def _begin(self, b, why, now):
@@ -1128,41 +1129,41 @@
 
         Returns when to listen again.
         """
-        trips = self.flying[b]
-        for trip in [t for t in trips if t.outcome and now >= t.until]:
-            self._leave_flight(b, trip, now)
-        if not trips:
+        attempts = self.flying[b]
+        for attempt in [t for t in attempts if t.outcome and now >= t.until]:
+            self._leave_flight(b, attempt, now)
+        if not attempts:
             return NEVER
-        oldest = next(iter(trips))
+        oldest = next(iter(attempts))
         quiet = now - max(self.last_answer[b], oldest.sent)
         # A light one may wait behind heavy ones, and has no less patience for it.
-        cost = max(1.0, *(t.invocation.cost for t in trips))
-        row = self.table[oldest.invocation.offering.index]
+        cost = max(1.0, *(t.request.cost for t in attempts))
+        row = self.table[oldest.request.request_class.index]
         typical = max(GRAIN, cost * row.typical * max(self.level[b], 1.0))
         # A node with few trips has one out at a time: by the mean alone each heavy one is taken for silence.
-        heavy = exp(RARE / len(trips) * sqrt(2 * row.skew) - row.skew)
-        patience = typical * max(SILENT_LEAST, SILENT / len(trips), heavy)
+        heavy = exp(RARE / len(attempts) * sqrt(2 * row.skew) - row.skew)
+        patience = typical * max(SILENT_LEAST, SILENT / len(attempts), heavy)
         if quiet < patience:
             return min(
-                int(now - quiet + patience) + 1, *(t.until for t in trips if t.outcome), NEVER
+                int(now - quiet + patience) + 1, *(t.until for t in attempts if t.outcome), NEVER
             )
         if self.trouble[b] is not SILENCE:
             self._begin(b, SILENCE, now)
         left = self._left(now)
-        for trip in list(trips):
-            invocation = trip.invocation
-            if trip.trial and now - trip.sent > SILENT * typical:
+        for attempt in list(attempts):
+            request = attempt.request
+            if attempt.trial and now - attempt.sent > SILENT * typical:
                 self._next_trial(b, now, worse=True)
             if (
-                invocation.offering.repeats != ONE_SHOT
-                and not trip.called_off
-                and not invocation.over
-                and now - trip.sent > SILENT_LEAST * typical
+                request.request_class.repeats != UNSAFE
+                and not attempt.cancelled
+                and not request.over
+                and now - attempt.sent > SILENT_LEAST * typical
                 and left >= 1
-                and now < self._last_chance(invocation, sure=True)
-                and len(invocation.trips) < self.terms.most_trips
+                and now < self._last_chance(request, sure=True)
+                and len(request.attempts) < self.terms.most_trips
             ):
-                self._call_off(trip)
+                self._call_off(attempt)
                 left -= self.terms.further_span > 0
         return now
 
--- a/pierglade/cli/__init__.py
+++ b/pierglade/cli/__init__.py
@@ -12,7 +12,7 @@
 from pierglade import __version__
 
 # What a command ends with.
-DONE, BAD_INPUT, UNSURE, BROKEN = 0, 2, 3, 4
+DONE, BAD_INPUT, UNSURE, RULE_BROKEN = 0, 2, 3, 4
 EXITS = (
     (DONE, "done"),
     (BAD_INPUT, "bad input: one line says which place of which file"),
@@ -20,7 +20,7 @@
         UNSURE,
         "the result is not to be trusted: a run was late, cut short, or its records have a hole",
     ),
-    (BROKEN, "one of the four rules, or the budget of further trips, was broken"),
+    (RULE_BROKEN, "one of the four rules, or the budget of further trips, was broken"),
 )
 # Each command, its line in the help, and the packages that it needs beside those of a node.
 COMMANDS = {
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -5,22 +5,24 @@
 import click
 import msgspec
 
-from pierglade.cli import BROKEN, UNSURE, fail
+from pierglade.cli import RULE_BROKEN, UNSURE, fail
 
 BREAKS_SHOWN = 5
 
 
 def terms_of(plan, grace_ms, budget):
     """The terms that the plan of a stand-in fleet states. `budget`: (span in s, most, share) or None."""
-    from pierglade.audit.rules import Terms
+    from pierglade.audit.rules import AuditSettings
 
     kind = plan.kind[0]
-    work = sum(o.share * o.work_ms for o in plan.offering) / sum(o.share for o in plan.offering)
+    work = sum(o.share * o.work_ms for o in plan.request_class) / sum(
+        o.share for o in plan.request_class
+    )
     able = kind.cores * kind.speed * 1000 / work if kind.cores and kind.cold_from < 1 else 0.0
-    return Terms(
-        offerings={
+    return AuditSettings(
+        request_classes={
             o.name: (o.repeats.replace("-", "_"), o.group, o.window_ms, o.hard_limit_ms)
-            for o in plan.offering
+            for o in plan.request_class
         },
         grace_ms=grace_ms,
         places={name: (place.zone, place.cell) for name, place in plan.names()},
@@ -106,6 +108,6 @@
         for hole in verdict.holes:
             click.echo(f"hole: {hole.text()}")
     if verdict.breaks:
-        sys.exit(BROKEN)
+        sys.exit(RULE_BROKEN)
     if verdict.holes:
         sys.exit(UNSURE)
--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -12,7 +12,7 @@
     """What is wrong with the file at `path`, a line each; empty where a node would start on it."""
     from pierglade.__main__ import Unusable, place_of
     from pierglade.config.platform import to_platform
-    from pierglade.config.read import Unusable as Wrong
+    from pierglade.config.read import Unusable as UnusableFileError
     from pierglade.config.read import read
 
     try:
@@ -21,7 +21,7 @@
                 place_of(orjson.loads(file.read()), path, {})
         else:
             place_of(to_platform(read(path)), path, {}, fixed=True)
-    except Wrong as fault:
+    except UnusableFileError as fault:
         return fault.lines
     except Unusable as fault:
         return [str(fault)]
@@ -65,6 +65,6 @@
     )
     click.echo(
         f"{file}: good. {told.node.name} listens on {told.listen.address}, {source}, "
-        f"{len(told.offerings)} offerings: "
-        + ", ".join(f"{o.name} ({o.repeat})" for o in told.offerings)
+        f"{len(told.request_classes)} offerings: "
+        + ", ".join(f"{o.name} ({o.repeat})" for o in told.request_classes)
     )
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -6,7 +6,7 @@
 
 import click
 
-from pierglade.cli import BROKEN, UNSURE, fail
+from pierglade.cli import RULE_BROKEN, UNSURE, fail
 
 
 class Progress:
@@ -102,7 +102,7 @@
     for line in lines:
         click.echo(f"pierglade: {line}", err=True)
     if broken:
-        sys.exit(BROKEN)
+        sys.exit(RULE_BROKEN)
     if any(some["not_to_be_trusted"] or some["holes"] for plays in told.values() for some in plays):
         sys.exit(UNSURE)
 
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -63,7 +63,7 @@
         else:
             click.echo(
                 f"{name}: good, of {told.node}, {_age(told):.0f} s old, {len(told.backends)} backends, "
-                f"{len(told.offerings)} offerings"
+                f"{len(told.request_classes)} offerings"
             )
     sys.exit(UNUSABLE if bad else 0)
 
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -5,7 +5,7 @@
 
 import click
 
-from pierglade.cli import BROKEN, UNSURE, fail
+from pierglade.cli import RULE_BROKEN, UNSURE, fail
 
 
 @click.command(epilog="Example: pierglade scale experiments/scale/target.toml")
@@ -58,6 +58,6 @@
     for line in [line for run in runs for line in [*run["wrong"], *run["doubts"]]]:
         click.echo(f"pierglade: {line}", err=True)
     if any(held is False for run in runs for held in run["counts"]["rules"].values()):
-        sys.exit(BROKEN)
+        sys.exit(RULE_BROKEN)
     if any(run["wrong"] or run["doubts"] for run in runs):
         sys.exit(UNSURE)
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -76,11 +76,11 @@
 def first_place(path):
     """The same; the line says where all that is wrong is told."""
     from pierglade.__main__ import Unusable
-    from pierglade.config.read import Unusable as Wrong
+    from pierglade.config.read import Unusable as UnusableFileError
 
     try:
         return place_from(path)
-    except Wrong as fault:
+    except UnusableFileError as fault:
         more = (
             f" (and {len(fault.lines) - 1} more: pierglade check {path})"
             if len(fault.lines) > 1
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -92,7 +92,7 @@
     `asked` is what tenants' shares let come to this node in a tenth of a millisecond; None: no shares.
     """
 
-    def __init__(self, nodes, offerings, now, asked=None):
+    def __init__(self, nodes, request_classes, now, asked=None):
         self.nodes, self.asked = nodes, asked
         self.each = FIRST / nodes  # how many trips this node may have out for each sound backend
         self.sound, self.fleet = 1, 1.0
@@ -100,8 +100,8 @@
         self.spare, self.spare_at = 0.0, now  # trips x time that the limit has left over
         self.used = 0.0  # trips x time, in this round
         self.bound_at = -1  # when something last waited for want of room
-        self.base = [0.0] * offerings  # log of how long an answer takes at ease
-        self.answers = [0] * offerings  # how many that rests on, up to BASE_FIRST
+        self.base = [0.0] * request_classes  # log of how long an answer takes at ease
+        self.answers = [0] * request_classes  # how many that rests on, up to BASE_FIRST
         self.rate = ROUND_MOST  # trips in a tenth of a millisecond, in steady rounds
         self.rests = 0  # trips of whole rounds that say so
         self.work = 0.0  # how long an answer takes at ease, in the mean of what is asked
@@ -121,7 +121,7 @@
         self.rested, self.useless, self.useless_until = now, USELESS, now
         self.clear = False  # rounds are sure that no queue is there
         self.queued = False  # more wait at the backends than chance makes wait
-        self.missing = [0] * offerings  # trips of the round that are not back
+        self.missing = [0] * request_classes  # trips of the round that are not back
         self._begin(now, ROUND_LEAST)
 
     def passed_on(self, now, places, asked):
@@ -150,38 +150,38 @@
         self._spend(now)
         self.busy += more
 
-    def sent(self, now, offering):
+    def sent(self, now, request_class):
         """A trip has left; returns the round that it belongs to, 0 for none."""
         if self.open <= 0 or now < self.began:
             return 0
         self.open -= 1
         self.closed = now
-        self.missing[offering] += 1
+        self.missing[request_class] += 1
         return self.round
 
-    def lost(self, offering, number):
+    def lost(self, request_class, number):
         """A trip of that round came to nothing, or its answer says nothing of the fleet."""
         if number == self.round:
-            self.missing[offering] -= 1
+            self.missing[request_class] -= 1
 
-    def answered(self, now, offering, number, sent, took, expected):
+    def answered(self, now, request_class, number, sent, took, expected):
         """An answer from a backend that was well, `took` after `sent`, of that round.
 
         `expected` is the offering's expected time.
         """
         self._follow(sent, took > STRAIN * expected, STRAINED_CLEAR if self.clear else STRAINED)
-        seen, taken = self.answers[offering], log(max(1, took))
+        seen, taken = self.answers[request_class], log(max(1, took))
         if seen < BASE_FIRST and self.mode is STEADY:
-            self.answers[offering] = seen + 1
-            self.base[offering] += (taken - self.base[offering]) / (seen + 1)
+            self.answers[request_class] = seen + 1
+            self.base[request_class] += (taken - self.base[request_class]) / (seen + 1)
         # By time, not by answers: what waits is told by the offerings that fill the backends.
-        weight = exp(self.base[offering])
+        weight = exp(self.base[request_class])
         self.work += (weight - self.work) / BASE_FIRST
         self.strain += (STRAIN * expected - self.strain) / BASE_FIRST
         if number == self.round:
-            self.missing[offering] -= 1
+            self.missing[request_class] -= 1
             self.back += weight
-            insort(self.shifts, (taken - self.base[offering], weight))
+            insort(self.shifts, (taken - self.base[request_class], weight))
         self._judge(now)
 
     def refused(self, now, sent):
@@ -194,14 +194,14 @@
 
     # What is asked.
 
-    def trips(self):
+    def attempts(self):
         """How many trips this node may have out, in the mean."""
         return self.each * self.fleet
 
     def full(self, now, ahead=False):
         """Whether what waits has to wait for want of room; `ahead` borrows from what waits behind it."""
         self._spend(now)
-        limit = self.trips()
+        limit = self.attempts()
         peak = min(PEAK_SMALL * limit + 1, max(limit, PEAK_LARGE * limit + PEAK_MORE))
         if ahead and self.spare > -limit * SPAN and self.busy < AHEAD * peak:
             return False
@@ -214,13 +214,13 @@
 
     def opens(self, now):
         """When the mean has room again if nothing ends before, or None."""
-        gain = self.trips() - self.busy
+        gain = self.attempts() - self.busy
         return now + 1 - int(self.spare / gain) if self.spare < 0 and gain > 0 else None
 
     # How it moves.
 
     def _spend(self, now):
-        limit, span = self.trips(), now - self.spare_at
+        limit, span = self.attempts(), now - self.spare_at
         self.used += self.busy * span
         self.spare = min(limit * SPAN, self.spare + (limit - self.busy) * span)
         self.spare_at = now
@@ -231,7 +231,7 @@
 
     def _follow(self, sent, strained, part=STRAINED):
         """Fewer trips out when too many answers come close to their expected time, more when few do."""
-        follows = min(FOLLOWS_SHARE, FOLLOWS / self.trips())
+        follows = min(FOLLOWS_SHARE, FOLLOWS / self.attempts())
         if strained:
             lower = self.each * (1 - follows * (1 - part))
             self.each = min(self.each, max(self._least(), lower))
@@ -506,7 +506,7 @@
 
     def _wanted(self):
         """Whether tenants may ask for more than there is room for, as far as the settings tell."""
-        return self.asked is None or self.trips() < GIVEN * self.asked * self.work
+        return self.asked is None or self.attempts() < GIVEN * self.asked * self.work
 
     def _move(self, now, mode, each, shift, busy, step):
         self.mode, self.before, self.each = mode, self.each, each
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pierglade.config.structs import File
+from pierglade.config.structs import File, value_of
 
 
 def _same(value):
@@ -126,8 +126,8 @@
             document,
             theirs,
             [
-                {key: there(getattr(row, name)) for name, key, (there, _) in columns}
-                for row in getattr(file, ours)
+                {key: there(value_of(row, name)) for name, key, (there, _) in columns}
+                for row in value_of(file, ours)
             ],
         )
     for row in document["known"]["endpoints"]:
@@ -169,7 +169,7 @@
 
 def _at(file, place):
     for name in place.split("."):
-        file = getattr(file, name) if file is not None else None
+        file = value_of(file, name) if file is not None else None
     return file
 
 
--- a/pierglade/config/read.py
+++ b/pierglade/config/read.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import inspect as types
 
-from pierglade.config.structs import File
+from pierglade.config.structs import File, value_of
 
 SHOWN = 40  # characters of a value that a line shows
 
@@ -181,15 +181,15 @@
                 yield f"{place}: {address!r} stands there; allowed: host:port"
     for table in ("offerings", "backends", "members"):
         seen = {}
-        for number, row in enumerate(getattr(file, table)):
+        for number, row in enumerate(value_of(file, table)):
             if row.name in seen:
                 yield f"{table}[{number}].name: {row.name!r} stands at {table}[{seen[row.name]}] already"
             seen.setdefault(row.name, number)
-    for number, offering in enumerate(file.offerings):
-        if offering.expected_ms > offering.hard_limit_ms:
+    for number, request_class in enumerate(file.request_classes):
+        if request_class.expected_ms > request_class.hard_limit_ms:
             yield (
-                f"offerings[{number}].expected_ms: {offering.expected_ms:g} stands there; allowed: up to "
-                f"hard_limit_ms, {offering.hard_limit_ms:g}"
+                f"offerings[{number}].expected_ms: {request_class.expected_ms:g} stands there; allowed: up to "
+                f"hard_limit_ms, {request_class.hard_limit_ms:g}"
             )
     if not file.backends and file.discovery is None:
         yield "backends: there is none, and no [discovery] to tell of any"
--- a/pierglade/config/structs.py
+++ b/pierglade/config/structs.py
@@ -35,6 +35,14 @@
     """A table of the file; keys that it does not have are told by `read`."""
 
 
+def value_of(table, key):
+    """The value that stands under the file's `key` in a table, whatever the field's name is here."""
+    for field in msgspec.structs.fields(table):
+        if field.encode_name == key:
+            return getattr(table, field.name)
+    raise KeyError(key)
+
+
 class Node(Table):
     """Who the node is among those that share the fleet."""
 
@@ -77,7 +85,7 @@
     weight: _figure("what it can bear beside the others", gt=0) = 1.0
 
 
-class Offering(Table):
+class RequestClass(Table):
     """What clients may ask for: the first part of a request's path, and what may be done with a repeat."""
 
     name: _text("the first part of the path", min_length=1, pattern="^[^/?# ]+$")
@@ -92,7 +100,9 @@
     )
     group: _one_of("stamped: which backends together drop a repeat", "all", "zone", "cell") = "all"
     window_ms: _figure("stamped: for how long they do", ge=0) = 0.0
-    credit: _figure("what an answer is worth beside other offerings'", ge=0) = 1.0
+    priority_weight: _figure("what an answer is worth beside other offerings'", ge=0) = (
+        msgspec.field(name="credit", default=1.0)
+    )
 
 
 class Member(Table):
@@ -107,7 +117,9 @@
 
     sockets: _count("the most descriptors that it uses", 64, 1 << 20) = 1024
     memory_mb: _count("MB; three tenths are for bodies on their way", 16, 1 << 20) = 192
-    trips: _count("the most trips of an invocation", 1, 100) = 3
+    attempts: _count("the most trips of an invocation", 1, 100) = msgspec.field(
+        name="trips", default=3
+    )
     cancel: _flag("whether a trip may be called off, by ending its connection") = True
     probes: _flag("whether backends answer GET /health/live and GET /stats") = False
     connect_ms: _figure("a connection that is not up by then never will be", gt=0) = 1000.0
@@ -199,7 +211,9 @@
 class File(Table):
     """The whole file."""
 
-    offerings: Annotated[list[Offering], Meta(min_length=1, description="at least one")]
+    request_classes: Annotated[
+        list[RequestClass], Meta(min_length=1, description="at least one")
+    ] = msgspec.field(name="offerings")
     node: Node = msgspec.field(default_factory=Node)
     listen: Listen = msgspec.field(default_factory=Listen)
     discovery: Discovery | None = None
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -87,21 +87,21 @@
         ),
         listen=structs.Listen(address="127.0.0.1:0", management=management),
         discovery=structs.Discovery(address=discovery),
-        offerings=[
-            structs.Offering(
+        request_classes=[
+            structs.RequestClass(
                 name=o.name,
                 expected_ms=o.expected_ms,
                 hard_limit_ms=o.hard_limit_ms,
-                credit=o.credit,
+                priority_weight=o.priority_weight,
                 repeat=o.repeats.replace("-", "_"),
                 group=o.group,
                 window_ms=o.window_ms,
             )
-            for o in plan.fleet.offering
+            for o in plan.fleet.request_class
         ],
         members=[structs.Member(name=m.name, per_s=m.per_s) for m in plan.member],
         limits=structs.Limits(
-            trips=nodes.trips,
+            attempts=nodes.attempts,
             probes=nodes.probes and plan.fleet.probes,
             sockets=4096,
             retry_after_ms=nodes.retry_after_ms,
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -53,7 +53,7 @@
     """The nodes before the fleet."""
 
     count: Count = 2
-    trips: Count = 3
+    attempts: Count = msgspec.field(name="trips", default=3)
     probes: bool = True
     retry_after_ms: NotNegative = 0.0
     core: int = -1  # the first node is bound to this core, the next to the next; -1: free
@@ -84,7 +84,7 @@
 
     def patience_s(self):
         return (
-            self.clients.patience_ms or max(o.hard_limit_ms for o in self.fleet.offering)
+            self.clients.patience_ms or max(o.hard_limit_ms for o in self.fleet.request_class)
         ) / 1000
 
     def ledgers(self):
@@ -100,15 +100,15 @@
             shares = np.array([row.share for row in rows])
             return chance.choice(len(rows), len(at), p=shares / shares.sum())
 
-        offerings = drawn(self.fleet.offering)
+        request_classes = drawn(self.fleet.request_class)
         members = drawn(self.member) if self.member else None
         rows = [
             Recorded(
                 float(moment),
-                self.fleet.offering[offering].name,
+                self.fleet.request_class[request_class].name,
                 self.member[members[number]].name if self.member else "",
             )
-            for number, (moment, offering) in enumerate(zip(at, offerings))
+            for number, (moment, request_class) in enumerate(zip(at, request_classes))
         ]
         return at, rows, chance.integers(self.ledgers(), size=len(at))
 
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -141,7 +141,7 @@
     def _loads(self):
         plan, clients = self.plan, self.plan.clients
         at, rows, to = plan.arrivals()
-        repeats = {o.name: o.repeats for o in plan.fleet.offering}
+        repeats = {o.name: o.repeats for o in plan.fleet.request_class}
         for number in range(plan.ledgers()):
             node, mine = number // clients.processes, to == number
             yield loads.Load(
--- a/pierglade/experiment/sums.py
+++ b/pierglade/experiment/sums.py
@@ -19,7 +19,7 @@
     where no answer came), `status` (0 likewise), `tries`, `offering` (its number)."""
 
     def __init__(self, plan, clients, began_ms):
-        numbers = {o.name: number for number, o in enumerate(plan.fleet.offering)}
+        numbers = {o.name: number for number, o in enumerate(plan.fleet.request_class)}
         # what was asked for, by its id without the try: [planned, offering, tries, status, end]
         seen = {}
         for row in clients:
@@ -41,15 +41,17 @@
         table = np.array(list(seen.values()) or np.empty((0, 5)), float)
         table = table[np.argsort(table[:, 0], kind="stable")]
         self.at_s = (table[:, 0] - began_ms) / 1000
-        self.offering, self.tries, self.status = (table[:, n].astype(int) for n in (1, 2, 3))
+        self.request_class, self.tries, self.status = (table[:, n].astype(int) for n in (1, 2, 3))
         self.took_ms = np.where(self.status > 0, table[:, 4] - table[:, 0], NEVER)
-        self.credit = np.array([o.credit for o in plan.fleet.offering])[self.offering]
-        expected = np.array([o.expected_ms for o in plan.fleet.offering])[self.offering]
+        self.priority_weight = np.array([o.priority_weight for o in plan.fleet.request_class])[
+            self.request_class
+        ]
+        expected = np.array([o.expected_ms for o in plan.fleet.request_class])[self.request_class]
         self.in_time = (self.status == 200) & (self.took_ms <= expected)
 
     def service(self, some=slice(None)):
-        asked = self.credit[some].sum()
-        return float(self.credit[some][self.in_time[some]].sum() / asked) if asked else 1.0
+        asked = self.priority_weight[some].sum()
+        return float(self.priority_weight[some][self.in_time[some]].sum() / asked) if asked else 1.0
 
 
 def figures(plan, clients, backends, samples, began_ms):
@@ -69,8 +71,8 @@
         "tries": round(float(asked.tries.mean()), 3) if len(asked.tries) else 0.0,
         "trips": arrived,
         "by_offering": {
-            o.name: round(asked.service(asked.offering == number), 4)
-            for number, o in enumerate(plan.fleet.offering)
+            o.name: round(asked.service(asked.request_class == number), 4)
+            for number, o in enumerate(plan.fleet.request_class)
         },
         "latency_ms": percentiles(asked.took_ms[asked.took_ms >= 0]),
         "cpu_ms_an_answer": round(used * 1000 / answers, 4) if answers else None,
--- a/pierglade/load/client.py
+++ b/pierglade/load/client.py
@@ -5,7 +5,7 @@
 
 import httptools
 
-CLOSED, TIMED_OUT, REFUSED, GARBLED = (
+CLOSED, TIMEOUT, REFUSED, GARBLED = (
     "closed",
     "timed out",
     "refused",
@@ -132,7 +132,7 @@
     def _out_of_patience(self, request):
         if request.connection is not None:
             request.connection.drop()
-        self.ended(request, 0, "", TIMED_OUT)
+        self.ended(request, 0, "", TIMEOUT)
 
     def leave(self, request):
         """The client goes away before its answer."""
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -77,7 +77,7 @@
     """A request of a recorded trace."""
 
     at_s: float
-    offering: str = ""
+    request_class: str = msgspec.field(name="offering", default="")
     customer: str = ""
     size: int = 0
 
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -86,12 +86,14 @@
         path = load.ledger and (load.ledger if share[1] == 1 else f"{load.ledger}.{share[0]}")
         self.ledger = Ledger(path, LEDGER_MB, lambda: (ahead + time.monotonic()) * 1000)
         self.pool.unasked = self._unasked
-        self.offering = load.path.split("/")[1].partition("?")[0] if load.path[:1] == "/" else ""
+        self.request_class = (
+            load.path.split("/")[1].partition("?")[0] if load.path[:1] == "/" else ""
+        )
 
     def data(self, number, tries):
         load, row = self.load, self.load.rows[number] if self.load.rows else None
-        path = f"/{row.offering}/x" if row and row.offering else load.path
-        method, repeats = load.method, load.repeats and load.repeats[row.offering]
+        path = f"/{row.request_class}/x" if row and row.request_class else load.path
+        method, repeats = load.method, load.repeats and load.repeats[row.request_class]
         if repeats:
             method = "GET" if repeats == "harmless" else "POST"
         lines = [
@@ -162,7 +164,9 @@
                 tries=tries,
                 number=number,
                 node=self.load.node,
-                offering=row.offering if row and row.offering else self.offering,
+                offering=row.request_class
+                if row and row.request_class
+                else self.request_class,
                 late_ms=0.0 if tries else round((now - planned) * 1000, 1),
             )
         if self.pool.open >= self.most_open and not self.pool.idle:
--- a/pierglade/model/request.py
+++ b/pierglade/model/request.py
@@ -10,25 +10,25 @@
     from pierglade.tenants.registry import Tenants
 
 # What a repeat of an offering's invocation may do.
-HARMLESS, STAMPED, ONE_SHOT = "harmless", "stamped", "one-shot"
+SAFE, KEYED, UNSAFE = "harmless", "stamped", "one-shot"
 
 # States of a backend on the list.
 READY, DRAINING, GONE = "ready", "draining", "gone"
 
 # How a trip ended.
-SETTLED = "settled"  # answered; the answer has gone to the client
+SUCCESS = "settled"  # answered; the answer has gone to the client
 ERROR = "error"  # the backend answered with an error; it may have run
-TURNED_AWAY = "turned away"  # the backend sent it back unseen
-TIMED_OUT = "timed out"  # no answer in time; it may have run
-UNREACHABLE = "unreachable"  # no connection came up
-BROKEN = "broken"  # the connection broke; it may have run
-CALLED_OFF = "called off"  # we stopped waiting; it may have run
-NEVER_SENT = "never sent"  # the host did not send it
-REJECTED = (
+REJECTED_UNPROCESSED = "turned away"  # the backend sent it back unseen
+TIMEOUT = "timed out"  # no answer in time; it may have run
+CONNECT_FAILED = "unreachable"  # no connection came up
+CONNECTION_RESET = "broken"  # the connection broke; it may have run
+CANCELLED = "called off"  # we stopped waiting; it may have run
+NOT_SENT = "never sent"  # the host did not send it
+CLIENT_ERROR = (
     "rejected"  # the backend found fault with the invocation itself, and its answer is passed on
 )
 
-NEVER_RAN = frozenset((TURNED_AWAY, UNREACHABLE, NEVER_SENT))
+NEVER_RAN = frozenset((REJECTED_UNPROCESSED, CONNECT_FAILED, NOT_SENT))
 
 # Where the settings name none.
 CONNECT_WITHIN = 10000  # 1 s; a connection on a local network comes up well within it
@@ -38,7 +38,7 @@
 WITH_ANSWERS, WITH_PROBES = "with answers", "with probes"
 
 # Kinds of decision that a host pulls.
-SEND, CALL_OFF, BOUNCE, GIVE_UP, PROBE, ASK = (
+SEND, CANCEL_ATTEMPT, REJECT_REQUEST, FAIL_REQUEST, PROBE, ASK = (
     "send",
     "call off",
     "bounce",
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Offering:
+class RequestClass:
     """One row of the table of offerings."""
 
     index: int
@@ -58,8 +58,8 @@
     group: str  # stamped: the backends that drop its repeats: "all", "zone" or "cell"
     window: int  # stamped: how long they do, from the first trip that may have run
     expected: int  # the expected time
-    hard_limit: int
-    credit: float
+    request_timeout: int
+    priority_weight: float
 
 
 @dataclass(slots=True)
@@ -78,10 +78,10 @@
 
 
 @dataclass(slots=True)
-class Terms:
+class BalancerSettings:
     """The settings as received, in our words."""
 
-    offerings: list
+    request_classes: list
     tenants: "Tenants"  # of pierglade/tenants/registry.py
     number: int  # the node's own, among so many
     nodes: int
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class Endpoint:
     """A backend as the list names it."""
 
     name: str
@@ -141,35 +141,35 @@
 
 
 @dataclass(slots=True, eq=False)
-class Invocation:
+class Request:
     """Something taken from a client. `mark` is the host's own and never read by the decisions."""
 
     mark: object
-    offering: Offering
+    request_class: RequestClass
     tenant: Tenant | None
     arrived: int
     limit: int  # the moment at which the client gives up
     hint: int = 0  # how much work it is, as far as whoever sent it can tell; 0: not told
     cost: float = 1.0  # that over the mean of its offering
     expected: int = 0  # the moment of its expected time, as the node judges it
-    trips: list = field(default_factory=list)
+    attempts: list = field(default_factory=list)
     out: int = 0  # trips still out
-    risky: "Trip | None" = None  # the first trip that may have run
+    risky: "Attempt | None" = None  # the first trip that may have run
     held: int = 0  # since when it has waited here with nothing out
     over: bool = False  # it has its final answer
     by: object = None  # the host's own: the node that took it, under the settings of that moment
 
 
 @dataclass(slots=True, eq=False)
-class Trip:
+class Attempt:
     """One sending of an invocation to a backend."""
 
-    invocation: Invocation
+    request: Request
     number: int
     backend: int  # dense index in the node that sent it
     sent: int
     until: int  # the moment of its time-out
     trial: bool = False
     round: int = 0  # which round of the limit it belongs to, 0 for none
-    called_off: bool = False
+    cancelled: bool = False
     outcome: str | None = None
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -20,7 +20,7 @@
 )  # bytes; read after the last answer so that it is not reset away, but not 60 MB
 REST_MOST = 1 << 25  # bytes; the same behind an answer that came before its body was whole
 FAULTS = (b"400", b"408", b"413", b"431")  # what is answered to no request, or to half of one
-TURNED_AWAY = (
+REJECTED_UNPROCESSED = (
     b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 5\r\nContent-Type: text/plain\r\n"
     b"Content-Length: 35\r\nConnection: close\r\n\r\ntoo many connections from this side\n"[:-1]
 )
@@ -331,7 +331,7 @@
     def _turn_away(self, sock):
         """One line for whoever looks at it; nothing is read, so a client that has sent may see a reset."""
         try:
-            sock._sock.send(TURNED_AWAY, socket.MSG_DONTWAIT)
+            sock._sock.send(REJECTED_UNPROCESSED, socket.MSG_DONTWAIT)
             sock._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
             pass
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -83,7 +83,9 @@
 
     def _gather(self):
         now = self.host.clock.now()
-        offerings, backends, work, entries = self.host.reducer.kept(ageing.KEYS, ageing.ROW_KEYS)
+        request_classes, backends, work, entries = self.host.reducer.kept(
+            ageing.KEYS, ageing.ROW_KEYS
+        )
         if now > self.work_at and work >= self.work:
             self.asked = (work - self.work) / (now - self.work_at)
         self.work_at, self.work = now, work
@@ -92,7 +94,7 @@
             written=now,
             began=self.began,
             asked=self.asked,
-            offerings=offerings,
+            request_classes=request_classes,
             backends={name: form.Backend(*told) for name, told in backends.items()},
             index=self.host.reducer.index,
             list=entries,
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -43,7 +43,7 @@
 ID_MOST = 256  # bytes of an id; ids are kept while their invocation is open
 HINT = b"hintUs="  # in X-Props: how much work a request is
 STAYS = 4  # lengths of the wait that a refusal at the door names: one for each fourth of the bar
-METHODS = {r.HARMLESS: b"GET", r.STAMPED: b"POST", r.ONE_SHOT: b"POST"}
+METHODS = {r.SAFE: b"GET", r.KEYED: b"POST", r.UNSAFE: b"POST"}
 # Headers that a request has once: of two, the next to read it may heed the other.
 SINGLE = frozenset(
     (b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try", b"idempotency-key")
@@ -103,38 +103,38 @@
 
     def _body_stands(self, client):
         """Who holds it up: the client, if what has come is all passed on; else the backend that takes it."""
-        flow, invocation = client.message.flow, client.invocation
+        flow, request = client.message.flow, client.request
         if not flow.full() and flow.size - client.taken < SLOWEST * SLOW_BODY:
-            invocation.by.abandoned(self.now, invocation)
+            request.by.abandoned(self.now, request)
             return self._sends_too_slowly(client)
         if flow.size == client.taken:
-            for trip in invocation.trips:
-                if trip in self.carried:
-                    self._drop(trip, "takes no body")
+            for attempt in request.attempts:
+                if attempt in self.carried:
+                    self._drop(attempt, "takes no body")
                     self._return(
-                        trip, r.UNREACHABLE
+                        attempt, r.CONNECT_FAILED
                     )  # It has not run: its last byte was never written.
-            if client.invocation is not invocation:
+            if client.request is not request:
                 return
         self._body_goes_on(client, SLOW_BODY)
 
     def _body(self, client):
         """More of it has come. With the last byte the invocation's time begins."""
-        invocation = client.invocation
-        if invocation is None or client.state is not OWED or not client.message.flow.whole:
+        request = client.request
+        if request is None or client.state is not OWED or not client.message.flow.whole:
             return
-        waited = self.now - invocation.arrived
-        invocation.arrived += waited
-        invocation.expected += waited
-        invocation.limit += waited
-        for trip in invocation.trips:
-            if trip in self.carried:
-                trip.sent, trip.until = self.now, invocation.limit
-                self._watch(self.carried[trip])
+        waited = self.now - request.arrived
+        request.arrived += waited
+        request.expected += waited
+        request.limit += waited
+        for attempt in request.attempts:
+            if attempt in self.carried:
+                attempt.sent, attempt.until = self.now, request.limit
+                self._watch(self.carried[attempt])
         self._owes(client)
 
     def _owes(self, client):
-        limit = client.invocation.limit
+        limit = client.request.limit
         self._connection_due(client, max(limit - MARGIN // 2, self.now + 1), self._overdue)
 
     def _faulty(self, client, status, why=""):
@@ -162,13 +162,15 @@
             )
         if self.closing:
             return self._bounce(client, self.node)
-        offering = self.offerings.get(path.partition(b"?")[0].split(b"/")[1])
-        if offering is None:
+        request_class = self.request_classes.get(path.partition(b"?")[0].split(b"/")[1])
+        if request_class is None:
             return self._refuse(client, 404, "the path's first part names no offering")
         # A HEAD is a GET whose answer's body is kept back (RFC 9110, 9.3.2); a backend is asked with GET.
         method = b"GET" if message.method == b"HEAD" else message.method
-        if method != METHODS[offering.repeats]:
-            allowed = b"GET, HEAD" if offering.repeats == r.HARMLESS else METHODS[offering.repeats]
+        if method != METHODS[request_class.repeats]:
+            allowed = (
+                b"GET, HEAD" if request_class.repeats == r.SAFE else METHODS[request_class.repeats]
+            )
             return self._refuse(
                 client,
                 405,
@@ -179,9 +181,9 @@
         name = fields.get(b"x-trace-id")
         if name is None and self.gives_ids:
             name = self._give_id(message)
-            if offering.repeats == r.STAMPED:
-                offering = self.unstamped[offering.name.encode()]
-        left = fields.get(b"x-expires-in-ms", b"%d" % (offering.hard_limit // 10))
+            if request_class.repeats == r.KEYED:
+                request_class = self.unstamped[request_class.name.encode()]
+        left = fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
         if (
             not name
             or len(name) > ID_MOST
@@ -191,42 +193,50 @@
             and not SINGLE.isdisjoint(message.doubled)
             or message.version == "1.1"
             and b"host" not in fields
-            or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED)
+            or (b"idempotency-key" in fields) != (request_class.repeats == r.KEYED)
             and not message.given
-            or offering.repeats == r.HARMLESS
+            or request_class.repeats == r.SAFE
             and (len(message.body) or message.flow)
         ):
-            return self._refuse(client, 400, _at_fault(message, offering, name, left), last=True)
+            return self._refuse(
+                client, 400, _at_fault(message, request_class, name, left), last=True
+            )
         if self._is_known(name):
             # Another's, or one that ran already: passed on, it would run twice.
             return self._refuse(
                 client, 400, "X-Trace-Id is in use, or was answered just now", last=True
             )
-        left = min(int(left) * 10, offering.hard_limit)
-        self.press.waits(self.now, (self.now - self.came) / offering.expected)
+        left = min(int(left) * 10, request_class.request_timeout)
+        self.press.waits(self.now, (self.now - self.came) / request_class.expected)
         refused = (
             self.press.bar
             and not client.passed
-            and self.press.refuses(offering.index, left < offering.expected, client.known)
+            and self.press.refuses(request_class.index, left < request_class.expected, client.known)
         )
         client.passed = False
-        if self.node.pressed(self.now, self.idle, offering, self.came, left, refused):
+        if self.node.pressed(self.now, self.idle, request_class, self.came, left, refused):
             self._bounced_unseen()
             wait = self._stay_away()
             return self._answer(client, 503, [(b"Retry-After", wait)] if wait else [])
         limit = self.came + left
         tenant = self._tenant(fields.get(b"x-customer"))
-        invocation = r.Invocation(
-            client, offering, tenant, self.came, limit, _hint(fields.get(b"x-props")), by=self.node
+        request = r.Request(
+            client,
+            request_class,
+            tenant,
+            self.came,
+            limit,
+            _hint(fields.get(b"x-props")),
+            by=self.node,
         )
         self._is(client, OWED, self.clients)
-        client.invocation, client.id = invocation, name
+        client.request, client.id = request, name
         self.ids[name] = client
         if message.flow is None or message.flow.whole:
             self._owes(client)
         else:
             self._body_goes_on(client, SLOW_BODY)
-        self.node.taken(self.now, invocation)
+        self.node.taken(self.now, request)
 
     def _tenant(self, name):
         # What is no UTF-8 becomes a name that no settings can hold.
@@ -245,32 +255,32 @@
         if seen is None:
             return None
         method, target, fields = seen
-        offering = self.offerings.get(
+        request_class = self.request_classes.get(
             target.partition(b"?")[0].partition(b"/")[2].partition(b"/")[0]
         )
-        if offering is None:
+        if request_class is None:
             return None
         name, left = (
             fields.get(b"x-trace-id"),
-            fields.get(b"x-expires-in-ms", b"%d" % (offering.hard_limit // 10)),
+            fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10)),
         )
         if (
-            method != METHODS[offering.repeats]
+            method != METHODS[request_class.repeats]
             or target[:1] != b"/"
             or not name
             or len(name) > ID_MOST
             or not left.isdigit()
             or len(left) > 9
             or name in self.ids
-            or (b"idempotency-key" in fields) != (offering.repeats == r.STAMPED)
+            or (b"idempotency-key" in fields) != (request_class.repeats == r.KEYED)
             or self._empties()
         ):
             return None
-        left = min(int(left) * 10, offering.hard_limit)
-        if not self.press.refuses(offering.index, left < offering.expected, client.known):
+        left = min(int(left) * 10, request_class.request_timeout)
+        if not self.press.refuses(request_class.index, left < request_class.expected, client.known):
             client.passed = True  # Once is enough: it is not asked again after its wait.
             return None
-        self.node.pressed(now, idle, offering, came, left, True)
+        self.node.pressed(now, idle, request_class, came, left, True)
         self._bounced_unseen()
         client.since = now
         self.clients[client.state].move_to_end(client)
@@ -326,7 +336,7 @@
 
     def _closed(self, client):
         """Its invocation is answered or abandoned."""
-        client.invocation = client.message = None
+        client.request = client.message = None
         if client.id is not None:
             self.spent.append((self.now + SPENT_FOR, client.id))
             self.ids[client.id] = client.id = None
@@ -334,8 +344,8 @@
     def _overdue(self, client):
         """Guards against a fault of ours: whatever went wrong, the answer is out before the limit."""
         self._note("overdue")
-        client.invocation.by.abandoned(self.now, client.invocation)
-        self._final(client.invocation, r.GIVE_UP)
+        client.request.by.abandoned(self.now, client.request)
+        self._final(client.request, r.FAIL_REQUEST)
 
     def _refuse(self, client, status, why="", last=False, allow=None):
         """`why`: one plain line for whoever wrote the client."""
@@ -400,8 +410,8 @@
         """The client closed, or its connection broke: what it asked for is abandoned."""
         if client.state is ENDED:
             return
-        if client.invocation is not None:
-            client.invocation.by.abandoned(self.now, client.invocation)
+        if client.request is not None:
+            client.request.by.abandoned(self.now, client.request)
         self._end_client(client, "answered last" if client.state is LINGERING else reason)
 
     def _end_client(self, client, reason):
@@ -495,7 +505,7 @@
             client.last = client.last or self.open > self.sockets
 
 
-def _at_fault(message, offering, name, left):
+def _at_fault(message, request_class, name, left):
     """What is missing from a request, doubled or too much in it: the first that is found."""
     doubled = sorted(SINGLE.intersection(message.doubled))
     if doubled:
@@ -508,10 +518,10 @@
         return "X-Expires-In-Ms is no whole number of milliseconds"
     if message.version == "1.1" and b"host" not in message.fields:
         return "Host is missing"
-    if (b"idempotency-key" in message.fields) != (offering.repeats == r.STAMPED):
+    if (b"idempotency-key" in message.fields) != (request_class.repeats == r.KEYED):
         return (
             "Idempotency-Key is missing: this offering's requests are stamped"
-            if offering.repeats == r.STAMPED
+            if request_class.repeats == r.KEYED
             else "Idempotency-Key stands where nothing is stamped"
         )
     return "a body where there is none"
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -190,7 +190,7 @@
 def _entry(told):
     """What the list says of a backend, and where it is."""
     zone = told.get("zone")
-    return r.Listed(
+    return r.Endpoint(
         told["name"],
         STATES[told["status"]],
         intern(zone) if type(zone) is str else zone,
--- a/pierglade/proxy/state/events.py
+++ b/pierglade/proxy/state/events.py
@@ -121,7 +121,7 @@
         "due",
         "queued",
         "message",
-        "invocation",
+        "request",
         "id",
         "last",
         "yields",
@@ -138,7 +138,7 @@
         self.state = FRESH  # it has brought nothing yet
         self.since = 0  # when it was opened or became idle
         self.due = self.queued = None
-        self.message = self.invocation = self.id = None
+        self.message = self.request = self.id = None
         self.last = False  # it ends with its next answer
         self.yields = False  # it was asked to make room, and ends unless something of it is unread
         self.headed = 0  # when the head of what it sends was whole
@@ -159,7 +159,7 @@
         "state",
         "due",
         "queued",
-        "trip",
+        "attempt",
         "probing",
         "replying",
         "since",
@@ -173,7 +173,7 @@
         self.backend, self.address = backend, backend.address
         self.state = CONNECTING
         self.due = self.queued = None
-        self.trip = None
+        self.attempt = None
         self.probing = False
         self.replying = 0  # by when the answer that has begun is to go on; 0: none has
         self.cut = False  # it was ended in the middle of something
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -111,7 +111,7 @@
                 }
             )
         return {
-            "limit": round(node.limit.trips(), 1),
+            "limit": round(node.limit.attempts(), 1),
             "overloaded": node.overloaded,
             "held": sum(map(len, node.held)),
             "backends": rows,
@@ -147,7 +147,7 @@
                 self._end_link(next(iter(self.links[IDLE])), "yielded")
         self._end_idle_clients()
         # Where no limit is long the end comes soon: by a fixed time, what has none of its own came too late.
-        longest = min(LONGEST, max(o.hard_limit for o in self.terms.offerings))
+        longest = min(LONGEST, max(o.request_timeout for o in self.terms.request_classes))
         owed = int(OWED_PART * (DOOR_OPEN + longest))
         self._at(self.now + min(DOOR_OPEN, owed - 2 * LAST_CALL), self._close_door, None)
         self._at(self.now + owed, self._answer_all, None)
@@ -169,9 +169,9 @@
         """The process may be ended soon: what is still owed is given up on, what still comes is bounced."""
         self.closing = True
         for client in list(self.clients[OWED]):
-            invocation = client.invocation
-            invocation.by.abandoned(self.now, invocation)
-            self._final(invocation, r.GIVE_UP)
+            request = client.request
+            request.by.abandoned(self.now, request)
+            self._final(request, r.FAIL_REQUEST)
         for client in list(self.clients[READING]):
             # Its last byte may be there unread: ended without a word it would be lost.
             self._bounce(client, self.node)
@@ -180,15 +180,15 @@
     def salvage(self, subject):
         """After a fault of ours in `apply`: what the event was about is answered and ended all the same."""
         if isinstance(subject, Link) and subject.state is not ENDED:
-            trip, subject.trip = subject.trip, None
+            attempt, subject.attempt = subject.attempt, None
             self._end_link(subject, "fault")
-            if trip is not None:
-                self.carried.pop(trip, None)
-                subject = trip.invocation.mark
+            if attempt is not None:
+                self.carried.pop(attempt, None)
+                subject = attempt.request.mark
         if isinstance(subject, Client) and subject.state in (FRESH, IDLE, READING, OWED):
-            if subject.invocation is not None:
-                subject.invocation.over = True
-                for trip in subject.invocation.trips:
-                    self._drop(trip, "fault")
+            if subject.request is not None:
+                subject.request.over = True
+                for attempt in subject.request.attempts:
+                    self._drop(attempt, "fault")
             self._refuse(subject, 500, last=True)
         return self.effects
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -128,18 +128,19 @@
 
     def _serve_under(self, terms, now):
         self.terms, self.node = terms, Node(self.seed, terms, now, self.node)
-        self.offerings = {o.name.encode(): o for o in terms.offerings}
+        self.request_classes = {o.name.encode(): o for o in terms.request_classes}
         # A stamped one whose request brings no id of its own: what it does must not be done twice.
         self.unstamped = {
-            o.name.encode(): replace(o, repeats=r.ONE_SHOT)
-            for o in terms.offerings
-            if o.repeats == r.STAMPED
+            o.name.encode(): replace(o, repeats=r.UNSAFE)
+            for o in terms.request_classes
+            if o.repeats == r.KEYED
         }
         self.press = Press(
-            [o.credit for o in terms.offerings], random.Random(f"{self.seed} press").random
+            [o.priority_weight for o in terms.request_classes],
+            random.Random(f"{self.seed} press").random,
         )
         self.refusals = {}  # prepared, by how long clients are told to stay away
-        self.forget = FORGET * max(o.hard_limit for o in terms.offerings)
+        self.forget = FORGET * max(o.request_timeout for o in terms.request_classes)
 
     def apply(self, now, kind, *what, came=NEVER, idle=NEVER):
         """`came`: when what this is about may have come, if that was before the host got round to it; `idle`:
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -16,14 +16,14 @@
         `backends`: name to (address, started, figures), of those that are ready.
         """
         rows, figures = self.node.known(keys)
-        offerings = {
+        request_classes = {
             o.name: {
                 "expected": o.expected,
-                "hard_limit": o.hard_limit,
+                "hard_limit": o.request_timeout,
                 "repeats": o.repeats,
                 **{key: row[key] for key in row_keys},
             }
-            for o, row in zip(self.terms.offerings, rows)
+            for o, row in zip(self.terms.request_classes, rows)
         }
         backends, work = {}, 0
         for name, told in figures.items():
@@ -45,7 +45,7 @@
             for name, backend in self.backends.items()
             if backend.state in STATUSES
         ]
-        return offerings, backends, work, entries
+        return request_classes, backends, work, entries
 
     def remember(self, snapshot, half_life):
         """Takes back what is still true of a Snapshot, after the list; the line that says what that was.
@@ -59,7 +59,7 @@
             if backend.state == r.READY
         }
         rows, backends, line = aged(
-            snapshot, self.now, half_life, self.terms.offerings, fresh, listed
+            snapshot, self.now, half_life, self.terms.request_classes, fresh, listed
         )
         self.node.remember(rows, backends)
         return line
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -46,8 +46,8 @@
         for node in list(self.older):
             self._pull_from(node)
             if not (
-                any(client.invocation.by is node for client in self.clients[OWED])
-                or any(trip.invocation.by is node for trip in self.carried)
+                any(client.request.by is node for client in self.clients[OWED])
+                or any(attempt.request.by is node for attempt in self.carried)
             ):
                 self.older.remove(node)
                 self._note("earlier settings left")
@@ -59,65 +59,67 @@
             kind, subject = decision
             if kind is r.SEND:
                 self._count("trials" if subject.trial else "trips")
-                if (flow := subject.invocation.mark.message.flow) is not None and not flow.whole:
+                if (flow := subject.request.mark.message.flow) is not None and not flow.whole:
                     # It has not begun for the backend, and can be neither late nor silent.
                     subject.sent = subject.until = now + FLOW_FOR
                 self._carry(subject)
-            elif kind is r.CALL_OFF:
+            elif kind is r.CANCEL_ATTEMPT:
                 if subject.outcome is None:
                     self._drop(subject, "called off")
-                    self._return(subject, r.CALLED_OFF)
+                    self._return(subject, r.CANCELLED)
             elif kind is r.PROBE:
                 self._count("probes")
                 self._probe(node.names[subject])
             elif kind is r.ASK:
                 self._count("asked again")
                 self._do(ASK)
-            elif subject.mark.invocation is subject:
+            elif subject.mark.request is subject:
                 # Overdue in the turn in which this was decided, it has its answer, and must not get another.
                 self._final(subject, kind)
 
-    def _final(self, invocation, kind):
+    def _final(self, request, kind):
         self._note(
             kind,
-            offering=invocation.offering.name,
-            trips=len(invocation.trips),
-            ms=(self.now - invocation.arrived) / 10,
-            of_ms=(invocation.limit - invocation.arrived) / 10,
-            ends=[t.outcome for t in invocation.trips],
+            request_class=request.request_class.name,
+            attempts=len(request.attempts),
+            ms=(self.now - request.arrived) / 10,
+            of_ms=(request.limit - request.arrived) / 10,
+            ends=[t.outcome for t in request.attempts],
         )
         self._count(kind)
-        if kind is r.BOUNCE:
-            self._bounce(invocation.mark, invocation.by)
+        if kind is r.REJECT_REQUEST:
+            self._bounce(request.mark, request.by)
         else:
-            self._answer(invocation.mark, 504)
+            self._answer(request.mark, 504)
 
     def _bounce(self, client, node):
         wait = node.come_back_in(self.now)
         self._answer(client, 503, [(b"Retry-After", b"%g" % (wait / 10000))] if wait else [])
 
-    def _return(self, trip, outcome, done=False):
-        self.carried.pop(trip, None)
-        trip.sent = min(trip.sent, self.now)
+    def _return(self, attempt, outcome, done=False):
+        self.carried.pop(attempt, None)
+        attempt.sent = min(attempt.sent, self.now)
         # The node's own lateness is no latency of the backend's.
-        trip.invocation.by.returned(self.now, trip, outcome, max(1, self.came - trip.sent), done)
+        attempt.request.by.returned(
+            self.now, attempt, outcome, max(1, self.came - attempt.sent), done
+        )
 
-    def _drop(self, trip, reason):
+    def _drop(self, attempt, reason):
         """Nothing more is sent for the trip, and no answer is taken."""
-        link = self.carried.get(trip)
+        link = self.carried.get(attempt)
         if link is not None:
-            link.trip = None
-            trip.invocation.mark.dropped = self.now
+            link.attempt = None
+            attempt.request.mark.dropped = self.now
             self._end_link(link, reason)
 
-    def _carry(self, trip):
+    def _carry(self, attempt):
         """A trip goes out on a kept link, or on a new one."""
-        backend = self.backends.get(trip.invocation.by.names[trip.backend])
-        flow = trip.invocation.mark.message.flow
+        backend = self.backends.get(attempt.request.by.names[attempt.backend])
+        flow = attempt.request.mark.message.flow
         if flow is not None and flow.spent():
-            return self._return(trip, r.NEVER_SENT)  # Some of its body went with an earlier one.
+            return self._return(attempt, r.NOT_SENT)  # Some of its body went with an earlier one.
         if backend is None or self._binds(backend):
-            return self._return(trip, r.TURNED_AWAY)
+            return self._return(attempt, r.REJECTED_UNPROCESSED)
         # The last one used is used next, so that the rest grow old and are closed; but not at once.
         link = next(
             (link for link in reversed(backend.idle) if self.now - link.since >= REST), None
@@ -125,14 +127,14 @@
         if link is not None:
             backend.idle.remove(link)
             self._is(link, BUSY, self.links)
-            self.carried[trip], link.trip = link, trip
+            self.carried[attempt], link.attempt = link, attempt
             self._watch(link)
             self._write(link)
             return
         link = self._open(backend)
         if link is None:
-            return self._return(trip, r.NEVER_SENT)
-        self.carried[trip], link.trip = link, trip
+            return self._return(attempt, r.NOT_SENT)
+        self.carried[attempt], link.attempt = link, attempt
         self._watch(link)
 
     def _open(self, backend):
@@ -155,20 +157,20 @@
         moment = link.replying or NEVER
         if link.state is CONNECTING:
             moment = link.since + self.terms.connect_within
-        if link.trip is not None:
+        if link.attempt is not None:
             # Times out ahead of the client's limit.
-            moment = min(moment, link.trip.until - MARGIN)
+            moment = min(moment, link.attempt.until - MARGIN)
         elif link.probing:
             moment = min(moment, link.since + PROBE_FOR)
         self._connection_due(link, moment, self._is_late)
 
     def _is_late(self, link):
-        trip = link.trip
+        attempt = link.attempt
         if link.state is CONNECTING:
             self._link_ended(link, REFUSED, False, "connect time-out")
-        elif trip is not None and self.now >= trip.until - MARGIN:
-            self._drop(trip, "timed out")
-            self._return(trip, r.TIMED_OUT)
+        elif attempt is not None and self.now >= attempt.until - MARGIN:
+            self._drop(attempt, "timed out")
+            self._return(attempt, r.TIMEOUT)
         else:
             self._link_ended(
                 link,
@@ -184,7 +186,7 @@
         link.backend.coming_up -= 1
         self._is(link, BUSY, self.links)
         self._watch(link)
-        if link.trip is None and not link.probing:
+        if link.attempt is None and not link.probing:
             # Its trip went out on another that was free first.
             return self._is_free(link, True)
         if link.probing and self._binds(link.backend):
@@ -197,35 +199,37 @@
             self._write(link)
 
     def _write_later(self, told):
-        link, trip = told
-        if link.trip is trip and link.state is BUSY:
+        link, attempt = told
+        if link.attempt is attempt and link.state is BUSY:
             self._write(link)
 
     def _write(self, link):
-        trip, backend = link.trip, link.backend
+        attempt, backend = link.attempt, link.backend
         # Time has passed since it was decided: until the link came up, or the one before was ended.
-        if trip.invocation.over or self.now >= trip.until - MARGIN:
+        if attempt.request.over or self.now >= attempt.until - MARGIN:
             # Whoever waited has left or has the answer, also where trips may not be called off.
-            return self._withdraw(link, r.NEVER_SENT)
+            return self._withdraw(link, r.NOT_SENT)
         if self._binds(backend):
             # The grace is not used: discovery may have told the agent of it well before it told us.
-            return self._withdraw(link, r.TURNED_AWAY)
+            return self._withdraw(link, r.REJECTED_UNPROCESSED)
         if link.address != backend.address:
             # Another process may have the address by now, which is told other things of itself.
             return self._withdraw(link, None)
-        if self.now < trip.invocation.mark.dropped + APART:
+        if self.now < attempt.request.mark.dropped + APART:
             # Two connections have no order between them: the end of the one is to be there before the other's
             # first byte, or the backends see two out at once.
-            return self._at(trip.invocation.mark.dropped + APART, self._write_later, (link, trip))
-        message = trip.invocation.mark.message
+            return self._at(
+                attempt.request.mark.dropped + APART, self._write_later, (link, attempt)
+            )
+        message = attempt.request.mark.message
         headers = http.passed_on(message, REPLACED)
-        flow, invocation = message.flow, trip.invocation
+        flow, request = message.flow, attempt.request
         length, body = len(message.body), message.body
-        left = trip.until - MARGIN - self.now
+        left = attempt.until - MARGIN - self.now
         if flow is not None:
             length, body = flow.size if flow.whole else flow.length, flow
             if not flow.whole:
-                left = invocation.limit - invocation.arrived - MARGIN
+                left = request.limit - request.arrived - MARGIN
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, left // 10)))
         method = b"GET" if message.method == b"HEAD" else message.method
         head = http.request_head(method, http.target(message.url), headers, length)
@@ -233,18 +237,18 @@
 
     def _withdraw(self, link, outcome):
         """Not a byte of its trip is written: the link is free for another. No outcome: the trip goes on."""
-        trip, link.trip = link.trip, None
+        attempt, link.attempt = link.attempt, None
         self._is_free(link, True)
         if outcome is None:
-            self.carried.pop(trip)
-            return self._carry(trip)
-        self._return(trip, outcome)
+            self.carried.pop(attempt)
+            return self._carry(attempt)
+        self._return(attempt, outcome)
 
     def _left(self, link):
         """What was to be written on the link was not: the end of its client was there to be read."""
-        if link.state is BUSY and link.trip is not None:
-            self._client_ended(link.trip.invocation.mark, "client closed")
-            self._withdraw(link, r.NEVER_SENT)
+        if link.state is BUSY and link.attempt is not None:
+            self._client_ended(link.attempt.request.mark, "client closed")
+            self._withdraw(link, r.NOT_SENT)
 
     def _replying(self, link):
         """A piece of an answer has come, and it is not whole. Its size is bounded by whoever reads it."""
@@ -274,32 +278,32 @@
         else:
             if self._heeds(r.WITH_ANSWERS):
                 self._reported(link, message.fields.get(b"endpoint-load-metrics", b""))
-            trip, link.trip = link.trip, None
+            attempt, link.attempt = link.attempt, None
             # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody knows.
             rejected = 400 <= message.status < 500 and message.status != 429
             if message.status == 200 or rejected:
-                invocation = trip.invocation
-                awaited = not invocation.over
-                outcome = r.REJECTED if rejected else r.SETTLED
-                self._return(trip, outcome, done=True)
+                request = attempt.request
+                awaited = not request.over
+                outcome = r.CLIENT_ERROR if rejected else r.SUCCESS
+                self._return(attempt, outcome, done=True)
                 if awaited:
-                    if rejected or len(invocation.trips) > 1 or self.now > invocation.expected:
+                    if rejected or len(request.attempts) > 1 or self.now > request.expected:
                         # What went well leaves no line: at four times the load there were too many of them.
                         self._note(
                             outcome,
-                            offering=invocation.offering.name,
-                            trips=len(invocation.trips),
-                            ms=(self.now - invocation.arrived) / 10,
+                            request_class=request.request_class.name,
+                            attempts=len(request.attempts),
+                            ms=(self.now - request.arrived) / 10,
                             backend=link.backend.name,
                         )
                     headers = http.passed_on(message, KEPT_BACK)
                     if message.flow is not None:
-                        wanted = invocation.mark.message.method != b"HEAD"
-                        self._answer(invocation.mark, message.status, headers, message.flow, link)
+                        wanted = request.mark.message.method != b"HEAD"
+                        self._answer(request.mark, message.status, headers, message.flow, link)
                         if wanted:
                             return self._replying(link)
                     else:
-                        self._answer(invocation.mark, message.status, headers, message.body)
+                        self._answer(request.mark, message.status, headers, message.body)
             else:
                 never_ran = (
                     message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
@@ -310,7 +314,7 @@
                     status=message.status,
                     never_ran=never_ran,
                 )
-                self._return(trip, r.TURNED_AWAY if never_ran else r.ERROR)
+                self._return(attempt, r.REJECTED_UNPROCESSED if never_ran else r.ERROR)
         # The rest of what nobody waits for would hold up the link.
         self._is_free(link, message.keep and message.flow is None)
 
@@ -347,11 +351,11 @@
         for other in self.links[CONNECTING]:
             if (
                 other.backend is link.backend
-                and other.trip is not None
+                and other.attempt is not None
                 and other.address == link.address
             ):
-                trip, other.trip = other.trip, None
-                self.carried[trip], link.trip = link, trip
+                attempt, other.attempt = other.attempt, None
+                self.carried[attempt], link.attempt = link, attempt
                 link.backend.idle.remove(link)
                 self._is(link, BUSY, self.links)
                 self._watch(link)
@@ -367,32 +371,32 @@
         """A link has ended by itself; `whole` tells whether the last byte of a request was written."""
         if link.state is ENDED:
             return
-        trip, link.trip = link.trip, None
+        attempt, link.attempt = link.attempt, None
         if link.state is CONNECTING:
             self._count("links refused")
         if link.probing:
             self._probed(link, False)
         self._end_link(link, reason)
-        if trip is None:
+        if attempt is None:
             return
         if how is STALE:
             # A kept connection was found closed before a byte was written: the trip has not begun.
-            return self._carry(trip)
+            return self._carry(attempt)
         if how in (GARBLED, CUT):
             # Ended by us: the backend may go on with its answer, and has it out until our end is there.
-            trip.invocation.mark.dropped = self.now
+            attempt.request.mark.dropped = self.now
         # Cut: its own client left in the middle of the body, which says nothing of the backend.
         outcome = (
             r.ERROR
             if how is GARBLED
-            else r.NEVER_SENT
+            else r.NOT_SENT
             if how is CUT
-            else r.BROKEN
+            else r.CONNECTION_RESET
             if whole
-            else r.UNREACHABLE
+            else r.CONNECT_FAILED
         )
         self._note("trip lost", backend=link.backend.name, reason=reason, outcome=outcome)
-        self._return(trip, outcome)
+        self._return(attempt, outcome)
 
     def _end_link(self, link, reason):
         del self.links[link.state][link]
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -122,10 +122,10 @@
         """
         if self.link.probing:
             return False
-        trip = self.link.trip
+        attempt = self.link.attempt
         return (
-            trip is None
-            or (client := trip.invocation.mark.io) is None
+            attempt is None
+            or (client := attempt.request.mark.io) is None
             or sending.ended(client.sock)
         )
 
@@ -180,7 +180,7 @@
             else:
                 sending.pass_on(self.sock, head, flow, flow.length is None, lambda: None)
             self.whole = not flow.broken
-            if flow.broken and self.link.trip is not None:
+            if flow.broken and self.link.attempt is not None:
                 # Where trips may not be called off nobody else would end it: its body is never whole.
                 self.tell(events.LINK_ENDED, self.link, events.CUT, False, "body broke off")
         except OSError as fault:
--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from pierglade.settings.platform import Wrong, shares_from
+from pierglade.settings.platform import InvalidSettingsError, shares_from
 
 # Constants.
 WHOLE = 1 << 16  # bytes that are parsed at once
@@ -34,7 +34,7 @@
     def take(some, first):
         try:
             shares.update(shares_from(some, first))
-        except Wrong as fault:
+        except InvalidSettingsError as fault:
             faults.append(fault)  # told once it is sure that it stands among the customers
 
     def keep(some, _):
--- a/pierglade/scale/backends.py
+++ b/pierglade/scale/backends.py
@@ -77,9 +77,11 @@
 
     def _note(self, event):
         if self.name is not None:
-            offering = self.url.split(b"/", 2)[1].decode("latin-1") if self.url[:1] == b"/" else ""
+            request_class = (
+                self.url.split(b"/", 2)[1].decode("latin-1") if self.url[:1] == b"/" else ""
+            )
             self.all.ledger.note(
-                event, backend=self.name, id=self.id, offering=offering, conn=self.number
+                event, backend=self.name, id=self.id, offering=request_class, conn=self.number
             )
 
     def _answer(self):
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -260,7 +260,7 @@
     # Twice what comes, were it to come to all nodes alike: no tenant is over its share.
     per_s = round(2 * plan.load.rate * plan.nodes.count / plan.tenants.count, 3)
     limit_us = int(plan.load.limit_ms * 1000)
-    offerings = [
+    request_classes = [
         {
             "name": name,
             "idempotency": repeats,
@@ -279,7 +279,7 @@
         "limits": {"sockets": 4096, "memory_mb": 192},
         "known": {"index": 1, "snapshot": True, "endpoints": entries},
         "settings": {
-            "offerings": offerings,
+            "offerings": request_classes,
             "customers": [
                 {"name": f"tenant-{k}", "quotaPerS": per_s} for k in range(plan.tenants.count)
             ],
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -629,9 +629,9 @@
             backends += rows
         backends.sort(key=lambda row: row["t_ms"])
         limit = self.plan.load.limit_ms
-        terms = rules.Terms(
+        terms = rules.AuditSettings(
             grace_ms=500.0,
-            offerings={
+            request_classes={
                 name: (repeats.replace("-", "_"), "all", 0.0, limit)
                 for name, repeats in REPEATS.items()
             },
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -17,7 +17,7 @@
     "util": "busy",
 }
 REPORTS = {"piggyback": r.WITH_ANSWERS, "pull": r.WITH_PROBES, "silent": None}
-REPEATS = {"free": r.HARMLESS, "guarded": r.STAMPED, "single_shot": r.ONE_SHOT}
+REPEATS = {"free": r.SAFE, "guarded": r.KEYED, "single_shot": r.UNSAFE}
 
 BUDGET = ("lookBackUs", "extraFloor", "resendRatio")
 FIGURES = {}  # shares by themselves: most of many thousand tenants have one of a few
@@ -32,7 +32,7 @@
     return -(-int(us) // 100)
 
 
-class Wrong(ValueError):
+class InvalidSettingsError(ValueError):
     """A setting that cannot be used, named by its place."""
 
 
@@ -41,12 +41,12 @@
     value = settings
     for key in place.split("."):
         if not isinstance(value, dict):
-            raise Wrong(f"settings.{place} stands in {value!r}, no object")
+            raise InvalidSettingsError(f"settings.{place} stands in {value!r}, no object")
         value = value.get(key)
         if value is None:
             return absent
     if not fits(value):
-        raise Wrong(f"settings.{place} is {value!r}, {what}")
+        raise InvalidSettingsError(f"settings.{place} is {value!r}, {what}")
     return value
 
 
@@ -73,7 +73,7 @@
 def _needed(settings, place, fits, what):
     value = _checked(settings, place, fits, what, None)
     if value is None:
-        raise Wrong(f"settings.{place} is missing")
+        raise InvalidSettingsError(f"settings.{place} is missing")
     return value
 
 
@@ -86,7 +86,7 @@
     def figure(key):
         return down(told(key, _over_zero, "no figure over 0"))
 
-    return r.Offering(
+    return r.RequestClass(
         i,
         told("name", lambda value: isinstance(value, str) and value, "no name"),
         REPEATS[
@@ -142,7 +142,7 @@
     """Span, most and share of further trips; one of the three alone is half a rule."""
     told = [key for key in BUDGET if (settings.get("contract") or {}).get(key) is not None]
     if told and "lookBackUs" not in told:
-        raise Wrong(f"settings.contract.{told[0]} stands without lookBackUs")
+        raise InvalidSettingsError(f"settings.contract.{told[0]} stands without lookBackUs")
     return dict(
         further_span=up(_figure(settings, "contract.lookBackUs")),
         further_most=int(_figure(settings, "contract.extraFloor")),
@@ -157,14 +157,18 @@
 def shares_from(rows, first=0):
     """Shares by name, of rows of `customers` of which the first stands at the place `first`."""
     if not isinstance(rows, list):
-        raise Wrong(f"settings.customers is {rows!r}, no list of rows")
+        raise InvalidSettingsError(f"settings.customers is {rows!r}, no list of rows")
     shares = {}
     for place, row in enumerate(rows, first):
         if not isinstance(row, dict) or not isinstance(row.get("name"), str):
-            raise Wrong(f"settings.customers.{place} is {row!r}, no tenant with a name")
+            raise InvalidSettingsError(
+                f"settings.customers.{place} is {row!r}, no tenant with a name"
+            )
         share = row.get("quotaPerS") or 0
         if type(share) not in (int, float) or not 0 <= share < FAR_OFF:
-            raise Wrong(f"settings.customers.{place}.quotaPerS is {share!r}, no figure from 0 on")
+            raise InvalidSettingsError(
+                f"settings.customers.{place}.quotaPerS is {share!r}, no figure from 0 on"
+            )
         shares[row["name"]] = (
             FIGURES.setdefault(share, float(share)) if len(FIGURES) < 1000 else float(share)
         )
@@ -176,17 +180,17 @@
     rows = _needed(
         settings, "offerings", lambda value: isinstance(value, list) and value, "no list of rows"
     )
-    offerings = [_offering(i, row) for i, row in enumerate(rows)]
-    if len({o.name for o in offerings}) < len(offerings):
-        raise Wrong("settings.offerings holds a name twice")
+    request_classes = [_offering(i, row) for i, row in enumerate(rows)]
+    if len({o.name for o in request_classes}) < len(request_classes):
+        raise InvalidSettingsError("settings.offerings holds a name twice")
     tenants = Tenants(shares_from(settings.get("customers") or []) if shares is None else shares)
     limits, contract = settings["limits"], settings["contract"]
     reports = REPORTS[_one_of(REPORTS, settings, "loadInfo.via") or "silent"]
     fields = _checked(settings, "loadInfo.fields", _names, "no list of names", [])
     gauges = tuple(GAUGES.get(field) for field in fields)
     goal = {k: v for k, v in (settings.get("goal") or {}).items() if k != "tailMiss"}
-    return r.Terms(
-        offerings=offerings,
+    return r.BalancerSettings(
+        request_classes=request_classes,
         tenants=tenants,
         number=_count(settings, "me", 0),
         nodes=_count(settings, "siblings", 1),
--- a/pierglade/simulation/backend.py
+++ b/pierglade/simulation/backend.py
@@ -87,7 +87,7 @@
         """A trip has arrived."""
         self._count()
         if self.down:
-            job.ended(r.UNREACHABLE)
+            job.ended(r.CONNECT_FAILED)
             return
         self.arrived += job.work
         if len(self.running) < self.cores and not self.waiting:
@@ -96,7 +96,7 @@
             job.state = "waiting"
             self.waiting.append(job)
         else:
-            job.ended(r.TURNED_AWAY)
+            job.ended(r.REJECTED_UNPROCESSED)
 
     def drop(self, job):
         """Nobody waits for it any more: what waits goes, what runs goes on."""
@@ -133,9 +133,9 @@
             return
         self.ran += 1
         if job.wait:
-            self.clock.after(job.wait, job.ended, r.SETTLED)
+            self.clock.after(job.wait, job.ended, r.SUCCESS)
         else:
-            job.ended(r.SETTLED)
+            job.ended(r.SUCCESS)
 
     # What changes its pace.
 
@@ -160,7 +160,7 @@
         self.down = True
         for job in lost:
             job.state = None
-            job.ended(r.BROKEN)
+            job.ended(r.CONNECTION_RESET)
 
     def restart(self):
         self._count()
--- a/pierglade/simulation/clients.py
+++ b/pierglade/simulation/clients.py
@@ -12,7 +12,7 @@
     __slots__ = (
         "clients",
         "terms",
-        "offering",
+        "request_class",
         "work",
         "wait",
         "asked",
@@ -20,7 +20,7 @@
         "limit",
         "over",
         "held",
-        "trips",
+        "attempts",
         "tries",
         "ran",
         "seat",
@@ -28,12 +28,16 @@
     )
 
     def __init__(self, clients, terms, work, wait, now):
-        self.clients, self.terms, self.offering = clients, terms, terms.index
+        self.clients, self.terms, self.request_class = clients, terms, terms.index
         self.work, self.wait = work, wait
-        self.asked, self.expected, self.limit = now, now + terms.expected, now + terms.hard_limit
+        self.asked, self.expected, self.limit = (
+            now,
+            now + terms.expected,
+            now + terms.request_timeout,
+        )
         self.over = False  # the present try has its answer
         self.held = None  # the seat's own
-        self.trips = self.tries = self.ran = self.turn = 0
+        self.attempts = self.tries = self.ran = self.turn = 0
         self.seat = None
 
     def answered(self, kind):
@@ -95,12 +99,12 @@
 
     def _try(self, ask):
         self.turn += 1
-        ask.over, ask.trips = False, 0
+        ask.over, ask.attempts = False, 0
         ask.turn += 1
         ask.tries += 1
         # A plain front spreads clients over the nodes evenly; the order differs from round to round.
         ask.seat = self.world.seats[self.chance.randrange(len(self.world.seats))]
-        patience = self.clock.now + self.load.patience * ask.terms.hard_limit
+        patience = self.clock.now + self.load.patience * ask.terms.request_timeout
         if patience < ask.limit:
             self.clock.at(patience, self._leave, ask, ask.turn)
         ask.seat.take(ask)
@@ -111,10 +115,10 @@
         ask.over = True
         self.world.tally.left(ask)
         ask.seat.gone(ask)
-        self._next(ask, r.GIVE_UP)
+        self._next(ask, r.FAIL_REQUEST)
 
     def answered(self, ask, kind):
-        if kind == r.SETTLED:
+        if kind == r.SUCCESS:
             self.world.tally.settled(ask)
         else:
             self.world.tally.refused(ask, kind)
@@ -130,7 +134,7 @@
             return
         wait = self.load.retry_ms * MS * 2 ** (ask.tries - 1)
         if (
-            kind != r.SETTLED
+            kind != r.SUCCESS
             and ask.tries <= self.load.retries
             and self.clock.now + wait < ask.limit
         ):
--- a/pierglade/simulation/plan.py
+++ b/pierglade/simulation/plan.py
@@ -78,7 +78,7 @@
     wait_ms: NotNegative = 0.0  # on others, holding no core
     expected_ms: Positive = 1000.0
     hard_limit_ms: Positive = 4000.0
-    credit: Positive = 1.0
+    priority_weight: Positive = msgspec.field(name="credit", default=1.0)
     repeats: Literal["harmless", "stamped", "one-shot"] = "harmless"
     group: Literal["all", "zone", "cell"] = "all"
     window_ms: NotNegative = 0.0
@@ -117,7 +117,7 @@
 
 class Plan(Struct):
     fleet: Fleet
-    offering: Annotated[list[Offered], Meta(min_length=1)]
+    request_class: Annotated[list[Offered], Meta(min_length=1)] = msgspec.field(name="offering")
     load: Load
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     change: list[Change] = []
@@ -131,8 +131,8 @@
 
     def mean(self, figure):
         """A figure of the offerings in the mean of what is asked."""
-        return sum(o.share * getattr(o, figure) for o in self.offering) / sum(
-            o.share for o in self.offering
+        return sum(o.share * getattr(o, figure) for o in self.request_class) / sum(
+            o.share for o in self.request_class
         )
 
     def able(self):
@@ -230,9 +230,9 @@
             raise Unreadable(
                 f"{path}: $.change[{number}].at_s: less than `seconds`, {plan.seconds:g}"
             )
-    for number, offering in enumerate(plan.offering):
-        if offering.expected_ms > offering.hard_limit_ms:
+    for number, request_class in enumerate(plan.request_class):
+        if request_class.expected_ms > request_class.hard_limit_ms:
             raise Unreadable(f"{path}: $.offering[{number}].expected_ms: at most `hard_limit_ms`")
-    if len({o.name for o in plan.offering}) < len(plan.offering):
+    if len({o.name for o in plan.request_class}) < len(plan.request_class):
         raise Unreadable(f"{path}: $.offering: two of one name")
     return plan
--- a/pierglade/simulation/seats.py
+++ b/pierglade/simulation/seats.py
@@ -31,16 +31,16 @@
     def take(self, ask):
         now = self.now()
         tenants = self.terms.tenants
-        invocation = r.Invocation(
+        request = r.Request(
             ask,
-            self.terms.offerings[ask.offering],
+            self.terms.request_classes[ask.request_class],
             tenants[0] if tenants else None,
             now,
             now + int(ask.limit - self.clock.now),
             False,
         )
-        ask.held = invocation
-        self.node.taken(now, invocation)
+        ask.held = request
+        self.node.taken(now, request)
         self.pull()
 
     def gone(self, ask):
@@ -48,13 +48,13 @@
         self.node.abandoned(self.now(), ask.held)
         self.pull()
 
-    def ended(self, trip, outcome):
+    def ended(self, attempt, outcome):
         now = self.now()
-        done = outcome == r.SETTLED
-        ask = trip.invocation.mark
-        if done and not trip.invocation.over:
-            ask.answered(r.SETTLED)
-        self.node.returned(now, trip, outcome, max(1, now - trip.sent), done)
+        done = outcome == r.SUCCESS
+        ask = attempt.request.mark
+        if done and not attempt.request.over:
+            ask.answered(r.SUCCESS)
+        self.node.returned(now, attempt, outcome, max(1, now - attempt.sent), done)
         self.pull()
 
     def pull(self):
@@ -63,8 +63,8 @@
             kind, subject = decision
             if kind is r.SEND:
                 name = node.names[subject.backend]
-                self.world.send(self, subject, subject.invocation.mark, name, subject.until)
-            elif kind is r.CALL_OFF:
+                self.world.send(self, subject, subject.request.mark, name, subject.until)
+            elif kind is r.CANCEL_ATTEMPT:
                 self.world.call_off(self, subject)
             elif kind is r.PROBE:
                 self.world.probe(self, node.names[subject])
@@ -88,17 +88,17 @@
         """Trips that may be out, for the picture."""
         node = self.node
         if hasattr(node, "limit"):
-            return node.limit.trips()
+            return node.limit.attempts()
         return node.each * node.fleet
 
 
 class Sent:
     """A baseline's trip; what the world reads of a node's own trips, and no more."""
 
-    __slots__ = ("ask", "place", "until", "called_off", "outcome")
+    __slots__ = ("ask", "place", "until", "cancelled", "outcome")
 
     def __init__(self, ask, place):
-        self.ask, self.place, self.called_off, self.outcome = ask, place, False, None
+        self.ask, self.place, self.cancelled, self.outcome = ask, place, False, None
 
 
 class PlainSeat:
@@ -128,7 +128,7 @@
 
     def take(self, ask):
         ask.held = self
-        ask.trips = 0
+        ask.attempts = 0
         self.line.append(ask)
         self.clock.at(ask.expected, self.overdue, ask, ask.turn)
         self.pull()
@@ -136,7 +136,7 @@
     def overdue(self, ask, turn):
         if ask.turn == turn and not ask.over and ask in self.line:
             self.line.remove(ask)
-            ask.answered(r.BOUNCE)
+            ask.answered(r.REJECT_REQUEST)
 
     def gone(self, ask):
         if ask in self.line:
@@ -149,29 +149,29 @@
             if ask.over:
                 continue
             name = self.choose()
-            trip = Sent(ask, name)
-            ask.trips += 1
+            attempt = Sent(ask, name)
+            ask.attempts += 1
             self.out[name] += 1
             self.busy += 1
-            self.world.send(self, trip, ask, name, ask.limit)
+            self.world.send(self, attempt, ask, name, ask.limit)
 
-    def ended(self, trip, outcome):
-        self.out[trip.place] -= 1
+    def ended(self, attempt, outcome):
+        self.out[attempt.place] -= 1
         self.busy -= 1
-        trip.outcome = outcome
-        ask = trip.ask
+        attempt.outcome = outcome
+        ask = attempt.ask
         if not ask.over:
-            again = outcome in r.NEVER_RAN or ask.terms.repeats == r.HARMLESS
-            if outcome == r.SETTLED:
-                ask.answered(r.SETTLED)
+            again = outcome in r.NEVER_RAN or ask.terms.repeats == r.SAFE
+            if outcome == r.SUCCESS:
+                ask.answered(r.SUCCESS)
             elif (
                 again
-                and ask.trips < self.world.plan.nodes.most_trips
+                and ask.attempts < self.world.plan.nodes.most_trips
                 and ask.expected > self.clock.now
             ):
                 self.line.appendleft(ask)
             else:
-                ask.answered(r.BOUNCE if again else r.GIVE_UP)
+                ask.answered(r.REJECT_REQUEST if again else r.FAIL_REQUEST)
         self.pull()
 
     def probed(self, name, good):
@@ -201,7 +201,7 @@
             0,
         )  # a heap of (work, count, turn, ask): the shortest first settles most
         self.travel = 2 * world.plan.fleet.delay_ms * 10.0
-        self.least = min(o.work_ms for o in world.plan.offering) * 10.0
+        self.least = min(o.work_ms for o in world.plan.request_class) * 10.0
 
     def listed(self, entries, whole):
         """It needs no list."""
@@ -222,7 +222,7 @@
 
     def overdue(self, ask, turn):
         if ask.turn == turn and not ask.over and ask.held:
-            ask.answered(r.BOUNCE)
+            ask.answered(r.REJECT_REQUEST)
 
     def gone(self, ask):
         """What is over is passed by when its turn comes."""
@@ -236,7 +236,7 @@
                 continue
             if ask.expected <= self.clock.now + ask.work / 2:
                 heappop(line)
-                ask.answered(r.BOUNCE)
+                ask.answered(r.REJECT_REQUEST)
                 continue
             free = [
                 b
@@ -251,11 +251,11 @@
             self.out[best.name] = self.out.get(best.name, 0) + 1
             self.world.send(self, Sent(ask, best.name), ask, best.name, ask.limit)
 
-    def ended(self, trip, outcome):
-        self.out[trip.place] -= 1
-        trip.outcome = outcome
-        if not trip.ask.over:
-            trip.ask.answered(r.SETTLED if outcome == r.SETTLED else r.BOUNCE)
+    def ended(self, attempt, outcome):
+        self.out[attempt.place] -= 1
+        attempt.outcome = outcome
+        if not attempt.ask.over:
+            attempt.ask.answered(r.SUCCESS if outcome == r.SUCCESS else r.REJECT_REQUEST)
         self.pull()
 
     def probed(self, name, good):
--- a/pierglade/simulation/tally.py
+++ b/pierglade/simulation/tally.py
@@ -23,10 +23,12 @@
     def __init__(self, plan, clock):
         self.plan, self.clock = plan, clock
         self.bins = {kind: np.zeros(int(plan.seconds * 10) + 1, int) for kind in KINDS}
-        self.latency = [[] for _ in plan.offering]  # (moment asked, tenths of ms until settled)
+        self.latency = [
+            [] for _ in plan.request_class
+        ]  # (moment asked, tenths of ms until settled)
         self.out, self.limit, self.tipped, self.beyond = [], [], [], []
         self.inside = 0  # asked and not yet asked again: kept clients in the system
-        self.trips = self.extra = 0
+        self.attempts = self.extra = 0
 
     def _count(self, kind):
         place = int(self.clock.now / BIN)
@@ -41,10 +43,10 @@
         self._count("settled")
         if self.clock.now <= ask.expected:
             self._count("in_time")
-        self.latency[ask.offering].append((ask.asked, self.clock.now - ask.asked))
+        self.latency[ask.request_class].append((ask.asked, self.clock.now - ask.asked))
 
     def refused(self, ask, kind):
-        self._count("bounced" if kind == r.BOUNCE else "given_up")
+        self._count("bounced" if kind == r.REJECT_REQUEST else "given_up")
 
     def left(self, ask):
         self._count("left")
@@ -99,9 +101,9 @@
         whole = {kind: round(self.rate(kind), 1) for kind in KINDS}
         since = self.plan.left_out_s * 10000.0
         by_offering = {}
-        for offering, pairs in zip(self.plan.offering, self.latency):
+        for request_class, pairs in zip(self.plan.request_class, self.latency):
             took = [span for asked, span in pairs if asked >= since]
-            by_offering[offering.name] = {
+            by_offering[request_class.name] = {
                 "settled_per_s": round(len(took) / (self.plan.seconds - self.plan.left_out_s), 1),
                 **(
                     {f"p{p:g}_ms": round(float(np.percentile(took, p)) / 10, 2) for p in (50, 99)}
@@ -129,7 +131,7 @@
             if self.limit[late:]
             else None,
             "most_beyond": round(max(self.beyond, default=0.0), 2),
-            "trips": self.trips,
+            "trips": self.attempts,
             "tips": sum(b.tips for b in backends),
             "falls": sum(b.falls for b in backends),
             "tipped_s": round(sum(self.tipped) / 10, 1),
--- a/pierglade/simulation/world.py
+++ b/pierglade/simulation/world.py
@@ -41,13 +41,13 @@
         self.tally = Tally(plan, self.clock)
         self.broken = {}
         # A stream of chance each for what is asked and for its order: the same whatever the policy does.
-        streams = np.random.SeedSequence(plan.seed).spawn(2 + len(plan.offering))
-        self.mix = Picks(np.random.default_rng(streams[0]), [o.share for o in plan.offering])
+        streams = np.random.SeedSequence(plan.seed).spawn(2 + len(plan.request_class))
+        self.mix = Picks(np.random.default_rng(streams[0]), [o.share for o in plan.request_class])
         self.sizes = [
             Sizes(np.random.default_rng(s), o.spread, o.work_ms * MS, o.cv)
-            for s, o in zip(streams[2:], plan.offering)
+            for s, o in zip(streams[2:], plan.request_class)
         ]
-        self.offerings = self.terms(0).offerings
+        self.request_classes = self.terms(0).request_classes
         kinds = [kind for kind in plan.fleet.kind for _ in range(kind.count)]
         self.backends = {
             f"b{n}": Backend(self.clock, f"b{n}", kind, plan.fleet) for n, kind in enumerate(kinds)
@@ -71,8 +71,8 @@
     def terms(self, number):
         """Fresh terms for the node of that number."""
         plan = self.plan
-        offerings = [
-            r.Offering(
+        request_classes = [
+            r.RequestClass(
                 n,
                 o.name,
                 o.repeats,
@@ -80,14 +80,14 @@
                 int(o.window_ms * MS),
                 int(o.expected_ms * MS),
                 int(o.hard_limit_ms * MS),
-                o.credit,
+                o.priority_weight,
             )
-            for n, o in enumerate(plan.offering)
+            for n, o in enumerate(plan.request_class)
         ]
         kinds = plan.fleet.kind
         shares = {"all": plan.nodes.members_per_s} if plan.nodes.members_per_s else {}
-        return r.Terms(
-            offerings=offerings,
+        return r.BalancerSettings(
+            request_classes=request_classes,
             tenants=Tenants(shares),
             number=number,
             nodes=plan.nodes.count,
@@ -108,10 +108,10 @@
         return self.tally.summary(self.plan.possible(), list(self.backends.values()), self.broken)
 
     def drawn(self, clients):
-        offering = self.mix.next()
-        terms = self.offerings[offering]
-        wait = self.plan.offering[offering].wait_ms * MS
-        return Ask(clients, terms, self.sizes[offering].next(), wait, self.clock.now)
+        request_class = self.mix.next()
+        terms = self.request_classes[request_class]
+        wait = self.plan.request_class[request_class].wait_ms * MS
+        return Ask(clients, terms, self.sizes[request_class].next(), wait, self.clock.now)
 
     def broke(self, rule, what):
         key = f"{rule}: {what}"
@@ -119,41 +119,41 @@
 
     # Trips.
 
-    def send(self, seat, trip, ask, name, until):
+    def send(self, seat, attempt, ask, name, until):
         """A trip leaves; its end comes back by `seat.ended` once, at `until` at the latest."""
-        self.tally.trips += 1
+        self.tally.attempts += 1
         if ask.over:
             self.broke(1, "sent after its answer")
         backend = self.backends[name]
 
         def ended(outcome):
-            if outcome in (r.SETTLED, r.ERROR):
+            if outcome in (r.SUCCESS, r.ERROR):
                 ask.ran += 1
-                if ask.ran > 1 and ask.terms.repeats == r.ONE_SHOT:
+                if ask.ran > 1 and ask.terms.repeats == r.UNSAFE:
                     self.broke(2, "a one-shot ran twice")
-            self.clock.after(delay, self._end, seat, trip, outcome)
+            self.clock.after(delay, self._end, seat, attempt, outcome)
 
         delay = self.plan.fleet.delay_ms * MS
         job = Job(ask.work, ask.wait, ended)
-        self.jobs[trip] = (job, backend)
-        self.clock.after(delay, self._arrive, trip, job, backend)
-        self.clock.at(until, self._end, seat, trip, r.TIMED_OUT)
+        self.jobs[attempt] = (job, backend)
+        self.clock.after(delay, self._arrive, attempt, job, backend)
+        self.clock.at(until, self._end, seat, attempt, r.TIMEOUT)
 
-    def _arrive(self, trip, job, backend):
-        if trip in self.jobs:
+    def _arrive(self, attempt, job, backend):
+        if attempt in self.jobs:
             backend.offer(job)
 
-    def _end(self, seat, trip, outcome):
-        pair = self.jobs.pop(trip, None)
+    def _end(self, seat, attempt, outcome):
+        pair = self.jobs.pop(attempt, None)
         if pair is None:
             return
         job, backend = pair
-        if outcome in (r.TIMED_OUT, r.CALLED_OFF):
+        if outcome in (r.TIMEOUT, r.CANCELLED):
             self.clock.after(self.plan.fleet.delay_ms * MS, backend.drop, job)
-        seat.ended(trip, outcome)
+        seat.ended(attempt, outcome)
 
-    def call_off(self, seat, trip):
-        self.clock.after(0, self._end, seat, trip, r.CALLED_OFF)
+    def call_off(self, seat, attempt):
+        self.clock.after(0, self._end, seat, attempt, r.CANCELLED)
 
     def probe(self, seat, name):
         backend = self.backends[name]
@@ -172,7 +172,7 @@
 
     def _entry(self, backend, state=r.READY):
         started = int(backend.started) if backend.started is not None else 0
-        return r.Listed(backend.name, state, "z", 0, started, backend.kind.weight)
+        return r.Endpoint(backend.name, state, "z", 0, started, backend.kind.weight)
 
     def _tell(self, entries):
         for seat in self.seats:
--- a/pierglade/simulator_adapter/connection.py
+++ b/pierglade/simulator_adapter/connection.py
@@ -11,14 +11,14 @@
 from pierglade.settings.platform import down, load_from, terms_from
 
 OUTCOMES = {
-    "success": r.SETTLED,
+    "success": r.SUCCESS,
     "failure": r.ERROR,
-    "overloaded": r.TURNED_AWAY,
-    "timed_out": r.TIMED_OUT,
-    "unreachable": r.UNREACHABLE,
-    "broken": r.BROKEN,
-    "withdrawn": r.CALLED_OFF,
-    "void": r.NEVER_SENT,
+    "overloaded": r.REJECTED_UNPROCESSED,
+    "timed_out": r.TIMEOUT,
+    "unreachable": r.CONNECT_FAILED,
+    "broken": r.CONNECTION_RESET,
+    "withdrawn": r.CANCELLED,
+    "void": r.NOT_SENT,
 }
 STATES = {"Ready": r.READY, "Terminating": r.DRAINING, "Gone": r.GONE}
 MARK_HINTED = 1
@@ -34,13 +34,13 @@
     def __init__(self, seed, conf, now):
         self.terms = terms_from(conf)
         self.node = Node(seed, self.terms, now)
-        self.offerings = {o.name: o for o in self.terms.offerings}
+        self.request_classes = {o.name: o for o in self.terms.request_classes}
         self.calls = {}
         self.timer = None
 
-    def drop_if_over(self, invocation):
-        if invocation.over and not invocation.out:
-            self.calls.pop(invocation.mark, None)
+    def drop_if_over(self, request):
+        if request.over and not request.out:
+            self.calls.pop(request.mark, None)
 
 
 class Link:
@@ -97,7 +97,7 @@
 
     def census(self, fields):
         self.lists[fields["ref"]] = [
-            r.Listed(
+            r.Endpoint(
                 e["backend"],
                 STATES[e["status"]],
                 e.get("zone"),
@@ -129,50 +129,50 @@
         seat = self.seat(fields)
         if seat is None:
             return
-        offering = seat.offerings[fields["grade"]]
+        request_class = seat.request_classes[fields["grade"]]
         limit = (self.wall + fields["leftUs"]) // 100
-        invocation = r.Invocation(
+        request = r.Request(
             fields["call"],
-            offering,
+            request_class,
             seat.terms.tenants.of(fields.get("party"), self.now),
             self.now,
             limit,
             down(fields.get("hintUs") or 0) if (fields.get("marks") or 0) & MARK_HINTED else 0,
         )
-        seat.calls[invocation.mark] = invocation
-        seat.node.taken(self.now, invocation)
+        seat.calls[request.mark] = request
+        seat.node.taken(self.now, request)
 
     def client_gone(self, fields):
         seat = self.seat(fields)
-        invocation = seat and seat.calls.get(fields["call"])
-        if invocation:
-            seat.node.abandoned(self.now, invocation)
-            seat.drop_if_over(invocation)
+        request = seat and seat.calls.get(fields["call"])
+        if request:
+            seat.node.abandoned(self.now, request)
+            seat.drop_if_over(request)
 
-    def trip(self, fields):
+    def attempt(self, fields):
         seat = self.seat(fields)
-        invocation = seat and seat.calls.get(fields["call"])
-        if invocation and 0 <= fields["sendNo"] < len(invocation.trips):
-            return seat, invocation.trips[fields["sendNo"]]
+        request = seat and seat.calls.get(fields["call"])
+        if request and 0 <= fields["sendNo"] < len(request.attempts):
+            return seat, request.attempts[fields["sendNo"]]
         return seat, None
 
     def completed(self, fields):
-        seat, trip = self.trip(fields)
-        if trip and trip.outcome is None:
+        seat, attempt = self.attempt(fields)
+        if attempt and attempt.outcome is None:
             self.gauge(seat, fields)
             seat.node.returned(
                 self.now,
-                trip,
+                attempt,
                 OUTCOMES[fields["reason"]],
                 down(fields["durationUs"]),
                 bool(fields["doneFlag"]),
             )
-            seat.drop_if_over(trip.invocation)
+            seat.drop_if_over(attempt.request)
 
     def first_byte(self, fields):
-        seat, trip = self.trip(fields)
-        if trip:
-            seat.node.streaming(trip)
+        seat, attempt = self.attempt(fields)
+        if attempt:
+            seat.node.streaming(attempt)
 
     def ping_result(self, fields):
         seat = self.seat(fields)
@@ -222,23 +222,23 @@
                     {
                         "SubmitTo": {
                             "who": who,
-                            "call": subject.invocation.mark,
+                            "call": subject.request.mark,
                             "backend": node.names[subject.backend],
                             "capUs": max(1, subject.until * 100 - self.wall),
                         }
                     }
                 )
-            elif kind is r.CALL_OFF:
+            elif kind is r.CANCEL_ATTEMPT:
                 out.append(
                     {
                         "AbortAttempt": {
                             "who": who,
-                            "call": subject.invocation.mark,
+                            "call": subject.request.mark,
                             "sendNo": subject.number,
                         }
                     }
                 )
-            elif kind is r.BOUNCE:
+            elif kind is r.REJECT_REQUEST:
                 out.append(
                     {
                         "Bounce": {
@@ -249,7 +249,7 @@
                     }
                 )
                 seat.drop_if_over(subject)
-            elif kind is r.GIVE_UP:
+            elif kind is r.FAIL_REQUEST:
                 out.append({"RespondError": {"who": who, "call": subject.mark}})
                 seat.drop_if_over(subject)
             elif kind is r.ASK:
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -33,7 +33,7 @@
     """A snapshot of which nothing is to be believed; one line that says why."""
 
 
-def aged(snapshot, now, half_life, offerings, fresh_rows, listed):
+def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
     """(rows, backends) for Node.remember, and a line that says what was kept.
 
     `offerings`: the rows of the settings; `fresh_rows`: what a fresh node knows of them; `listed`: name to
@@ -47,8 +47,8 @@
         raise Unworthy(f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives")
     weight = 0.5 ** (age / half_life)
     rows = [
-        _row(snapshot.offerings.get(offering.name), offering, fresh, weight)
-        for offering, fresh in zip(offerings, fresh_rows)
+        _row(snapshot.request_classes.get(request_class.name), request_class, fresh, weight)
+        for request_class, fresh in zip(request_classes, fresh_rows)
     ]
     if not any(rows):
         raise Unworthy("none of its offerings is one of the settings: another deployment's")
@@ -71,10 +71,14 @@
     )
 
 
-def _row(told, offering, fresh, weight):
+def _row(told, request_class, fresh, weight):
     """The part of a table's row that is remembered; empty where its offering is another one."""
-    same = ("expected", "hard_limit", "repeats")
-    if told is None or any(told.get(key) != getattr(offering, key) for key in same):
+    same = {
+        "expected": request_class.expected,
+        "hard_limit": request_class.request_timeout,
+        "repeats": request_class.repeats,
+    }
+    if told is None or any(told.get(key) != value for key, value in same.items()):
         return {}
     row = {
         key: _faded(told[key], fresh[key], weight) for key in ROW_FADING if _number(told.get(key))
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -18,7 +18,7 @@
 from collections import OrderedDict
 
 from pierglade.balancer.balancer import COMES, FIRST
-from pierglade.model.request import GONE, Listed
+from pierglade.model.request import GONE, Endpoint
 
 PASTS = ("samples", "pauses")
 REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
@@ -45,8 +45,8 @@
     """Gives `node`, which was just made, what `before` knows. Both are told of the list from then on."""
     terms, were = node.terms, before.terms
     # Of each row of the new table the one there was, by name.
-    places = {offering.name: offering.index for offering in were.offerings}
-    places = [places.get(offering.name) for offering in terms.offerings]
+    places = {request_class.name: request_class.index for request_class in were.request_classes}
+    places = [places.get(request_class.name) for request_class in terms.request_classes]
     same_reports = (terms.reports, terms.gauges) == (were.reports, were.gauges)
     same_ring = (terms.number, terms.nodes) == (were.number, were.nodes)
     _backends(node, before, same_reports)
@@ -72,7 +72,7 @@
     # What was listed as gone and was tried all the same is gone where that binds.
     node.listed(
         now,
-        [Listed(node.names[b], GONE, node.zone[b], node.cell[b], node.started[b]) for b in left],
+        [Endpoint(node.names[b], GONE, node.zone[b], node.cell[b], node.started[b]) for b in left],
         False,
     )
     node.sweep_at = min(node.sweep_at, now)
@@ -101,17 +101,19 @@
 
 
 def _rows(node, before, places):
-    for row, offering, place in zip(node.table, node.terms.offerings, places):
+    for row, request_class, place in zip(node.table, node.terms.request_classes, places):
         if place is None:
             continue
-        told, was = before.table[place], before.terms.offerings[place]
+        told, was = before.table[place], before.terms.request_classes[place]
         row.asked, row.got, row.hinted = told.asked, told.got, told.hinted
         if told.answers > row.answers:
             row.typical, row.skew, row.answers = told.typical, told.skew, told.answers
-        if offering.hard_limit == was.hard_limit:
+        if request_class.request_timeout == was.request_timeout:
             row.usual_left, row.usual_votes = told.usual_left, told.usual_votes
-    came = {offering.repeats for offering in before.terms.offerings}
-    for kind in {offering.repeats for offering in node.terms.offerings}:
+    came = {request_class.repeats for request_class in before.terms.request_classes}
+    for kind in {request_class.repeats for request_class in node.terms.request_classes}:
         node.asked_at[kind] = before.asked_at[kind] if kind in came else before.count
-    for kind in node.asked_at.keys() - {offering.repeats for offering in node.terms.offerings}:
+    for kind in node.asked_at.keys() - {
+        request_class.repeats for request_class in node.terms.request_classes
+    }:
         node.asked_at[kind] = before.count - COMES
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -38,9 +38,8 @@
     written: int
     began: int  # the node's start
     asked: float  # invocations that it settled in a tenth of a ms of late
-    offerings: dict[
-        str, dict
-    ]  # name to what was known, `expected`, `hard_limit` and `repeats` with it
+    # Name to what was known, `expected`, `hard_limit` and `repeats` with it.
+    request_classes: dict[str, dict] = msgspec.field(name="offerings")
     backends: dict[str, Backend]
     index: int | None  # the version of the list
     list: list[dict]  # the list's entries in the platform's form
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -220,15 +220,17 @@
         path = request.url.partition(b"?")[0]
         if path == HEALTH or path == STATS:
             return self._probed(request, connection, path)
-        offering = self.fleet.offerings.get(path.split(b"/")[1]) if path[:1] == b"/" else None
-        if offering is None or request.id is None:
+        request_class = (
+            self.fleet.request_classes.get(path.split(b"/")[1]) if path[:1] == b"/" else None
+        )
+        if request_class is None or request.id is None:
             connection.answer(request, UNKNOWN)
             return
         self.counts["arrived"] += 1
         named = {
             "backend": self.name,
             "id": request.id,
-            "offering": offering.name,
+            "offering": request_class.name,
             "conn": connection.number,
         }
         if request.key:
@@ -244,15 +246,17 @@
             or self.part["refuse"]
             and chance() < self.part["refuse"]
         ):
-            return self._answer(request, connection, r.TURNED_AWAY, named)
-        if offering.repeats == "stamped" and self.fleet.is_repeat(self, offering, request):
+            return self._answer(request, connection, r.REJECTED_UNPROCESSED, named)
+        if request_class.repeats == "stamped" and self.fleet.is_repeat(
+            self, request_class, request
+        ):
             self.counts["repeat"] += 1
             self.fleet.ledger.note("repeat", **named)
             connection.answer(request, self.head, self.fleet.body)
             return
         job = Job(
-            self.fleet.sizes[offering.name].next(),
-            offering.wait_ms * 10.0,
+            self.fleet.sizes[request_class.name].next(),
+            request_class.wait_ms * 10.0,
             lambda outcome: self._answer(request, connection, outcome, named),
         )
         connection.working(request, job)
@@ -261,12 +265,12 @@
     def _answer(self, request, connection, outcome, named):
         fleet, what = self.fleet, "never ran"
         if (
-            outcome == r.SETTLED
+            outcome == r.SUCCESS
             and self.part["errors"]
             and fleet.chance.random() < self.part["errors"]
         ):
             outcome = r.ERROR
-        if outcome == r.SETTLED:
+        if outcome == r.SUCCESS:
             what = "ran"
             if self.part["spoil"] and fleet.chance.random() < self.part["spoil"]:
                 connection.answer(request, SPOILT)
@@ -279,7 +283,7 @@
         elif outcome == r.ERROR:
             what = "error"
             connection.answer(request, FAILED)
-        elif outcome == r.TURNED_AWAY:
+        elif outcome == r.REJECTED_UNPROCESSED:
             connection.answer(request, NEVER_RAN)
         else:  # The process is down, or went down with it inside.
             connection.end()
--- a/pierglade/testbed/plain.py
+++ b/pierglade/testbed/plain.py
@@ -62,7 +62,7 @@
     """A client's connection: one request in hand."""
 
     def __init__(self, node):
-        self.node, self.transport, self.trip = node, None, None
+        self.node, self.transport, self.attempt = node, None, None
         self.parser = httptools.HttpRequestParser(self)
         self.url, self.headers, self.body = b"", [], b""
 
@@ -70,9 +70,9 @@
         self.transport = transport
 
     def connection_lost(self, fault):
-        trip, self.trip = self.trip, None
-        if trip is not None:
-            self.node.pools[trip.what[1]].leave(trip)
+        attempt, self.attempt = self.attempt, None
+        if attempt is not None:
+            self.node.pools[attempt.what[1]].leave(attempt)
 
     def data_received(self, data):
         try:
@@ -166,18 +166,18 @@
     def send(self, client, data, method, tries):
         name = self.choice.pick()
         self.choice.out[name] += 1
-        trip = Request(data, self.ended, (client, name, method, tries))
-        client.trip = trip
-        self.pools[name].send(trip, PATIENCE_S)
+        attempt = Request(data, self.ended, (client, name, method, tries))
+        client.attempt = attempt
+        self.pools[name].send(attempt, PATIENCE_S)
 
-    def ended(self, trip, status, backend, why):
-        client, name, method, tries = trip.what
+    def ended(self, attempt, status, backend, why):
+        client, name, method, tries = attempt.what
         self.choice.out[name] -= 1
-        if client.trip is not trip:
+        if client.attempt is not attempt:
             return
-        client.trip = None
+        client.attempt = None
         if tries < 3 and (self.fault == "overdraw" or self.fault == "again" and status != 200):
-            return self.send(client, trip.data, method, tries + 1)
+            return self.send(client, attempt.data, method, tries + 1)
         if self.fault == "late":
             self.loop.call_later(LATE_S, client.answer, status or 504, name)
             return
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -124,7 +124,7 @@
 class Plan(Struct):
     kind: Annotated[list[Named], Meta(min_length=1)]
     place: Annotated[list[Place], Meta(min_length=1)]
-    offering: Annotated[list[Offered], Meta(min_length=1)]
+    request_class: Annotated[list[Offered], Meta(min_length=1)] = msgspec.field(name="offering")
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     report: Report = msgspec.field(default_factory=Report)
     ledger: Ledger = msgspec.field(default_factory=Ledger)
@@ -184,11 +184,11 @@
     kinds = [k.name for k in plan.kind]
     if len(set(kinds)) < len(kinds):
         yield "$.kind: two of one name"
-    if len({o.name for o in plan.offering}) < len(plan.offering):
+    if len({o.name for o in plan.request_class}) < len(plan.request_class):
         yield "$.offering: two of one name"
-    for number, offering in enumerate(plan.offering):
-        if offering.expected_ms > offering.hard_limit_ms:
-            yield f"$.offering[{number}].expected_ms: {offering.expected_ms:g} is over `hard_limit_ms`"
+    for number, request_class in enumerate(plan.request_class):
+        if request_class.expected_ms > request_class.hard_limit_ms:
+            yield f"$.offering[{number}].expected_ms: {request_class.expected_ms:g} is over `hard_limit_ms`"
     for number, place in enumerate(plan.place):
         if place.kind and place.kind not in kinds:
             yield f"$.place[{number}].kind: {place.kind!r} is none of {', '.join(kinds)}"
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -38,11 +38,11 @@
         self.clock = RealClock()
         self.unix_ms = time.time() * 1000  # at the clock's zero
         self.chance = random.Random(plan.seed)
-        streams = np.random.SeedSequence(plan.seed).spawn(len(plan.offering))
-        self.offerings = {o.name.encode(): o for o in plan.offering}
+        streams = np.random.SeedSequence(plan.seed).spawn(len(plan.request_class))
+        self.request_classes = {o.name.encode(): o for o in plan.request_class}
         self.sizes = {
             o.name: Sizes(np.random.default_rng(s), o.spread, o.work_ms * 10, o.cv)
-            for o, s in zip(plan.offering, streams)
+            for o, s in zip(plan.request_class, streams)
         }
         self.body = b"x" * plan.body_bytes
         self.tasks, self.troubles = set(), []
@@ -115,18 +115,20 @@
         if len(self.troubles) < 20:
             self.troubles.append(what)
 
-    def is_repeat(self, stand, offering, request):
+    def is_repeat(self, stand, request_class, request):
         """Whether this stamp was seen in its group and window; noted either way."""
         now, key = self.clock.now, request.key or ""
         place = stand.place
-        group = {"all": "", "zone": place.zone, "cell": (place.zone, place.cell)}[offering.group]
+        group = {"all": "", "zone": place.zone, "cell": (place.zone, place.cell)}[
+            request_class.group
+        ]
         while self.stamped and (self.stamped[0][0] <= now or len(self.stamped) > REPEATS_MOST):
             until, seen = self.stamped.popleft()
             if self.stamps.get(seen) == until:
                 del self.stamps[seen]
         if self.stamps.get((group, key), 0) > now:
             return True
-        until = now + offering.window_ms * 10
+        until = now + request_class.window_ms * 10
         self.stamps[group, key] = until
         self.stamped.append((until, (group, key)))
         return False
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -120,7 +120,7 @@
         for number in range(rate):
             at = start + S * number / rate
             heappush(self.due, (at, self.chance.random(), 0, at, self.chance.random() < 0.2))
-        good = credit = refused = 0
+        good = priority_weight = refused = 0
         while self.due and self.due[0][0] < start + S:
             at, order, tries, first, dear = heappop(self.due)
             if at > self.now:
@@ -140,9 +140,9 @@
                 continue
             self.now += 5
             good += self.now - at < 2500
-            credit += (3 if dear else 1) * (self.now - at < 2500)
+            priority_weight += (3 if dear else 1) * (self.now - at < 2500)
         self.now = max(self.now, start + S)
-        return good, credit, refused
+        return good, priority_weight, refused
 
 
 class Bars(TraceTest):
@@ -153,9 +153,9 @@
             core = Core(with_bar)
             lines.append("with the bar" if with_bar else "without")
             for rate in (1000, 1000, 5000, 5000, 5000, 3000, 3000, 1000, 1000, 1000):
-                good, credit, refused = core.second(rate)
+                good, priority_weight, refused = core.second(rate)
                 lines.append(
-                    f"  {rate} a second: in time {good}, credit {credit}, refused {refused}"
+                    f"  {rate} a second: in time {good}, credit {priority_weight}, refused {refused}"
                 )
         self.check("admission_steps", lines)
 
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -35,7 +35,7 @@
             scene.take(f"i{n}")
             scene.after(5)
             for name in scene.out():
-                if scene.node.names[scene.invocations[name].trips[-1].backend] != "b1":
+                if scene.node.names[scene.requests[name].attempts[-1].backend] != "b1":
                     scene.end(name, note=False)
         self.check("crowded", scene.lines)
 
@@ -60,21 +60,21 @@
         lines, scene.lines = scene.lines, []
         sent = bounced = 0
         for n in range(int(seconds * 1000 / every_ms)):
-            invocation = scene.take("s", hint=hint[n % len(hint)] if hint else 0)
+            request = scene.take("s", hint=hint[n % len(hint)] if hint else 0)
             for _ in range(flood):
-                left = r.Invocation(
-                    "left", scene.terms.offerings[0], None, scene.now, scene.now + 1000 * MS
+                left = r.Request(
+                    "left", scene.terms.request_classes[0], None, scene.now, scene.now + 1000 * MS
                 )
                 scene.node.taken(scene.now, left)
                 scene.node.abandoned(scene.now, left)
             scene.after(every_ms)
-            for trip in invocation.trips:
+            for attempt in request.attempts:
                 if report:
-                    scene.node.reported(scene.now, scene.node.names[trip.backend], report)
-                scene.node.returned(scene.now, trip, r.SETTLED, took * MS, True)
+                    scene.node.reported(scene.now, scene.node.names[attempt.backend], report)
+                scene.node.returned(scene.now, attempt, r.SUCCESS, took * MS, True)
                 scene.pull()
-            sent += bool(invocation.trips)
-            bounced += not invocation.trips
+            sent += bool(request.attempts)
+            bounced += not request.attempts
         scene.lines = lines
         node = scene.node
         scene.say(
@@ -132,8 +132,8 @@
             scene.say("both of the own zone refuse")
             for n in range(8):
                 scene.take("r")
-                east = scene.node.names[scene.invocations["r"].trips[-1].backend] < "b2"
-                scene.end("r", r.UNREACHABLE if east else r.SETTLED, note=False)
+                east = scene.node.names[scene.requests["r"].attempts[-1].backend] < "b2"
+                scene.end("r", r.CONNECT_FAILED if east else r.SUCCESS, note=False)
                 for name in scene.out():
                     scene.end(name, note=False)
             lines += [line for line in scene.lines if "probe" not in line]
@@ -156,17 +156,17 @@
             for n in range(seconds * 50):
                 n = (phase, n)
                 for place, tenant in enumerate((north, south)[: 1 + (n[1] % 3 == 0)]):
-                    invocation = scene.take((n, place), tenant=tenant)
-                    got[tenant.name][0 if invocation.trips else 1] += 1
+                    request = scene.take((n, place), tenant=tenant)
+                    got[tenant.name][0 if request.attempts else 1] += 1
                     out.append((n, place))
                 scene.after(20)
                 for name in list(out):
-                    invocation = scene.invocations[name]
-                    trip = invocation.trips[-1] if invocation.trips else None
-                    slow = took if invocation.tenant is south else 20
-                    if invocation.out and (trip.called_off or scene.now >= trip.sent + slow * MS):
-                        scene.end(name, r.CALLED_OFF if trip.called_off else r.SETTLED, note=False)
-                    if invocation.over and not invocation.out:
+                    request = scene.requests[name]
+                    attempt = request.attempts[-1] if request.attempts else None
+                    slow = took if request.tenant is south else 20
+                    if request.out and (attempt.cancelled or scene.now >= attempt.sent + slow * MS):
+                        scene.end(name, r.CANCELLED if attempt.cancelled else r.SUCCESS, note=False)
+                    if request.over and not request.out:
                         out.remove(name)
                 marked += bool(scene.node.ailing)
             scene.lines = lines
@@ -230,10 +230,10 @@
         for settled in (0, 1):
             scene = self.learner(reports=r.WITH_ANSWERS)
             for n in range(200):
-                invocation = scene.take("s", left=400)
+                request = scene.take("s", left=400)
                 scene.after(40)
-                for trip in invocation.trips * settled:
-                    scene.node.returned(scene.now, trip, r.SETTLED, 40 * MS, True)
+                for attempt in request.attempts * settled:
+                    scene.node.returned(scene.now, attempt, r.SUCCESS, 40 * MS, True)
             scene.list(["b12"])
             lines.append(
                 f"asked {scene.node.asked * 10000:.0f} a second, a warm one gets "
@@ -247,10 +247,10 @@
             scene = Scene(names, nodes=20, number=number, tenants=Tenants({"north": 20.0}))
             scene.say(f"node {number}")
             scene.flow(6)
-            invocation = scene.take("a")
-            lost = scene.node.names[invocation.trips[0].backend]
+            request = scene.take("a")
+            lost = scene.node.names[request.attempts[0].backend]
             scene.after(5)
-            scene.end("a", r.UNREACHABLE)
+            scene.end("a", r.CONNECT_FAILED)
             scene.after(20)
             scene.end("a")
             scene.flow(6)
@@ -278,15 +278,15 @@
         scene = Scene(["b0", "b1", "b2"], dead=("b1",))
         scene.flow(30)
         for n in range(6):
-            scene.take(f"i{n}", offering=(0, 1, 2)[n % 3])
+            scene.take(f"i{n}", request_class=(0, 1, 2)[n % 3])
         for _ in range(12):
             scene.after(20)
             for name in scene.out():
-                trip = scene.invocations[name].trips[-1]
-                if scene.node.names[trip.backend] != "b1":
+                attempt = scene.requests[name].attempts[-1]
+                if scene.node.names[attempt.backend] != "b1":
                     scene.end(name)
-                elif trip.called_off:
-                    scene.end(name, r.CALLED_OFF)
+                elif attempt.cancelled:
+                    scene.end(name, r.CANCELLED)
         scene.say(
             f"b1 is {scene.node.trouble[scene.node.index['b1']]}, "
             f"pauses known: {len(scene.node.pauses[scene.node.index['b1']])}"
@@ -301,10 +301,10 @@
             scene = Scene([f"b{n}" for n in range(4)])
             silent = 0
             for _ in range(600):
-                invocation = scene.take("i")
+                request = scene.take("i")
                 for _ in range(int(min(990, 20 * chance.lognormvariate(-(spread**2) / 2, spread)))):
                     scene.after(1)
-                if invocation.out:
+                if request.out:
                     scene.end("i", note=False)
                 silent += bool(scene.node.ailing)
                 scene.after(100)
@@ -322,8 +322,8 @@
         scene = Scene(["b0", "b1"])
         for n in range(4):
             scene.take(f"i{n}")
-            at_b1 = scene.node.names[scene.invocations[f"i{n}"].trips[-1].backend] == "b1"
-            scene.end(f"i{n}", r.UNREACHABLE if at_b1 else r.SETTLED)
+            at_b1 = scene.node.names[scene.requests[f"i{n}"].attempts[-1].backend] == "b1"
+            scene.end(f"i{n}", r.CONNECT_FAILED if at_b1 else r.SUCCESS)
         scene.flow(4)
         scene.list([listed("b1", r.GONE)])
         scene.list([listed("b1", started=scene.now)])
@@ -338,8 +338,8 @@
             scene.take(f"i{n}")
             scene.after(2)
             for name in scene.out():
-                at_b1 = scene.node.names[scene.invocations[name].trips[-1].backend] == "b1"
-                scene.end(name, r.TURNED_AWAY if at_b1 else r.SETTLED, note=at_b1)
+                at_b1 = scene.node.names[scene.requests[name].attempts[-1].backend] == "b1"
+                scene.end(name, r.REJECTED_UNPROCESSED if at_b1 else r.SUCCESS, note=at_b1)
         scene.after(200)
         scene.flow(9)
         self.check("quick_errors", scene.lines)
@@ -359,7 +359,7 @@
         scene = Scene(["b0", "b1"])
         for n in range(2):
             scene.take(f"i{n}")
-            scene.end(f"i{n}", r.UNREACHABLE)
+            scene.end(f"i{n}", r.CONNECT_FAILED)
         scene.after(160)
         scene.flow(4)
         self.check("all_failed", scene.lines)
@@ -368,18 +368,20 @@
         """Clients left the only harmless offering for another, and no backend in trouble was tried again. By
         the clock instead of by what comes, nodes with a few a second tried with one-shots, and lost them."""
         lines = []
-        for offering, seldom in ((1, 0), (2, 0), (2, 60), (2, 200)):
+        for request_class, seldom in ((1, 0), (2, 0), (2, 60), (2, 200)):
             scene, tried = Scene(["b0", "b1"]), []
             for n in range(400):
                 scene.after(300)
-                kind = 0 if seldom and n % seldom == 0 else offering
-                trip = scene.take("i", offering=kind).trips[-1]
-                at_b1 = scene.node.names[trip.backend] == "b1"
-                tried += [f"{scene.terms.offerings[kind].repeats} as number {n}"] * trip.trial
-                scene.end("i", r.UNREACHABLE if at_b1 else r.SETTLED, note=False)
+                kind = 0 if seldom and n % seldom == 0 else request_class
+                attempt = scene.take("i", request_class=kind).attempts[-1]
+                at_b1 = scene.node.names[attempt.backend] == "b1"
+                tried += [
+                    f"{scene.terms.request_classes[kind].repeats} as number {n}"
+                ] * attempt.trial
+                scene.end("i", r.CONNECT_FAILED if at_b1 else r.SUCCESS, note=False)
                 for name in scene.out():
                     scene.end(name, note=False)
-            name = scene.terms.offerings[offering].repeats
+            name = scene.terms.request_classes[request_class].repeats
             lines.append(
                 f"{name}, one of {seldom} harmless: {len(tried)} tries, with {', '.join(tried[:3])}"
             )
@@ -387,12 +389,12 @@
 
     def test_a_trial_goes_out_though_the_sound_are_full(self):
         scene = Scene(["b0", "b1"])
-        scene.take("lost", offering=2)
-        scene.end("lost", r.UNREACHABLE)
+        scene.take("lost", request_class=2)
+        scene.end("lost", r.CONNECT_FAILED)
         for n in range(9):
-            scene.take(f"i{n}", offering=0 if n else 2)
+            scene.take(f"i{n}", request_class=0 if n else 2)
         scene.after(155)
-        scene.take("one-shot", offering=2)
+        scene.take("one-shot", request_class=2)
         scene.take("late")
         scene.after(10)
         scene.end("late")
@@ -403,17 +405,17 @@
     def test_each_offering_after_each_outcome(self):
         lines = []
         for outcome in (
-            r.TURNED_AWAY,
-            r.UNREACHABLE,
-            r.NEVER_SENT,
+            r.REJECTED_UNPROCESSED,
+            r.CONNECT_FAILED,
+            r.NOT_SENT,
             r.ERROR,
-            r.BROKEN,
-            r.TIMED_OUT,
-            r.CALLED_OFF,
+            r.CONNECTION_RESET,
+            r.TIMEOUT,
+            r.CANCELLED,
         ):
-            for offering, name in enumerate(("harmless", "stamped", "one-shot")):
+            for request_class, name in enumerate(("harmless", "stamped", "one-shot")):
                 scene = Scene(["b0", listed("w0", zone="west"), listed("w1", zone="west")])
-                scene.take(name, offering)
+                scene.take(name, request_class)
                 scene.after(5)
                 scene.end(name, outcome)
                 lines += scene.lines
@@ -424,7 +426,7 @@
         scene.take("a", 1)
         scene.after(5)
         scene.end("a", r.ERROR)
-        scene.list([listed("b2", zone=scene.node.zone[scene.invocations["a"].trips[0].backend])])
+        scene.list([listed("b2", zone=scene.node.zone[scene.requests["a"].attempts[0].backend])])
         scene.after(10)
         scene.take("b", 1)
         scene.after(310)
@@ -439,14 +441,14 @@
         scene.list(["b0"])
         scene.take("b", 2, left=200)
         scene.after(200)
-        scene.end("b", r.TIMED_OUT)
+        scene.end("b", r.TIMEOUT)
         self.check("limit", scene.lines)
 
     def test_late_repeat_is_known_by_its_time_left(self):
         scene = Scene(["b0"])
         for n in range(3):
             scene.take(f"first{n}", left=600)
-        scene.node.abandoned(scene.now, scene.invocations["first0"])
+        scene.node.abandoned(scene.now, scene.requests["first0"])
         scene.pull()
         scene.take("repeat", left=500)
         scene.take("long repeat", left=900)
@@ -466,10 +468,13 @@
         """What one left behind is nobody else's, and the arrays stop growing."""
         scene = Scene(["b0", "n0"])
         for n in range(60):
-            trips = scene.take("a").trips
-            while trips and trips[-1].outcome is None:
+            attempts = scene.take("a").attempts
+            while attempts and attempts[-1].outcome is None:
                 scene.end(
-                    "a", r.SETTLED if scene.node.names[trips[-1].backend] == "b0" else r.UNREACHABLE
+                    "a",
+                    r.SUCCESS
+                    if scene.node.names[attempts[-1].backend] == "b0"
+                    else r.CONNECT_FAILED,
                 )
             scene.list([listed(f"n{n}", r.GONE), listed(f"n{n + 1}")])
             scene.after(500)
@@ -484,11 +489,15 @@
         chance = random.Random(5).random
         lost, out = {}, set()
         for n in range(600):
-            trips = scene.take("a", offering=2).trips
+            attempts = scene.take("a", request_class=2).attempts
             scene.after(5)
-            if trips:
-                at = scene.node.names[trips[-1].backend]
-                scene.end("a", r.BROKEN if chance() < lost.get(at, 0.12) else r.SETTLED, note=False)
+            if attempts:
+                at = scene.node.names[attempts[-1].backend]
+                scene.end(
+                    "a",
+                    r.CONNECTION_RESET if chance() < lost.get(at, 0.12) else r.SUCCESS,
+                    note=False,
+                )
             out.update((n // 401, scene.node.names[b]) for b in scene.node.ailing)
             if n == 400:
                 lost["b2"] = 0.95
@@ -498,9 +507,9 @@
         """Held for a backend that it may not go back to, it was answered 0.38 s later and no better."""
         scene = Scene(["b0", "b1"])
         scene.take("a")
-        scene.end("a", r.UNREACHABLE)
+        scene.end("a", r.CONNECT_FAILED)
         scene.after(1)
-        scene.end("a", r.UNREACHABLE)
+        scene.end("a", r.CONNECT_FAILED)
         scene.after(500)
         self.check("lost_everywhere", scene.lines)
 
@@ -549,8 +558,8 @@
         scene.take("b", 2)
         scene.after(100)
         for name in ("a", "b"):
-            at_gone = scene.node.names[scene.invocations[name].trips[-1].backend] == "gone"
-            scene.end(name, r.UNREACHABLE if at_gone else r.SETTLED)
+            at_gone = scene.node.names[scene.requests[name].attempts[-1].backend] == "gone"
+            scene.end(name, r.CONNECT_FAILED if at_gone else r.SUCCESS)
         scene.list(["b0", listed("cold", started=9000 * MS)], whole=True)
         scene.flow(6)
         self.check("restart", scene.lines)
@@ -569,34 +578,34 @@
             took, further, broken, early = [], [], 0, 0
             send, final = scene.node._send, scene.node._final
 
-            def sends(invocation, b, now, send=send):
-                if invocation.trips:
+            def sends(request, b, now, send=send):
+                if request.attempts:
                     further.append(now)
-                return send(invocation, b, now)
+                return send(request, b, now)
 
-            def finals(invocation, final=final):
+            def finals(request, final=final):
                 # What is given up after a loss with time left: for want of budget, or tried everywhere.
                 nonlocal early
-                lost = [t for t in invocation.trips if t.outcome]
+                lost = [t for t in request.attempts if t.outcome]
                 spent = sum(at > scene.now - 50000 for at in further)
                 allowed = 3 + 0.2 * sum(at > scene.now - 50000 for at in took)
                 early += (
                     len(lost) == 1
-                    and invocation.offering.repeats == r.HARMLESS
+                    and request.request_class.repeats == r.SAFE
                     and 2 * spent < allowed
-                    and not scene.node._hopeless(invocation, scene.now)
+                    and not scene.node._hopeless(request, scene.now)
                 )
-                return final(invocation)
+                return final(request)
 
             scene.node._send, scene.node._final = sends, finals
             for n in range(1500):
                 scene.after(chance.choice((1, 5, 20, 400 if n % 300 > 280 else 10)))
                 took.append(scene.now)
-                scene.take(n, offering=chance.randrange(3))
+                scene.take(n, request_class=chance.randrange(3))
                 for name in scene.out():
                     if chance.random() < 0.2:
                         lost = chance.random() < (0.9 if n % 500 < 60 else 0.1)
-                        scene.end(name, r.ERROR if lost else r.SETTLED, note=False)
+                        scene.end(name, r.ERROR if lost else r.SUCCESS, note=False)
             for at in further:
                 first = at - 50000
                 broken += sum(first <= each <= at for each in further) > 3 + 0.2 * sum(
@@ -622,7 +631,7 @@
                 scene.end(f"i{n}", note=False)
             scene.take(f"at {ms}")
             scene.end(f"at {ms}", r.ERROR)
-            if scene.invocations[f"at {ms}"].out:
+            if scene.requests[f"at {ms}"].out:
                 scene.end(f"at {ms}")
         scene.say(f"{len(scene.node.spent)} spent, {len(scene.node.earned)} in the window")
         self.check("budget_edges", scene.lines)
@@ -648,10 +657,10 @@
         for n in range(16):
             scene.take(f"look{n}")
         scene.after(60)
-        scene.take("pay", offering=2)
+        scene.take("pay", request_class=2)
         # It borrows no more than the limit of half a second, and is then no longer little: the rest waits.
         for n in range(6):
-            scene.take(f"pay{n}", offering=2)
+            scene.take(f"pay{n}", request_class=2)
             scene.after(10)
         self.check("ahead", scene.lines)
 
@@ -701,9 +710,9 @@
     def test_the_client_goes(self):
         scene = Scene(["b0"])
         scene.take("a")
-        scene.node.abandoned(scene.now, scene.invocations["a"])
+        scene.node.abandoned(scene.now, scene.requests["a"])
         scene.pull()
-        scene.end("a", r.CALLED_OFF)
+        scene.end("a", r.CANCELLED)
         scene.say(f"in flight {scene.node.limit.busy}")
         scene.take("b")
         scene.after(150)
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -19,30 +19,32 @@
         sent, ends, trials, resent, due = Counter(), Counter(), Counter(), 0, []
         start, had, chance = self.now, Counter(), random.Random(3)
         for n in range(seconds * 1000 // every_ms):
-            self.take((what, n), offering=2 if mixed and chance.random() < 1 / 3 else 0)
+            self.take((what, n), request_class=2 if mixed and chance.random() < 1 / 3 else 0)
             for _ in range(every_ms // 5):
                 self.after(5)
-                for name, invocation in list(self.invocations.items()):
-                    for trip in invocation.trips:
-                        if not hasattr(invocation.mark, "seen") and (name, trip.number) not in had:
-                            backend = self.node.names[trip.backend]
-                            had[(name, trip.number)] = 1
+                for name, request in list(self.requests.items()):
+                    for attempt in request.attempts:
+                        if not hasattr(request.mark, "seen") and (name, attempt.number) not in had:
+                            backend = self.node.names[attempt.backend]
+                            had[(name, attempt.number)] = 1
                             sent[backend] += 1
-                            trials[backend] += trip.trial
-                            resent += trip.number > 0 and invocation.offering.repeats == r.ONE_SHOT
+                            trials[backend] += attempt.trial
+                            resent += (
+                                attempt.number > 0 and request.request_class.repeats == r.UNSAFE
+                            )
                             took, outcome = fate(backend, (self.now - start) // MS, sent[backend])
-                            due.append((self.now + took * MS, trip, outcome, backend))
-                    if invocation.over and not invocation.out:
-                        del self.invocations[name]
-                for each in [d for d in due if d[0] <= self.now or d[1].called_off]:
+                            due.append((self.now + took * MS, attempt, outcome, backend))
+                    if request.over and not request.out:
+                        del self.requests[name]
+                for each in [d for d in due if d[0] <= self.now or d[1].cancelled]:
                     due.remove(each)
-                    _, trip, outcome, backend = each
-                    outcome = r.CALLED_OFF if trip.called_off else outcome
+                    _, attempt, outcome, backend = each
+                    outcome = r.CANCELLED if attempt.cancelled else outcome
                     ends[outcome] += 1
                     if report:
                         self.node.reported(self.now, backend, report(backend))
                     self.node.returned(
-                        self.now, trip, outcome, self.now - trip.sent, outcome == r.SETTLED
+                        self.now, attempt, outcome, self.now - attempt.sent, outcome == r.SUCCESS
                     )
                     self.pull()
         probed = Counter(line.split()[-1] for line in self.lines if " probe " in line)
@@ -69,12 +71,12 @@
         told = {"b0": r.Load(pace=1.0, busy=0.02), "b1": r.Load(pace=8.0, busy=1.0)}
         honest = r.Load(pace=8.0, busy=0.6)
         scene.drive(
-            "all tell the truth", 8, lambda b, at, n: (40, r.SETTLED), report=lambda b: honest
+            "all tell the truth", 8, lambda b, at, n: (40, r.SUCCESS), report=lambda b: honest
         )
         scene.drive(
             "b0 crawls and says idle, b1 says full and does not",
             8,
-            lambda b, at, n: (250 if b == "b0" else 40, r.SETTLED),
+            lambda b, at, n: (250 if b == "b0" else 40, r.SUCCESS),
             report=lambda b: told.get(b, honest),
         )
         self.check("untrue_reports", scene.lines)
@@ -85,7 +87,7 @@
         scene.drive(
             "b2 answers with errors in every second second",
             12,
-            lambda b, at, n: (5, r.ERROR) if b == "b2" and at // 1000 % 2 else (20, r.SETTLED),
+            lambda b, at, n: (5, r.ERROR) if b == "b2" and at // 1000 % 2 else (20, r.SUCCESS),
             mixed=True,
         )
         self.check("untrue_flapping", scene.lines)
@@ -96,7 +98,7 @@
         scene.drive(
             "b3 swallows what this node sends",
             12,
-            lambda b, at, n: (990, r.TIMED_OUT) if b == "b3" else (20, r.SETTLED),
+            lambda b, at, n: (990, r.TIMEOUT) if b == "b3" else (20, r.SUCCESS),
             mixed=True,
         )
         self.check("untrue_hole", scene.lines)
@@ -107,7 +109,9 @@
         scene.drive(
             "a third of what goes west is lost",
             12,
-            lambda b, at, n: (600, r.BROKEN) if b > "b1" and n % 3 == 2 else (20, r.SETTLED),
+            lambda b, at, n: (
+                (600, r.CONNECTION_RESET) if b > "b1" and n % 3 == 2 else (20, r.SUCCESS)
+            ),
             mixed=True,
         )
         self.check("untrue_way", scene.lines)
@@ -119,13 +123,13 @@
         lines = []
         for binds in (True, False):
             scene = Play(["b0", "b1"], gone_binds=binds)
-            scene.drive(f"gone binds {binds}", 1, lambda b, at, n: (20, r.SETTLED))
+            scene.drive(f"gone binds {binds}", 1, lambda b, at, n: (20, r.SUCCESS))
             scene.list([listed("b1", r.GONE)])
-            scene.drive("b1 is listed as gone and answers", 3, lambda b, at, n: (20, r.SETTLED))
+            scene.drive("b1 is listed as gone and answers", 3, lambda b, at, n: (20, r.SUCCESS))
             scene.drive(
                 "b1 is down",
                 12,
-                lambda b, at, n: (5, r.UNREACHABLE) if b == "b1" else (20, r.SETTLED),
+                lambda b, at, n: (5, r.CONNECT_FAILED) if b == "b1" else (20, r.SUCCESS),
             )
             scene.say(f"b1 is {scene.node.state[scene.node.index['b1']]}")
             scene.list([listed("b0", r.DRAINING)])
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -15,7 +15,7 @@
         self.lines, self.now, self.out = [], 0, []
 
     def say(self, room, what):
-        self.lines.append(f"{self.now / MS:8.1f}  {what}: {room.trips():.1f} trips, {room.mode}")
+        self.lines.append(f"{self.now / MS:8.1f}  {what}: {room.attempts():.1f} trips, {room.mode}")
 
     def keep_full(self, room, ms, took, kept=1000, expected=1000 * MS):
         """`took(how many are out)` is in tenths of a millisecond; says each change of the limit in rounds."""
@@ -85,7 +85,7 @@
             return int(100 * MS * max(1.0, out / 60)) * (3 if self.slow else 1)
 
         self.keep_full(room, 4000, took, expected=4000 * MS)
-        self.bears = room.trips() * 0.9
+        self.bears = room.attempts() * 0.9
         self.keep_full(room, 72000, took, expected=4000 * MS)
         # A minute of limits in full would hang on the last bit of a logarithm.
         rested = sum(line.endswith("rested") for line in self.lines)
@@ -93,7 +93,7 @@
             "limit_rest",
             [
                 f"rested {rested}, tipped over {len(tips)}, well again {not self.slow}, "
-                f"below what tipped it {room.trips() < self.bears}"
+                f"below what tipped it {room.attempts() < self.bears}"
             ],
         )
 
@@ -152,7 +152,7 @@
             self.setUp()
             room = self.room(asked=asked)
             self.keep_full(room, 1500, lambda out: 100 * MS, kept=200)
-            lines.append(f"asked {asked}: {room.trips():.0f} trips")
+            lines.append(f"asked {asked}: {room.attempts():.0f} trips")
         self.check("limit_shares", lines)
 
     def test_quick_ones_that_are_back_first_prove_nothing(self):
@@ -179,8 +179,8 @@
         self.check("limit_refused", self.lines)
 
 
-def played(seconds, left_out, kinds, offering, load, nodes=1, change=(), seed=1, **fleet):
-    offerings = [{"name": f"o{n}", **each} for n, each in enumerate(offering)]
+def played(seconds, left_out, kinds, request_class, load, nodes=1, change=(), seed=1, **fleet):
+    request_classes = [{"name": f"o{n}", **each} for n, each in enumerate(request_class)]
     return world.play(
         plans.made(
             dict(
@@ -188,7 +188,7 @@
                 seconds=seconds,
                 left_out_s=left_out,
                 fleet=dict(kind=kinds, **fleet),
-                offering=offerings,
+                offering=request_classes,
                 load=load,
                 nodes=dict(count=nodes),
                 change=list(change),
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -125,7 +125,7 @@
             scene.node = type(scene.node)(4, scene.terms, scene.now)
             scene.list(["b0", "b1", "b2"], whole=True)
             for n in range(30):
-                scene.take(n, offering=n % 3, tenant=scene.terms.tenants[0])
+                scene.take(n, request_class=n % 3, tenant=scene.terms.tenants[0])
                 scene.after(15)
                 if n % 4:
                     scene.end(n, "settled" if n % 5 else "error")
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -128,7 +128,7 @@
                 try:
                     at, rows = plan.recorded(file.name, 2.0)
                     lines.append(
-                        f"{at.tolist()} {[(row.offering, row.customer, row.size) for row in rows]}"
+                        f"{at.tolist()} {[(row.request_class, row.customer, row.size) for row in rows]}"
                     )
                 except Unreadable as fault:
                     lines.append(str(fault).replace(file.name, "FILE"))
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -29,8 +29,8 @@
         """Called off at b0 and sent to b1 at once: two connections have no order between them."""
         desk = warm_desk()
         desk.ask("c0")
-        link = next(link for link in desk.links if link.trip)
-        node, owed = desk.reducer.node, [(r.CALL_OFF, link.trip)]
+        link = next(link for link in desk.links if link.attempt)
+        node, owed = desk.reducer.node, [(r.CANCEL_ATTEMPT, link.attempt)]
         decide = node.decide
         node.decide = lambda now: owed.pop() if owed else decide(now)
         desk.after(20)
@@ -358,13 +358,13 @@
             gauges=("pace", "busy"),
         )
         desk.ask("c0", headers="X-Props: item=a,hintUs=12000\r\n")
-        desk.say(f"hint {desk.clients['c0'].invocation.hint}")
+        desk.say(f"hint {desk.clients['c0'].request.hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=40, util=0.6, other=x\r\n")
         desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
         desk.after(10)
         desk.ask("c1", headers="X-Props: hintUs=none\r\n")
-        desk.say(f"hint {desk.clients['c1'].invocation.hint}")
+        desk.say(f"hint {desk.clients['c1'].request.hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=50, util=0.7\r\n")
         desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
@@ -382,8 +382,8 @@
         for n in range(21):
             desk.lines = []
             desk.ask("c0")
-            trip = next(iter(desk.reducer.carried))
-            link = desk.reducer.carried[trip]
+            attempt = next(iter(desk.reducer.carried))
+            link = desk.reducer.carried[attempt]
             desk.tell(ev.UP, link)
             desk.tell(
                 ev.REPLIED,
@@ -595,7 +595,7 @@
 
     def test_nothing_is_owed_when_the_end_may_come(self):
         desk = Desk(["b0"], most_trips=1)
-        desk.reducer.offerings[b"look"].hard_limit = 50000
+        desk.reducer.request_classes[b"look"].request_timeout = 50000
         desk.ask("c0", left=5000)
         desk.up()
         desk.tell(ev.STOP)
