--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -11,7 +11,13 @@
 from tests.support.scene import MS, listed, terms
 
 SEEDS, STEPS = 12, 300
-OUTCOMES = (r.SETTLED,) * 5 + (r.ERROR, r.TURNED_AWAY, r.UNREACHABLE, r.TIMED_OUT, r.BROKEN)
+OUTCOMES = (r.SUCCESS,) * 5 + (
+    r.ERROR,
+    r.REJECTED_UNPROCESSED,
+    r.CONNECT_FAILED,
+    r.TIMEOUT,
+    r.CONNECTION_RESET,
+)
 
 
 class Chance:
@@ -25,13 +31,15 @@
 
     def settings(self):
         pick = self.chance.choice
-        rows = self.chance.sample(terms().offerings, self.chance.randint(1, 3))
+        rows = self.chance.sample(terms().request_classes, self.chance.randint(1, 3))
         rows = [
-            replace(row, index=n, hard_limit=pick((400, 1000)) * MS, expected=pick((200, 400)) * MS)
+            replace(
+                row, index=n, request_timeout=pick((400, 1000)) * MS, expected=pick((200, 400)) * MS
+            )
             for n, row in enumerate(rows)
         ]
         return terms(
-            offerings=rows,
+            request_classes=rows,
             nodes=pick((1, 1, 3, 70)),
             tenants=pick((Tenants(), Tenants({"n": 50.0}))),
             most_trips=pick((1, 2, 3, 4)),
@@ -74,8 +82,10 @@
         elif what < 0.17:
             self.now += 30000
         elif what < 0.55:
-            offering = pick(self.node.terms.offerings)
-            taken = r.Invocation(number, offering, None, self.now, self.now + offering.hard_limit)
+            request_class = pick(self.node.terms.request_classes)
+            taken = r.Request(
+                number, request_class, None, self.now, self.now + request_class.request_timeout
+            )
             taken.by = self.node
             self.owed.append(taken)
             self.node.taken(self.now, taken)
@@ -83,12 +93,14 @@
             self.node.reported(
                 self.now, f"b{pick(range(12))}", r.Load(pace=30.0, busy=0.7, queue=1.0)
             )
-        elif trips := [trip for each in self.owed for trip in each.trips if trip.outcome is None]:
-            self.end(pick(trips), pick(OUTCOMES))
+        elif attempts := [
+            attempt for each in self.owed for attempt in each.attempts if attempt.outcome is None
+        ]:
+            self.end(pick(attempts), pick(OUTCOMES))
         for each in self.owed:
-            for trip in each.trips:
-                if trip.outcome is None and self.now >= each.limit:
-                    self.end(trip, r.TIMED_OUT)
+            for attempt in each.attempts:
+                if attempt.outcome is None and self.now >= each.limit:
+                    self.end(attempt, r.TIMEOUT)
         for node in self.nodes():
             self.pull(node)
         self.owed = [each for each in self.owed if not each.over or each.out]
@@ -96,23 +108,23 @@
         for node in self.nodes():
             self.check(node)
 
-    def end(self, trip, outcome):
-        trip.invocation.by.returned(
-            self.now, trip, outcome, max(1, self.now - trip.sent), outcome == r.SETTLED
+    def end(self, attempt, outcome):
+        attempt.request.by.returned(
+            self.now, attempt, outcome, max(1, self.now - attempt.sent), outcome == r.SUCCESS
         )
 
     def pull(self, node):
         while (decision := node.decide(self.now)) is not None:
             kind, subject = decision
-            if kind == r.CALL_OFF and subject.outcome is None:
-                self.end(subject, r.CALLED_OFF)
+            if kind == r.CANCEL_ATTEMPT and subject.outcome is None:
+                self.end(subject, r.CANCELLED)
             elif kind == r.PROBE:
                 node.probed(self.now, node.names[subject], self.chance.random() < 0.5, 5)
             elif kind == r.SEND:
                 self.case.assertEqual(node.state[subject.backend], r.READY)
-                self.case.assertIs(subject.invocation.by, node)
-                self.case.assertLess(self.now, subject.invocation.limit)
-            elif kind in (r.BOUNCE, r.GIVE_UP):
+                self.case.assertIs(subject.request.by, node)
+                self.case.assertLess(self.now, subject.request.limit)
+            elif kind in (r.REJECT_REQUEST, r.FAIL_REQUEST):
                 self.case.assertNotIn(subject.mark, self.finals)
                 self.finals[subject.mark] = kind
 
@@ -129,14 +141,14 @@
         equal(sorted(node.ailing), [b for b in all_of if node.trouble[b] is not None])
         equal(
             node.limit.busy,
-            sum(len(trips) for b, trips in node.flying.items() if node.trouble[b] in COUNTED),
+            sum(len(attempts) for b, attempts in node.flying.items() if node.trouble[b] in COUNTED),
         )
         trials = [
-            trip.backend
+            attempt.backend
             for each in self.owed
             if each.by is node
-            for trip in each.trips
-            if trip.trial and trip.outcome is None
+            for attempt in each.attempts
+            if attempt.trial and attempt.outcome is None
         ]
         equal(node.trials_out, [trials.count(b) for b in all_of])
         equal(
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -21,7 +21,7 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.state import downstream as state_clients
 from pierglade.proxy.state import events as ev
-from tests.proxy.test_crossing_events import OFFERINGS, House, leave, request, until
+from tests.proxy.test_crossing_events import OFFERINGS, House, http_request, leave, until
 from tests.proxy.test_sockets import CHUNKED, SETTINGS, Peer, answer
 from tests.support.scene import MS, Desk, entry, terms
 
@@ -309,21 +309,21 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def out(self, house, sock, offering):
+    def out(self, house, sock, request_class):
         """The link of its first attempt, which its backend has and does not answer."""
         held = Event()
         for backend in house.backends:
             backend.reply = lambda message: held
-        sock.sendall(request(offering, "1"))
-        until(lambda: f"/{offering}/1" in house.seen())
-        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.trip)
+        sock.sendall(http_request(request_class, "1"))
+        until(lambda: f"/{request_class}/1" in house.seen())
+        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.attempt)
         for backend in house.backends:
             backend.seen.clear()
         return house.first
 
-    def further_connecting(self, house, sock, offering):
+    def further_connecting(self, house, sock, request_class):
         """Its further attempt waits for a connection; the end is read first."""
-        link = self.out(house, sock, offering)
+        link = self.out(house, sock, request_class)
         house.gate.clear()
         house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
         until(house.connecting)
@@ -331,30 +331,30 @@
         until(lambda: not any(house.host.reducer.clients.values()))
         house.gate.set()
 
-    def further_connecting_at_once(self, house, sock, offering):
+    def further_connecting_at_once(self, house, sock, request_class):
         """The same; the end is there as the connection comes up."""
-        link = self.out(house, sock, offering)
+        link = self.out(house, sock, request_class)
         house.gate.clear()
         house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
         until(house.connecting)
         yield
         house.gate.set()
 
-    def further_apart(self, house, sock, offering):
+    def further_apart(self, house, sock, request_class):
         """Its further attempt waits until the end of the one before is there."""
-        link = self.out(house, sock, offering)
+        link = self.out(house, sock, request_class)
         house.host.tell(ev.LINK_ENDED, link, ev.GARBLED, True, "as the test says")
         yield
 
-    def kept_while_busy(self, house, sock, offering):
+    def kept_while_busy(self, house, sock, request_class):
         """On a kept connection; request and end come while the loop does not turn."""
-        sock.sendall(request("look", "warm"))
+        sock.sendall(http_request("look", "warm"))
         sock.setblocking(False)
         until(lambda: sending.waiting(mock.Mock(_sock=sock)))
         sock.recv(1000)
         until(lambda: house.host.reducer.clients[ev.IDLE])
         sock.setblocking(True)
-        sock.sendall(request(offering, "1"))
+        sock.sendall(http_request(request_class, "1"))
         yield
 
     maxDiff = None
@@ -367,19 +367,19 @@
             self.further_apart,
             self.kept_while_busy,
         ):
-            for offering, cancel in (("look", True), ("pay", False)):
+            for request_class, cancel in (("look", True), ("pay", False)):
                 for how in ("close", "half", "reset"):
                     house = House(2, cancel)
                     try:
                         if place in (self.further_apart, self.kept_while_busy):
                             house.warm()
                         sock = house.client()
-                        steps = place(house, sock, offering)
+                        steps = place(house, sock, request_class)
                         next(steps)
                         leave(sock, how)
                         next(steps, None)
                         if seen := house.rest():
-                            sent_on.append(f"{place.__name__} {offering} {how}: {seen}")
+                            sent_on.append(f"{place.__name__} {request_class} {how}: {seen}")
                         sock.close()
                         self.assertEqual(house.host.faults, 0)
                     finally:
@@ -394,7 +394,7 @@
             try:
                 socks = [house.client() for _ in range(60)]
                 for n, sock in enumerate(socks):
-                    sock.sendall(request("look", str(n)))
+                    sock.sendall(http_request("look", str(n)))
                 reducer = house.host.reducer
                 until(lambda reducer=reducer: len(reducer.clients[ev.OWED]) == 60)
                 until(lambda house=house: not house.connecting())
@@ -402,7 +402,7 @@
                 waiting = {
                     client.id.decode()
                     for client in reducer.clients[ev.OWED]
-                    if not client.invocation.trips
+                    if not client.request.attempts
                 }
                 self.assertGreater(len(waiting), 10)
                 for number in waiting:
@@ -477,7 +477,7 @@
         """The answer's status and body, from one connection; None where that was shut unread."""
         with socket.create_connection(self.place, 20) as sock:
             try:
-                sock.sendall(request("look", number))
+                sock.sendall(http_request("look", number))
                 told = sock.recv(4096)
             except OSError:
                 return None
@@ -524,7 +524,7 @@
             try:
                 with socket.create_connection(node.place, 20) as sock:
                     if number % 2:
-                        sock.sendall(request("look", f"idle{number}-{count}"))
+                        sock.sendall(http_request("look", f"idle{number}-{count}"))
                     while sock.recv(4096):
                         pass
             except OSError:
@@ -579,7 +579,7 @@
             try:
                 held = [socket.create_connection(node.place, 20) for _ in range(4)]
                 for n, sock in enumerate(held):
-                    sock.sendall(request("pay", f"held{n}"))
+                    sock.sendall(http_request("pay", f"held{n}"))
                 await_that(lambda: sum("held" in url for url in peers["b0"].seen) == 4)
                 idle = [
                     threading.Thread(target=self.idle, args=(node, n, stop), daemon=True)
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -91,7 +91,7 @@
 class House:
     """The host of a node with its door open, its backends, and the gate before new connections to them."""
 
-    def __init__(self, count=1, cancel=True, listed=True, trips=3, **settings):
+    def __init__(self, count=1, cancel=True, listed=True, attempts=3, **settings):
         self.backends = [Backend(f"b{n}") for n in range(count)]
         self.known = {
             "index": 1,
@@ -100,7 +100,7 @@
         }
         settings = {
             "offerings": OFFERINGS,
-            "limits": {"mostTrips": trips, "mayCancel": cancel, "connectTimeoutUs": 8000000},
+            "limits": {"mostTrips": attempts, "mayCancel": cancel, "connectTimeoutUs": 8000000},
             "contract": {},
             **settings,
         }
@@ -142,14 +142,14 @@
         return [url for backend in self.backends for url in backend.seen]
 
     def connecting(self):
-        return [link for link in self.host.reducer.links[ev.CONNECTING] if link.trip is not None]
+        return [link for link in self.host.reducer.links[ev.CONNECTING] if link.attempt is not None]
 
     def warm(self):
         """A link to each backend that is used again at once."""
         reducer = self.host.reducer
         for n in range(len(self.backends)):
             with self.client() as sock:
-                sock.sendall(request("look", f"warm{n}"))
+                sock.sendall(http_request("look", f"warm{n}"))
                 sock.setblocking(False)
                 until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
         until(lambda: not any(reducer.clients.values()))
@@ -177,7 +177,7 @@
         later = 2 * len(self.backends)
         for n in range(later):
             with self.client() as sock:
-                sock.sendall(request("look", f"after{n}"))
+                sock.sendall(http_request("look", f"after{n}"))
                 sock.setblocking(False)
                 until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
         until(lambda: len(self.seen()) >= before + later and not reducer.carried)
@@ -197,11 +197,11 @@
         gevent.sleep(0)
 
 
-def request(offering, number, body=b""):
-    method = b"GET" if offering == "look" else b"POST"
+def http_request(request_class, number, body=b""):
+    method = b"GET" if request_class == "look" else b"POST"
     head = b"%s /%s/%s HTTP/1.1\r\n%sX-Trace-Id: %s\r\n" % (
         method,
-        offering.encode(),
+        request_class.encode(),
         number.encode(),
         HOST,
         number.encode(),
@@ -221,81 +221,84 @@
 class Left(TraceTest):
     """A client leaves while its request waits, wherever that is: nothing of it is written to a backend."""
 
-    def connecting(self, house, sock, offering, body=b""):
+    def connecting(self, house, sock, request_class, body=b""):
         """For a backend's connection; the end is read first."""
         house.gate.clear()
-        sock.sendall(request(offering, "1", body))
+        sock.sendall(http_request(request_class, "1", body))
         until(house.connecting)
         yield
         if not body:
             until(lambda: not any(house.host.reducer.clients.values()))
         house.gate.set()
 
-    def connecting_at_once(self, house, sock, offering):
+    def connecting_at_once(self, house, sock, request_class):
         """The same; end and connection come up in one turn."""
         house.gate.clear()
-        sock.sendall(request(offering, "1"))
+        sock.sendall(http_request(request_class, "1"))
         until(house.connecting)
         yield
         house.gate.set()
 
-    def full_body(self, house, sock, offering):
+    def full_body(self, house, sock, request_class):
         """The same behind a body that fills its buffer: the end is not read until the answer."""
-        yield from self.connecting(house, sock, offering, b"x" * 9000)
+        yield from self.connecting(house, sock, request_class, b"x" * 9000)
 
-    def line(self, house, sock, offering):
+    def line(self, house, sock, request_class):
         """In the node's own line."""
         go, line = Event(), house.host.line
         line.full, line.wait = lambda: True, lambda *what: go.wait()
-        sock.sendall(request(offering, "1"))
+        sock.sendall(http_request(request_class, "1"))
         until(lambda: any(client.io.come for client in house.host.reducer.clients[ev.FRESH]))
         yield
         go.set()
 
-    def first(self, house, sock, offering, more=b""):
+    def first(self, house, sock, request_class, more=b""):
         """The link of a request that its backend has and does not answer."""
         held = Event()
         for backend in house.backends:
             backend.reply = lambda message: held
-        sock.sendall(request(offering, "first") + more)
+        sock.sendall(http_request(request_class, "first") + more)
         until(lambda: any("first" in url for url in house.seen()))
-        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.trip)
+        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.attempt)
         return house.first
 
-    def ahead(self, house, sock, offering):
+    def ahead(self, house, sock, request_class):
         """Behind one in hand, whose answer comes as the client leaves."""
-        link = self.first(house, sock, offering, request(offering, "1"))
+        link = self.first(house, sock, request_class, http_request(request_class, "1"))
         yield
         house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
 
-    def far_ahead(self, house, sock, offering):
+    def far_ahead(self, house, sock, request_class):
         """Behind one in hand and before more than the buffer holds."""
         link = self.first(
-            house, sock, offering, b"".join(request(offering, str(n)) for n in range(1, 90))
+            house,
+            sock,
+            request_class,
+            b"".join(http_request(request_class, str(n)) for n in range(1, 90)),
         )
         yield
         house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
 
-    def decisions(self, house, sock, offering):
+    def decisions(self, house, sock, request_class):
         """Held by the decisions: they decide as the client leaves."""
         decide, house.host.reducer.node.decide = house.host.reducer.node.decide, lambda now: None
-        sock.sendall(request(offering, "1"))
+        sock.sendall(http_request(request_class, "1"))
         until(lambda: house.host.reducer.clients[ev.OWED])
         yield
         house.host.reducer.node.decide = decide
         house.host.tell(ev.WOKE)
 
-    def again(self, house, sock, offering):
+    def again(self, house, sock, request_class):
         """Before its further trip; the loss is told before the end is read."""
-        link = self.first(house, sock, offering)
+        link = self.first(house, sock, request_class)
         yield
         for backend in house.backends:
             backend.seen.clear()
         house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
 
-    def kernel(self, house, sock, offering):
+    def kernel(self, house, sock, request_class):
         """In the kernel, before it is accepted."""
-        sock.sendall(request(offering, "1"))
+        sock.sendall(http_request(request_class, "1"))
         yield
 
     def setUp(self):
@@ -324,8 +327,8 @@
             self.kernel,
         )
         for place in places:
-            for offering in ("look", "pay"):
-                if place == self.full_body and offering == "look":
+            for request_class in ("look", "pay"):
+                if place == self.full_body and request_class == "look":
                     continue  # what is harmless has no body
                 for cancel in (True, False):
                     counts, faults = [], 0
@@ -341,7 +344,7 @@
                             ):
                                 house.warm()
                             sock = house.client()
-                            steps = place(house, sock, offering)
+                            steps = place(house, sock, request_class)
                             next(steps)
                             leave(sock, how)
                             next(steps, None)
@@ -359,7 +362,7 @@
                             sock.close()
                             house.close()
                     lines.append(
-                        f"{place.__name__} {offering} may_cancel={cancel}: sent on after close, "
+                        f"{place.__name__} {request_class} may_cancel={cancel}: sent on after close, "
                         f"half, reset {counts}, faults {faults}"
                     )
         self.check("crossings_left", lines)
@@ -369,8 +372,8 @@
         house = House()
         try:
             sock = house.client()
-            link = self.first(house, sock, "look", request("look", "1"))
-            client = link.trip.invocation.mark
+            link = self.first(house, sock, "look", http_request("look", "1"))
+            client = link.attempt.request.mark
             house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
             client.io.requests.drop()
             gevent.sleep(0)
@@ -424,10 +427,10 @@
             try:
                 with mock.patch.object(sending, "set_up", small):
                     sock = house.client()
-                    sock.sendall(request("pay", "1", b"x" * 60000))
+                    sock.sendall(http_request("pay", "1", b"x" * 60000))
                     until(
                         lambda house=house: any(
-                            link.io.whole is False and link.trip
+                            link.io.whole is False and link.attempt
                             for link in house.host.reducer.links[ev.BUSY]
                         )
                     )
@@ -454,10 +457,10 @@
             held = Event()
             backend.reply = lambda message: held if b"first" in message.url else answer(200, b"ok")
             one, two, three = (house.client() for _ in range(3))
-            one.sendall(request("look", "first"))
+            one.sendall(http_request("look", "first"))
             until(lambda: "/look/first" in backend.seen)
             house.gate.clear()
-            two.sendall(request("look", "passed"))
+            two.sendall(http_request("look", "passed"))
             until(house.connecting)
             held.set()
             until(lambda: "/look/passed" in backend.seen)
@@ -476,7 +479,7 @@
             backend.socks[1]._sock.shutdown(
                 socket.SHUT_RDWR
             )  # and the loop does not turn before it is written
-            house.host.tell(ev.ASKED, client, message(request("pay", "once")))
+            house.host.tell(ev.ASKED, client, message(http_request("pay", "once")))
             three.setblocking(False)
             until(lambda: sending.waiting(mock.Mock(_sock=three)))
             status, times = three.recv(100).split()[1].decode(), backend.seen.count("/pay/once")
@@ -539,7 +542,7 @@
         """Spoilt or never ending: the backend has the trip out until our end is there, ahead of the next."""
         desk = warm_desk()
         desk.ask("c0")
-        link = next(n for n, link in enumerate(desk.links) if link.trip)
+        link = next(n for n, link in enumerate(desk.links) if link.attempt)
         desk.tell(ev.REPLYING, desk.links[link])
         desk.after(102)
         self.check("crossings_garbled", [line for line in desk.lines if "note" not in line])
@@ -564,10 +567,10 @@
         """Limits of 0.6 s: the process may be killed at 1.3 s. One with no limit near it on a link that comes
         up later, one half read, one that asks when the end is near: each is answered, nothing goes out."""
         rows = [
-            r.Offering(0, "look", r.HARMLESS, "all", 0, 300 * MS, 600 * MS, 1.0),
-            r.Offering(1, "pay", r.ONE_SHOT, "all", 0, 300 * MS, 600 * MS, 1.0),
+            r.RequestClass(0, "look", r.SAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
+            r.RequestClass(1, "pay", r.UNSAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
         ]
-        desk = Desk(["b0"], offerings=rows, may_cancel=False, connect_within=5000 * MS)
+        desk = Desk(["b0"], request_classes=rows, may_cancel=False, connect_within=5000 * MS)
         for name in ("half", "late"):
             desk.open(name)
         desk.tell(ev.BEGUN, desk.clients["half"], None)
@@ -578,14 +581,17 @@
             "",
             {"settings": 1},
             terms(
-                offerings=rows, may_cancel=False, connect_within=5000 * MS, retry_after=10000 * MS
+                request_classes=rows,
+                may_cancel=False,
+                connect_within=5000 * MS,
+                retry_after=10000 * MS,
             ),
         )
         desk.after(600)
         desk.ask("body", "/pay", left=600)
-        invocation = desk.clients["body"].invocation
-        invocation.limit += 90000  # as where a body is still coming
-        invocation.trips[0].until += 90000
+        request = desk.clients["body"].request
+        request.limit += 90000  # as where a body is still coming
+        request.attempts[0].until += 90000
         desk.reducer._watch(desk.links[0])
         desk.reducer._owes(desk.clients["body"])
         desk.after(480)
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -105,7 +105,7 @@
 
     def test_a_client_that_leaves_where_trips_may_not_be_called_off(self):
         """Its link would wait for the rest of the body for an hour; the backend is not to blame."""
-        lines, answered = [], mock.Mock(trip=None)
+        lines, answered = [], mock.Mock(attempt=None)
         for link in (mock.Mock(), answered):
             ours, theirs = socket.socketpair()
             seat = LinkSocket(link, lambda kind, _, *what: lines.append(f"{kind} {what}"))
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -139,8 +139,8 @@
     def test_not_with_a_trip_out_while_others_are(self):
         """What comes of the trip is learned of the index; another behind it is free all the same."""
         scene, node = self.scene(2)
-        invocation = scene.take("i0", offering=2, left=100000)
-        held = invocation.trips[0].backend
+        request = scene.take("i0", request_class=2, left=100000)
+        held = request.attempts[0].backend
         scene.list([listed(node.names[held], r.GONE)])
         scene.list([listed(node.names[1 - held], r.GONE)])
         scene.after(FORGOTTEN)
--- a/tests/proxy/test_operations.py
+++ b/tests/proxy/test_operations.py
@@ -124,10 +124,10 @@
         desk.ask("c0")
         desk.up()
         rows = [
-            r.Offering(0, "pay", r.HARMLESS, "all", 0, 4000, 10000, 1.0),
-            r.Offering(1, "top", r.ONE_SHOT, "all", 0, 4000, 10000, 1.0),
+            r.RequestClass(0, "pay", r.SAFE, "all", 0, 4000, 10000, 1.0),
+            r.RequestClass(1, "top", r.UNSAFE, "all", 0, 4000, 10000, 1.0),
         ]
-        desk.tell(ev.CONFIGURED, "", {"settings": 1}, terms(offerings=rows, most_trips=1))
+        desk.tell(ev.CONFIGURED, "", {"settings": 1}, terms(request_classes=rows, most_trips=1))
         desk.ask("c1", "/look")
         desk.ask("c2", "/pay")
         desk.ask("c3", "/pay", "GET")
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -675,11 +675,11 @@
 
         self.backend.answer = serve
         long = {"expectedTimeUs": 9000000, "hardLimitUs": 9000000}
-        offerings = [{"name": "look", "idempotency": "free", **long}]
+        request_classes = [{"name": "look", "idempotency": "free", **long}]
         before, after = (
             {
                 **SETTINGS,
-                "offerings": offerings + [{"name": "pay", "idempotency": kind, **long}],
+                "offerings": request_classes + [{"name": "pay", "idempotency": kind, **long}],
                 "limits": {"mostTrips": 5, "mayCancel": True},
             }
             for kind in ("single_shot", "free")
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -16,7 +16,7 @@
 from pierglade.proxy.state import events as ev
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.reconfiguration import quota_changes as shares
-from pierglade.settings.platform import Wrong
+from pierglade.settings.platform import InvalidSettingsError
 from pierglade.tenants.registry import LATELY, Difference, Middle, Stale, Tenants
 from tests.proxy import test_sockets as test_net
 from tests.support.scene import Desk, TraceTest, terms
@@ -174,7 +174,7 @@
             ([{**good, "quotaPerS": True}], "customers.0.quotaPerS"),
             ("t", "customers "),
         ):
-            with self.assertRaisesRegex(Wrong, f"settings.{place}"):
+            with self.assertRaisesRegex(InvalidSettingsError, f"settings.{place}"):
                 start.through(reading.steps(json.dumps({"settings": {"customers": rows}}).encode()))
 
 
@@ -278,7 +278,7 @@
 
     def ask(self, name, tenant, path="/look"):
         self.desk.ask(name, path, headers=f"X-Customer: {tenant}\r\n")
-        return self.desk.clients[name].invocation
+        return self.desk.clients[name].request
 
     def test_one_share_changes(self):
         """What was learned stays, as the node does; what was taken keeps the share of then."""
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -212,36 +212,38 @@
 
     def test_planted(self):
         def twice(made):
-            def ended(trip, outcome, seat=made.seats[0]):
-                seats.PlainSeat.ended(seat, trip, outcome)
-                trip.ask.answered(r.SETTLED)
+            def ended(attempt, outcome, seat=made.seats[0]):
+                seats.PlainSeat.ended(seat, attempt, outcome)
+                attempt.ask.answered(r.SUCCESS)
 
             made.seats[0].ended = ended
 
         def again(made):
             seat, send = made.seats[0], made.send
 
-            def ended(trip, outcome):
-                if trip.ask.ran < 2:
-                    send(seat, seats.Sent(trip.ask, "b0"), trip.ask, "b0", trip.ask.limit)
+            def ended(attempt, outcome):
+                if attempt.ask.ran < 2:
+                    send(seat, seats.Sent(attempt.ask, "b0"), attempt.ask, "b0", attempt.ask.limit)
 
             seat.ended = ended
 
         def after(made):
             seat = made.seats[0]
 
-            def ended(trip, outcome):
-                if not trip.ask.over:
-                    seats.PlainSeat.ended(seat, trip, outcome)
-                if trip.ask.ran < 2:
-                    made.send(seat, seats.Sent(trip.ask, "b0"), trip.ask, "b0", trip.ask.limit)
+            def ended(attempt, outcome):
+                if not attempt.ask.over:
+                    seats.PlainSeat.ended(seat, attempt, outcome)
+                if attempt.ask.ran < 2:
+                    made.send(
+                        seat, seats.Sent(attempt.ask, "b0"), attempt.ask, "b0", attempt.ask.limit
+                    )
 
             seat.ended = ended
 
         def late(made):
             seat = made.seats[0]
-            seat.ended = lambda trip, outcome: made.clock.at(
-                trip.ask.limit + 1, trip.ask.answered, r.BOUNCE
+            seat.ended = lambda attempt, outcome: made.clock.at(
+                attempt.ask.limit + 1, attempt.ask.answered, r.REJECT_REQUEST
             )
 
         one_shot = [dict(name="pay", work_ms=20, repeats="one-shot")]
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -132,8 +132,8 @@
         out = [scene.take(f"i{n}") for n in range(2)]
         before = changed(scene, retry_after=1)
         node, kept = scene.node, [list(map(len, scene.node.samples)), list(scene.node.level)]
-        for invocation in out:
-            before.returned(scene.now + 300 * MS, invocation.trips[0], r.SETTLED, 300 * MS, True)
+        for request in out:
+            before.returned(scene.now + 300 * MS, request.attempts[0], r.SUCCESS, 300 * MS, True)
         self.assertEqual([list(map(len, node.samples)), list(node.level)], kept)
         self.assertEqual([len(times) + 1 for times in node.samples], list(map(len, before.samples)))
         learned = list(before.level)
@@ -149,12 +149,12 @@
                 b = scene.node.index["b1"]
                 if what is FAILING:
                     while scene.node.trouble[b] is None:
-                        invocation = scene.take("i")
-                        at_b1 = invocation.trips and invocation.trips[-1].backend == b
+                        request = scene.take("i")
+                        at_b1 = request.attempts and request.attempts[-1].backend == b
                         scene.after(5)
-                        scene.end("i", r.ERROR if at_b1 else r.SETTLED)
+                        scene.end("i", r.ERROR if at_b1 else r.SUCCESS)
                 else:
-                    while not [t for t in scene.take("i").trips if t.backend == b]:
+                    while not [t for t in scene.take("i").attempts if t.backend == b]:
                         scene.after(5)
                         scene.end("i")
                     scene.after(950)
@@ -171,7 +171,7 @@
                         break
                     scene.take("t")
                     scene.after(150)
-                    if scene.invocations["t"].trips[-1].outcome is None:
+                    if scene.requests["t"].attempts[-1].outcome is None:
                         scene.end("t")
                 self.assertIsNone(scene.node.trouble[b])
                 self.assertTrue(any("as a trial" in line for line in scene.lines))
@@ -185,7 +185,7 @@
         node, b = scene.node, scene.node.index["b1"]
         node._begin(b, FAILING, scene.now)
         scene.after(160)
-        while not (trial := scene.take("t")).trips[-1].trial:
+        while not (trial := scene.take("t")).attempts[-1].trial:
             scene.after(5)
             scene.end("t")
         self.assertEqual(node.trials_out[b], 1)
@@ -193,7 +193,7 @@
         self.assertEqual((scene.node.trials_out[b], scene.node.trial_due[b]), (0, False))
         scene.after(1000)
         self.assertTrue(scene.node.trial_due[b])
-        before.returned(scene.now, trial.trips[0], r.SETTLED, 20 * MS, True)
+        before.returned(scene.now, trial.attempts[0], r.SUCCESS, 20 * MS, True)
         self.assertEqual((before.trials_out[b], scene.node.trials_out[b]), (0, 0))
 
     def test_slow_ones_count_and_their_rest_ends(self):
@@ -227,20 +227,20 @@
     def learned(self):
         scene = Scene(["b0", "b1", "b2"])
         for n in range(60):
-            scene.take(f"i{n}", offering=n % 3)
+            scene.take(f"i{n}", request_class=n % 3)
             scene.after((20, 30, 60)[n % 3])
             scene.end(f"i{n}")
         return scene
 
     def test_by_name_where_rows_move_come_and_go(self):
         scene = self.learned()
-        look, _, pay = scene.terms.offerings
+        look, _, pay = scene.terms.request_classes
         rows = [
             replace(pay, index=0),
-            r.Offering(1, "new", r.HARMLESS, "all", 0, 800 * MS, 1000 * MS, 1.0),
+            r.RequestClass(1, "new", r.SAFE, "all", 0, 800 * MS, 1000 * MS, 1.0),
             replace(look, index=2),
         ]
-        before = changed(scene, offerings=rows)
+        before = changed(scene, request_classes=rows)
         node = scene.node
         self.assertEqual(
             [row.typical for row in node.table],
@@ -253,54 +253,55 @@
         self.assertEqual(node.limit.base, [before.limit.base[2], 0.0, before.limit.base[0]])
         self.assertEqual(node.limit.answers, [before.limit.answers[2], 0, before.limit.answers[0]])
         self.assertEqual(len(node.limit.missing), 3)
-        self.assertFalse(node.asked_at[r.STAMPED] > node.count - 100)
-        self.assertEqual([node.asked_at[kind] for kind in (r.HARMLESS, r.ONE_SHOT)], [58, 60])
+        self.assertFalse(node.asked_at[r.KEYED] > node.count - 100)
+        self.assertEqual([node.asked_at[kind] for kind in (r.SAFE, r.UNSAFE)], [58, 60])
         for n in range(30):
-            scene.take(f"j{n}", offering=n % 3)
+            scene.take(f"j{n}", request_class=n % 3)
             scene.after(20)
             scene.end(f"j{n}")
         self.assertGreater(node.limit.answers[1], 5)
 
     def test_a_kind_that_is_offered_anew_is_taken_to_come(self):
         scene = self.learned()
-        rows = scene.terms.offerings
-        changed(scene, offerings=rows[:1])
+        rows = scene.terms.request_classes
+        changed(scene, request_classes=rows[:1])
         scene.flow(150)
-        changed(scene, offerings=rows)
+        changed(scene, request_classes=rows)
         self.assertEqual(
-            [scene.node.asked_at[kind] for kind in (r.HARMLESS, r.STAMPED, r.ONE_SHOT)], [210] * 3
+            [scene.node.asked_at[kind] for kind in (r.SAFE, r.KEYED, r.UNSAFE)], [210] * 3
         )
 
     def test_fewer_rows_while_the_round_is_open(self):
         scene = self.learned()
         for n in range(3):
-            scene.take(f"out{n}", offering=2)
-        before = changed(scene, offerings=scene.terms.offerings[:1])
+            scene.take(f"out{n}", request_class=2)
+        before = changed(scene, request_classes=scene.terms.request_classes[:1])
         self.assertEqual((scene.node.limit.missing, scene.node.limit.busy), ([0], 0))
         for n in range(3):
-            before.returned(scene.now, scene.invocations[f"out{n}"].trips[0], r.SETTLED, 10, True)
+            before.returned(scene.now, scene.requests[f"out{n}"].attempts[0], r.SUCCESS, 10, True)
         self.assertEqual(before.limit.busy, 0)
         scene.flow(30)
 
     def test_none_of_the_rows_is_left(self):
         scene = self.learned()
         changed(
-            scene, offerings=[r.Offering(0, "new", r.STAMPED, "all", 0, 400 * MS, 1000 * MS, 1.0)]
+            scene,
+            request_classes=[r.RequestClass(0, "new", r.KEYED, "all", 0, 400 * MS, 1000 * MS, 1.0)],
         )
         node = scene.node
         self.assertEqual(
             (node.limit.base, node.limit.answers, node.table[0].answers), ([0.0], [0], 2)
         )
-        self.assertGreater(node.asked_at[r.STAMPED], node.count - 100)
+        self.assertGreater(node.asked_at[r.KEYED], node.count - 100)
         scene.flow(10)
 
     def test_another_hard_limit_brings_another_usual_time(self):
         scene = self.learned()
         rows = [
-            replace(row, hard_limit=2000 * MS if row.index == 0 else row.hard_limit)
-            for row in scene.terms.offerings
+            replace(row, request_timeout=2000 * MS if row.index == 0 else row.request_timeout)
+            for row in scene.terms.request_classes
         ]
-        before = changed(scene, offerings=rows)
+        before = changed(scene, request_classes=rows)
         self.assertEqual(
             [row.usual_left for row in scene.node.table],
             [0, *(row.usual_left for row in before.table[1:])],
@@ -308,8 +309,8 @@
 
     def test_a_row_that_nothing_was_learned_of_follows_its_expected_time(self):
         scene = Scene(["b0"])
-        rows = [replace(row, expected=800 * MS) for row in scene.terms.offerings]
-        changed(scene, offerings=rows)
+        rows = [replace(row, expected=800 * MS) for row in scene.terms.request_classes]
+        changed(scene, request_classes=rows)
         self.assertEqual({row.typical for row in scene.node.table}, {FIRST_TYPICAL * 800 * MS})
 
 
@@ -429,14 +430,14 @@
                 )
                 scene.node = Node(n, scene.terms, scene.now, before)
                 take_over(scene.node, before, scene.now)
-                before.returned(scene.now, taken[0].trips[-1], r.UNREACHABLE, 10, False)
+                before.returned(scene.now, taken[0].attempts[-1], r.CONNECT_FAILED, 10, False)
                 while (decision := before.decide(scene.now)) is not None:
                     if decision[0] is r.SEND:
-                        before.returned(scene.now, decision[1], r.SETTLED, 10, True)
+                        before.returned(scene.now, decision[1], r.SUCCESS, 10, True)
             else:
                 scene.end(f"i{n}")
             scene.after(5)
-            sent += sum(trip.backend == cold for trip in taken[0].trips)
+            sent += sum(attempt.backend == cold for attempt in taken[0].attempts)
         return sent
 
     def test_a_cold_backend_gets_no_more_however_often_settings_change(self):
@@ -480,7 +481,7 @@
             self.desk.up()
         self.desk.after(15)
         self.desk.reply(
-            link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None)
+            link=next(n for n, link in enumerate(self.desk.links) if link.attempt is not None)
         )
         self.desk.after(15)
 
@@ -499,7 +500,9 @@
         self.reducer.press.bar = 0.5
         self.configure(most_trips=1)
         self.assertEqual(self.reducer.press.bar, 0.5)
-        self.configure(offerings=[replace(row, credit=1.0) for row in terms().offerings])
+        self.configure(
+            request_classes=[replace(row, priority_weight=1.0) for row in terms().request_classes]
+        )
         self.assertEqual(self.reducer.press.bar, 0.0)  # Its classes are others.
 
     def test_settings_that_shrink_while_requests_are_owed(self):
@@ -507,15 +510,18 @@
         for n in range(4):
             self.answered(f"c{n}")
         self.desk.ask("owed", "/look")
-        owed = self.desk.clients["owed"].invocation
-        rows = [replace(row, expected=50 * MS, hard_limit=100 * MS) for row in terms().offerings]
+        owed = self.desk.clients["owed"].request
+        rows = [
+            replace(row, expected=50 * MS, request_timeout=100 * MS)
+            for row in terms().request_classes
+        ]
         first = self.reducer.node
-        node = self.configure(offerings=rows, most_trips=1)
+        node = self.configure(request_classes=rows, most_trips=1)
         self.assertEqual(self.reducer.older, [first])
         self.desk.lose(
-            link=next(n for n, link in enumerate(self.desk.links) if link.trip is not None)
+            link=next(n for n, link in enumerate(self.desk.links) if link.attempt is not None)
         )
-        self.assertEqual((len(owed.trips), owed.over), (2, False))
+        self.assertEqual((len(owed.attempts), owed.over), (2, False))
         self.desk.up()
         self.desk.after(250)
         self.assertFalse(owed.over)
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -46,7 +46,7 @@
         asked=0.0,
         index=7,
         list=[entry("b0")],
-        offerings={
+        request_classes={
             "look": {
                 "expected": 4000,
                 "hard_limit": 10000,
@@ -84,8 +84,8 @@
         some.integers(0, 2**50),
         some.floats(0, 1e6),
     )
-    def test_there_and_back(self, offerings, written, asked):
-        one = snapshot(offerings=offerings, written=written, asked=asked)
+    def test_there_and_back(self, request_classes, written, asked):
+        one = snapshot(request_classes=request_classes, written=written, asked=asked)
         self.assertEqual(form.decode(form.encode(one)), one)
 
     def test_every_byte_flipped_and_every_truncation(self):
@@ -143,10 +143,10 @@
 
     def test_by_age_and_by_what_it_tells_of(self):
         desk = Desk(["b0"])
-        o = desk.reducer.terms.offerings[0]
+        o = desk.reducer.terms.request_classes[0]
         row = {
             "expected": o.expected,
-            "hard_limit": o.hard_limit,
+            "hard_limit": o.request_timeout,
             "repeats": o.repeats,
             "typical": 900.0,
             "skew": 0.4,
@@ -157,7 +157,7 @@
         }
         address = desk.reducer.backends["b0"].address
         whole = snapshot(
-            offerings={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)}
+            request_classes={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)}
         )
         busy = msgspec.structs.replace(whole, asked=0.05)  # 500 a second; a gap is 200
         cases = (
@@ -169,10 +169,14 @@
             ("a clock off by 3 s", whole, 97),
             ("0.05 s of 500 a second", busy, 100.05),
             ("1 s of it", busy, 101),
-            ("another deployment", msgspec.structs.replace(whole, offerings={"sale": row}), 100),
+            (
+                "another deployment",
+                msgspec.structs.replace(whole, request_classes={"sale": row}),
+                100,
+            ),
             (
                 "other limits",
-                msgspec.structs.replace(whole, offerings={o.name: {**row, "expected": 1}}),
+                msgspec.structs.replace(whole, request_classes={o.name: {**row, "expected": 1}}),
                 100,
             ),
             (
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -18,13 +18,13 @@
 
 
 def terms(**changed):
-    offerings = [
-        r.Offering(0, "look", r.HARMLESS, "all", 0, 400 * MS, 1000 * MS, 1.0),
-        r.Offering(1, "hold", r.STAMPED, "zone", 300 * MS, 400 * MS, 1000 * MS, 3.0),
-        r.Offering(2, "pay", r.ONE_SHOT, "all", 0, 400 * MS, 1000 * MS, 8.0),
+    request_classes = [
+        r.RequestClass(0, "look", r.SAFE, "all", 0, 400 * MS, 1000 * MS, 1.0),
+        r.RequestClass(1, "hold", r.KEYED, "zone", 300 * MS, 400 * MS, 1000 * MS, 3.0),
+        r.RequestClass(2, "pay", r.UNSAFE, "all", 0, 400 * MS, 1000 * MS, 8.0),
     ]
     known = dict(
-        offerings=offerings,
+        request_classes=request_classes,
         tenants=Tenants({"north": 20.0, "south": 500.0}),
         number=0,
         nodes=1,
@@ -38,11 +38,11 @@
         worst_offering=0.2,
     )
     known.update(changed)
-    return r.Terms(**known)
+    return r.BalancerSettings(**known)
 
 
 def listed(name, state=r.READY, zone="east", started=0, weight=1.0):
-    return r.Listed(name, state, zone, 0, started, weight)
+    return r.Endpoint(name, state, zone, 0, started, weight)
 
 
 class Scene:
@@ -50,7 +50,7 @@
         self.dead = dead
         self.terms = terms(**changed)
         self.now = 10000 * MS
-        self.lines, self.invocations = [], {}
+        self.lines, self.requests = [], {}
         self.node = Node(seed, self.terms, self.now)
         self.list(backends, whole=True)
 
@@ -71,21 +71,23 @@
         self.now = end
         self.pull()
 
-    def take(self, name, offering=0, left=1000, tenant=None, hint=0):
+    def take(self, name, request_class=0, left=1000, tenant=None, hint=0):
         limit = self.now + left * MS
-        invocation = r.Invocation(
-            name, self.terms.offerings[offering], tenant, self.now, limit, hint or 0
+        request = r.Request(
+            name, self.terms.request_classes[request_class], tenant, self.now, limit, hint or 0
         )
-        self.invocations[name] = invocation
-        self.node.taken(self.now, invocation)
+        self.requests[name] = request
+        self.node.taken(self.now, request)
         self.pull()
-        return invocation
+        return request
 
-    def end(self, name, outcome=r.SETTLED, note=True):
-        trip = self.invocations[name].trips[-1]
+    def end(self, name, outcome=r.SUCCESS, note=True):
+        attempt = self.requests[name].attempts[-1]
         if note:
-            self.say(f"{name} at {self.node.names[trip.backend]}: {outcome}")
-        self.node.returned(self.now, trip, outcome, self.now - trip.sent, outcome == r.SETTLED)
+            self.say(f"{name} at {self.node.names[attempt.backend]}: {outcome}")
+        self.node.returned(
+            self.now, attempt, outcome, self.now - attempt.sent, outcome == r.SUCCESS
+        )
         self.pull()
 
     def flow(self, count, slow=(), took=20, slow_took=200):
@@ -93,12 +95,12 @@
         went, lines = [], self.lines
         for _ in range(count):
             self.lines = []
-            invocation = self.take("flow")
-            if invocation.trips:
-                name = self.node.names[invocation.trips[-1].backend]
+            request = self.take("flow")
+            if request.attempts:
+                name = self.node.names[request.attempts[-1].backend]
                 went.append(name)
                 self.after(slow_took if name in slow else took)
-                if invocation.trips[-1].outcome is None:
+                if request.attempts[-1].outcome is None:
                     self.end("flow")
             else:
                 went.append("-")
@@ -111,12 +113,10 @@
             if kind is r.SEND:
                 trial = " as a trial" if subject.trial else ""
                 self.say(
-                    f"send {subject.invocation.mark} to {self.node.names[subject.backend]}{trial}"
-                )
-            elif kind is r.CALL_OFF:
-                self.say(
-                    f"call off {subject.invocation.mark} at {self.node.names[subject.backend]}"
+                    f"send {subject.request.mark} to {self.node.names[subject.backend]}{trial}"
                 )
+            elif kind is r.CANCEL_ATTEMPT:
+                self.say(f"call off {subject.request.mark} at {self.node.names[subject.backend]}")
             elif kind is r.ASK:
                 self.say("ask for the list")
             elif kind is r.PROBE:
@@ -127,7 +127,7 @@
                 self.say(f"{kind} {subject.mark}")
 
     def out(self):
-        return [name for name, i in self.invocations.items() if i.out]
+        return [name for name, i in self.requests.items() if i.out]
 
 
 def entry(name, status="SERVING", address=None, since_ms=0):
