--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -133,31 +133,36 @@
 
 
 def play(tenants, backends, nodes):
-    from pierglade.balancer.balancer import Node
-    from pierglade.model import request as r
+    from pierglade.balancer.balancer import Balancer
+    from pierglade.model.decision import SendAttempt
+    from pierglade.model.endpoint import Endpoint, EndpointState
+    from pierglade.model.outcome import Outcome
+    from pierglade.model.request import Request
     from pierglade.settings import platform as t
 
     found = {}
     document = document_of(tenants, nodes)
     text = orjson.dumps(document["settings"])
     listed = [
-        r.Endpoint(e["name"], r.READY, e["zone"], e["group"], 0, 1.0)
+        Endpoint(e["name"], EndpointState.READY, e["zone"], e["group"], 0, 1.0)
         for e in endpoints_of(backends)
     ]
     del document
     before = memory_mb()
-    terms, found["settings_ms"] = cpu_ms(lambda: t.terms_from(orjson.loads(text)))
+    terms, found["settings_ms"] = cpu_ms(lambda: t.settings_from(orjson.loads(text)))
     with_terms = memory_mb()
     found["settings_mb"] = with_terms - before
-    node = Node(1, terms, NOW)
-    _, found["list_ms"] = cpu_ms(node.listed, NOW, listed, True)
+    node = Balancer(1, terms, NOW)
+    _, found["list_ms"] = cpu_ms(node.endpoints_updated, NOW, listed, True)
     found["list_mb"] = memory_mb() - with_terms
 
     def changes():
         for k in range(CHANGES):
             e = listed[k * 7 % backends]
-            state = r.READY if k % 2 else r.DRAINING
-            node.listed(NOW + k, [r.Endpoint(e.name, state, e.zone, e.cell, 0, 1.0)], False)
+            state = EndpointState.READY if k % 2 else EndpointState.DRAINING
+            node.endpoints_updated(
+                NOW + k, [Endpoint(e.name, state, e.zone, e.cell, 0, 1.0)], False
+            )
 
     found["change_us"] = cpu_ms(changes)[1] * 1e3 / CHANGES
 
@@ -169,21 +174,21 @@
         for k in range(REQUESTS):
             now += GAP
             begin = time.process_time()
-            node.taken(
+            node.request_received(
                 now,
-                r.Request(
+                Request(
                     k,
                     request_class,
-                    terms.members[k % tenants],
+                    terms.tenants[k % tenants],
                     now,
                     now + request_class.request_timeout,
                 ),
             )
-            while (decision := node.decide(now)) is not None:
-                if decision[0] == r.SEND:
-                    out.append((now + TOOK, decision[1]))
+            while (decision := node.next_decision(now)) is not None:
+                if type(decision) is SendAttempt:
+                    out.append((now + TOOK, decision.attempt))
             while out and out[0][0] <= now:
-                node.returned(now, out.pop(0)[1], r.SUCCESS, TOOK, True)
+                node.attempt_ended(now, out.pop(0)[1], Outcome.SUCCESS, TOOK, True)
             steps.append((time.process_time() - begin) * 1e6)
 
     found["request_us"] = cpu_ms(requests)[1] * 1e3 / REQUESTS
@@ -201,7 +206,7 @@
 
     from pierglade.__main__ import GARBAGE, place_again, place_from
     from pierglade.proxy.state import events as ev
-    from pierglade.proxy.state.machine import Reducer
+    from pierglade.proxy.state.machine import ProxyStateMachine
 
     try:
         from pierglade.__main__ import steps_again
@@ -229,7 +234,9 @@
         gc.collect()
         gc.freeze()  # as a node does; else collections count among the steps
         gc.set_threshold(GARBAGE, 20, 20)
-        reducer = Reducer(first.seed, first.terms, NOW, 1000, first.discovery, first.told)
+        reducer = ProxyStateMachine(
+            first.seed, first.settings, NOW, 1000, first.discovery, first.told
+        )
         _, found["state_list_ms"] = cpu_ms(lambda: reducer.apply(NOW, ev.HEARD, orjson.loads(line)))
         now, spans = NOW, []
         for k in range(CHANGES):
@@ -271,12 +278,19 @@
                 steps.append(
                     ms
                     + cpu_ms(
-                        reducer.apply, now, ev.CONFIGURED, place.discovery, place.told, place.terms
+                        reducer.apply,
+                        now,
+                        ev.CONFIGURED,
+                        place.discovery,
+                        place.told,
+                        place.settings,
                     )[1]
                 )
                 return sum(steps), steps[0]
             place = walked(steps_again(first), steps)
-            told = walked(shares.steps(reducer.terms.tenants, place.terms.tenants.shares), steps)
+            told = walked(
+                shares.steps(reducer.settings.tenants, place.settings.tenants.shares), steps
+            )
             steps.append(
                 cpu_ms(
                     reducer.apply,
@@ -284,7 +298,7 @@
                     ev.CONFIGURED,
                     place.discovery,
                     place.told,
-                    place.terms,
+                    place.settings,
                     told,
                 )[1]
             )
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -27,8 +27,11 @@
     settings_of,
 )
 
-from pierglade.balancer.balancer import Node  # noqa: E402
-from pierglade.model import request as r
+from pierglade.balancer.balancer import Balancer  # noqa: E402
+from pierglade.model.decision import CheckHealth, SendAttempt  # noqa: E402
+from pierglade.model.endpoint import Endpoint, EndpointState
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Request
 from pierglade.settings import platform as t
 
 TENANTS = 100  # who shares the 170,000 requests/s is no matter here
@@ -38,15 +41,15 @@
 
 def views_of(terms, number, entries):
     """Names in the rotation of node `number` at first, without a zone, and with it back."""
-    node, now = Node(number, replace(terms, number=number), NOW), NOW
+    node, now = Balancer(number, replace(terms, node_number=number), NOW), NOW
     views = []
     zone = [e for e in entries if e.zone == "z3"]
     for whole, listed in (
         (True, entries),
-        (False, [replace(e, state=r.GONE) for e in zone]),
+        (False, [replace(e, state=EndpointState.REMOVED) for e in zone]),
         (False, [replace(e, started=now + 2 * AFTER) for e in zone]),
     ):
-        node.listed(now, listed, whole)
+        node.endpoints_updated(now, listed, whole)
         views.append({node.names[b] for b in node.turn})
         now += AFTER
     return views
@@ -59,36 +62,39 @@
 
 def dead(terms, entries, probes):
     """What a backend that is dead and listed gets of one node in a minute, from the second half on."""
-    node, now = Node(5, replace(terms, number=5, may_probe=probes), NOW), NOW
-    node.listed(now, entries, True)
+    node, now = Balancer(5, replace(terms, node_number=5, may_check_health=probes), NOW), NOW
+    node.endpoints_updated(now, entries, True)
     gone, out, sent, probed, count = node.turn[0], [], 0, 0, 0
     half, end = NOW + MINUTE * 5000, NOW + MINUTE * 10000
     request_class = terms.request_classes[0]
     while now < end:
         now += GAP
         count += 1
-        node.taken(
-            now, r.Request(count, request_class, None, now, now + request_class.request_timeout)
+        node.request_received(
+            now, Request(count, request_class, None, now, now + request_class.request_timeout)
         )
-        while (decision := node.decide(now)) is not None:
-            kind, subject = decision
-            if kind == r.SEND:
+        while (decision := node.next_decision(now)) is not None:
+            if type(decision) is SendAttempt:
+                subject = decision.attempt
                 sent += subject.backend == gone and now >= half
                 out.append((now + TOOK, subject))
-            elif kind == r.PROBE:
+            elif type(decision) is CheckHealth:
+                subject = decision.backend
                 probed += subject == gone and now >= half
-                node.probed(now, node.names[subject], subject != gone, 5)
+                node.health_checked(now, node.names[subject], subject != gone, 5)
         while out and out[0][0] <= now:
             attempt = out.pop(0)[1]
             lost = attempt.backend == gone
-            node.returned(now, attempt, r.CONNECT_FAILED if lost else r.SUCCESS, TOOK, not lost)
+            node.attempt_ended(
+                now, attempt, Outcome.CONNECT_FAILED if lost else Outcome.SUCCESS, TOOK, not lost
+            )
     return {"sends_a_minute": sent * 2, "probes_a_minute": probed * 2}
 
 
 def main(path, nodes=NODES):
-    terms = t.terms_from(settings_of(TENANTS, NODES))
+    terms = t.settings_from(settings_of(TENANTS, NODES))
     entries = [
-        r.Endpoint(e["name"], r.READY, e["zone"], e["group"], 0, 1.0)
+        Endpoint(e["name"], EndpointState.READY, e["zone"], e["group"], 0, 1.0)
         for e in endpoints_of(BACKENDS)
     ]
     names = [e.name for e in entries]
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -30,9 +30,13 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.balancer.balancer import COLD_MARGIN, Node  # noqa: E402
-from pierglade.model import request as r
-from pierglade.tenants.registry import Tenants  # noqa: E402
+from pierglade.balancer.balancer import COLD_MARGIN, Balancer  # noqa: E402
+from pierglade.model.decision import SendAttempt  # noqa: E402
+from pierglade.model.endpoint import Endpoint, EndpointState
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Idempotency, Request, RequestClass
+from pierglade.settings.balancer import BalancerSettings
+from pierglade.tenants.registry import TenantRegistry  # noqa: E402
 
 SECOND = 10000  # tenths of a millisecond
 TOOK = 500
@@ -45,17 +49,21 @@
 class Cold:
     """What the settings say of cold backends, and the time in which one falls over."""
 
-    cold_for: int
-    cold_from: float
-    tip_multiple: float
+    slow_start_duration: int
+    slow_start_capacity: float
+    slow_start_overload: float
     window: int
 
     def capacity(self, age):
-        return min(1.0, self.cold_from + (1 - self.cold_from) * age / self.cold_for)
+        return min(
+            1.0,
+            self.slow_start_capacity
+            + (1 - self.slow_start_capacity) * age / self.slow_start_duration,
+        )
 
     def bears(self, age):
         """Times a warm one's pace, by the rule."""
-        return self.tip_multiple * self.capacity(age)
+        return self.slow_start_overload * self.capacity(age)
 
     def given(self, age):
         """The same, of what all nodes together give it."""
@@ -71,7 +79,7 @@
         found = []
         for n, first in enumerate(sent):
             got = sum(first <= moment < first + self.window for moment in sent[n:])
-            begin = min(first, self.cold_for - self.window)
+            begin = min(first, self.slow_start_duration - self.window)
             allowed = pace * self.over(share, begin, begin + self.window)
             found.append((got / bound(allowed), got, allowed))
         return max(found, default=(0.0, 0, pace * self.over(share, 0, self.window)))
@@ -113,19 +121,19 @@
     def _terms(self, number):
         undivided = self.case == "undivided"
         shares = {"all": self.asked} if self.shares else {}
-        return r.BalancerSettings(
-            request_classes=[r.RequestClass(0, "look", r.SAFE, "all", 0, 4000, 10000, 1.0)],
-            tenants=Tenants(shares),
-            number=0 if undivided else number,
-            nodes=1 if undivided else self.count,
-            most_trips=3,
+        return BalancerSettings(
+            request_classes=[RequestClass(0, "look", Idempotency.SAFE, "all", 0, 4000, 10000, 1.0)],
+            tenants=TenantRegistry(shares),
+            node_number=0 if undivided else number,
+            node_count=1 if undivided else self.count,
+            max_attempts=3,
             may_cancel=True,
-            may_probe=False,
-            retry_after=0,
-            cold_for=self.cold.cold_for,
-            cold_from=self.cold.cold_from,
-            tip_multiple=self.cold.tip_multiple,
-            worst_offering=0.2,
+            may_check_health=False,
+            max_retry_after=0,
+            slow_start_duration=self.cold.slow_start_duration,
+            slow_start_capacity=self.cold.slow_start_capacity,
+            slow_start_overload=self.cold.slow_start_overload,
+            worst_class_weight=0.2,
         )
 
     def at(self, moment, call, *what):
@@ -137,37 +145,37 @@
         if self.case != "started":
             self.at(self.start, self._tell)
         self.at(self.start if self.case == "started" else self.now, self._arrive)
-        while self.due and self.due[0][0] < self.start + self.cold.cold_for:
+        while self.due and self.due[0][0] < self.start + self.cold.slow_start_duration:
             self.now, _, call, what = heappop(self.due)
             call(*what)
         return [moment - self.start for moment in self.sent]
 
     def _entry(self, b):
         cold = (b == 0 or self.all_cold) and self.now >= self.start
-        return r.Endpoint(f"b{b}", r.READY, "z", 0, self.start if cold else 0, 1.0)
+        return Endpoint(f"b{b}", EndpointState.READY, "z", 0, self.start if cold else 0, 1.0)
 
     def _begin(self):
         entries = [self._entry(b) for b in range(self.backends)]
         for number in range(self.count):
-            self.nodes.append(Node(self.seed * 1009 + number, self._terms(number), self.now))
-            self.nodes[number].listed(self.now, entries, True)
+            self.nodes.append(Balancer(self.seed * 1009 + number, self._terms(number), self.now))
+            self.nodes[number].endpoints_updated(self.now, entries, True)
             self._pull(number)
 
     def _tell(self):
         for number, node in enumerate(self.nodes):
-            node.listed(self.now, [self._entry(0)], False)
+            node.endpoints_updated(self.now, [self._entry(0)], False)
             self._pull(number)
 
     def _pace(self):
         """Asked for in a tenth of a millisecond, and until when that holds."""
-        age, silent = self.now - self.start, self.cold.cold_for // 2
+        age, silent = self.now - self.start, self.cold.slow_start_duration // 2
         if self.case == "silence" and 0 <= age < silent:
             return 0.0, self.start + silent
         if self.case == "silence" and 0 <= age < silent + 2 * SECOND:
             return RUSH * self.asked / SECOND, self.start + silent + 2 * SECOND
         return (
             self.load * self.asked / SECOND,
-            self.start if age < 0 else self.start + self.cold.cold_for,
+            self.start if age < 0 else self.start + self.cold.slow_start_duration,
         )
 
     def _arrive(self):
@@ -181,23 +189,23 @@
     def _take(self):
         number = self.chance.randrange(self.count)
         node = self.nodes[number]
-        tenant = node.terms.tenants.of("all", self.now) if self.shares else None
-        node.taken(
+        tenant = node.settings.tenants.of("all", self.now) if self.shares else None
+        node.request_received(
             self.now,
-            r.Request(None, node.terms.request_classes[0], tenant, self.now, self.now + 10000),
+            Request(None, node.settings.request_classes[0], tenant, self.now, self.now + 10000),
         )
         self._pull(number)
         self._arrive()
 
     def _pull(self, number):
         node = self.nodes[number]
-        while (decision := node.decide(self.now)) is not None:
-            kind, subject = decision
-            if kind is r.SEND:
+        while (decision := node.next_decision(self.now)) is not None:
+            if type(decision) is SendAttempt:
+                subject = decision.attempt
                 if node.names[subject.backend] == "b0" and self.now >= self.start:
                     self.sent.append(self.now)
                 self.at(self.now + TOOK, self._end, number, subject)
-        wake = node.wake(self.now)
+        wake = node.next_wakeup(self.now)
         if wake is not None and (self.woken[number] is None or wake < self.woken[number]):
             self.woken[number] = wake
             self.at(wake, self._wake, number, wake)
@@ -209,7 +217,9 @@
 
     def _end(self, number, attempt):
         if attempt.outcome is None:
-            self.nodes[number].returned(self.now, attempt, r.SUCCESS, self.now - attempt.sent, True)
+            self.nodes[number].attempt_ended(
+                self.now, attempt, Outcome.SUCCESS, self.now - attempt.sent_at, True
+            )
             self._pull(number)
 
 
@@ -253,7 +263,7 @@
         plays = pool.map(one, work)
         for case, first, n in rows:
             got = [next(plays) for _ in range(seeds)]
-            warm, end = pace(first, cold), cold.cold_for
+            warm, end = pace(first, cold), cold.slow_start_duration
             share, most, allowed = max(cold.worst(sent, warm, cold.bears) for sent in got)
             strict = max(cold.worst(sent, warm, cold.given)[0] for sent in got)
             whole = sum(map(len, got)) / seeds
--- a/experiments/fleet/count.py
+++ b/experiments/fleet/count.py
@@ -11,15 +11,15 @@
 import orjson
 
 COLUMNS = (
-    "trips",
+    "attempts",
     "trials",
-    "probes",
-    "links opened",
-    "links refused",
-    "no word",
-    "asked again",
-    "bounce",
-    "give up",
+    "health_checks",
+    "connections_opened",
+    "connections_refused",
+    "discovery_losses",
+    "endpoint_polls",
+    "request_rejected",
+    "request_failed",
 )
 LOST_MOST = 10  # backends that are shown; the worst
 
@@ -57,13 +57,13 @@
     heard = defaultdict(dict)  # (backend, state) to node to when
     for event in found:
         second = int((event["at_ms"] - begin) // 1000)
-        if event["event"] == "counts":
+        if event["event"] == "counters":
             done[second].update({name: event.get(name, 0) for name in COLUMNS})
         elif event["event"] == "started":
             started[second] += 1
-        elif event["event"] == "trip lost":
+        elif event["event"] == "attempt_failed":
             lost[event["backend"]][event["node"]] += 1
-        elif event["event"] == "list":
+        elif event["event"] == "endpoints_updated":
             for name, state in event["changed"]:
                 heard[name, state].setdefault(event["node"], event["at_ms"])
     yield "second  started  " + "  ".join(COLUMNS)
@@ -80,7 +80,7 @@
         )
     worst = sorted(lost.items(), key=lambda item: (-item[1].total(), item[0]))
     for name, nodes in worst[:LOST_MOST]:
-        yield f"lost at {name}: {nodes.total()} trips of {len(nodes)} nodes"
+        yield f"lost at {name}: {nodes.total()} attempts of {len(nodes)} nodes"
 
 
 def main(arguments):
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -6,9 +6,9 @@
 import sys
 from dataclasses import dataclass
 
-from pierglade.model.request import BalancerSettings
 from pierglade.reconfiguration import document_reader as reading
-from pierglade.settings.platform import InvalidSettingsError, short_of, terms_from
+from pierglade.settings.balancer import BalancerSettings
+from pierglade.settings.platform import InvalidSettingsError, settings_from, short_of
 
 SOCKETS = 1024  # descriptors; where no limit is told
 MEMORY = 192  # MB; likewise
@@ -27,7 +27,7 @@
     seed: str
     sockets: int
     known: dict
-    terms: BalancerSettings
+    settings: BalancerSettings
     told: dict  # the file itself, without its customers and the list that is known
     management: str | None = None  # where operators call; None: nowhere
     memory_mb: int = MEMORY
@@ -100,7 +100,7 @@
             sockets=int(limits.get("sockets") or SOCKETS),
             memory_mb=int(limits.get("memory_mb") or MEMORY),
             known=told.get("known") or {},
-            terms=terms_from(told["settings"], shares),
+            settings=settings_from(told["settings"], shares),
             # Kept for as long as the node runs; what is large of it is known elsewhere.
             told={**told, "known": {}} if told.get("known") is not None else told,
             management=environ.get("BALANCER_MANAGEMENT") or told.get("management"),
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a pierglade node: rotation around forecast pauses.
 
-How it is called: a host makes one Node for each balancer, with a seed and the Terms of its deployment.
+How it is called: a host makes one Balancer for each balancer, with a seed and the Terms of its deployment.
 Whatever comes in is told at once by `listed`, `taken`, `returned`, `streaming`, `abandoned` and `probed`;
 these only update what is known. The host then pulls `decide(now)` until it answers None, carries each
 decision out, and calls again no later than `wake(now)`. A decision is a pair of a kind and its subject.
@@ -14,31 +14,19 @@
 from heapq import heappop, heappush
 from math import exp, log, sqrt
 
-from pierglade.concurrency.limiter import Room
-from pierglade.model.request import (
-    ASK,
-    CANCEL_ATTEMPT,
-    CANCELLED,
-    CLIENT_ERROR,
-    CONNECT_FAILED,
-    FAIL_REQUEST,
-    GONE,
-    KEYED,
-    NEVER_RAN,
-    NOT_SENT,
-    PROBE,
-    READY,
-    REJECT_REQUEST,
-    REJECTED_UNPROCESSED,
-    SAFE,
-    SEND,
-    SUCCESS,
-    TIMEOUT,
-    UNSAFE,
-    WITH_PROBES,
-    Attempt,
+from pierglade.concurrency.limiter import ConcurrencyLimiter
+from pierglade.model.decision import (
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    PollEndpoints,
+    RejectRequest,
+    SendAttempt,
 )
-from pierglade.tenants.registry import Middle
+from pierglade.model.endpoint import EndpointState, LoadReportSource
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Attempt, Idempotency
+from pierglade.tenants.registry import RunningMedian
 
 # Constants. Times are tenths of a millisecond.
 WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = (
@@ -192,7 +180,7 @@
 FIRST = HISTORY | dict(
     names=None,
     rank=None,
-    state=GONE,
+    state=EndpointState.REMOVED,
     zone=None,
     cell=None,
     size=0.0,
@@ -226,7 +214,7 @@
     def __init__(self, request_class):
         self.priority_weight = request_class.priority_weight
         # Smoothed latency. A first answer alone is a poor guide: by a very quick one all would look silent.
-        self.typical = FIRST_TYPICAL * request_class.expected
+        self.typical = FIRST_TYPICAL * request_class.latency_objective
         self.skew = 0.0  # log of the mean answer over the usual one, half the variance of that log
         self.hinted = 0.0  # smoothed hint of the work
         self.answers = 2  # how many that rests on; the first guess counts as two
@@ -236,18 +224,18 @@
         self.usual_votes = 0  # how sure that is
 
 
-class Node:
+class Balancer:
     """One balancer: what it knows of its backends, and what it holds."""
 
     def __init__(self, seed, terms, now, before=None):
         """`before`: the node whose place this one takes as settings change; both spend one budget."""
-        self.terms = terms
+        self.settings = terms
         chance = random.Random(seed)
         self.pick = chance.randrange
         # How many invocations had come when one of the kind last did.
         self.asked_at = {
-            kind: 0 if any(o.repeats == kind for o in terms.request_classes) else -COMES
-            for kind in (SAFE, KEYED, UNSAFE)
+            kind: 0 if any(o.idempotency == kind for o in terms.request_classes) else -COMES
+            for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
         }
         self.table = [Row(o) for o in terms.request_classes]
         # What is known of each backend, under a dense index: the arrays of FIRST.
@@ -259,12 +247,18 @@
             setattr(self, name, [])
         # The rotation: from the ring of ready backends, as many as this node can keep in view.
         self.done = 0.0  # trips settled lately
-        self.drags, self.drag = Middle(DRAG_SPAN), 1.0  # times typical that tenants' work takes
-        self.home = terms.zone if terms.crossing >= DEAR else None
-        self.shares, self.asked = terms.tenants.total > 0, terms.tenants.total / terms.nodes / 10000
+        self.drags, self.drag = (
+            RunningMedian(DRAG_SPAN),
+            1.0,
+        )  # times typical that tenants' work takes
+        self.home = terms.zone if terms.cross_zone_penalty >= DEAR else None
+        self.shares, self.asked = (
+            terms.tenants.total > 0,
+            terms.tenants.total / terms.node_count / 10000,
+        )
         self.asked_over = 0.0  # span over which the table's figures are seen, fading with them
         # Without a word of what others are asked for, rounds of trips find the room (docs/notes/limit.md).
-        self.learns = bool(not self.shares and terms.nodes > 1 and terms.reports)
+        self.learns = bool(not self.shares and terms.node_count > 1 and terms.load_report_source)
         self.in_view = (
             max(FEWEST, int(self.asked * IN_VIEW)) if self.shares or self.learns else None
         )
@@ -282,8 +276,8 @@
         self.line = deque()  # the same in order of arrival, some already gone
         self.again = []  # invocations that wait for a further trip
         self.finals, self.probes = deque(), deque()  # decisions already made
-        self.limit = Room(
-            terms.nodes,
+        self.limit = ConcurrencyLimiter(
+            terms.node_count,
             len(terms.request_classes),
             now,
             SOME if self.learns else self.asked or None,
@@ -296,31 +290,37 @@
         self.overloaded, self.ahead = False, None  # the queue that need not wait for room
         self.flying, self.ailing = {}, {}  # of backends the trips out; those in trouble
         self.swept = self.see_at = self.room_at = self.seen_at = now
-        self.ask_at, self.ask_gap = (now if terms.asks_list else NEVER), ASK_GAP
+        self.ask_at, self.ask_gap = (now if terms.polls_endpoints else NEVER), ASK_GAP
         self.sweep_at = self.ask_at
         self.slower_since, self.rest_until, self.rest_again = NEVER, 0, 0
         # Where a pace is told, it grows soon enough by that.
-        blind = self.learns and terms.reports == WITH_PROBES and "pace" not in terms.gauges
+        blind = (
+            self.learns
+            and terms.load_report_source == LoadReportSource.HEALTH_CHECKS
+            and "throughput" not in terms.load_report_fields
+        )
         self.room, self.probe_share = (FIRST_ROOM, BLIND_PROBES) if blind else (1.0, PROBES)
         self.unprobed = FIRST_PROBES
 
     # Inputs: they update what is known.
 
-    def shared(self, now):
+    def quotas_updated(self, now):
         """What tenants may ask has changed; they have shares, and had some before."""
-        self.asked = self.limit.asked = self.terms.tenants.total / self.terms.nodes / 10000
+        self.asked = self.limit.demand = (
+            self.settings.tenants.total / self.settings.node_count / 10000
+        )
         self.in_view = max(FEWEST, int(self.asked * IN_VIEW))
         self._draw_turn(now)
 
-    def known(self, keys):
+    def export_statistics(self, keys):
         """What a restart would forget: the table's rows, `keys` of FIRST by name of each ready backend."""
         return [vars(row) for row in self.table], {
             name: {key: getattr(self, key)[b] for key in keys}
             for name, b in self.index.items()
-            if self.state[b] == READY
+            if self.state[b] == EndpointState.READY
         }
 
-    def remember(self, rows, backends):
+    def restore_statistics(self, rows, backends):
         """The part of it that is still taken for true (`pierglade/snapshot/`); the backends are listed."""
         for row, told in zip(self.table, rows):
             vars(row).update(told)
@@ -328,7 +328,7 @@
             for key, value in told.items():
                 getattr(self, key)[self.index[name]] = value
 
-    def listed(self, now, entries, whole):
+    def endpoints_updated(self, now, entries, whole):
         """The list's word on all backends, or on the changed ones."""
         # Not at once: a call that still waits its turn has its first line, and may yet come to nothing.
         self.ask_gap = max(ASK_GAP, self.ask_gap // 2)
@@ -336,34 +336,34 @@
             named = {e.name for e in entries}
             for name, b in self.index.items():
                 if name not in named:
-                    self._leave(b, GONE, now)
+                    self._leave(b, EndpointState.REMOVED, now)
         for e in entries:
             b = self.index.get(e.name)
             if b is None:
-                if e.state != READY:
+                if e.state != EndpointState.READY:
                     continue
                 b = self._new_index(e.name, now)
             self.zone[b], self.cell[b] = e.zone, e.cell
             # Live weights are late and would swing all nodes together; the largest seen is the size.
             self.size[b] = max(self.size[b], e.weight)
-            if e.state != READY:
+            if e.state != EndpointState.READY:
                 self._leave(b, e.state, now)
                 continue
-            if e.started > self.started[b]:
+            if e.started_at > self.started[b]:
                 # A process that has just started is cold until its time is up, whoever else sends to it.
-                self.started[b] = e.started
-                self.cold_until[b] = e.started + self.terms.cold_for
+                self.started[b] = e.started_at
+                self.cold_until[b] = e.started_at + self.settings.slow_start_duration
                 self.allowance[b], self.allowed_at[b] = self.pick(1000) / 1000, now
                 self._forget_history(b, now)
             self.left_at[b] = 0
-            if self.state[b] != READY:
-                self.state[b] = READY
+            if self.state[b] != EndpointState.READY:
+                self.state[b] = EndpointState.READY
                 self.gone.pop(b, None)
                 insort(self.ranked, b, key=self.rank.__getitem__)
         self.total = sum(map(self.size.__getitem__, self.ranked))
         self._draw_turn(now)
 
-    def unlisted(self, now, waited=-NEVER):
+    def discovery_lost(self, now, waited=-NEVER):
         """The list could not be had, or is followed no more; `waited`: since its last word."""
         # All nodes lose it at once, and at once they would ask: by chance apart, and as seldom as may be.
         gap = max(ASK_SOON, min(self.ask_gap, (ASK_WITHIN - waited) * 2 // 3))
@@ -381,7 +381,7 @@
         # Evenly round one ring: by chance some were in two thirds more views; each move opens connections.
         count = len(self.ranked)
         begin = bisect_left(self.ranked, self.anchor, key=self.rank.__getitem__) % max(1, count)
-        even = count * self.terms.number // self.terms.nodes % max(1, count)
+        even = count * self.settings.node_number // self.settings.node_count % max(1, count)
         if begin != even and now >= self.move_at:
             nearer = 1 if (even - begin) % count <= count // 2 else -1
             begin = (begin + nearer) % count if self.anchor else even
@@ -391,7 +391,7 @@
                 break
             after.append(b)
             if now < self.cold_until[b]:
-                size += self.size[b] * self.terms.cold_from
+                size += self.size[b] * self.settings.slow_start_capacity
                 self.redraw_at = min(
                     self.redraw_at, self.cold_until[b], NEVER if self.shares else now + SEE
                 )
@@ -402,15 +402,15 @@
         # One at least: a node that was cut off sees all fail, and must still send trials to find them well.
         sound = max(1, sound)
         part = self.part * (REST_PART if now < self.rest_until else self.room)
-        self.limit.fits(now, sound, part * sound * len(self.ranked) / max(1, len(after)))
+        self.limit.update_backends(now, sound, part * sound * len(self.ranked) / max(1, len(after)))
         self.most = max(self.most, len(self.ranked))
         if after:
             # Where tenants have no shares, what was settled lately: what is asked may be an overload. A trip
             # at a time of all nodes is none; with all cold and nothing settled, nothing at all would be sent.
             least = (
                 len(self.ranked)
-                / self.terms.nodes
-                / max(o.expected for o in self.terms.request_classes)
+                / self.settings.node_count
+                / max(o.latency_objective for o in self.settings.request_classes)
             )
             asked = self.asked if self.shares else max(least, self._seen(now, "got"))
             self.warm_pace = asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
@@ -428,7 +428,7 @@
 
     def _see(self, now):
         """Where tenants have no shares, a node's part of all that is asked follows from what comes to it."""
-        self.asked = self.limit.asked = max(SOME, self._seen(now, "asked"))
+        self.asked = self.limit.demand = max(SOME, self._seen(now, "asked"))
         told = [b for b in self.turn if self.told_at[b] and now >= self.cold_until[b]]
         paced = [b for b in told if self.told_pace[b] is not None]
         if paced:
@@ -439,13 +439,13 @@
                 own = self.done / max(self.asked_over + now - self.swept, SEEN_LEAST)
                 own += max(0.0, self.asked - own) * UNMET
                 self.part = max(
-                    PART_LEAST, min(PART_MOST, own * self.terms.nodes / max(fleet, 1e-9))
+                    PART_LEAST, min(PART_MOST, own * self.settings.node_count / max(fleet, 1e-9))
                 )
         told = [b for b in told if now - self.told_at[b] < TOLD_FOR]
-        probed = self.terms.reports == WITH_PROBES
+        probed = self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
         # Probes are few and far between: none vouches for more than was out when it was made.
         fresh = [b for b in told if not probed or self.told_at[b] >= self.seen_at]
-        if fresh and self.limit.bound_at >= self.seen_at:
+        if fresh and self.limit.last_limited_at >= self.seen_at:
             # Room that reports show is let out; what is full by them is left to strain and rounds.
             full = sum(self.told_busy[b] / FULL + self.told_queue[b] / QUEUED for b in fresh) / len(
                 fresh
@@ -482,20 +482,20 @@
             # Only all nodes together give the backends a rest, and the clock is all that they share.
             self.rest_until, self.rest_again = now - now % REST_EACH + REST_FOR, now + REST_AGAIN
 
-    def reported(self, now, name, load):
+    def load_reported(self, now, name, load):
         """What a backend tells of its load, with an answer or a probe's result."""
         b = self.index.get(name)
-        if b is None or load.pace is None and load.busy is None:
+        if b is None or load.throughput is None and load.utilization is None:
             return
         heed = TOLD if self.told_at[b] else 1
-        if load.pace is not None:
+        if load.throughput is not None:
             before = self.told_pace[b] or 0.0
-            self.told_pace[b] = before + (load.pace - before) * heed
-        self.told_queue[b] += ((load.queue or 0.0) - self.told_queue[b]) * heed
-        if load.busy is not None:
-            self.told_busy[b] += (load.busy - self.told_busy[b]) * heed
+            self.told_pace[b] = before + (load.throughput - before) * heed
+        self.told_queue[b] += ((load.queue_length or 0.0) - self.told_queue[b]) * heed
+        if load.utilization is not None:
+            self.told_busy[b] += (load.utilization - self.told_busy[b]) * heed
             if (
-                load.pace is not None
+                load.throughput is not None
                 and self.told_busy[b] > BUSY_LEAST
                 and self.rest_until <= now < self.slower_since
             ):
@@ -504,42 +504,44 @@
                 self.usual[b] += (does - self.usual[b]) * max(USUALLY, 1 / self.usual_of[b])
         self.told_at[b] = now
 
-    def taken(self, now, request):
+    def request_received(self, now, request):
         """An invocation has come in; from here on it is owed one final answer."""
         self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
-        if self.terms.further_span:
+        if self.settings.retry_budget_window:
             self.earned.append(now)
         tenant = request.tenant
         if tenant is not None:
-            tenant.rate = tenant.rate * max(0.0, 1 - (now - tenant.seen) / RATE_SPAN) + 1
-            tenant.seen = now
-        request.held = request.arrived
-        request.expected = request.arrived + self._time_left(request)
+            tenant.rate = tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / RATE_SPAN) + 1
+            tenant.last_seen = now
+        request.queued_since = request.arrived_at
+        request.objective_at = request.arrived_at + self._time_left(request)
         self.count += 1
         o = request.request_class.index
         row = self.table[o]
         row.asked += 1
-        self.asked_at[request.request_class.repeats] = self.count
-        if request.hint:
+        self.asked_at[request.request_class.idempotency] = self.count
+        if request.cost_hint:
             # Few invocations cost what their offering does in the mean: unweighed, heavy ones look queued.
-            row.hinted += (request.hint - row.hinted) * (TYPICAL if row.hinted else 1)
-            request.cost = max(COST_LEAST, min(COST_MOST, request.hint / row.hinted))
+            row.hinted += (request.cost_hint - row.hinted) * (TYPICAL if row.hinted else 1)
+            request.relative_cost = max(COST_LEAST, min(COST_MOST, request.cost_hint / row.hinted))
         elif tenant is not None and (drag := self._drag(tenant, now) / self.drag) > DRAGS:
             # Some go out all the same, or nobody would see that the others are as quick as ever again.
-            tenant.slow += 1
-            request.cost = drag if tenant.slow % DRAG_TRIES else min(drag, COST_MOST)
-        heappush(self.held[o], (request.expected, self.count, request))
+            tenant.slow_requests += 1
+            request.relative_cost = (
+                drag if tenant.slow_requests % DRAG_TRIES else min(drag, COST_MOST)
+            )
+        heappush(self.held[o], (request.objective_at, self.count, request))
         self.line.append(request)
         self._due(now + SWEEP)
 
     def _drag(self, tenant, now):
         """Fades by itself, so that what is bounced for it is tried again, one more and one more."""
-        return 1 + (tenant.drag - 1) * max(0.0, 1 - (now - tenant.dragged) / DRAG_SPAN)
+        return 1 + (tenant.slowness - 1) * max(0.0, 1 - (now - tenant.slowness_seen_at) / DRAG_SPAN)
 
     def _see_drag(self, now, request, took, whole):
         """A tenant's work may be slow at every backend: no backend is slow or silent for that."""
         tenant = request.tenant
-        if tenant is None or request.hint:
+        if tenant is None or request.cost_hint:
             return
         ratio = min(
             DRAG_MOST,
@@ -548,12 +550,12 @@
         drag = self._drag(tenant, now)
         if not whole and ratio < drag:
             return  # So long at least; it tells nothing where that is as usual.
-        tenant.drag, tenant.dragged = drag + (ratio - drag) * DRAG_HEED, now
-        self.drags.see(now, tenant.name, tenant.drag)
+        tenant.slowness, tenant.slowness_seen_at = drag + (ratio - drag) * DRAG_HEED, now
+        self.drags.see(now, tenant.name, tenant.slowness)
 
     def _time_left(self, request):
         """How much of the expected time is left, which runs from the client's first try."""
-        request_class, left = request.request_class, request.limit - request.arrived
+        request_class, left = request.request_class, request.deadline - request.arrived_at
         row = self.table[request_class.index]
         usual = row.usual_left
         # A vote, not the longest seen: by repeats with more time all first tries look late.
@@ -569,47 +571,51 @@
         ):
             self.unsettled -= 1
             spent = request_class.request_timeout - left
-        return min(left, request_class.expected - spent)
+        return min(left, request_class.latency_objective - spent)
 
     def _short(self, request_class, left):
         """Whether it came with less time than first tries usually do."""
         return left < (1 - USUAL) * self.table[request_class.index].usual_left
 
-    def pressed(self, now, idle, request_class, came, left, refused=False):
+    def should_shed(self, now, idle, request_class, came, left, refused=False):
         """Whether what has come is bounced unseen, as the host is short of its core: idle last at `idle`, or
         `refused` at the door already.
 
         Taken all the same, all would come late to their turn, and what is left of the core go into bounces.
         """
-        bounced = refused or now - idle > BEHIND and now - came > WAITED * request_class.expected
+        bounced = (
+            refused or now - idle > BEHIND and now - came > WAITED * request_class.latency_objective
+        )
         self.unsettled += bounced and not self._short(request_class, left)
         return bounced
 
-    def returned(self, now, attempt, outcome, took, done):
+    def attempt_ended(self, now, attempt, outcome, took, done):
         """A trip has ended."""
         request, b = attempt.request, attempt.backend
         attempt.outcome = outcome
-        request.out -= 1
+        request.in_flight -= 1
         # A trip that is no longer waited for may still be worked on; filled at once, its place overdrives.
-        if outcome == TIMEOUT or outcome == CANCELLED:
-            attempt.until = now + int(GHOST * self.table[request.request_class.index].typical)
-            self._due(attempt.until)
+        if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
+            attempt.timeout_at = now + int(GHOST * self.table[request.request_class.index].typical)
+            self._due(attempt.timeout_at)
         else:
             self._leave_flight(b, attempt, now)
-        if attempt.trial:
+        if attempt.is_trial:
             self.trials_out[b] -= 1
-        if outcome in NEVER_RAN and request.risky is attempt:
-            request.risky = next((t for t in request.attempts if t.outcome not in NEVER_RAN), None)
+        if outcome.is_unexecuted and request.first_possibly_executed is attempt:
+            request.first_possibly_executed = next(
+                (t for t in request.attempts if not (t.outcome and t.outcome.is_unexecuted)), None
+            )
         self._learn(now, attempt, outcome, took)
-        if request.over:
+        if request.completed:
             return
         if done:
-            request.over = True
+            request.completed = True
             self.table[request.request_class.index].got += (
-                outcome == SUCCESS and now <= request.expected
+                outcome == Outcome.SUCCESS and now <= request.objective_at
             )
             self._call_off_rest(request)
-        elif not request.out:
+        elif not request.in_flight:
             self._after_loss(now, request, outcome)
 
     def _leave_flight(self, b, attempt, now):
@@ -617,22 +623,22 @@
         if not self.flying[b]:
             del self.flying[b]
         if self.trouble[b] in COUNTED:
-            self.limit.counts(now, -1)
+            self.limit.change_in_flight(now, -1)
 
-    def streaming(self, attempt):
+    def response_started(self, attempt):
         """The answer has started; the trip belongs to the client."""
-        attempt.cancelled = attempt.request.over = True
+        attempt.cancelled = attempt.request.completed = True
 
-    def abandoned(self, now, request):
+    def client_disconnected(self, now, request):
         """The client has gone; no answer is owed."""
-        if not request.over:
-            request.over = True
+        if not request.completed:
+            request.completed = True
             self.unsettled += not self._short(
-                request.request_class, request.limit - request.arrived
+                request.request_class, request.deadline - request.arrived_at
             )
             self._call_off_rest(request)
 
-    def probed(self, now, name, good, took):
+    def health_checked(self, now, name, good, took):
         """A probe's result. It proves no more than a running process, so it only admits a trial trip."""
         b = self.index.get(name)
         if b is None or self.trouble[b] is None:
@@ -644,18 +650,24 @@
 
     # Decisions: the host pulls them one by one.
 
-    def decide(self, now):
-        """The next decision as (kind, subject), or None."""
+    def next_decision(self, now):
+        """The next decision (`pierglade.model.decision`), or None."""
+        decision = self._decide(now)
+        if type(decision) is RejectRequest:
+            decision.retry_after = self.retry_after(now)
+        return decision
+
+    def _decide(self, now):
         if now >= self.sweep_at:
             self._sweep(now)
         if self.finals:
             return self.finals.popleft()
         for request in self.again:
-            if request.over or self._hopeless(request, now):
+            if request.completed or self._hopeless(request, now):
                 self.again.remove(request)
-                return self.decide(now) if request.over else self._final(request)
+                return self._decide(now) if request.completed else self._final(request)
             # A window that was used up by others since it was lost may have room again in time.
-            may = not self.terms.further_span or self._left(now) >= 1
+            may = not self.settings.retry_budget_window or self._left(now) >= 1
             b = self._choose(request, now) if may else None
             if b is not None:
                 self.again.remove(request)
@@ -664,13 +676,13 @@
             request = queue[0][2]
             if (
                 self._hopeless(request, now)
-                or now - request.held > PATIENCE * request.request_class.expected
+                or now - request.queued_since > PATIENCE * request.request_class.latency_objective
             ):
                 # Held so long, it would come out of the backend late: an early no leaves room for the others.
                 heappop(queue)
                 return self._final(request)
-            full = self.limit.full(now, queue is self.ahead)
-            if full and (opens := self.limit.opens(now)) is not None:
+            full = self.limit.is_full(now, queue is self.ahead)
+            if full and (opens := self.limit.opens_at(now)) is not None:
                 self._due(opens)
             b = None if full else self._choose(request, now)
             if b is None:
@@ -678,16 +690,16 @@
             heappop(queue)
             return self._send(request, b, now)
         # A node with others to draw into view keeps to the limit: hundreds beyond it overdrive the fleet.
-        if self.limit.sound * 2 <= len(self.turn) == len(self.ranked):
+        if self.limit.healthy_backends * 2 <= len(self.turn) == len(self.ranked):
             for b in self.ailing:
                 if (queue := self._held_back(b, now)) is not None:
                     return self._send(heappop(queue)[2], b, now)
         for queue in self.held:
             if queue and self._hopeless(queue[0][2], now):
                 return self._final(heappop(queue)[2])
-        return (PROBE, self.probes.popleft()) if self.probes else None
+        return CheckHealth(self.probes.popleft()) if self.probes else None
 
-    def wake(self, now):
+    def next_wakeup(self, now):
         """When to call decide again, if nothing comes in before."""
         # A client's repeat may have so little time left that the next sweep would come after its limit.
         waiting = self.again + [queue[0][2] for queue in self.held if queue]
@@ -697,47 +709,55 @@
     def _due(self, moment):
         self.sweep_at = min(self.sweep_at, moment)
 
-    def come_back_in(self, now):
+    def retry_after(self, now):
         """Advice to a bounced client; 0 where clients are told none."""
-        return min(COME_BACK if self.overloaded else COME_SOON, self.terms.retry_after)
+        return min(COME_BACK if self.overloaded else COME_SOON, self.settings.max_retry_after)
 
     # What an invocation may still do.
 
     def _may_send(self, request, b, now):
         """Rule 2 in one place: may this invocation go to this backend, after what its trips have proved?"""
-        if now >= request.limit or len(request.attempts) >= self.terms.most_trips or request.out:
+        if (
+            now >= request.deadline
+            or len(request.attempts) >= self.settings.max_attempts
+            or request.in_flight
+        ):
             return False
-        risky = request.risky
-        if risky is None or request.request_class.repeats == SAFE:
+        first_possibly_executed = request.first_possibly_executed
+        if first_possibly_executed is None or request.request_class.idempotency == Idempotency.SAFE:
             return True
         if (
-            request.request_class.repeats == UNSAFE
-            or now >= risky.sent + request.request_class.window
+            request.request_class.idempotency == Idempotency.UNSAFE
+            or now >= first_possibly_executed.sent_at + request.request_class.deduplication_window
         ):
             return False
-        group = request.request_class.group
+        group = request.request_class.deduplication_scope
         return (
             group == "all"
             or group == "zone"
-            and self.zone[b] == self.zone[risky.backend]
+            and self.zone[b] == self.zone[first_possibly_executed.backend]
             or group == "cell"
-            and self.cell[b] == self.cell[risky.backend]
+            and self.cell[b] == self.cell[first_possibly_executed.backend]
         )
 
     def _may_bounce(self, request):
         """A bounce promises that trying again is harmless."""
         return (
-            request.risky is None
-            or request.request_class.repeats == SAFE
-            or request.request_class.repeats == KEYED
-            and request.request_class.group == "all"
+            request.first_possibly_executed is None
+            or request.request_class.idempotency == Idempotency.SAFE
+            or request.request_class.idempotency == Idempotency.KEYED
+            and request.request_class.deduplication_scope == "all"
         )
 
     def _final(self, request):
-        request.over = True
+        request.completed = True
         # Only first tries count: if what was taken for a repeat did, each would make another one look so.
-        self.unsettled += not self._short(request.request_class, request.limit - request.arrived)
-        return REJECT_REQUEST if self._may_bounce(request) else FAIL_REQUEST, request
+        self.unsettled += not self._short(
+            request.request_class, request.deadline - request.arrived_at
+        )
+        if self._may_bounce(request):
+            return RejectRequest(request, 0)
+        return FailRequest(request)
 
     def _hopeless(self, request, now):
         return now >= self._last_chance(request)
@@ -748,10 +768,10 @@
         # Not all of the expected time, or what was once slow would never be tried again.
         room = not self.overloaded and len(self.turn) == len(self.ranked)
         times = CHANCE if room and not sure else HOPELESS
-        need = request.cost * self.table[request_class.index].typical
-        if request.cost <= COST_MOST:
-            need = min(times * need, HOPELESS_MOST * request_class.expected)
-        return request.expected - max(HOPELESS_LEAST, int(need))
+        need = request.relative_cost * self.table[request_class.index].typical
+        if request.relative_cost <= COST_MOST:
+            need = min(times * need, HOPELESS_MOST * request_class.latency_objective)
+        return request.objective_at - max(HOPELESS_LEAST, int(need))
 
     def _after_loss(self, now, request, outcome):
         """A trip came to nothing: a further one, or the final answer at once."""
@@ -759,13 +779,13 @@
         may = (
             self._left(now) >= 1
             and not self._hopeless(request, now)
-            and outcome != NOT_SENT
+            and outcome != Outcome.NOT_SENT
             and any(self._may_send(request, b, now) for b in self.turn)
             and not {t.backend for t in request.attempts}.issuperset(self.ranked)
         )
         if may:
             self.extra -= 1
-            request.held = now
+            request.queued_since = now
             self.again.append(request)
             self._due(now + SWEEP)
         else:
@@ -777,24 +797,28 @@
         It holds for all that goes out again, whatever ended the trip before. Where none is stated, a share of
         what comes, saved up. No trip is kept back while the window has room, so nothing is given up for it.
         """
-        terms = self.terms
-        if not terms.further_span:
+        terms = self.settings
+        if not terms.retry_budget_window:
             return self.extra
         # A tenth of a ms on either side: the host's clock is finer, and counts a window's very ends.
-        while self.spent and self.spent[0] < now - terms.further_span - 1:
+        while self.spent and self.spent[0] < now - terms.retry_budget_window - 1:
             self.spent.popleft()
-        while self.earned and self.earned[0] <= now - terms.further_span + 1:
+        while self.earned and self.earned[0] <= now - terms.retry_budget_window + 1:
             self.earned.popleft()
-        return terms.further_most + int(terms.further_share * len(self.earned)) - len(self.spent)
+        return (
+            terms.retry_budget_minimum
+            + int(terms.retry_budget_ratio * len(self.earned))
+            - len(self.spent)
+        )
 
     def _call_off_rest(self, request):
         for attempt in request.attempts:
             self._call_off(attempt)
 
     def _call_off(self, attempt):
-        if attempt.outcome is None and not attempt.cancelled and self.terms.may_cancel:
+        if attempt.outcome is None and not attempt.cancelled and self.settings.may_cancel:
             attempt.cancelled = True
-            self.finals.append((CANCEL_ATTEMPT, attempt))
+            self.finals.append(CancelAttempt(attempt))
 
     # Holding.
 
@@ -802,7 +826,7 @@
         """In overload the offering that gains most; else whose expected time comes first."""
         best = least = None
         for place, queue in enumerate(self.held):
-            while queue and queue[0][2].over:
+            while queue and queue[0][2].completed:
                 heappop(queue)
             if queue:
                 rank = -self._gain(self.table[place]) if self.overloaded else queue[0][0]
@@ -829,20 +853,22 @@
     def _gain(self, row):
         """What one more settled invocation of an offering adds to the service, for each unit of time."""
         gain = (
-            (1 - self.terms.worst_offering)
+            (1 - self.settings.worst_class_weight)
             * row.priority_weight
             / sum(each.priority_weight * max(each.asked, 1.0) for each in self.table)
         )
         if row is min(self.table, key=lambda each: each.got / max(each.asked, 1.0)):
-            gain += self.terms.worst_offering / max(row.asked, 1.0)
+            gain += self.settings.worst_class_weight / max(row.asked, 1.0)
         return gain / row.typical
 
     def _relieve(self, now):
         """Overload is told by the oldest held wait; what tenants ask beyond their share goes first."""
         line = self.line
-        while line and (line[0].over or line[0].attempts):
+        while line and (line[0].completed or line[0].attempts):
             line.popleft()
-        waited = (now - line[0].held) / line[0].request_class.expected if line else 0.0
+        waited = (
+            (now - line[0].queued_since) / line[0].request_class.latency_objective if line else 0.0
+        )
         self.overloaded = waited > WAITED
         # A node with room for two trips waits long for one to end: what gains most and is little goes ahead.
         work = [max(row.asked, 1.0) * row.typical for row in self.table]
@@ -852,14 +878,18 @@
             self._due(now + SWEEP)
         if waited > PATIENCE:
             for request in line:
-                if not (request.over or request.attempts) and self._over_share(request.tenant, now):
+                if not (request.completed or request.attempts) and self._over_share(
+                    request.tenant, now
+                ):
                     self.finals.append(self._final(request))
 
     def _over_share(self, tenant, now):
-        if tenant is None or not tenant.per_second:
+        if tenant is None or not tenant.quota_per_second:
             return False
-        rate = tenant.rate * max(0.0, 1 - (now - tenant.seen) / RATE_SPAN) / (RATE_SPAN / 10000)
-        return rate * self.terms.nodes > OVER_SHARE * tenant.per_second
+        rate = (
+            tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / RATE_SPAN) / (RATE_SPAN / 10000)
+        )
+        return rate * self.settings.node_count > OVER_SHARE * tenant.quota_per_second
 
     # The rotation.
 
@@ -907,7 +937,7 @@
             # Shared trouble: when most backends are slow at once, skipping them all helps nobody.
             if self.slow_ones * 2 <= len(self.turn):
                 return SLOW
-        most = 1 + CROWD_FLOOR + CROWD * self.limit.busy / self.limit.sound
+        most = 1 + CROWD_FLOOR + CROWD * self.limit.in_flight / self.limit.healthy_backends
         if (out := self.flying.get(b)) and (len(out) + 1) * self.level[b] > most:
             return "crowded"
         forecast = self.forecast[b]
@@ -925,35 +955,47 @@
         return (
             self.trial_due[b]
             and not self.trials_out[b]
-            and request.request_class.repeats
+            and request.request_class.idempotency
             == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
         )
 
     def _cold_allows(self, b, now):
         """Rule 4: this node's part of what a cold backend may be sent, and of what all may have saved up."""
-        terms, age, warm = self.terms, max(0, now - self.started[b]), self.warm_pace * self.size[b]
-        capacity = terms.cold_from + (1 - terms.cold_from) * age / max(1, terms.cold_for)
-        part = max(COLD_MARGIN, capacity) * min(1.0, (bears := terms.tip_multiple * capacity))
+        terms, age, warm = (
+            self.settings,
+            max(0, now - self.started[b]),
+            self.warm_pace * self.size[b],
+        )
+        capacity = terms.slow_start_capacity + (1 - terms.slow_start_capacity) * age / max(
+            1, terms.slow_start_duration
+        )
+        part = max(COLD_MARGIN, capacity) * min(
+            1.0, (bears := terms.slow_start_overload * capacity)
+        )
         saved = self.allowance[b] + part * warm * (now - self.allowed_at[b])
         more = (bears - part) * warm * COLD_SPAN + COLD_MORE * len(self.ranked) / len(
             self.turn
-        ) / terms.nodes
+        ) / terms.node_count
         saved = min(saved, COLD_BURST if 1 + more >= COLD_BURST else more + (saved - more) % 1)
         self.allowance[b], self.allowed_at[b] = saved, now
         return self.allowance[b] >= 1
 
     def _send(self, request, b, now):
         trial = self._is_trial(request, b)
-        attempt = Attempt(request, len(request.attempts), b, now, request.limit, trial)
+        attempt = Attempt(request, len(request.attempts), b, now, request.deadline, trial)
         if self.trouble[b] in COUNTED:
-            self.limit.counts(now, 1)
-            attempt.round = self.limit.sent(now, request.request_class.index)
+            self.limit.change_in_flight(now, 1)
+            attempt.probing_round = self.limit.attempt_sent(now, request.request_class.index)
         if trial:
             self.trials_out[b] += 1
             self._next_trial(b, now)
         if now < self.cold_until[b]:
             self.allowance[b] -= 1
-        if self.learns and self.terms.reports == WITH_PROBES and self.terms.may_probe:
+        if (
+            self.learns
+            and self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
+            and self.settings.may_check_health
+        ):
             self.unprobed += self.probe_share
             if self.unprobed >= 1:
                 self.unprobed -= 1
@@ -962,28 +1004,32 @@
         self._due(
             now + max(SWEEP, int(SILENT_LEAST * self.table[request.request_class.index].typical))
         )
-        if request.attempts and self.terms.further_span:
+        if request.attempts and self.settings.retry_budget_window:
             self.spent.append(now)
         request.attempts.append(attempt)
-        request.out += 1
-        if request.risky is None:
-            request.risky = attempt
-        return SEND, attempt
+        request.in_flight += 1
+        if request.first_possibly_executed is None:
+            request.first_possibly_executed = attempt
+        return SendAttempt(attempt)
 
     # Server health.
 
     def _learn(self, now, attempt, outcome, took):
         b, row = attempt.backend, self.table[attempt.request.request_class.index]
-        if outcome != SUCCESS or self.trouble[b] is not None:
-            self.limit.lost(attempt.request.request_class.index, attempt.round)
-        if outcome == SUCCESS and self.trouble[b] is None or outcome in (TIMEOUT, CANCELLED):
-            self._see_drag(now, attempt.request, took, outcome == SUCCESS)
-        if outcome == SUCCESS:
+        if outcome != Outcome.SUCCESS or self.trouble[b] is not None:
+            self.limit.attempt_lost(attempt.request.request_class.index, attempt.probing_round)
+        if (
+            outcome == Outcome.SUCCESS
+            and self.trouble[b] is None
+            or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
+        ):
+            self._see_drag(now, attempt.request, took, outcome == Outcome.SUCCESS)
+        if outcome == Outcome.SUCCESS:
             self.done += 1
             heed = min(QUICK, max(LEVEL, (now - self.last_answer[b]) / LEVEL_SPAN))
             self.last_answer[b] = now
             self.errors[b] *= 1 - ERRORS
-            alike = took / attempt.request.cost
+            alike = took / attempt.request.relative_cost
             ratio = min(RATIO_CAP, max(alike, GRAIN) / max(row.typical, GRAIN))
             self.quick[b] += (ratio - self.quick[b]) * QUICK
             level = max(self.level[b], 1.0)
@@ -997,42 +1043,42 @@
                 self.level[b] += (ratio - self.level[b]) * heed
                 self._sample(b, now)
                 request_class = attempt.request.request_class
-                self.limit.answered(
+                self.limit.attempt_answered(
                     now,
                     request_class.index,
-                    attempt.round,
-                    attempt.sent,
+                    attempt.probing_round,
+                    attempt.sent_at,
                     int(alike),
-                    request_class.expected,
+                    request_class.latency_objective,
                 )
                 if self.quick[b] > FAR * level:
                     self._begin(b, SLOW, now)
-            elif attempt.sent < self.since[b] and self.trouble[b] is not SILENCE:
+            elif attempt.sent_at < self.since[b] and self.trouble[b] is not SILENCE:
                 pass  # An answer from before the trouble says nothing about its end.
             elif ratio <= GOOD * level and self.errors[b] <= ERRORS_GOOD:
                 self._end(b, now)
             else:
                 self.trial_due[b] = self.trouble[b] is FAILING
-        elif outcome not in (CANCELLED, NOT_SENT):
-            if outcome in (REJECTED_UNPROCESSED, CLIENT_ERROR):
+        elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
+            if outcome in (Outcome.REJECTED_UNPROCESSED, Outcome.CLIENT_ERROR):
                 self.last_answer[b] = now
-            if outcome == CLIENT_ERROR:
+            if outcome == Outcome.CLIENT_ERROR:
                 return  # What a client got wrong says nothing against the backend.
             # Turned away counts too: whoever says no at once has nothing in flight and would attract work.
             self.errors[b] += (1 - self.errors[b]) * (
-                UNREACHED if outcome == CONNECT_FAILED else ERRORS
+                UNREACHED if outcome == Outcome.CONNECT_FAILED else ERRORS
             )
             if self.trouble[b] is None:
                 self.lost += (1 - self.lost) * COMMON
-                if outcome == REJECTED_UNPROCESSED and self.state[b] == READY:
-                    self.limit.refused(now, attempt.sent)
+                if outcome == Outcome.REJECTED_UNPROCESSED and self.state[b] == EndpointState.READY:
+                    self.limit.attempt_rejected(now, attempt.sent_at)
             # What all backends lose alike is no one's outage: left out for it, they would leave no room.
             many = IN_A_ROW
             if len(self.turn) == len(self.ranked):
                 many = max(many, log(BY_CHANCE) / log(min(LOST_MOST, self.lost)) - 0.5)
             if self.errors[b] >= 1 - (1 - ERRORS) ** many:
                 self._begin(b, FAILING, now)
-                if attempt.trial:
+                if attempt.is_trial:
                     self._next_trial(b, now, worse=True)
 
     def _begin(self, b, why, now):
@@ -1048,7 +1094,7 @@
     def _mark(self, b, trouble, now):
         """Keeps the counts that depend on which trouble a backend has."""
         before = self.trouble[b]
-        self.limit.counts(
+        self.limit.change_in_flight(
             now, len(self.flying.get(b, ())) * ((trouble in COUNTED) - (before in COUNTED))
         )
         self.slow_ones += (trouble is SLOW) - (before is SLOW)
@@ -1077,8 +1123,12 @@
     def _next_trial(self, b, now, worse=False):
         if worse:
             self.trial_gap[b] = min(TRIAL_GAP_MOST, self.trial_gap[b] * 2)
-            if self.trial_gap[b] == TRIAL_GAP_MOST and self.left_at[b] and self.state[b] == READY:
-                self._leave(b, GONE, now)
+            if (
+                self.trial_gap[b] == TRIAL_GAP_MOST
+                and self.left_at[b]
+                and self.state[b] == EndpointState.READY
+            ):
+                self._leave(b, EndpointState.REMOVED, now)
                 self._draw_turn(now)
         self.trial_due[b] = False
         self.trial_at[b] = now + self.trial_gap[b]
@@ -1091,7 +1141,7 @@
             self._draw_turn(now)
         if now >= self.ask_at:
             self.ask_at = NEVER
-            self.finals.append((ASK, None))
+            self.finals.append(PollEndpoints())
         self._due(self.ask_at)
         self._due(min(self.redraw_at, now + SWEEP) if self.again else self.redraw_at)
         self._relieve(now)
@@ -1110,14 +1160,14 @@
         for b in list(self.flying):
             self._due(max(now + SWEEP, self._listen(b, now)))
         for b in list(self.ailing):
-            if self.state[b] != READY:
+            if self.state[b] != EndpointState.READY:
                 continue
             if self.trouble[b] is SLOW and now >= self.until[b]:
                 self._end(b, now, well=False)
                 continue
             if not self.trial_due[b] and now >= self.trial_at[b] and not self.trials_out[b]:
                 self._next_trial(b, now)
-                if self.terms.may_probe and self.trouble[b] is not SLOW:
+                if self.settings.may_check_health and self.trouble[b] is not SLOW:
                     self.probes.append(b)
                 else:
                     self.trial_due[b] = True
@@ -1130,14 +1180,14 @@
         Returns when to listen again.
         """
         attempts = self.flying[b]
-        for attempt in [t for t in attempts if t.outcome and now >= t.until]:
+        for attempt in [t for t in attempts if t.outcome and now >= t.timeout_at]:
             self._leave_flight(b, attempt, now)
         if not attempts:
             return NEVER
         oldest = next(iter(attempts))
-        quiet = now - max(self.last_answer[b], oldest.sent)
+        quiet = now - max(self.last_answer[b], oldest.sent_at)
         # A light one may wait behind heavy ones, and has no less patience for it.
-        cost = max(1.0, *(t.request.cost for t in attempts))
+        cost = max(1.0, *(t.request.relative_cost for t in attempts))
         row = self.table[oldest.request.request_class.index]
         typical = max(GRAIN, cost * row.typical * max(self.level[b], 1.0))
         # A node with few trips has one out at a time: by the mean alone each heavy one is taken for silence.
@@ -1145,26 +1195,28 @@
         patience = typical * max(SILENT_LEAST, SILENT / len(attempts), heavy)
         if quiet < patience:
             return min(
-                int(now - quiet + patience) + 1, *(t.until for t in attempts if t.outcome), NEVER
+                int(now - quiet + patience) + 1,
+                *(t.timeout_at for t in attempts if t.outcome),
+                NEVER,
             )
         if self.trouble[b] is not SILENCE:
             self._begin(b, SILENCE, now)
         left = self._left(now)
         for attempt in list(attempts):
             request = attempt.request
-            if attempt.trial and now - attempt.sent > SILENT * typical:
+            if attempt.is_trial and now - attempt.sent_at > SILENT * typical:
                 self._next_trial(b, now, worse=True)
             if (
-                request.request_class.repeats != UNSAFE
+                request.request_class.idempotency != Idempotency.UNSAFE
                 and not attempt.cancelled
-                and not request.over
-                and now - attempt.sent > SILENT_LEAST * typical
+                and not request.completed
+                and now - attempt.sent_at > SILENT_LEAST * typical
                 and left >= 1
                 and now < self._last_chance(request, sure=True)
-                and len(request.attempts) < self.terms.most_trips
+                and len(request.attempts) < self.settings.max_attempts
             ):
                 self._call_off(attempt)
-                left -= self.terms.further_span > 0
+                left -= self.settings.retry_budget_window > 0
         return now
 
     # The forecast: two regressions, one from pause to work, one from work to time.
@@ -1248,8 +1300,12 @@
 
     def _leave(self, b, state, now):
         """Rule 3: from the moment the list says that it drains or is gone, it is out of the rotation."""
-        if self.state[b] == READY:
-            if state == GONE and not self.terms.gone_binds and self.trial_gap[b] < TRIAL_GAP_MOST:
+        if self.state[b] == EndpointState.READY:
+            if (
+                state == EndpointState.REMOVED
+                and not self.settings.removal_binds
+                and self.trial_gap[b] < TRIAL_GAP_MOST
+            ):
                 # It may be up all the same: trials tell, and one that fails them for long is gone.
                 self.left_at[b] = now
                 if self.trouble[b] in COUNTED:
@@ -1262,4 +1318,4 @@
                 # Gone, it must not count to the slow ones for ever, or shared trouble would seem to last.
                 self._mark(b, None, now)
         self.state[b] = state
-        (self.gone.setdefault if state == GONE else self.gone.pop)(b, None)
+        (self.gone.setdefault if state == EndpointState.REMOVED else self.gone.pop)(b, None)
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -86,20 +86,20 @@
 STEADY, STEPPED, HALVED, RESTED, DRAINED = "steady", "stepped", "halved", "rested", "drained"
 
 
-class Room:
+class ConcurrencyLimiter:
     """`nodes` balancers share the fleet; `offerings` is how many rows there are.
 
     `asked` is what tenants' shares let come to this node in a tenth of a millisecond; None: no shares.
     """
 
     def __init__(self, nodes, request_classes, now, asked=None):
-        self.nodes, self.asked = nodes, asked
+        self.nodes, self.demand = nodes, asked
         self.each = FIRST / nodes  # how many trips this node may have out for each sound backend
-        self.sound, self.fleet = 1, 1.0
-        self.busy = 0
+        self.healthy_backends, self.fleet = 1, 1.0
+        self.in_flight = 0
         self.spare, self.spare_at = 0.0, now  # trips x time that the limit has left over
         self.used = 0.0  # trips x time, in this round
-        self.bound_at = -1  # when something last waited for want of room
+        self.last_limited_at = -1  # when something last waited for want of room
         self.base = [0.0] * request_classes  # log of how long an answer takes at ease
         self.answers = [0] * request_classes  # how many that rests on, up to BASE_FIRST
         self.rate = ROUND_MOST  # trips in a tenth of a millisecond, in steady rounds
@@ -124,14 +124,14 @@
         self.missing = [0] * request_classes  # trips of the round that are not back
         self._begin(now, ROUND_LEAST)
 
-    def passed_on(self, now, places, asked):
+    def successor(self, now, places, asked):
         """Another node's Room that knows what this one does, with no trip out and the round begun anew.
 
         `places`: of each of its rows the one here, None where there is none.
         """
         self._spend(now)
         heir = copy(self)
-        heir.asked, heir.busy = asked, 0
+        heir.demand, heir.in_flight = asked, 0
         heir.base = [0.0 if place is None else self.base[place] for place in places]
         heir.answers = [0 if place is None else self.answers[place] for place in places]
         heir.missing = [0] * len(places)
@@ -140,17 +140,17 @@
 
     # What is known.
 
-    def fits(self, now, sound, fleet):
+    def update_backends(self, now, sound, fleet):
         """How many backends in view are sound, and how many all nodes have, as far as this one can tell."""
         self._spend(now)
-        self.sound, self.fleet = sound, fleet
+        self.healthy_backends, self.fleet = sound, fleet
 
-    def counts(self, now, more):
+    def change_in_flight(self, now, more):
         """So many more trips count, or fewer."""
         self._spend(now)
-        self.busy += more
+        self.in_flight += more
 
-    def sent(self, now, request_class):
+    def attempt_sent(self, now, request_class):
         """A trip has left; returns the round that it belongs to, 0 for none."""
         if self.open <= 0 or now < self.began:
             return 0
@@ -159,12 +159,12 @@
         self.missing[request_class] += 1
         return self.round
 
-    def lost(self, request_class, number):
+    def attempt_lost(self, request_class, number):
         """A trip of that round came to nothing, or its answer says nothing of the fleet."""
         if number == self.round:
             self.missing[request_class] -= 1
 
-    def answered(self, now, request_class, number, sent, took, expected):
+    def attempt_answered(self, now, request_class, number, sent, took, expected):
         """An answer from a backend that was well, `took` after `sent`, of that round.
 
         `expected` is the offering's expected time.
@@ -184,7 +184,7 @@
             insort(self.shifts, (taken - self.base[request_class], weight))
         self._judge(now)
 
-    def refused(self, now, sent):
+    def attempt_rejected(self, now, sent):
         """A backend that was well sent a trip back unseen: it is full."""
         # Up to the first limit it is rather one slow machine, with others that have room.
         if self.each * self.nodes > FIRST:
@@ -194,35 +194,35 @@
 
     # What is asked.
 
-    def attempts(self):
+    def current_limit(self):
         """How many trips this node may have out, in the mean."""
         return self.each * self.fleet
 
-    def full(self, now, ahead=False):
+    def is_full(self, now, ahead=False):
         """Whether what waits has to wait for want of room; `ahead` borrows from what waits behind it."""
         self._spend(now)
-        limit = self.attempts()
+        limit = self.current_limit()
         peak = min(PEAK_SMALL * limit + 1, max(limit, PEAK_LARGE * limit + PEAK_MORE))
-        if ahead and self.spare > -limit * SPAN and self.busy < AHEAD * peak:
+        if ahead and self.spare > -limit * SPAN and self.in_flight < AHEAD * peak:
             return False
-        if self.spare >= 0 and self.busy < peak:
+        if self.spare >= 0 and self.in_flight < peak:
             return False
         # A burst that meets the peak while the mean has room is none of the limit's doing.
         if self.spare <= 0 or peak <= limit:
-            self.bound_at = now
+            self.last_limited_at = now
         return True
 
-    def opens(self, now):
+    def opens_at(self, now):
         """When the mean has room again if nothing ends before, or None."""
-        gain = self.attempts() - self.busy
+        gain = self.current_limit() - self.in_flight
         return now + 1 - int(self.spare / gain) if self.spare < 0 and gain > 0 else None
 
     # How it moves.
 
     def _spend(self, now):
-        limit, span = self.attempts(), now - self.spare_at
-        self.used += self.busy * span
-        self.spare = min(limit * SPAN, self.spare + (limit - self.busy) * span)
+        limit, span = self.current_limit(), now - self.spare_at
+        self.used += self.in_flight * span
+        self.spare = min(limit * SPAN, self.spare + (limit - self.in_flight) * span)
         self.spare_at = now
 
     def _least(self):
@@ -231,11 +231,15 @@
 
     def _follow(self, sent, strained, part=STRAINED):
         """Fewer trips out when too many answers come close to their expected time, more when few do."""
-        follows = min(FOLLOWS_SHARE, FOLLOWS / self.attempts())
+        follows = min(FOLLOWS_SHARE, FOLLOWS / self.current_limit())
         if strained:
             lower = self.each * (1 - follows * (1 - part))
             self.each = min(self.each, max(self._least(), lower))
-        elif (self.spare <= 0 or sent <= self.bound_at) and self.mode is STEADY and not self.queued:
+        elif (
+            (self.spare <= 0 or sent <= self.last_limited_at)
+            and self.mode is STEADY
+            and not self.queued
+        ):
             # A part of a trip is used up by one trip: that shows no want, but room for it all the same.
             self.each = self._borne(self.each * (1 + follows * part))
 
@@ -320,7 +324,7 @@
         elif rise <= line:
             self.step, self.hold = min(STEP_MOST, 2 * self.step), HOLD
             self.mode = STEADY
-            if self.bound_at < self.began and self.asked is None:
+            if self.last_limited_at < self.began and self.demand is None:
                 # Room that is not used is not known to be there, and all of it would be when backends go.
                 self._spend(now)
                 busy = self.used / max(1, now - self.began) / self.fleet
@@ -424,20 +428,20 @@
         wide = SURE * MEDIAN * self.spread / sqrt(self.seen_in)
         sure = max(0.0, shift - error, self.seen - wide)
         worked = busy * exp(-sure)
-        sees = self.asked is None or worked > QUEUE_SEEN or self.strain > BLIND * self.work
+        sees = self.demand is None or worked > QUEUE_SEEN or self.strain > BLIND * self.work
         self.queued = sees and busy - worked > QUEUE_SOME * sqrt(worked)
-        self.clear = self.asked is None and not self.unsure and self.seen + wide <= CLEAR
+        self.clear = self.demand is None and not self.unsure and self.seen + wide <= CLEAR
         if self.queued:
             # What others fill must not be open to this node as well: unused, its part goes back.
             self.each = min(self.each, max(self._least(), UNUSED * busy / self.nodes))
             kept = (worked + QUEUE_KEPT * sqrt(worked)) / self.nodes
-            if self.asked is None and kept < self.each:
+            if self.demand is None and kept < self.each:
                 self.each = max(min(self.each, self._least()), (self.each + kept) / 2)
         most = STEP_NOISY if self.spread > NOISY else STEP_MOST
         within = min(
             ROUND_MOST, self._step_span() * answers / span
         )  # answers that a step has time for
-        bound = self.began <= self.bound_at
+        bound = self.began <= self.last_limited_at
         if self.unsure and self.rests >= min(BASE_RESTS, self._rests()):
             if self.first is None:
                 self.first, self.doubt_at = busy, now + DOUBT
@@ -467,7 +471,7 @@
             return
         if deep and halves:
             low = min(self.each, busy / self.nodes) / 2
-            if self.asked is not None:
+            if self.demand is not None:
                 low = max(self._least(), low)
             if low < self.each:
                 self._move(now, HALVED, low, sure, busy, STEP_HALF)
@@ -478,7 +482,7 @@
             and steps
             and shift <= CLEAR
             and self._wanted()
-            and (self.asked is not None or not self.queued and self.rests >= RESTS_STEP)
+            and (self.demand is not None or not self.queued and self.rests >= RESTS_STEP)
         ):
             # As small as the last one that failed allows, but no smaller than can be told from noise in time.
             step = self.step
@@ -497,7 +501,7 @@
 
     def _rests(self):
         """Trips until the unhurried latency is known; without shares, by how far answers differ."""
-        if self.asked is not None:
+        if self.demand is not None:
             return BASE_RESTS
         return max(RESTS_STEP, min(ROUND_MOST, self._needs(CLEAR)))
 
@@ -506,7 +510,7 @@
 
     def _wanted(self):
         """Whether tenants may ask for more than there is room for, as far as the settings tell."""
-        return self.asked is None or self.attempts() < GIVEN * self.asked * self.work
+        return self.demand is None or self.current_limit() < GIVEN * self.demand * self.work
 
     def _move(self, now, mode, each, shift, busy, step):
         self.mode, self.before, self.each = mode, self.each, each
--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -14,89 +14,173 @@
 
 # event: (level, what it tells, fields)
 EVENTS = {
-    "started": ("info", "it listens and serves", "listen"),
-    "stopped": ("info", "nothing is owed any more; it exits", ""),
-    "stopping": ("info", "SIGTERM: new clients for 0.7 s, then none", "owed, followed"),
-    "standby": ("info", "operators empty it", "owed"),
-    "active": ("info", "operators have it back to work", "owed"),
-    "alone": ("info", "the process that served here before has ended", ""),
-    "configuration read": ("info", "SIGHUP: the file was taken", "discovery, moved, needs_restart"),
-    "configuration refused": (
+    "started": ("info", "the node listens and serves", "listen"),
+    "stopped": ("info", "no request is pending any more; the process exits", ""),
+    "stopping": (
+        "info",
+        "SIGTERM: new connections for 0.7 s, then none",
+        "pending, successor_running",
+    ),
+    "standby": ("info", "operators drain the node", "pending"),
+    "active": ("info", "operators have the node back to work", "pending"),
+    "sole_process": ("info", "the process that served here before has ended", ""),
+    "config_reloaded": (
+        "info",
+        "SIGHUP: the configuration was taken",
+        "discovery, discovery_moved, needs_restart",
+    ),
+    "config_rejected": (
+        "error",
+        "SIGHUP: the configuration can't be used; all stays as it was",
         "error",
-        "SIGHUP: the file can't be used; all stays as it was",
-        "why",
     ),
-    "settings loaded": (
+    "settings_applied": (
         "info",
-        "new settings hold for what comes from now on; with `shares`, only those of "
+        "new settings hold for what comes from now on; with `quotas`, only those of "
         "so many tenants were changed",
-        "owed, shares",
+        "pending, quotas",
     ),
-    "earlier settings left": ("info", "nothing of the settings before is owed any more", ""),
-    "list": ("info", "what has changed on the list", "index, whole, changed, more"),
-    "list refused": (
+    "settings_retired": ("info", "no request under the earlier settings is left", ""),
+    "endpoints_updated": (
+        "info",
+        "what has changed on the endpoint list",
+        "version, whole, changed, more",
+    ),
+    "endpoints_rejected": (
         "warning",
         "a message of discovery can't be used; the whole list is asked for",
-        "why",
+        "error",
     ),
-    "discovery lost": ("warning", "discovery says nothing; the last list stands", "why"),
-    "counts": (
+    "discovery_lost": ("warning", "discovery is not reached; the last list stands", "error"),
+    "counters": (
         "info",
         "once a second, what was done in it",
-        "trips, trials, probes, bounce, give up, links "
-        "opened, links refused, links passed over, no word, asked again",
+        "attempts, trials, health_checks, endpoint_polls, request_rejected, request_failed, "
+        "connections_opened, connections_refused, connections_skipped, discovery_losses",
     ),
-    "bounce": ("info", "refused, and trying again is harmless", "offering, trips, ms, of_ms, ends"),
-    "give up": ("warning", "refused, and it may have run", "offering, trips, ms, of_ms, ends"),
-    "settled": (
+    "request_rejected": (
         "info",
-        "late, or by more than one trip; what went well leaves no line",
-        "offering, trips, ms, backend",
+        "a request was answered 503: it was not executed, or a retry is harmless",
+        "request_class, attempts, latency_ms, deadline_ms, outcomes",
     ),
-    "rejected": (
+    "request_failed": (
+        "warning",
+        "a request was answered 504: it may have been executed",
+        "request_class, attempts, latency_ms, deadline_ms, outcomes",
+    ),
+    "request_succeeded": (
+        "info",
+        "late, or with more than one attempt; any other success leaves no line",
+        "request_class, attempts, latency_ms, backend",
+    ),
+    "client_error": (
         "info",
         "the backend found fault with the request itself",
-        "offering, trips, ms, backend",
+        "request_class, attempts, latency_ms, backend",
     ),
-    "trip lost": (
+    "attempt_failed": (
         "warning",
-        "a trip came to nothing",
-        "backend, reason, outcome, or backend, status, never_ran",
-    ),
-    "overdue": ("error", "still owed 2.5 ms before its limit, and given up: a fault of ours", ""),
-    "client ended": ("debug", "a client's connection has ended", "reason, state"),
-    "backend link ended": (
-        "debug",
-        "a connection to a backend has ended",
-        "reason, backend, state",
-    ),
-    "pressed": ("warning", "short of its core, it bounced unseen, so many in a second", "bounced"),
-    "crowded": (
+        "an attempt did not succeed",
+        "backend, reason, outcome, or backend, status, unexecuted",
+    ),
+    "deadline_overrun": (
+        "error",
+        "a request was still pending 2.5 ms before its deadline, and failed: an error of ours",
+        "",
+    ),
+    "downstream_closed": ("debug", "a client's connection has ended", "reason, state"),
+    "upstream_closed": ("debug", "a connection to a backend has ended", "reason, backend, state"),
+    "load_shed": (
+        "warning",
+        "the node is short of CPU; so many requests were rejected unread in a second",
+        "requests",
+    ),
+    "descriptors_exhausted": (
         "warning",
         "clients that found no descriptor left, in a second",
-        "clients, links and states",
+        "clients, upstream, downstream",
+    ),
+    "connections_rejected": (
+        "warning",
+        "connections over a limit or shut out, in a second",
+        "reason, addresses",
+    ),
+    "snapshot_restored": (
+        "info",
+        "what was restored from a snapshot at the start",
+        "file, summary",
     ),
-    "turned away": ("warning", "connections over a cap or shut out, in a second", "why, addresses"),
-    "remembered": ("info", "what was taken back from a snapshot at the start", "file, what"),
-    "snapshot refused": (
+    "snapshot_rejected": (
         "warning",
         "a snapshot that can't be believed; the one before is tried, or none",
-        "why",
+        "error",
     ),
-    "not kept": (
+    "snapshot_write_failed": (
         "warning",
-        "what was learned can't be written; tried again later each time",
-        "why",
+        "the snapshot can't be written; tried again later each time",
+        "error",
+    ),
+    "event_loop_lag": ("warning", "the event loop came round late", "lag_ms"),
+    "accept_failed": ("error", "no connection could be accepted", "error"),
+    "internal_error": (
+        "error",
+        "an error of ours; the request that it was about is answered",
+        "error, traceback",
     ),
-    "late": ("warning", "the loop came round late", "ms"),
-    "accept failed": ("error", "no connection could be taken", "why"),
-    "fault": ("error", "a fault of ours; what it was about is answered", "what, where"),
-    "log dropped": (
+    "log_lines_dropped": (
         "warning",
         "whoever reads the log is slow; so many lines were not written",
         "lines",
     ),
 }
+# Old event name: new one; for whoever searches logs written by earlier versions.
+RENAMED = {
+    "bounce": "request_rejected",
+    "give up": "request_failed",
+    "settled": "request_succeeded",
+    "rejected": "client_error",
+    "trip lost": "attempt_failed",
+    "list": "endpoints_updated",
+    "list refused": "endpoints_rejected",
+    "discovery lost": "discovery_lost",
+    "configuration read": "config_reloaded",
+    "configuration refused": "config_rejected",
+    "settings loaded": "settings_applied",
+    "earlier settings left": "settings_retired",
+    "counts": "counters",
+    "overdue": "deadline_overrun",
+    "client ended": "downstream_closed",
+    "backend link ended": "upstream_closed",
+    "pressed": "load_shed",
+    "crowded": "descriptors_exhausted",
+    "turned away": "connections_rejected",
+    "remembered": "snapshot_restored",
+    "snapshot refused": "snapshot_rejected",
+    "not kept": "snapshot_write_failed",
+    "late": "event_loop_lag",
+    "accept failed": "accept_failed",
+    "fault": "internal_error",
+    "log dropped": "log_lines_dropped",
+    "alone": "sole_process",
+}
+# Old field: new one, and the events that it stands in where not in all.
+RENAMED_FIELDS = {
+    "offering": "request_class",
+    "trips": "attempts",
+    "ms": "latency_ms; of event_loop_lag lag_ms",
+    "of_ms": "deadline_ms",
+    "ends": "outcomes, with the new names of outcomes",
+    "never_ran": "unexecuted",
+    "owed": "pending",
+    "followed": "successor_running",
+    "moved": "discovery_moved",
+    "shares": "quotas",
+    "index": "version",
+    "why": "error; of connections_rejected reason",
+    "what, where": "error, traceback; of snapshot_restored summary",
+    "bounced": "requests",
+    "links": "upstream",
+}
 
 
 class Chosen(Log):
@@ -160,6 +244,18 @@
         f"| `{event}` | {level} | {what} | {fields} |"
         for event, (level, what, fields) in EVENTS.items()
     ]
+    lines += [
+        "",
+        "## Names of earlier versions",
+        "",
+        "| event before | event now |",
+        "| --- | --- |",
+        *(f"| `{old}` | `{new}` |" for old, new in RENAMED.items()),
+        "",
+        "| field before | field now |",
+        "| --- | --- |",
+        *(f"| `{old}` | {new} |" for old, new in RENAMED_FIELDS.items()),
+    ]
     return "\n".join(lines) + "\n"
 
 
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -164,9 +164,7 @@
                 tries=tries,
                 number=number,
                 node=self.load.node,
-                offering=row.request_class
-                if row and row.request_class
-                else self.request_class,
+                offering=row.request_class if row and row.request_class else self.request_class,
                 late_ms=0.0 if tries else round((now - planned) * 1000, 1),
             )
         if self.pool.open >= self.most_open and not self.pool.idle:
--- a/pierglade/model/request.py
+++ b/pierglade/model/request.py
@@ -1,175 +1,109 @@
-"""Plain types shared by the decisions and their hosts. No decision is made here.
-
-All moments and durations are whole tenths of a millisecond.
-"""
+"""Requests, their classes and tenants, and the attempts made for them."""
 
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from pierglade.tenants.registry import Tenants
-
-# What a repeat of an offering's invocation may do.
-SAFE, KEYED, UNSAFE = "harmless", "stamped", "one-shot"
-
-# States of a backend on the list.
-READY, DRAINING, GONE = "ready", "draining", "gone"
-
-# How a trip ended.
-SUCCESS = "settled"  # answered; the answer has gone to the client
-ERROR = "error"  # the backend answered with an error; it may have run
-REJECTED_UNPROCESSED = "turned away"  # the backend sent it back unseen
-TIMEOUT = "timed out"  # no answer in time; it may have run
-CONNECT_FAILED = "unreachable"  # no connection came up
-CONNECTION_RESET = "broken"  # the connection broke; it may have run
-CANCELLED = "called off"  # we stopped waiting; it may have run
-NOT_SENT = "never sent"  # the host did not send it
-CLIENT_ERROR = (
-    "rejected"  # the backend found fault with the invocation itself, and its answer is passed on
-)
-
-NEVER_RAN = frozenset((REJECTED_UNPROCESSED, CONNECT_FAILED, NOT_SENT))
-
-# Where the settings name none.
-CONNECT_WITHIN = 10000  # 1 s; a connection on a local network comes up well within it
-IDLE_FOR = 100000  # 10 s; common servers keep an idle connection for longer
-
-# How load reports come, where backends give any.
-WITH_ANSWERS, WITH_PROBES = "with answers", "with probes"
-
-# Kinds of decision that a host pulls.
-SEND, CANCEL_ATTEMPT, REJECT_REQUEST, FAIL_REQUEST, PROBE, ASK = (
-    "send",
-    "call off",
-    "bounce",
-    "give up",
-    "probe",
-    "ask",
-)
+from enum import StrEnum
 
+from pierglade.model.outcome import Outcome
+from pierglade.model.ticks import Ticks
 
-@dataclass(slots=True)
-class RequestClass:
-    """One row of the table of offerings."""
-
-    index: int
-    name: str
-    repeats: str  # HARMLESS, STAMPED or ONE_SHOT
-    group: str  # stamped: the backends that drop its repeats: "all", "zone" or "cell"
-    window: int  # stamped: how long they do, from the first trip that may have run
-    expected: int  # the expected time
-    request_timeout: int
-    priority_weight: float
 
+class Idempotency(StrEnum):
+    """What a second execution of a request does."""
 
-@dataclass(slots=True)
-class Tenant:
-    """Who shares the fleet, and the rate that its share allows over all nodes."""
+    SAFE = "safe"
+    """Nothing: it may be executed any number of times."""
+    KEYED = "keyed"
+    """Nothing within the deduplication scope and window: it carries an idempotency key."""
+    UNSAFE = "unsafe"
+    """Harm: it must never be executed twice."""
 
-    name: str
-    per_second: float
-    rate: float = 0.0
-    seen: int = 0
-    drag: float = (
-        1.0  # times that its invocations take as long as others of their offering, of late
-    )
-    dragged: int = 0  # when that was seen
-    slow: int = 0  # how many of its invocations came meanwhile
 
+class DeduplicationScope(StrEnum):
+    """Which backends together drop a second execution of a keyed request."""
 
-@dataclass(slots=True)
-class BalancerSettings:
-    """The settings as received, in our words."""
-
-    request_classes: list
-    tenants: "Tenants"  # of pierglade/tenants/registry.py
-    number: int  # the node's own, among so many
-    nodes: int
-    most_trips: int
-    may_cancel: bool
-    may_probe: bool
-    retry_after: int  # longest wait that clients follow; 0 where they are told none
-    cold_for: int
-    cold_from: float
-    tip_multiple: float
-    worst_offering: float  # weight of the worst-served offering in what counts as service
-    connect_within: int = CONNECT_WITHIN  # a connection that is not up by then never will be
-    idle_for: int = IDLE_FOR  # backends close a connection that was idle for this long
-    drain_grace: int = (
-        0  # how long a draining or gone backend may still be sent to; a node never does
-    )
-    gone_binds: bool = (
-        True  # gone binds like draining; else only what was seen draining is not sent to
-    )
-    asks_list: bool = False  # the list comes only once it was asked for
-    reports: str | None = None  # WITH_ANSWERS, WITH_PROBES, or None where they tell no pace
-    gauges: tuple = ()  # what a report holds, in order: names of fields of Load, None where not used
-    # In any such span a node's further trips are at most so many and such a share of what it took; 0: free.
-    further_span: int = 0
-    further_most: int = 0
-    further_share: float = 0.0
-    zone: str | None = None  # the node's own
-    crossing: float = (
-        0.0  # what each crossing between zones costs, as a share of an invocation's worth
-    )
-
-    @property
-    def members(self):
-        """The tenants under the name that tools of others read."""
-        return self.tenants
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
 
 
 @dataclass(slots=True)
-class Endpoint:
-    """A backend as the list names it."""
+class RequestClass:
+    """What is known from the settings of one kind of request."""
 
+    index: int
     name: str
-    state: str
-    zone: str
-    cell: object
-    started: int  # 0: long ago
-    weight: float = 1.0  # what it can bear beside others, as far as the list knows
+    idempotency: Idempotency
+    deduplication_scope: str
+    """Keyed: a `DeduplicationScope`."""
+    deduplication_window: Ticks
+    """Keyed: for how long, from the first attempt that may have been executed."""
+    latency_objective: Ticks
+    """An answer within this span counts."""
+    request_timeout: Ticks
+    """The client gives up after this span."""
+    priority_weight: float
+    """What an answer is worth beside those of other classes."""
 
 
 @dataclass(slots=True)
-class Load:
-    """What a backend tells of its load from all nodes; a little late. None: not told."""
+class Tenant:
+    """A customer that shares the fleet, while requests of it come."""
 
-    pace: float | None = None  # invocations settled, in a second
-    queue: float | None = None  # invocations that wait
-    busy: float | None = None  # share of its cores
+    name: str
+    quota_per_second: float
+    """Over all nodes; 0: none is stated."""
+    rate: float = 0.0
+    """Requests of late, in what the balancer counts them by."""
+    last_seen: Ticks = 0
+    slowness: float = 1.0
+    """Times that its requests take as long as others of their class."""
+    slowness_seen_at: Ticks = 0
+    slow_requests: int = 0
+    """How many of its requests came while it was slow."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """Something taken from a client. `mark` is the host's own and never read by the decisions."""
+    """A request taken from a client; it is owed one final answer."""
 
-    mark: object
+    host_context: object
+    """The host's own, never read by the decisions."""
     request_class: RequestClass
     tenant: Tenant | None
-    arrived: int
-    limit: int  # the moment at which the client gives up
-    hint: int = 0  # how much work it is, as far as whoever sent it can tell; 0: not told
-    cost: float = 1.0  # that over the mean of its offering
-    expected: int = 0  # the moment of its expected time, as the node judges it
-    attempts: list = field(default_factory=list)
-    out: int = 0  # trips still out
-    risky: "Attempt | None" = None  # the first trip that may have run
-    held: int = 0  # since when it has waited here with nothing out
-    over: bool = False  # it has its final answer
-    by: object = None  # the host's own: the node that took it, under the settings of that moment
+    arrived_at: Ticks
+    deadline: Ticks
+    """When the client gives up."""
+    cost_hint: int = 0
+    """How much work it is, as far as the client can tell; 0: not told."""
+    relative_cost: float = 1.0
+    """The work over the mean of its class."""
+    objective_at: Ticks = 0
+    """By when an answer counts, as the balancer judges it."""
+    attempts: "list[Attempt]" = field(default_factory=list)
+    in_flight: int = 0
+    """Attempts without an outcome."""
+    first_possibly_executed: "Attempt | None" = None
+    queued_since: Ticks = 0
+    """Since when it has waited with no attempt in flight."""
+    completed: bool = False
+    """It has its final answer."""
+    owner: object = None
+    """The host's own: the balancer that took it, under the settings of that moment."""
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of an invocation to a backend."""
+    """One sending of a request to a backend."""
 
     request: Request
     number: int
-    backend: int  # dense index in the node that sent it
-    sent: int
-    until: int  # the moment of its time-out
-    trial: bool = False
-    round: int = 0  # which round of the limit it belongs to, 0 for none
+    backend: int
+    """Index of the backend in the balancer that chose it."""
+    sent_at: Ticks
+    timeout_at: Ticks
+    is_trial: bool = False
+    """It goes to an ejected backend, to see whether that has recovered."""
+    probing_round: int = 0
+    """Which round of the concurrency limit it belongs to, 0 for none."""
     cancelled: bool = False
-    outcome: str | None = None
+    outcome: Outcome | None = None
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -311,7 +311,7 @@
                 sock, address = self.sock.accept()
             except OSError as fault:
                 if self.open:
-                    self.host.note("accept failed", why=fault.strerror)
+                    self.host.note("accept_failed", error=fault.strerror)
                     gevent.sleep(PAUSE)
                 continue
             self._admit(sock, address)
--- a/pierglade/proxy/logging.py
+++ b/pierglade/proxy/logging.py
@@ -43,7 +43,10 @@
             return
         if self.dropped:
             lines.insert(
-                0, orjson.dumps({"event": "log dropped", "node": self.name, "lines": self.dropped})
+                0,
+                orjson.dumps(
+                    {"event": "log_lines_dropped", "node": self.name, "lines": self.dropped}
+                ),
             )
         try:
             if any(ready & select.POLLOUT for _, ready in self.poll.poll(0)):
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -18,7 +18,7 @@
 from pierglade.proxy.logging import Log
 from pierglade.proxy.management import CALLS, Management
 from pierglade.proxy.state import events as ev
-from pierglade.proxy.state.machine import Reducer
+from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.proxy.takeover import AGAIN, Tenure
 from pierglade.proxy.upstream import LinkSocket
 from pierglade.reconfiguration import quota_changes as shares
@@ -57,9 +57,9 @@
         sockets = (
             place.sockets - len(os.listdir("/proc/self/fd")) - (CALLS if self.management else 0)
         )
-        self.reducer = Reducer(
+        self.reducer = ProxyStateMachine(
             place.seed,
-            place.terms,
+            place.settings,
             self.clock.now(),
             sockets,
             place.discovery,
@@ -147,7 +147,7 @@
 
     def follow(self, address, index=None):
         self.discovery = Discovery(address, self, index) if address is not None else Nobody()
-        self.discovery.waits = lambda: self.reducer.terms.asks_list
+        self.discovery.waits = lambda: self.reducer.settings.polls_endpoints
 
     def _move(self, address):
         """Discovery is elsewhere: a new follower, so that no version, line or link of the old passes over."""
@@ -170,18 +170,18 @@
         try:
             place = in_steps(place_again())
         except ValueError as fault:
-            self.note("configuration refused", why=str(fault))
+            self.note("config_rejected", error=str(fault))
         else:
-            tenants = place.terms.tenants
-            told = in_steps(shares.steps(self.reducer.terms.tenants, tenants.shares))
+            tenants = place.settings.tenants
+            told = in_steps(shares.steps(self.reducer.settings.tenants, tenants.shares))
             self.reducer.gives_ids = place.gives_ids
             self._cap(place.caps)
-            self.tell(ev.CONFIGURED, place.discovery, place.told, place.terms, told)
+            self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, told)
             fixed = place.known if place.discovery is None else None
             if fixed is not None and fixed != self.fixed:
                 self.tell(ev.HEARD, fixed)
             self.fixed = fixed
-            if tenants is not self.reducer.terms.tenants:
+            if tenants is not self.reducer.settings.tenants:
                 in_steps(shares.let_go(tenants.shares))
 
     def _cap(self, caps):
@@ -214,11 +214,11 @@
 
     def _fault(self, fault):
         self.faults += 1
-        self.note("fault", what=repr(fault), where=traceback.format_exc(limit=-4))
+        self.note("internal_error", error=repr(fault), traceback=traceback.format_exc(limit=-4))
 
     def _woke(self, late):
         if late > LATE:
-            self.note("late", ms=late / 10)
+            self.note("event_loop_lag", lag_ms=late / 10)
         self.tell(ev.WOKE)
 
     def came(self):
@@ -256,7 +256,7 @@
             self.working = False
         now = self.clock.now()
         try:
-            wake = self.reducer.wake(now)
+            wake = self.reducer.next_wakeup(now)
         except Exception as fault:
             self._fault(fault)
             wake = now + AFTER_FAULT
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -36,7 +36,7 @@
             self.files = Folder(keeping.folder, name, keeping.most_mb)
             self.snapshot, file, wrong = self.files.read()
             for line in wrong:
-                host.note("snapshot refused", why=line)
+                host.note("snapshot_rejected", error=line)
             self.file = file
         except OSError as fault:
             self._fails(fault)
@@ -51,9 +51,9 @@
             return
         try:
             line = self.host.reducer.remember(self.snapshot, int(self.keeping.half_life_s * 10000))
-            self.host.note("remembered", file=self.file, what=line)
+            self.host.note("snapshot_restored", file=self.file, summary=line)
         except ageing.Unworthy as fault:
-            self.host.note("snapshot refused", why=f"{self.file}: {fault}")
+            self.host.note("snapshot_rejected", error=f"{self.file}: {fault}")
         self.snapshot = None
 
     def run(self):
@@ -116,4 +116,4 @@
         why = fault.strerror or str(fault)
         if why != self.why:
             self.why = why
-            self.host.note("not kept", why=f"{self.keeping.folder}: {why}")
+            self.host.note("snapshot_write_failed", error=f"{self.keeping.folder}: {why}")
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -1,6 +1,7 @@
 """The clients' part of a node's state: who is open, what each is owed, and who yields when room is short."""
 
-from pierglade.model import request as r
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Idempotency, Request
 from pierglade.proxy.http import message as http
 from pierglade.proxy.state.events import (
     ANSWER,
@@ -43,7 +44,7 @@
 ID_MOST = 256  # bytes of an id; ids are kept while their invocation is open
 HINT = b"hintUs="  # in X-Props: how much work a request is
 STAYS = 4  # lengths of the wait that a refusal at the door names: one for each fourth of the bar
-METHODS = {r.SAFE: b"GET", r.KEYED: b"POST", r.UNSAFE: b"POST"}
+METHODS = {Idempotency.SAFE: b"GET", Idempotency.KEYED: b"POST", Idempotency.UNSAFE: b"POST"}
 # Headers that a request has once: of two, the next to read it may heed the other.
 SINGLE = frozenset(
     (b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try", b"idempotency-key")
@@ -105,14 +106,14 @@
         """Who holds it up: the client, if what has come is all passed on; else the backend that takes it."""
         flow, request = client.message.flow, client.request
         if not flow.full() and flow.size - client.taken < SLOWEST * SLOW_BODY:
-            request.by.abandoned(self.now, request)
+            request.owner.client_disconnected(self.now, request)
             return self._sends_too_slowly(client)
         if flow.size == client.taken:
             for attempt in request.attempts:
                 if attempt in self.carried:
                     self._drop(attempt, "takes no body")
                     self._return(
-                        attempt, r.CONNECT_FAILED
+                        attempt, Outcome.CONNECT_FAILED
                     )  # It has not run: its last byte was never written.
             if client.request is not request:
                 return
@@ -123,18 +124,18 @@
         request = client.request
         if request is None or client.state is not OWED or not client.message.flow.whole:
             return
-        waited = self.now - request.arrived
-        request.arrived += waited
-        request.expected += waited
-        request.limit += waited
+        waited = self.now - request.arrived_at
+        request.arrived_at += waited
+        request.objective_at += waited
+        request.deadline += waited
         for attempt in request.attempts:
             if attempt in self.carried:
-                attempt.sent, attempt.until = self.now, request.limit
+                attempt.sent_at, attempt.timeout_at = self.now, request.deadline
                 self._watch(self.carried[attempt])
         self._owes(client)
 
     def _owes(self, client):
-        limit = client.request.limit
+        limit = client.request.deadline
         self._connection_due(client, max(limit - MARGIN // 2, self.now + 1), self._overdue)
 
     def _faulty(self, client, status, why=""):
@@ -167,9 +168,11 @@
             return self._refuse(client, 404, "the path's first part names no offering")
         # A HEAD is a GET whose answer's body is kept back (RFC 9110, 9.3.2); a backend is asked with GET.
         method = b"GET" if message.method == b"HEAD" else message.method
-        if method != METHODS[request_class.repeats]:
+        if method != METHODS[request_class.idempotency]:
             allowed = (
-                b"GET, HEAD" if request_class.repeats == r.SAFE else METHODS[request_class.repeats]
+                b"GET, HEAD"
+                if request_class.idempotency == Idempotency.SAFE
+                else METHODS[request_class.idempotency]
             )
             return self._refuse(
                 client,
@@ -181,7 +184,7 @@
         name = fields.get(b"x-trace-id")
         if name is None and self.gives_ids:
             name = self._give_id(message)
-            if request_class.repeats == r.KEYED:
+            if request_class.idempotency == Idempotency.KEYED:
                 request_class = self.unstamped[request_class.name.encode()]
         left = fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
         if (
@@ -193,9 +196,9 @@
             and not SINGLE.isdisjoint(message.doubled)
             or message.version == "1.1"
             and b"host" not in fields
-            or (b"idempotency-key" in fields) != (request_class.repeats == r.KEYED)
+            or (b"idempotency-key" in fields) != (request_class.idempotency == Idempotency.KEYED)
             and not message.given
-            or request_class.repeats == r.SAFE
+            or request_class.idempotency == Idempotency.SAFE
             and (len(message.body) or message.flow)
         ):
             return self._refuse(
@@ -207,27 +210,29 @@
                 client, 400, "X-Trace-Id is in use, or was answered just now", last=True
             )
         left = min(int(left) * 10, request_class.request_timeout)
-        self.press.waits(self.now, (self.now - self.came) / request_class.expected)
+        self.press.waits(self.now, (self.now - self.came) / request_class.latency_objective)
         refused = (
             self.press.bar
             and not client.passed
-            and self.press.refuses(request_class.index, left < request_class.expected, client.known)
+            and self.press.refuses(
+                request_class.index, left < request_class.latency_objective, client.known
+            )
         )
         client.passed = False
-        if self.node.pressed(self.now, self.idle, request_class, self.came, left, refused):
+        if self.node.should_shed(self.now, self.idle, request_class, self.came, left, refused):
             self._bounced_unseen()
             wait = self._stay_away()
             return self._answer(client, 503, [(b"Retry-After", wait)] if wait else [])
         limit = self.came + left
         tenant = self._tenant(fields.get(b"x-customer"))
-        request = r.Request(
+        request = Request(
             client,
             request_class,
             tenant,
             self.came,
             limit,
             _hint(fields.get(b"x-props")),
-            by=self.node,
+            owner=self.node,
         )
         self._is(client, OWED, self.clients)
         client.request, client.id = request, name
@@ -236,12 +241,14 @@
             self._owes(client)
         else:
             self._body_goes_on(client, SLOW_BODY)
-        self.node.taken(self.now, request)
+        self.node.request_received(self.now, request)
 
     def _tenant(self, name):
         # What is no UTF-8 becomes a name that no settings can hold.
         return (
-            self.terms.tenants.of(name.decode(errors="surrogateescape"), self.now) if name else None
+            self.settings.tenants.of(name.decode(errors="surrogateescape"), self.now)
+            if name
+            else None
         )
 
     def glance(self, now, client, requests, came, idle):
@@ -265,22 +272,24 @@
             fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10)),
         )
         if (
-            method != METHODS[request_class.repeats]
+            method != METHODS[request_class.idempotency]
             or target[:1] != b"/"
             or not name
             or len(name) > ID_MOST
             or not left.isdigit()
             or len(left) > 9
             or name in self.ids
-            or (b"idempotency-key" in fields) != (request_class.repeats == r.KEYED)
+            or (b"idempotency-key" in fields) != (request_class.idempotency == Idempotency.KEYED)
             or self._empties()
         ):
             return None
         left = min(int(left) * 10, request_class.request_timeout)
-        if not self.press.refuses(request_class.index, left < request_class.expected, client.known):
+        if not self.press.refuses(
+            request_class.index, left < request_class.latency_objective, client.known
+        ):
             client.passed = True  # Once is enough: it is not asked again after its wait.
             return None
-        self.node.pressed(now, idle, request_class, came, left, True)
+        self.node.should_shed(now, idle, request_class, came, left, True)
         self._bounced_unseen()
         client.since = now
         self.clients[client.state].move_to_end(client)
@@ -301,7 +310,7 @@
     def _stay_away(self):
         """For how long a client that is refused at the door is told to, in seconds as text; empty:
         nothing."""
-        most = self.terms.retry_after
+        most = self.settings.max_retry_after
         return (
             b"%g" % (max(1, round(STAYS * self.press.bar)) * most / STAYS / 10000) if most else b""
         )
@@ -317,15 +326,15 @@
 
     def _tell_pressed(self, _):
         """One line for many: they come by thousands, and at the worst time."""
-        self._note("pressed", bounced=self.pressed)
+        self._note("load_shed", requests=self.pressed)
         self.pressed = 0
 
     def _tell_crowded(self, _):
         self._note(
-            "crowded",
+            "descriptors_exhausted",
             clients=self.crowded,
-            links={s: len(some) for s, some in self.links.items()},
-            **{s: len(some) for s, some in self.clients.items()},
+            upstream={s: len(some) for s, some in self.links.items()},
+            downstream={s: len(some) for s, some in self.clients.items()},
         )
         self.crowded = 0
 
@@ -343,9 +352,9 @@
 
     def _overdue(self, client):
         """Guards against a fault of ours: whatever went wrong, the answer is out before the limit."""
-        self._note("overdue")
-        client.request.by.abandoned(self.now, client.request)
-        self._final(client.request, r.FAIL_REQUEST)
+        self._note("deadline_overrun")
+        client.request.owner.client_disconnected(self.now, client.request)
+        self._final(client.request, may_retry=False)
 
     def _refuse(self, client, status, why="", last=False, allow=None):
         """`why`: one plain line for whoever wrote the client."""
@@ -411,14 +420,14 @@
         if client.state is ENDED:
             return
         if client.request is not None:
-            client.request.by.abandoned(self.now, client.request)
+            client.request.owner.client_disconnected(self.now, client.request)
         self._end_client(client, "answered last" if client.state is LINGERING else reason)
 
     def _end_client(self, client, reason):
         del self.clients[client.state][client]
         self.open -= 1
         self._stays(client)
-        self._note("client ended", reason=reason, state=client.state)
+        self._note("downstream_closed", reason=reason, state=client.state)
         client.state = ENDED
         self._closed(client)
         if client.source is not None:
@@ -439,7 +448,7 @@
     def _tell_turned_away(self, _):
         self.turned_away = 0
         why, by = self.gate.told() if self.gate is not None else ({}, [])
-        self._note("turned away", why=why, addresses=dict(by))
+        self._note("connections_rejected", reason=why, addresses=dict(by))
 
     def may_open(self, most):
         """How many clients may connect before what has yielded is to be closed, `most` at the most."""
@@ -518,10 +527,10 @@
         return "X-Expires-In-Ms is no whole number of milliseconds"
     if message.version == "1.1" and b"host" not in message.fields:
         return "Host is missing"
-    if (b"idempotency-key" in message.fields) != (request_class.repeats == r.KEYED):
+    if (b"idempotency-key" in message.fields) != (request_class.idempotency == Idempotency.KEYED):
         return (
             "Idempotency-Key is missing: this offering's requests are stamped"
-            if request_class.repeats == r.KEYED
+            if request_class.idempotency == Idempotency.KEYED
             else "Idempotency-Key stands where nothing is stamped"
         )
     return "a body where there is none"
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from sys import intern
 
-from pierglade.model import request as r
+from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.proxy.state.events import ASK, MOVE, OPEN_DOOR, OWED, RELIST, Backend
 from pierglade.reconfiguration.quota_changes import fits_in_place
 from pierglade.snapshot.handover import take_over
@@ -11,7 +11,11 @@
 # Constants. Times are tenths of a millisecond.
 FIRST_WORD = 3000  # 0.3 s; with the list it was started with, a node waits so long for a newer one
 NAMED = 40  # names in a line of the log, which is cut where it is too long, and tells of none
-STATES = {"SERVING": r.READY, "DRAINING": r.DRAINING, "DELETED": r.GONE}
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
 # What of a configuration is read at the start only.
 FIXED = ("name", "listen", "management", "limits")
 
@@ -47,7 +51,7 @@
             self._apply_list(document, whole)
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             # Never act on half a message: ask for the whole list.
-            self._note("list refused", why=f"{type(fault).__name__}: {fault}")
+            self._note("endpoints_rejected", error=f"{type(fault).__name__}: {fault}")
             self._do(RELIST)
             self.index = None
             return
@@ -56,12 +60,12 @@
 
     def _no_word(self, why, waited=0):
         """`waited`: since its last word, or since the call for it began."""
-        self._count("no word")
+        self._count("discovery_losses")
         if why != self.no_word:
             self.no_word = why
-            self._note("discovery lost", why=why)
-        if self.terms.asks_list:
-            self.node.unlisted(self.now, waited)
+            self._note("discovery_lost", error=why)
+        if self.settings.polls_endpoints:
+            self.node.discovery_lost(self.now, waited)
 
     def _configured(self, discovery, told, terms=None, difference=None):
         """A new configuration: discovery is followed where it is now; the list is kept until it is heard.
@@ -70,28 +74,30 @@
         it, so that its rules hold to its end and nothing of it is lost or sent twice. `difference`: what else
         tenants may ask; where that is all that changed, the node goes on with it and keeps what it knows.
         """
-        if terms is not None and told.get("settings") == self.settings and difference:
+        if terms is not None and told.get("settings") == self.raw_settings and difference:
             if self._takes_in_place(difference, terms):
-                self._note("settings loaded", owed=len(self.clients[OWED]), shares=len(difference))
+                self._note(
+                    "settings_applied", pending=len(self.clients[OWED]), quotas=len(difference)
+                )
             else:
-                self.settings = None  # All is taken anew below.
-        if terms is not None and told.get("settings") != self.settings:
-            self.settings = told.get("settings")
-            terms.tenants.follow(self.terms.tenants)
+                self.raw_settings = None  # All is taken anew below.
+        if terms is not None and told.get("settings") != self.raw_settings:
+            self.raw_settings = told.get("settings")
+            terms.tenants.follow(self.settings.tenants)
             self.older.append(self.node)
             press = self.press
             self._serve_under(terms, self.now)
             take_over(self.node, self.older[-1], self.now)
             if press.classes == self.press.classes:
                 self.press = press  # Or all that is refused at the door would be let in at once.
-            if self.older[-1].terms.asks_list:
+            if self.older[-1].settings.polls_endpoints:
                 self._do(ASK)  # Who waits for the word of the earlier settings may wait for long.
-            self._note("settings loaded", owed=len(self.clients[OWED]))
+            self._note("settings_applied", pending=len(self.clients[OWED]))
         changed = {key for key in FIXED if told.get(key) != self.told.get(key)}
         self._note(
-            "configuration read",
+            "config_reloaded",
             discovery=discovery,
-            moved=discovery != self.discovery,
+            discovery_moved=discovery != self.discovery,
             needs_restart=sorted(changed),
         )
         if discovery != self.discovery:
@@ -101,12 +107,12 @@
 
     def _takes_in_place(self, difference, terms):
         """Whether other shares were taken as a difference from those in force."""
-        tenants = self.terms.tenants
+        tenants = self.settings.tenants
         if difference.base != tenants.version or not fits_in_place(tenants, terms.tenants.shares):
             return False
         tenants.apply(difference)
         if tenants.total:
-            self.node.shared(self.now)
+            self.node.quotas_updated(self.now)
         return True
 
     def _apply_list(self, document, whole):
@@ -121,13 +127,13 @@
         for entry, address in entries:
             backend = self.backends.get(entry.name)
             if backend is None:
-                backend = self.backends[entry.name] = Backend(entry.name, address, entry.started)
-                changed.append((entry.name, entry.state))
+                backend = self.backends[entry.name] = Backend(entry.name, address, entry.started_at)
+                changed.append((entry.name, entry.state.value))
             elif address is not None and (
-                address != backend.address or entry.started > backend.started
+                address != backend.address or entry.started_at > backend.started
             ):
                 # The process behind the name is another one: what is kept to the old one is of no use.
-                backend.address, backend.started = address, entry.started
+                backend.address, backend.started = address, entry.started_at
                 self._end_idle(backend, "restarted")
                 changed.append((entry.name, "restarted"))
             backend.entry = entry
@@ -135,16 +141,20 @@
         if whole:
             left = [backend for name, backend in self.backends.items() if name not in named]
             for backend in left:
-                self._told(backend.name, backend, r.GONE, changed)
-            listed = [replace(backend.entry, state=r.GONE) for backend in left]
+                self._told(backend.name, backend, EndpointState.REMOVED, changed)
+            listed = [replace(backend.entry, state=EndpointState.REMOVED) for backend in left]
         listed += [entry for entry, _ in entries]
         self._forget_gone()
         for node in (*self.older, self.node):
-            node.listed(self.now, listed, False)
+            node.endpoints_updated(self.now, listed, False)
         if changed:
             more = {"more": len(changed) - NAMED} if len(changed) > NAMED else {}
             self._note(
-                "list", index=document["index"], whole=whole, changed=changed[:NAMED], **more
+                "endpoints_updated",
+                version=document["index"],
+                whole=whole,
+                changed=changed[:NAMED],
+                **more,
             )
 
     def _forget_gone(self):
@@ -160,18 +170,20 @@
 
     def _told(self, name, backend, state, changed):
         backend.state = state
-        if state == r.GONE:
+        if state == EndpointState.REMOVED:
             self.gone.setdefault(name)
         else:
             self.gone.pop(name, None)
-        backend.drains = state == r.DRAINING or backend.drains and state != r.READY
-        if state == r.READY:
+        backend.drains = (
+            state == EndpointState.DRAINING or backend.drains and state != EndpointState.READY
+        )
+        if state == EndpointState.READY:
             if backend.told is not None:
-                changed.append((name, state))
+                changed.append((name, state.value))
             backend.told = None
         elif backend.told is None:
             backend.told = self.now
-            changed.append((name, state))
+            changed.append((name, state.value))
             if self._binds(backend):
                 self._end_idle(backend, "drained")
 
@@ -179,7 +191,7 @@
         """Whether the rule on draining holds for it. Listed as gone alone, it may be up all the same."""
         # By the strictest of the settings that still owe something; under which a trip is, is not asked.
         return backend.told is not None and (
-            backend.drains or any(node.terms.gone_binds for node in (self.node, *self.older))
+            backend.drains or any(node.settings.removal_binds for node in (self.node, *self.older))
         )
 
     def _end_idle(self, backend, reason):
@@ -190,7 +202,7 @@
 def _entry(told):
     """What the list says of a backend, and where it is."""
     zone = told.get("zone")
-    return r.Endpoint(
+    return Endpoint(
         told["name"],
         STATES[told["status"]],
         intern(zone) if type(zone) is str else zone,
@@ -204,11 +216,11 @@
     """Whether it is ready as it was, with all that was heard last."""
     entry = backend.entry
     return (
-        backend.state == r.READY == STATES[told["status"]]
+        backend.state == EndpointState.READY == STATES[told["status"]]
         and told["address"] == backend.address
         and told.get("zone") == entry.zone
         and told.get("group") == entry.cell
-        and int(told.get("since_ms") or 0) * 10 == entry.started
+        and int(told.get("since_ms") or 0) * 10 == entry.started_at
         and float(told.get("weight", 1.0)) == entry.weight
     )
 
--- a/pierglade/proxy/state/events.py
+++ b/pierglade/proxy/state/events.py
@@ -31,7 +31,7 @@
     "faulty",
     "takes",
     "answered",
-    "client ended",
+    "downstream_closed",
     "up",
     "left",
     "replying",
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from pierglade.model import request as r
+from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.state.events import (
     ACTIVE_CALL,
     ADMISSION_CALL,
@@ -38,6 +38,14 @@
 }
 
 
+# What the operators' call says of a backend; programs read it.
+STATE_WORDS = {
+    EndpointState.READY: "ready",
+    EndpointState.DRAINING: "draining",
+    EndpointState.REMOVED: "gone",
+}
+
+
 class Stopping:
     """Mixed into the Reducer, which holds what is used here."""
 
@@ -98,7 +106,7 @@
                     "name": name,
                     "address": backend.address,
                     "zone": node.zone[b],
-                    "state": backend.state,
+                    "state": STATE_WORDS[backend.state],
                     "in_view": b in node.turn,
                     "out": len(node.flying.get(b, ())),
                     "links": backend.links,
@@ -111,7 +119,7 @@
                 }
             )
         return {
-            "limit": round(node.limit.attempts(), 1),
+            "limit": round(node.limit.current_limit(), 1),
             "overloaded": node.overloaded,
             "held": sum(map(len, node.held)),
             "backends": rows,
@@ -122,7 +130,7 @@
         if by == self.standby:
             return
         self.standby = by
-        self._note("standby" if by else "active", owed=len(self.clients[OWED]))
+        self._note("standby" if by else "active", pending=len(self.clients[OWED]))
         if by:
             self._end_idle_clients()
 
@@ -133,21 +141,21 @@
     def _alone(self):
         """The process that served here before has ended."""
         self.sockets = self.whole_budget
-        self._note("alone")
+        self._note("sole_process")
 
     def _stop(self, followed=False):
         """New connections are still taken for a while; each client is let go with its next answer."""
         if self.stopped is not None:
             return
         self.stopped = self.now
-        self._note("stopping", owed=len(self.clients[OWED]), followed=followed)
+        self._note("stopping", pending=len(self.clients[OWED]), successor_running=followed)
         if followed:
             self.sockets = min(self.sockets, self.whole_budget // 2)
             while self.open > self.sockets and self.links[IDLE]:
                 self._end_link(next(iter(self.links[IDLE])), "yielded")
         self._end_idle_clients()
         # Where no limit is long the end comes soon: by a fixed time, what has none of its own came too late.
-        longest = min(LONGEST, max(o.request_timeout for o in self.terms.request_classes))
+        longest = min(LONGEST, max(o.request_timeout for o in self.settings.request_classes))
         owed = int(OWED_PART * (DOOR_OPEN + longest))
         self._at(self.now + min(DOOR_OPEN, owed - 2 * LAST_CALL), self._close_door, None)
         self._at(self.now + owed, self._answer_all, None)
@@ -170,8 +178,8 @@
         self.closing = True
         for client in list(self.clients[OWED]):
             request = client.request
-            request.by.abandoned(self.now, request)
-            self._final(request, r.FAIL_REQUEST)
+            request.owner.client_disconnected(self.now, request)
+            self._final(request, may_retry=False)
         for client in list(self.clients[READING]):
             # Its last byte may be there unread: ended without a word it would be lost.
             self._bounce(client, self.node)
@@ -184,10 +192,10 @@
             self._end_link(subject, "fault")
             if attempt is not None:
                 self.carried.pop(attempt, None)
-                subject = attempt.request.mark
+                subject = attempt.request.host_context
         if isinstance(subject, Client) and subject.state in (FRESH, IDLE, READING, OWED):
             if subject.request is not None:
-                subject.request.over = True
+                subject.request.completed = True
                 for attempt in subject.request.attempts:
                     self._drop(attempt, "fault")
             self._refuse(subject, 500, last=True)
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -12,8 +12,8 @@
 from heapq import heappop, heappush
 
 from pierglade.admission.load_shedder import Press
-from pierglade.balancer.balancer import Node
-from pierglade.model import request as r
+from pierglade.balancer.balancer import Balancer
+from pierglade.model.request import Idempotency
 from pierglade.proxy.state.downstream import Clients
 from pierglade.proxy.state.endpoints import Listing
 from pierglade.proxy.state.events import (
@@ -62,7 +62,22 @@
 FORGET = 2  # times the longest hard limit; then nothing out can concern a gone backend
 
 
-class Reducer(Clients, Links, Listing, Memory, Stopping):
+# What is counted, in the order in which it is logged.
+COUNTERS = (
+    "endpoint_polls",
+    "request_rejected",
+    "request_failed",
+    "connections_opened",
+    "connections_skipped",
+    "connections_refused",
+    "discovery_losses",
+    "health_checks",
+    "trials",
+    "attempts",
+)
+
+
+class ProxyStateMachine(Clients, Links, Listing, Memory, Stopping):
     def __init__(self, seed, terms, now, sockets, discovery="", told=None, alone=True):
         self.node = None
         self.seed, self.older = seed, []  # nodes under earlier settings that still owe something
@@ -86,7 +101,7 @@
             OrderedDict(),
         )  # by name; of these the gone, the longest gone first
         self.discovery, self.told = discovery, told or {}
-        self.settings = self.told.get("settings")
+        self.raw_settings = self.told.get("settings")
         self.index = None  # version of the list that discovery last told
         self.no_word = None  # why discovery is lost, noted once
         self.ready = False
@@ -127,13 +142,13 @@
         }
 
     def _serve_under(self, terms, now):
-        self.terms, self.node = terms, Node(self.seed, terms, now, self.node)
+        self.settings, self.node = terms, Balancer(self.seed, terms, now, self.node)
         self.request_classes = {o.name.encode(): o for o in terms.request_classes}
         # A stamped one whose request brings no id of its own: what it does must not be done twice.
         self.unstamped = {
-            o.name.encode(): replace(o, repeats=r.UNSAFE)
+            o.name.encode(): replace(o, idempotency=Idempotency.UNSAFE)
             for o in terms.request_classes
-            if o.repeats == r.KEYED
+            if o.idempotency == Idempotency.KEYED
         }
         self.press = Press(
             [o.priority_weight for o in terms.request_classes],
@@ -155,8 +170,10 @@
             self._do(EXIT)
         return self.effects
 
-    def wake(self, now):
-        wakes = [wake for node in (*self.older, self.node) if (wake := node.wake(now)) is not None]
+    def next_wakeup(self, now):
+        wakes = [
+            wake for node in (*self.older, self.node) if (wake := node.next_wakeup(now)) is not None
+        ]
         if self.due:
             wakes.append(self.due[0][0])
         return min(wakes, default=None)
@@ -221,5 +238,7 @@
 
     def _tell_counts(self, _):
         # Harmless from one node, much of it is harm from forty at once: only counted over all does it show.
-        self._note("counts", **dict(sorted(self.counts.items())))
+        self._note(
+            "counters", **{name: self.counts[name] for name in COUNTERS if name in self.counts}
+        )
         self.counts.clear()
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -1,10 +1,11 @@
 """What a node's state gives to keep over a restart, and takes back: plain figures, for
 `pierglade/snapshot/`."""
 
-from pierglade.model import request as r
+from pierglade.model.endpoint import EndpointState
 from pierglade.snapshot.aging import aged
+from pierglade.snapshot.schema import STORED_IDEMPOTENCY
 
-STATUSES = {r.READY: "SERVING", r.DRAINING: "DRAINING"}
+STATUSES = {EndpointState.READY: "SERVING", EndpointState.DRAINING: "DRAINING"}
 
 
 class Memory:
@@ -15,15 +16,15 @@
 
         `backends`: name to (address, started, figures), of those that are ready.
         """
-        rows, figures = self.node.known(keys)
+        rows, figures = self.node.export_statistics(keys)
         request_classes = {
             o.name: {
-                "expected": o.expected,
+                "expected": o.latency_objective,
                 "hard_limit": o.request_timeout,
-                "repeats": o.repeats,
+                "repeats": STORED_IDEMPOTENCY[o.idempotency],
                 **{key: row[key] for key in row_keys},
             }
-            for o, row in zip(self.terms.request_classes, rows)
+            for o, row in zip(self.settings.request_classes, rows)
         }
         backends, work = {}, 0
         for name, told in figures.items():
@@ -40,7 +41,7 @@
                 "zone": backend.entry.zone,
                 "group": backend.entry.cell,
                 "weight": backend.entry.weight,
-                "since_ms": backend.entry.started // 10,
+                "since_ms": backend.entry.started_at // 10,
             }
             for name, backend in self.backends.items()
             if backend.state in STATUSES
@@ -52,14 +53,14 @@
 
         Raises ageing.Unworthy where nothing is. `half_life`: tenths of a millisecond.
         """
-        fresh, _ = self.node.known(())
+        fresh, _ = self.node.export_statistics(())
         listed = {
             name: (backend.address, backend.started)
             for name, backend in self.backends.items()
-            if backend.state == r.READY
+            if backend.state == EndpointState.READY
         }
         rows, backends, line = aged(
-            snapshot, self.now, half_life, self.terms.request_classes, fresh, listed
+            snapshot, self.now, half_life, self.settings.request_classes, fresh, listed
         )
-        self.node.remember(rows, backends)
+        self.node.restore_statistics(rows, backends)
         return line
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -1,6 +1,15 @@
 """The backends' part of a node's state: decisions carried out on links, and what comes back on them."""
 
-from pierglade.model import request as r
+from pierglade.model.decision import (
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    PollEndpoints,
+    RejectRequest,
+    SendAttempt,
+)
+from pierglade.model.endpoint import LoadReportSource
+from pierglade.model.outcome import Outcome
 from pierglade.proxy.http import message as http
 from pierglade.proxy.state.events import (
     ASK,
@@ -46,62 +55,67 @@
         for node in list(self.older):
             self._pull_from(node)
             if not (
-                any(client.request.by is node for client in self.clients[OWED])
-                or any(attempt.request.by is node for attempt in self.carried)
+                any(client.request.owner is node for client in self.clients[OWED])
+                or any(attempt.request.owner is node for attempt in self.carried)
             ):
                 self.older.remove(node)
-                self._note("earlier settings left")
+                self._note("settings_retired")
         self._pull_from(self.node)
 
     def _pull_from(self, node):
         now = self.now
-        while (decision := node.decide(now)) is not None:
-            kind, subject = decision
-            if kind is r.SEND:
-                self._count("trials" if subject.trial else "trips")
-                if (flow := subject.request.mark.message.flow) is not None and not flow.whole:
-                    # It has not begun for the backend, and can be neither late nor silent.
-                    subject.sent = subject.until = now + FLOW_FOR
-                self._carry(subject)
-            elif kind is r.CANCEL_ATTEMPT:
-                if subject.outcome is None:
-                    self._drop(subject, "called off")
-                    self._return(subject, r.CANCELLED)
-            elif kind is r.PROBE:
-                self._count("probes")
-                self._probe(node.names[subject])
-            elif kind is r.ASK:
-                self._count("asked again")
-                self._do(ASK)
-            elif subject.mark.request is subject:
-                # Overdue in the turn in which this was decided, it has its answer, and must not get another.
-                self._final(subject, kind)
-
-    def _final(self, request, kind):
+        while (decision := node.next_decision(now)) is not None:
+            match decision:
+                case SendAttempt(attempt):
+                    self._count("trials" if attempt.is_trial else "attempts")
+                    flow = attempt.request.host_context.message.flow
+                    if flow is not None and not flow.whole:
+                        # It has not begun for the backend, and can be neither late nor silent.
+                        attempt.sent_at = attempt.timeout_at = now + FLOW_FOR
+                    self._carry(attempt)
+                case CancelAttempt(attempt):
+                    if attempt.outcome is None:
+                        self._drop(attempt, "cancelled")
+                        self._return(attempt, Outcome.CANCELLED)
+                case CheckHealth(backend):
+                    self._count("health_checks")
+                    self._probe(node.names[backend])
+                case PollEndpoints():
+                    self._count("endpoint_polls")
+                    self._do(ASK)
+                case RejectRequest(request) | FailRequest(request):
+                    # Overdue in the turn in which this was decided, it has its answer, and must not get
+                    # another.
+                    if request.host_context.request is request:
+                        self._final(request, type(decision) is RejectRequest)
+
+    def _final(self, request, may_retry):
+        """The final answer of a request that no backend has answered."""
+        event = "request_rejected" if may_retry else "request_failed"
         self._note(
-            kind,
+            event,
             request_class=request.request_class.name,
             attempts=len(request.attempts),
-            ms=(self.now - request.arrived) / 10,
-            of_ms=(request.limit - request.arrived) / 10,
-            ends=[t.outcome for t in request.attempts],
+            latency_ms=(self.now - request.arrived_at) / 10,
+            deadline_ms=(request.deadline - request.arrived_at) / 10,
+            outcomes=[attempt.outcome and attempt.outcome.value for attempt in request.attempts],
         )
-        self._count(kind)
-        if kind is r.REJECT_REQUEST:
-            self._bounce(request.mark, request.by)
+        self._count(event)
+        if may_retry:
+            self._bounce(request.host_context, request.owner)
         else:
-            self._answer(request.mark, 504)
+            self._answer(request.host_context, 504)
 
     def _bounce(self, client, node):
-        wait = node.come_back_in(self.now)
+        wait = node.retry_after(self.now)
         self._answer(client, 503, [(b"Retry-After", b"%g" % (wait / 10000))] if wait else [])
 
     def _return(self, attempt, outcome, done=False):
         self.carried.pop(attempt, None)
-        attempt.sent = min(attempt.sent, self.now)
+        attempt.sent_at = min(attempt.sent_at, self.now)
         # The node's own lateness is no latency of the backend's.
-        attempt.request.by.returned(
-            self.now, attempt, outcome, max(1, self.came - attempt.sent), done
+        attempt.request.owner.attempt_ended(
+            self.now, attempt, outcome, max(1, self.came - attempt.sent_at), done
         )
 
     def _drop(self, attempt, reason):
@@ -109,17 +123,19 @@
         link = self.carried.get(attempt)
         if link is not None:
             link.attempt = None
-            attempt.request.mark.dropped = self.now
+            attempt.request.host_context.dropped = self.now
             self._end_link(link, reason)
 
     def _carry(self, attempt):
         """A trip goes out on a kept link, or on a new one."""
-        backend = self.backends.get(attempt.request.by.names[attempt.backend])
-        flow = attempt.request.mark.message.flow
+        backend = self.backends.get(attempt.request.owner.names[attempt.backend])
+        flow = attempt.request.host_context.message.flow
         if flow is not None and flow.spent():
-            return self._return(attempt, r.NOT_SENT)  # Some of its body went with an earlier one.
+            return self._return(
+                attempt, Outcome.NOT_SENT
+            )  # Some of its body went with an earlier one.
         if backend is None or self._binds(backend):
-            return self._return(attempt, r.REJECTED_UNPROCESSED)
+            return self._return(attempt, Outcome.REJECTED_UNPROCESSED)
         # The last one used is used next, so that the rest grow old and are closed; but not at once.
         link = next(
             (link for link in reversed(backend.idle) if self.now - link.since >= REST), None
@@ -133,7 +149,7 @@
             return
         link = self._open(backend)
         if link is None:
-            return self._return(attempt, r.NOT_SENT)
+            return self._return(attempt, Outcome.NOT_SENT)
         self.carried[attempt], link.attempt = link, attempt
         self._watch(link)
 
@@ -147,7 +163,7 @@
         backend.coming_up += 1
         self._is(link, CONNECTING, self.links)
         link.since = self.now
-        self._count("links opened")
+        self._count("connections_opened")
         self._watch(link)
         self._do(CONNECT, link)
         return link
@@ -156,10 +172,10 @@
         """Sees to it that what the link waits for comes in time."""
         moment = link.replying or NEVER
         if link.state is CONNECTING:
-            moment = link.since + self.terms.connect_within
+            moment = link.since + self.settings.connect_timeout
         if link.attempt is not None:
             # Times out ahead of the client's limit.
-            moment = min(moment, link.attempt.until - MARGIN)
+            moment = min(moment, link.attempt.timeout_at - MARGIN)
         elif link.probing:
             moment = min(moment, link.since + PROBE_FOR)
         self._connection_due(link, moment, self._is_late)
@@ -168,9 +184,9 @@
         attempt = link.attempt
         if link.state is CONNECTING:
             self._link_ended(link, REFUSED, False, "connect time-out")
-        elif attempt is not None and self.now >= attempt.until - MARGIN:
+        elif attempt is not None and self.now >= attempt.timeout_at - MARGIN:
             self._drop(attempt, "timed out")
-            self._return(attempt, r.TIMEOUT)
+            self._return(attempt, Outcome.TIMEOUT)
         else:
             self._link_ended(
                 link,
@@ -192,7 +208,7 @@
         if link.probing and self._binds(link.backend):
             self._link_ended(link, REFUSED, False, "drained")
         elif link.probing:
-            path = STATS_PATH if self._heeds(r.WITH_PROBES) else LIVE_PATH
+            path = STATS_PATH if self._heeds(LoadReportSource.HEALTH_CHECKS) else LIVE_PATH
             head = http.request_head(b"GET", path, [(b"Host", link.address.encode())], 0)
             self._do(WRITE, link, head, b"")
         else:
@@ -206,30 +222,30 @@
     def _write(self, link):
         attempt, backend = link.attempt, link.backend
         # Time has passed since it was decided: until the link came up, or the one before was ended.
-        if attempt.request.over or self.now >= attempt.until - MARGIN:
+        if attempt.request.completed or self.now >= attempt.timeout_at - MARGIN:
             # Whoever waited has left or has the answer, also where trips may not be called off.
-            return self._withdraw(link, r.NOT_SENT)
+            return self._withdraw(link, Outcome.NOT_SENT)
         if self._binds(backend):
             # The grace is not used: discovery may have told the agent of it well before it told us.
-            return self._withdraw(link, r.REJECTED_UNPROCESSED)
+            return self._withdraw(link, Outcome.REJECTED_UNPROCESSED)
         if link.address != backend.address:
             # Another process may have the address by now, which is told other things of itself.
             return self._withdraw(link, None)
-        if self.now < attempt.request.mark.dropped + APART:
+        if self.now < attempt.request.host_context.dropped + APART:
             # Two connections have no order between them: the end of the one is to be there before the other's
             # first byte, or the backends see two out at once.
             return self._at(
-                attempt.request.mark.dropped + APART, self._write_later, (link, attempt)
+                attempt.request.host_context.dropped + APART, self._write_later, (link, attempt)
             )
-        message = attempt.request.mark.message
+        message = attempt.request.host_context.message
         headers = http.passed_on(message, REPLACED)
         flow, request = message.flow, attempt.request
         length, body = len(message.body), message.body
-        left = attempt.until - MARGIN - self.now
+        left = attempt.timeout_at - MARGIN - self.now
         if flow is not None:
             length, body = flow.size if flow.whole else flow.length, flow
             if not flow.whole:
-                left = request.limit - request.arrived - MARGIN
+                left = request.deadline - request.arrived_at - MARGIN
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, left // 10)))
         method = b"GET" if message.method == b"HEAD" else message.method
         head = http.request_head(method, http.target(message.url), headers, length)
@@ -247,8 +263,8 @@
     def _left(self, link):
         """What was to be written on the link was not: the end of its client was there to be read."""
         if link.state is BUSY and link.attempt is not None:
-            self._client_ended(link.attempt.request.mark, "client closed")
-            self._withdraw(link, r.NOT_SENT)
+            self._client_ended(link.attempt.request.host_context, "client closed")
+            self._withdraw(link, Outcome.NOT_SENT)
 
     def _replying(self, link):
         """A piece of an answer has come, and it is not whole. Its size is bounded by whoever reads it."""
@@ -272,49 +288,54 @@
         if link.state is not BUSY:
             return
         if link.probing:
-            if message.status == 200 and self._heeds(r.WITH_PROBES):
+            if message.status == 200 and self._heeds(LoadReportSource.HEALTH_CHECKS):
                 self._reported(link, message.body)
             self._probed(link, message.status == 200)
         else:
-            if self._heeds(r.WITH_ANSWERS):
+            if self._heeds(LoadReportSource.RESPONSES):
                 self._reported(link, message.fields.get(b"endpoint-load-metrics", b""))
             attempt, link.attempt = link.attempt, None
             # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody knows.
             rejected = 400 <= message.status < 500 and message.status != 429
             if message.status == 200 or rejected:
                 request = attempt.request
-                awaited = not request.over
-                outcome = r.CLIENT_ERROR if rejected else r.SUCCESS
+                awaited = not request.completed
+                outcome = Outcome.CLIENT_ERROR if rejected else Outcome.SUCCESS
                 self._return(attempt, outcome, done=True)
                 if awaited:
-                    if rejected or len(request.attempts) > 1 or self.now > request.expected:
+                    if rejected or len(request.attempts) > 1 or self.now > request.objective_at:
                         # What went well leaves no line: at four times the load there were too many of them.
+                        succeeded = outcome is Outcome.SUCCESS
                         self._note(
-                            outcome,
+                            "request_succeeded" if succeeded else "client_error",
                             request_class=request.request_class.name,
                             attempts=len(request.attempts),
-                            ms=(self.now - request.arrived) / 10,
+                            latency_ms=(self.now - request.arrived_at) / 10,
                             backend=link.backend.name,
                         )
                     headers = http.passed_on(message, KEPT_BACK)
                     if message.flow is not None:
-                        wanted = request.mark.message.method != b"HEAD"
-                        self._answer(request.mark, message.status, headers, message.flow, link)
+                        wanted = request.host_context.message.method != b"HEAD"
+                        self._answer(
+                            request.host_context, message.status, headers, message.flow, link
+                        )
                         if wanted:
                             return self._replying(link)
                     else:
-                        self._answer(request.mark, message.status, headers, message.body)
+                        self._answer(request.host_context, message.status, headers, message.body)
             else:
                 never_ran = (
                     message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
                 )
                 self._note(
-                    "trip lost",
+                    "attempt_failed",
                     backend=link.backend.name,
                     status=message.status,
-                    never_ran=never_ran,
+                    unexecuted=never_ran,
+                )
+                self._return(
+                    attempt, Outcome.REJECTED_UNPROCESSED if never_ran else Outcome.SERVER_ERROR
                 )
-                self._return(attempt, r.REJECTED_UNPROCESSED if never_ran else r.ERROR)
         # The rest of what nobody waits for would hold up the link.
         self._is_free(link, message.keep and message.flow is None)
 
@@ -341,7 +362,9 @@
             if backend.coming_up:
                 self._at(self.now + REST, self._offer, link)
             self._connection_due(
-                link, self.now + int(IDLE_PART * self.terms.idle_for), self._link_idle_too_long
+                link,
+                self.now + int(IDLE_PART * self.settings.idle_timeout),
+                self._link_idle_too_long,
             )
 
     def _offer(self, link):
@@ -360,7 +383,7 @@
                 self._is(link, BUSY, self.links)
                 self._watch(link)
                 self._watch(other)
-                self._count("links passed over")
+                self._count("connections_skipped")
                 self._write(link)
                 return
 
@@ -373,7 +396,7 @@
             return
         attempt, link.attempt = link.attempt, None
         if link.state is CONNECTING:
-            self._count("links refused")
+            self._count("connections_refused")
         if link.probing:
             self._probed(link, False)
         self._end_link(link, reason)
@@ -384,18 +407,20 @@
             return self._carry(attempt)
         if how in (GARBLED, CUT):
             # Ended by us: the backend may go on with its answer, and has it out until our end is there.
-            attempt.request.mark.dropped = self.now
+            attempt.request.host_context.dropped = self.now
         # Cut: its own client left in the middle of the body, which says nothing of the backend.
         outcome = (
-            r.ERROR
+            Outcome.SERVER_ERROR
             if how is GARBLED
-            else r.NOT_SENT
+            else Outcome.NOT_SENT
             if how is CUT
-            else r.CONNECTION_RESET
+            else Outcome.CONNECTION_RESET
             if whole
-            else r.CONNECT_FAILED
+            else Outcome.CONNECT_FAILED
+        )
+        self._note(
+            "attempt_failed", backend=link.backend.name, reason=reason, outcome=outcome.value
         )
-        self._note("trip lost", backend=link.backend.name, reason=reason, outcome=outcome)
         self._return(attempt, outcome)
 
     def _end_link(self, link, reason):
@@ -408,7 +433,7 @@
             backend.idle.remove(link)
         if backend.probed_on is link:
             backend.probed_on = None
-        self._note("backend link ended", reason=reason, backend=link.backend.name, state=link.state)
+        self._note("upstream_closed", reason=reason, backend=link.backend.name, state=link.state)
         link.cut, link.state = link.state is BUSY, ENDED
         if link.reader is not None:
             link.reader.source = None
@@ -419,12 +444,12 @@
 
     def _heeds(self, reports):
         """Whether load reports come so and a decision rests on them: each costs a node on its core."""
-        return self.terms.reports == reports and self.node.learns
+        return self.settings.load_report_source == reports and self.node.learns
 
     def _reported(self, link, text):
         load = load_told(bytes(text).decode("latin-1"))
         if load is not None:
-            self.node.reported(self.now, link.backend.name, load)
+            self.node.load_reported(self.now, link.backend.name, load)
 
     def _probe(self, name):
         backend = self.backends.get(name)
@@ -442,4 +467,4 @@
 
     def _tell_probed(self, name, good, took):
         for node in (*self.older, self.node):
-            node.probed(self.now, name, good, took)
+            node.health_checked(self.now, name, good, took)
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -125,7 +125,7 @@
         attempt = self.link.attempt
         return (
             attempt is None
-            or (client := attempt.request.mark.io) is None
+            or (client := attempt.request.host_context.io) is None
             or sending.ended(client.sock)
         )
 
--- a/pierglade/reconfiguration/quota_changes.py
+++ b/pierglade/reconfiguration/quota_changes.py
@@ -1,6 +1,6 @@
 """What later shares say otherwise than those in force."""
 
-from pierglade.tenants.registry import Difference
+from pierglade.tenants.registry import QuotaDelta
 
 # Constants.
 AT_ONCE = 1000  # names in one step, under half a ms
@@ -24,7 +24,7 @@
         for names in _some(before.shares):
             gone += [name for name in names if name not in after]
             yield
-    return Difference(base, base + 1, changed, gone)
+    return QuotaDelta(base, base + 1, changed, gone)
 
 
 def let_go(shares):
--- a/pierglade/scale/figures.py
+++ b/pierglade/scale/figures.py
@@ -12,7 +12,7 @@
 WINDOW_S = {"settings": 3.0}  # after a change in which its worst answer is looked for
 WINDOW_ELSE_S = 1.0
 SLACK_S = 0.001  # a log tells moments to a tenth of a ms, and the clock's begin is read apart
-STATES = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
+STATES = {"ready": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
 DAY_S = 86400
 BUSY_MS = (
     10.0  # that 99 in 100 straight requests take over what a backend does; then times say little
@@ -29,7 +29,7 @@
         (
             round(max(0.0, line["at"] - at) * 1000, 1)
             for line in lines
-            if line["at"] >= at - SLACK_S and (index is None or line.get("index", index) >= index)
+            if line["at"] >= at - SLACK_S and (index is None or line.get("version", index) >= index)
         ),
         -1,
     )
@@ -42,7 +42,13 @@
             line["event"]
             for line in lines
             if line["event"]
-            in ("fault", "late", "discovery lost", "configuration refused", "list refused")
+            in (
+                "internal_error",
+                "event_loop_lag",
+                "discovery_lost",
+                "config_rejected",
+                "endpoints_rejected",
+            )
         )
     )
 
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -16,18 +16,22 @@
 from gevent.fileobject import FileObjectPosix
 
 from pierglade.__main__ import GARBAGE, Unusable, place_from, steps_again
-from pierglade.model import request as r
+from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.discovery import Discovery
 from pierglade.proxy.event_loop import Clock, Timer, in_steps
 from pierglade.proxy.state import events as ev
-from pierglade.proxy.state.machine import Reducer
+from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.reconfiguration import quota_changes as shares
 from pierglade.scale import child
 from pierglade.scale.plan import Plan, names
 
 FIRST = 1  # the version of the list that all are started with
-STATES = {r.READY: "SERVING", r.DRAINING: "DRAINING", r.GONE: "DELETED"}
-LOADED = "settings loaded"  # the note of a node that serves under new settings
+STATES = {
+    EndpointState.READY: "SERVING",
+    EndpointState.DRAINING: "DRAINING",
+    EndpointState.REMOVED: "DELETED",
+}
+LOADED = "settings_applied"  # the note of a node that serves under new settings
 
 
 class Hollow:
@@ -137,8 +141,8 @@
         self.place, self.version = place_from(os.environ), 0
         place = self.place
         self.timer = Timer(self.clock, lambda late: self.tell(ev.WOKE))
-        self.reducer = Reducer(
-            place.seed, place.terms, self.clock.now(), place.sockets, place.discovery, place.told
+        self.reducer = ProxyStateMachine(
+            place.seed, place.settings, self.clock.now(), place.sockets, place.discovery, place.told
         )
         self.reducer.known(place.known)
         place.known = {}  # as a node does: the reducer has what it needs of it
@@ -157,15 +161,17 @@
                 self.discovery.ask()
             elif effect == ev.NOTE and rest[0] == LOADED:
                 self.settings_at.append((self.version, monotonic()))
-        self.timer.set(self.reducer.wake(self.clock.now()))
+        self.timer.set(self.reducer.next_wakeup(self.clock.now()))
 
     def read_again(self):
         """What a host does at SIGHUP (`Host._reread`); the one place here that knows how."""
         began = thread_time()
         place = in_steps(steps_again(self.place))
-        difference = in_steps(shares.steps(self.reducer.terms.tenants, place.terms.tenants.shares))
+        difference = in_steps(
+            shares.steps(self.reducer.settings.tenants, place.settings.tenants.shares)
+        )
         self.version = place.told["version"]
-        self.tell(ev.CONFIGURED, place.discovery, place.told, place.terms, difference)
+        self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, difference)
         self.settings_s.append(thread_time() - began)
 
     def wrong(self, changed):
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -537,11 +537,11 @@
         }
         for number in self.real:
             lines = self._log_lines(number)
-            lists = [line for line in lines if line["event"] == "list"]
+            lists = [line for line in lines if line["event"] == "endpoints_updated"]
             for k, (index, at) in enumerate(scene["list"]):
                 if not any(begin <= at < end for begin, end in self.downs[number]):
                     of_list[k].append(figures.since(at, lists, index))
-            loaded = [line for line in lines if line["event"] == "settings loaded"]
+            loaded = [line for line in lines if line["event"] == "settings_applied"]
             for k, (_, at) in enumerate(moments):
                 of_settings[k].append(figures.since(at, loaded))
             scene.setdefault("events", {})[number] = figures.counted(lines)
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -4,20 +4,34 @@
 that must have passed round up, so no limit is ever seen later than it is.
 """
 
-from pierglade.model import request as r
-from pierglade.tenants.registry import Tenants
+from pierglade.model.endpoint import LoadReport, LoadReportSource
+from pierglade.model.request import Idempotency, RequestClass
+from pierglade.settings.balancer import (
+    DEFAULT_CONNECT_TIMEOUT,
+    DEFAULT_IDLE_TIMEOUT,
+    BalancerSettings,
+)
+from pierglade.tenants.registry import TenantRegistry
 
 # What reports hold, as settings name it and as backends on sockets may.
 GAUGES = {
-    "throughput": "pace",
-    "qps": "pace",
-    "backlog": "queue",
-    "queue": "queue",
-    "utilization": "busy",
-    "util": "busy",
+    "throughput": "throughput",
+    "qps": "throughput",
+    "backlog": "queue_length",
+    "queue": "queue_length",
+    "utilization": "utilization",
+    "util": "utilization",
+}
+REPORTS = {
+    "piggyback": LoadReportSource.RESPONSES,
+    "pull": LoadReportSource.HEALTH_CHECKS,
+    "silent": None,
+}
+REPEATS = {
+    "free": Idempotency.SAFE,
+    "guarded": Idempotency.KEYED,
+    "single_shot": Idempotency.UNSAFE,
 }
-REPORTS = {"piggyback": r.WITH_ANSWERS, "pull": r.WITH_PROBES, "silent": None}
-REPEATS = {"free": r.SAFE, "guarded": r.KEYED, "single_shot": r.UNSAFE}
 
 BUDGET = ("lookBackUs", "extraFloor", "resendRatio")
 FIGURES = {}  # shares by themselves: most of many thousand tenants have one of a few
@@ -86,7 +100,7 @@
     def figure(key):
         return down(told(key, _over_zero, "no figure over 0"))
 
-    return r.RequestClass(
+    return RequestClass(
         i,
         told("name", lambda value: isinstance(value, str) and value, "no name"),
         REPEATS[
@@ -144,9 +158,9 @@
     if told and "lookBackUs" not in told:
         raise InvalidSettingsError(f"settings.contract.{told[0]} stands without lookBackUs")
     return dict(
-        further_span=up(_figure(settings, "contract.lookBackUs")),
-        further_most=int(_figure(settings, "contract.extraFloor")),
-        further_share=float(_figure(settings, "contract.resendRatio")),
+        retry_budget_window=up(_figure(settings, "contract.lookBackUs")),
+        retry_budget_minimum=int(_figure(settings, "contract.extraFloor")),
+        retry_budget_ratio=float(_figure(settings, "contract.resendRatio")),
     )
 
 
@@ -175,7 +189,7 @@
     return shares
 
 
-def terms_from(settings, shares=None):
+def settings_from(settings, shares=None):
     """Keys that are not known are skipped. `shares`: of the customers, where they were read already."""
     rows = _needed(
         settings, "offerings", lambda value: isinstance(value, list) and value, "no list of rows"
@@ -183,57 +197,61 @@
     request_classes = [_offering(i, row) for i, row in enumerate(rows)]
     if len({o.name for o in request_classes}) < len(request_classes):
         raise InvalidSettingsError("settings.offerings holds a name twice")
-    tenants = Tenants(shares_from(settings.get("customers") or []) if shares is None else shares)
+    tenants = TenantRegistry(
+        shares_from(settings.get("customers") or []) if shares is None else shares
+    )
     limits, contract = settings["limits"], settings["contract"]
     reports = REPORTS[_one_of(REPORTS, settings, "loadInfo.via") or "silent"]
     fields = _checked(settings, "loadInfo.fields", _names, "no list of names", [])
-    gauges = tuple(GAUGES.get(field) for field in fields)
+    load_report_fields = tuple(GAUGES.get(field) for field in fields)
     goal = {k: v for k, v in (settings.get("goal") or {}).items() if k != "tailMiss"}
-    return r.BalancerSettings(
+    return BalancerSettings(
         request_classes=request_classes,
         tenants=tenants,
-        number=_count(settings, "me", 0),
-        nodes=_count(settings, "siblings", 1),
-        most_trips=_count(settings, "limits.mostTrips", 1),
+        node_number=_count(settings, "me", 0),
+        node_count=_count(settings, "siblings", 1),
+        max_attempts=_count(settings, "limits.mostTrips", 1),
         may_cancel=bool(limits.get("mayCancel")),
-        may_probe=_checked(
+        may_check_health=_checked(
             settings,
             "limits.probes",
             lambda value: type(value) is bool,
             "neither true nor false",
             False,
         ),
-        retry_after=down(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
-        cold_for=up(contract.get("coldUs") or 0),
-        cold_from=float(contract.get("startCapacity") or 1),
-        tip_multiple=float(contract.get("tipMultiple") or 1),
-        worst_offering=goal.get("worstClass", 0) / (sum(goal.values()) or 1),
-        connect_within=down(limits.get("connectTimeoutUs") or r.CONNECT_WITHIN * 100),
-        idle_for=down(limits.get("connIdleUs") or r.IDLE_FOR * 100),
+        max_retry_after=down(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
+        slow_start_duration=up(contract.get("coldUs") or 0),
+        slow_start_capacity=float(contract.get("startCapacity") or 1),
+        slow_start_overload=float(contract.get("tipMultiple") or 1),
+        worst_class_weight=goal.get("worstClass", 0) / (sum(goal.values()) or 1),
+        connect_timeout=down(limits.get("connectTimeoutUs") or DEFAULT_CONNECT_TIMEOUT * 100),
+        idle_timeout=down(limits.get("connIdleUs") or DEFAULT_IDLE_TIMEOUT * 100),
         drain_grace=down(contract.get("drainGraceUs") or 0),
-        gone_binds=not _checked(
+        removal_binds=not _checked(
             settings,
             "contract.onlyDrainingBinds",
             lambda value: type(value) is bool,
             "neither true nor false",
             False,
         ),
-        asks_list=_one_of(("push", "ask"), settings, "membershipMode") == "ask",
+        polls_endpoints=_one_of(("push", "ask"), settings, "membershipMode") == "ask",
         # Where they tell neither pace nor cores in use nothing rests on them, and reading each would cost.
-        reports=reports if {"pace", "busy"} & set(gauges) else None,
-        gauges=gauges,
+        load_report_source=reports
+        if {"throughput", "utilization"} & set(load_report_fields)
+        else None,
+        load_report_fields=load_report_fields,
         zone=settings.get("zone"),
-        crossing=float(_figure(settings, "deductions.crossZone")),
+        cross_zone_penalty=float(_figure(settings, "deductions.crossZone")),
         **_budget(settings),
     )
 
 
-def load_from(gauges, figures):
+def load_from(load_report_fields, figures):
     """A report as the decisions read it; `figures` stand in the order of the settings' fields."""
-    return r.Load(
+    return LoadReport(
         **{
             name: float(figure)
-            for name, figure in zip(gauges, figures)
+            for name, figure in zip(load_report_fields, figures)
             if name and figure is not None
         }
     )
@@ -243,7 +261,7 @@
     """The same from a header or a probe's body, "TEXT qps=71, queue=2"; None where it cannot be read."""
     try:
         pairs = [pair.split("=") for pair in text.removeprefix("TEXT").split(",")]
-        return r.Load(
+        return LoadReport(
             **{
                 GAUGES[name.strip()]: float(figure)
                 for name, figure in pairs
--- a/pierglade/simulation/backend.py
+++ b/pierglade/simulation/backend.py
@@ -7,7 +7,7 @@
 from collections import deque
 from math import sqrt
 
-from pierglade.model import request as r
+from pierglade.model.outcome import Outcome
 
 LOOK = 1000.0  # 100 ms; how often overdrive and cold starts are judged, a tenth of what they span
 KEPT_LOOKS = 50  # looks; covers five seconds, more than any span that is judged
@@ -87,7 +87,7 @@
         """A trip has arrived."""
         self._count()
         if self.down:
-            job.ended(r.CONNECT_FAILED)
+            job.ended(Outcome.CONNECT_FAILED)
             return
         self.arrived += job.work
         if len(self.running) < self.cores and not self.waiting:
@@ -96,7 +96,7 @@
             job.state = "waiting"
             self.waiting.append(job)
         else:
-            job.ended(r.REJECTED_UNPROCESSED)
+            job.ended(Outcome.REJECTED_UNPROCESSED)
 
     def drop(self, job):
         """Nobody waits for it any more: what waits goes, what runs goes on."""
@@ -129,13 +129,13 @@
         while self.waiting and len(self.running) < self.cores:
             self._start(self.waiting.popleft())
         if self.failing and self.handled % self.failing == 0:
-            job.ended(r.ERROR)
+            job.ended(Outcome.SERVER_ERROR)
             return
         self.ran += 1
         if job.wait:
-            self.clock.after(job.wait, job.ended, r.SUCCESS)
+            self.clock.after(job.wait, job.ended, Outcome.SUCCESS)
         else:
-            job.ended(r.SUCCESS)
+            job.ended(Outcome.SUCCESS)
 
     # What changes its pace.
 
@@ -160,7 +160,7 @@
         self.down = True
         for job in lost:
             job.state = None
-            job.ended(r.CONNECTION_RESET)
+            job.ended(Outcome.CONNECTION_RESET)
 
     def restart(self):
         self._count()
--- a/pierglade/simulation/clients.py
+++ b/pierglade/simulation/clients.py
@@ -2,7 +2,8 @@
 
 import random
 
-from pierglade.model import request as r
+from pierglade.model.decision import FailRequest
+from pierglade.model.outcome import Outcome
 from pierglade.simulation.clock import MS, SECOND
 
 
@@ -11,7 +12,7 @@
 
     __slots__ = (
         "clients",
-        "terms",
+        "class_settings",
         "request_class",
         "work",
         "wait",
@@ -27,13 +28,17 @@
         "turn",
     )
 
-    def __init__(self, clients, terms, work, wait, now):
-        self.clients, self.terms, self.request_class = clients, terms, terms.index
+    def __init__(self, clients, class_settings, work, wait, now):
+        self.clients, self.class_settings, self.request_class = (
+            clients,
+            class_settings,
+            class_settings.index,
+        )
         self.work, self.wait = work, wait
         self.asked, self.expected, self.limit = (
             now,
-            now + terms.expected,
-            now + terms.request_timeout,
+            now + class_settings.latency_objective,
+            now + class_settings.request_timeout,
         )
         self.over = False  # the present try has its answer
         self.held = None  # the seat's own
@@ -104,7 +109,7 @@
         ask.tries += 1
         # A plain front spreads clients over the nodes evenly; the order differs from round to round.
         ask.seat = self.world.seats[self.chance.randrange(len(self.world.seats))]
-        patience = self.clock.now + self.load.patience * ask.terms.request_timeout
+        patience = self.clock.now + self.load.patience * ask.class_settings.request_timeout
         if patience < ask.limit:
             self.clock.at(patience, self._leave, ask, ask.turn)
         ask.seat.take(ask)
@@ -115,10 +120,10 @@
         ask.over = True
         self.world.tally.left(ask)
         ask.seat.gone(ask)
-        self._next(ask, r.FAIL_REQUEST)
+        self._next(ask, FailRequest)
 
     def answered(self, ask, kind):
-        if kind == r.SUCCESS:
+        if kind == Outcome.SUCCESS:
             self.world.tally.settled(ask)
         else:
             self.world.tally.refused(ask, kind)
@@ -134,7 +139,7 @@
             return
         wait = self.load.retry_ms * MS * 2 ** (ask.tries - 1)
         if (
-            kind != r.SUCCESS
+            kind != Outcome.SUCCESS
             and ask.tries <= self.load.retries
             and self.clock.now + wait < ask.limit
         ):
--- a/pierglade/simulation/seats.py
+++ b/pierglade/simulation/seats.py
@@ -9,7 +9,16 @@
 from collections import deque
 from heapq import heappop, heappush
 
-from pierglade.model import request as r
+from pierglade.model.decision import (
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+)
+from pierglade.model.endpoint import EndpointState
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Idempotency, Request
 
 
 class NodeSeat:
@@ -17,60 +26,61 @@
 
     def __init__(self, world, number, make):
         self.world, self.clock = world, world.clock
-        self.terms = world.terms(number)
-        self.node = make(world.plan.seed * 1009 + number, self.terms, 0)
+        self.settings = world.settings(number)
+        self.node = make(world.plan.seed * 1009 + number, self.settings, 0)
         self.timer = None
 
     def now(self):
         return int(self.clock.now)
 
     def listed(self, entries, whole):
-        self.node.listed(self.now(), entries, whole)
+        self.node.endpoints_updated(self.now(), entries, whole)
         self.pull()
 
     def take(self, ask):
         now = self.now()
-        tenants = self.terms.tenants
-        request = r.Request(
+        tenants = self.settings.tenants
+        request = Request(
             ask,
-            self.terms.request_classes[ask.request_class],
+            self.settings.request_classes[ask.request_class],
             tenants[0] if tenants else None,
             now,
             now + int(ask.limit - self.clock.now),
             False,
         )
         ask.held = request
-        self.node.taken(now, request)
+        self.node.request_received(now, request)
         self.pull()
 
     def gone(self, ask):
         """The client left without an answer."""
-        self.node.abandoned(self.now(), ask.held)
+        self.node.client_disconnected(self.now(), ask.held)
         self.pull()
 
     def ended(self, attempt, outcome):
         now = self.now()
-        done = outcome == r.SUCCESS
-        ask = attempt.request.mark
-        if done and not attempt.request.over:
-            ask.answered(r.SUCCESS)
-        self.node.returned(now, attempt, outcome, max(1, now - attempt.sent), done)
+        done = outcome == Outcome.SUCCESS
+        ask = attempt.request.host_context
+        if done and not attempt.request.completed:
+            ask.answered(Outcome.SUCCESS)
+        self.node.attempt_ended(now, attempt, outcome, max(1, now - attempt.sent_at), done)
         self.pull()
 
     def pull(self):
         node, now = self.node, self.now()
-        while (decision := node.decide(now)) is not None:
-            kind, subject = decision
-            if kind is r.SEND:
-                name = node.names[subject.backend]
-                self.world.send(self, subject, subject.request.mark, name, subject.until)
-            elif kind is r.CANCEL_ATTEMPT:
-                self.world.call_off(self, subject)
-            elif kind is r.PROBE:
-                self.world.probe(self, node.names[subject])
-            else:
-                subject.mark.answered(kind)
-        wake = node.wake(now)
+        while (decision := node.next_decision(now)) is not None:
+            match decision:
+                case SendAttempt(attempt):
+                    name = node.names[attempt.backend]
+                    ask = attempt.request.host_context
+                    self.world.send(self, attempt, ask, name, attempt.timeout_at)
+                case CancelAttempt(attempt):
+                    self.world.call_off(self, attempt)
+                case CheckHealth(backend):
+                    self.world.probe(self, node.names[backend])
+                case RejectRequest(request) | FailRequest(request):
+                    request.host_context.answered(type(decision))
+        wake = node.next_wakeup(now)
         if wake is not None and (self.timer is None or wake < self.timer or self.timer <= now):
             self.timer = wake
             self.clock.at(wake, self.ring, wake)
@@ -81,14 +91,14 @@
             self.pull()
 
     def probed(self, name, good):
-        self.node.probed(self.now(), name, good, 5)
+        self.node.health_checked(self.now(), name, good, 5)
         self.pull()
 
     def limit(self):
         """Trips that may be out, for the picture."""
         node = self.node
         if hasattr(node, "limit"):
-            return node.limit.attempts()
+            return node.limit.current_limit()
         return node.each * node.fleet
 
 
@@ -113,10 +123,10 @@
         self.nodes = world.plan.nodes.count
 
     def listed(self, entries, whole):
-        gone = {e.name for e in entries if e.state != r.READY}
+        gone = {e.name for e in entries if e.state != EndpointState.READY}
         self.names = [n for n in self.names if n not in gone]
         for entry in entries:
-            if entry.state == r.READY and entry.name not in self.names:
+            if entry.state == EndpointState.READY and entry.name not in self.names:
                 self.names.append(entry.name)
                 self.out.setdefault(entry.name, 0)
         self.pull()
@@ -136,7 +146,7 @@
     def overdue(self, ask, turn):
         if ask.turn == turn and not ask.over and ask in self.line:
             self.line.remove(ask)
-            ask.answered(r.REJECT_REQUEST)
+            ask.answered(RejectRequest)
 
     def gone(self, ask):
         if ask in self.line:
@@ -161,9 +171,9 @@
         attempt.outcome = outcome
         ask = attempt.ask
         if not ask.over:
-            again = outcome in r.NEVER_RAN or ask.terms.repeats == r.SAFE
-            if outcome == r.SUCCESS:
-                ask.answered(r.SUCCESS)
+            again = outcome.is_unexecuted or ask.class_settings.idempotency == Idempotency.SAFE
+            if outcome == Outcome.SUCCESS:
+                ask.answered(Outcome.SUCCESS)
             elif (
                 again
                 and ask.attempts < self.world.plan.nodes.most_trips
@@ -171,7 +181,7 @@
             ):
                 self.line.appendleft(ask)
             else:
-                ask.answered(r.REJECT_REQUEST if again else r.FAIL_REQUEST)
+                ask.answered(RejectRequest if again else FailRequest)
         self.pull()
 
     def probed(self, name, good):
@@ -222,7 +232,7 @@
 
     def overdue(self, ask, turn):
         if ask.turn == turn and not ask.over and ask.held:
-            ask.answered(r.REJECT_REQUEST)
+            ask.answered(RejectRequest)
 
     def gone(self, ask):
         """What is over is passed by when its turn comes."""
@@ -236,7 +246,7 @@
                 continue
             if ask.expected <= self.clock.now + ask.work / 2:
                 heappop(line)
-                ask.answered(r.REJECT_REQUEST)
+                ask.answered(RejectRequest)
                 continue
             free = [
                 b
@@ -255,7 +265,7 @@
         self.out[attempt.place] -= 1
         attempt.outcome = outcome
         if not attempt.ask.over:
-            attempt.ask.answered(r.SUCCESS if outcome == r.SUCCESS else r.REJECT_REQUEST)
+            attempt.ask.answered(Outcome.SUCCESS if outcome == Outcome.SUCCESS else RejectRequest)
         self.pull()
 
     def probed(self, name, good):
--- a/pierglade/simulation/tally.py
+++ b/pierglade/simulation/tally.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from pierglade.model import request as r
+from pierglade.model.decision import RejectRequest
 
 BIN = 1000.0  # 100 ms, in tenths of a millisecond
 RECENT = (
@@ -46,7 +46,7 @@
         self.latency[ask.request_class].append((ask.asked, self.clock.now - ask.asked))
 
     def refused(self, ask, kind):
-        self._count("bounced" if kind == r.REJECT_REQUEST else "given_up")
+        self._count("bounced" if kind is RejectRequest else "given_up")
 
     def left(self, ask):
         self._count("left")
--- a/pierglade/simulation/world.py
+++ b/pierglade/simulation/world.py
@@ -4,14 +4,17 @@
 
 import numpy as np
 
-from pierglade.model import request as r
+from pierglade.model.endpoint import Endpoint, EndpointState
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Idempotency, RequestClass
+from pierglade.settings.balancer import BalancerSettings
 from pierglade.simulation import seats
 from pierglade.simulation.backend import Backend, Job
 from pierglade.simulation.clients import Ask, Clients
 from pierglade.simulation.clock import MS, SECOND, Clock
 from pierglade.simulation.tally import BIN, Tally
 from pierglade.simulation.work import Picks, Sizes
-from pierglade.tenants.registry import Tenants
+from pierglade.tenants.registry import TenantRegistry
 
 FIXED = (2, 4, 16)  # trips a backend of the fixed baselines
 BASELINES = {
@@ -24,11 +27,19 @@
 
 
 def earlier(path):
-    """The Node of another text of the decisions, which must fit the present records."""
+    """The Balancer of another text of the decisions, which must fit the present records."""
     spec = importlib.util.spec_from_file_location("earlier_choice", path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    return module.Node
+    return module.Balancer
+
+
+# What a plan calls the idempotency of a request class.
+IDEMPOTENCY = {
+    "harmless": Idempotency.SAFE,
+    "stamped": Idempotency.KEYED,
+    "one-shot": Idempotency.UNSAFE,
+}
 
 
 class World:
@@ -36,7 +47,7 @@
         if policy not in POLICIES:
             raise ValueError(f"no such policy: {policy}")
         if node is None:
-            from pierglade.balancer.balancer import Node as node
+            from pierglade.balancer.balancer import Balancer as node
         self.plan, self.clock = plan, Clock()
         self.tally = Tally(plan, self.clock)
         self.broken = {}
@@ -47,7 +58,7 @@
             Sizes(np.random.default_rng(s), o.spread, o.work_ms * MS, o.cv)
             for s, o in zip(streams[2:], plan.request_class)
         ]
-        self.request_classes = self.terms(0).request_classes
+        self.request_classes = self.settings(0).request_classes
         kinds = [kind for kind in plan.fleet.kind for _ in range(kind.count)]
         self.backends = {
             f"b{n}": Backend(self.clock, f"b{n}", kind, plan.fleet) for n, kind in enumerate(kinds)
@@ -68,14 +79,14 @@
             self.clock.at(change.at_s * SECOND, self._change, change)
         self.clock.after(BIN, self._sample)
 
-    def terms(self, number):
-        """Fresh terms for the node of that number."""
+    def settings(self, number):
+        """Fresh settings for the node of that number."""
         plan = self.plan
         request_classes = [
-            r.RequestClass(
+            RequestClass(
                 n,
                 o.name,
-                o.repeats,
+                IDEMPOTENCY[o.repeats],
                 o.group,
                 int(o.window_ms * MS),
                 int(o.expected_ms * MS),
@@ -86,19 +97,19 @@
         ]
         kinds = plan.fleet.kind
         shares = {"all": plan.nodes.members_per_s} if plan.nodes.members_per_s else {}
-        return r.BalancerSettings(
+        return BalancerSettings(
             request_classes=request_classes,
-            tenants=Tenants(shares),
-            number=number,
-            nodes=plan.nodes.count,
-            most_trips=plan.nodes.most_trips,
+            tenants=TenantRegistry(shares),
+            node_number=number,
+            node_count=plan.nodes.count,
+            max_attempts=plan.nodes.most_trips,
             may_cancel=True,
-            may_probe=True,
-            retry_after=0,
-            cold_for=int(max(k.cold_for_s for k in kinds) * SECOND),
-            cold_from=min(k.cold_from for k in kinds),
-            tip_multiple=min(k.tip_multiple for k in kinds),
-            worst_offering=0.0,
+            may_check_health=True,
+            max_retry_after=0,
+            slow_start_duration=int(max(k.cold_for_s for k in kinds) * SECOND),
+            slow_start_capacity=min(k.cold_from for k in kinds),
+            slow_start_overload=min(k.tip_multiple for k in kinds),
+            worst_class_weight=0.0,
         )
 
     def play(self):
@@ -109,9 +120,9 @@
 
     def drawn(self, clients):
         request_class = self.mix.next()
-        terms = self.request_classes[request_class]
+        class_settings = self.request_classes[request_class]
         wait = self.plan.request_class[request_class].wait_ms * MS
-        return Ask(clients, terms, self.sizes[request_class].next(), wait, self.clock.now)
+        return Ask(clients, class_settings, self.sizes[request_class].next(), wait, self.clock.now)
 
     def broke(self, rule, what):
         key = f"{rule}: {what}"
@@ -127,9 +138,9 @@
         backend = self.backends[name]
 
         def ended(outcome):
-            if outcome in (r.SUCCESS, r.ERROR):
+            if outcome in (Outcome.SUCCESS, Outcome.SERVER_ERROR):
                 ask.ran += 1
-                if ask.ran > 1 and ask.terms.repeats == r.UNSAFE:
+                if ask.ran > 1 and ask.class_settings.idempotency == Idempotency.UNSAFE:
                     self.broke(2, "a one-shot ran twice")
             self.clock.after(delay, self._end, seat, attempt, outcome)
 
@@ -137,7 +148,7 @@
         job = Job(ask.work, ask.wait, ended)
         self.jobs[attempt] = (job, backend)
         self.clock.after(delay, self._arrive, attempt, job, backend)
-        self.clock.at(until, self._end, seat, attempt, r.TIMEOUT)
+        self.clock.at(until, self._end, seat, attempt, Outcome.TIMEOUT)
 
     def _arrive(self, attempt, job, backend):
         if attempt in self.jobs:
@@ -148,12 +159,12 @@
         if pair is None:
             return
         job, backend = pair
-        if outcome in (r.TIMEOUT, r.CANCELLED):
+        if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.clock.after(self.plan.fleet.delay_ms * MS, backend.drop, job)
         seat.ended(attempt, outcome)
 
     def call_off(self, seat, attempt):
-        self.clock.after(0, self._end, seat, attempt, r.CANCELLED)
+        self.clock.after(0, self._end, seat, attempt, Outcome.CANCELLED)
 
     def probe(self, seat, name):
         backend = self.backends[name]
@@ -170,9 +181,9 @@
 
     # Changes of the plan, and samples.
 
-    def _entry(self, backend, state=r.READY):
+    def _entry(self, backend, state=EndpointState.READY):
         started = int(backend.started) if backend.started is not None else 0
-        return r.Endpoint(backend.name, state, "z", 0, started, backend.kind.weight)
+        return Endpoint(backend.name, state, "z", 0, started, backend.kind.weight)
 
     def _tell(self, entries):
         for seat in self.seats:
@@ -188,7 +199,7 @@
         for backend in hit:
             if change.what == "gone":
                 backend.crash()
-                entries.append(self._entry(backend, r.GONE))
+                entries.append(self._entry(backend, EndpointState.REMOVED))
             elif change.what == "back":
                 backend.restart()
                 entries.append(self._entry(backend))
@@ -222,5 +233,5 @@
 
 
 def play(plan, policy="node", node=None):
-    """Plays `plan` under `policy`, one of POLICIES; `node` is another Node to host. Returns the summary."""
+    """Plays `plan` under `policy`, one of POLICIES; `node` is another Balancer to host. Returns the summary."""
     return World(plan, policy, node).play()
