--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -15,6 +15,8 @@
 
 from collections import deque
 
+from pierglade.snapshot.schema import STORED_IDEMPOTENCY
+
 MOST_HALVES = 8  # half-lives after which nothing is kept; the next answers tell more
 FUTURE = 50000  # 5 s; clocks of machines differ so much, and a file from later than that is none
 # of a gap between pauses, that may have gone by unseen; more, and the moment is chance
@@ -34,7 +36,7 @@
 
 
 def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
-    """(rows, backends) for Node.remember, and a line that says what was kept.
+    """(rows, backends) for Balancer.remember, and a line that says what was kept.
 
     `offerings`: the rows of the settings; `fresh_rows`: what a fresh node knows of them; `listed`: name to
     (address, started) of the backends that are ready. Raises Unworthy.
@@ -74,9 +76,9 @@
 def _row(told, request_class, fresh, weight):
     """The part of a table's row that is remembered; empty where its offering is another one."""
     same = {
-        "expected": request_class.expected,
+        "expected": request_class.latency_objective,
         "hard_limit": request_class.request_timeout,
-        "repeats": request_class.repeats,
+        "repeats": STORED_IDEMPOTENCY[request_class.idempotency],
     }
     if told is None or any(told.get(key) != value for key, value in same.items()):
         return {}
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -1,7 +1,7 @@
 """What a node has learned, for the one that takes its place as settings change. No I/O, no clock, no choice.
 
 Both go on side by side until the earlier one owes nothing, so nothing that changes later is shared, but for
-the moments of further trips (`Node`). Trips out, what is held and what was decided stay with the earlier one.
+the moments of further trips (`Balancer`). Trips out, what is held and what was decided stay with the earlier one.
 
 | what | is kept | not where |
 | --- | --- | --- |
@@ -18,7 +18,7 @@
 from collections import OrderedDict
 
 from pierglade.balancer.balancer import COMES, FIRST
-from pierglade.model.request import GONE, Endpoint
+from pierglade.model.endpoint import Endpoint, EndpointState
 
 PASTS = ("samples", "pauses")
 REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
@@ -43,12 +43,15 @@
 
 def take_over(node, before, now):
     """Gives `node`, which was just made, what `before` knows. Both are told of the list from then on."""
-    terms, were = node.terms, before.terms
+    terms, were = node.settings, before.settings
     # Of each row of the new table the one there was, by name.
     places = {request_class.name: request_class.index for request_class in were.request_classes}
     places = [places.get(request_class.name) for request_class in terms.request_classes]
-    same_reports = (terms.reports, terms.gauges) == (were.reports, were.gauges)
-    same_ring = (terms.number, terms.nodes) == (were.number, were.nodes)
+    same_reports = (terms.load_report_source, terms.load_report_fields) == (
+        were.load_report_source,
+        were.load_report_fields,
+    )
+    same_ring = (terms.node_number, terms.node_count) == (were.node_number, were.node_count)
     _backends(node, before, same_reports)
     _rows(node, before, places)
     names = (
@@ -60,19 +63,24 @@
         setattr(node, name, getattr(before, name))
     node.ranked, node.turn = before.ranked.copy(), before.turn.copy()
     node.drags.newest, node.drags.figures = before.drags.newest.copy(), before.drags.figures.copy()
-    same_nodes = terms.nodes == were.nodes
+    same_nodes = terms.node_count == were.node_count
     if node.learns and before.learns:
         node.asked, node.in_view = before.asked, before.in_view
         node.part = before.part if same_nodes else node.part
-        node.limit.asked = before.limit.asked
+        node.limit.demand = before.limit.demand
     same_kind = (node.learns, node.shares) == (before.learns, before.shares)
     if same_nodes and same_kind and any(place is not None for place in places):
-        node.limit = before.limit.passed_on(now, places, node.limit.asked)
-    left = [b for b in node.ranked if node.left_at[b]] if terms.gone_binds else ()
+        node.limit = before.limit.successor(now, places, node.limit.demand)
+    left = [b for b in node.ranked if node.left_at[b]] if terms.removal_binds else ()
     # What was listed as gone and was tried all the same is gone where that binds.
-    node.listed(
+    node.endpoints_updated(
         now,
-        [Endpoint(node.names[b], GONE, node.zone[b], node.cell[b], node.started[b]) for b in left],
+        [
+            Endpoint(
+                node.names[b], EndpointState.REMOVED, node.zone[b], node.cell[b], node.started[b]
+            )
+            for b in left
+        ],
         False,
     )
     node.sweep_at = min(node.sweep_at, now)
@@ -93,27 +101,27 @@
         OrderedDict(before.gone),
         before.ailing.copy(),
     )
-    span = node.terms.cold_for
-    if span != before.terms.cold_for:
+    span = node.settings.slow_start_duration
+    if span != before.settings.slow_start_duration:
         node.cold_until = [started and started + span for started in before.started]
     # Or both would spend what was saved up.
     before.allowance = [0.0] * count
 
 
 def _rows(node, before, places):
-    for row, request_class, place in zip(node.table, node.terms.request_classes, places):
+    for row, request_class, place in zip(node.table, node.settings.request_classes, places):
         if place is None:
             continue
-        told, was = before.table[place], before.terms.request_classes[place]
+        told, was = before.table[place], before.settings.request_classes[place]
         row.asked, row.got, row.hinted = told.asked, told.got, told.hinted
         if told.answers > row.answers:
             row.typical, row.skew, row.answers = told.typical, told.skew, told.answers
         if request_class.request_timeout == was.request_timeout:
             row.usual_left, row.usual_votes = told.usual_left, told.usual_votes
-    came = {request_class.repeats for request_class in before.terms.request_classes}
-    for kind in {request_class.repeats for request_class in node.terms.request_classes}:
+    came = {request_class.idempotency for request_class in before.settings.request_classes}
+    for kind in {request_class.idempotency for request_class in node.settings.request_classes}:
         node.asked_at[kind] = before.asked_at[kind] if kind in came else before.count
     for kind in node.asked_at.keys() - {
-        request_class.repeats for request_class in node.terms.request_classes
+        request_class.idempotency for request_class in node.settings.request_classes
     }:
         node.asked_at[kind] = before.count - COMES
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -11,6 +11,8 @@
 import msgspec
 import xxhash
 
+from pierglade.model.request import Idempotency
+
 MAGIC = b"PGLE"
 HEAD = struct.Struct(">4sHIQ")
 VERSION = 1
@@ -23,6 +25,14 @@
     """Bytes that are no snapshot that this build can use; one line that says why."""
 
 
+# What a stored file calls the idempotency of a request class.
+STORED_IDEMPOTENCY = {
+    Idempotency.SAFE: "harmless",
+    Idempotency.KEYED: "stamped",
+    Idempotency.UNSAFE: "one-shot",
+}
+
+
 class Backend(msgspec.Struct):
     """What was known of one backend, and which process it was."""
 
--- a/pierglade/tenants/registry.py
+++ b/pierglade/tenants/registry.py
@@ -14,11 +14,11 @@
 LATELY = 150000  # 15 s; a tenant's rate and pace have faded 5 s after its last answer
 
 
-class Stale(ValueError):
+class VersionConflictError(ValueError):
     """A difference that was made from another version than the one in force."""
 
 
-class Difference:
+class QuotaDelta:
     """What a later table of shares says otherwise than the one of version `base`; `version` is the later's.
 
     `changed`: name to the new share, requests a second; `gone`: names that are no tenants any more.
@@ -33,7 +33,7 @@
         return len(self.changed) + len(self.gone)
 
 
-class Tenants:
+class TenantRegistry:
     """Shares by name, in requests a second of all nodes together; 0 for a tenant without one.
 
     The table is the caller's own dict and is changed in place.
@@ -77,7 +77,9 @@
         What was taken before keeps the Tenant that it came with, and with that the share of then.
         """
         if difference.base != self.version:
-            raise Stale(f"a difference from version {difference.base} on top of {self.version}")
+            raise VersionConflictError(
+                f"a difference from version {difference.base} on top of {self.version}"
+            )
         for name in difference.gone:
             self.shares.pop(name, None)
             self.young.pop(name, None)
@@ -86,7 +88,7 @@
         for name, share in difference.changed.items():
             for known in (self.young, self.old):
                 if name in known:
-                    known[name] = replace(known[name], per_second=share)
+                    known[name] = replace(known[name], quota_per_second=share)
         # Summed anew: added and taken away bit by bit, shares that are all gone would leave a crumb.
         self.total, self.version, self.order = sum(self.shares.values()), difference.version, None
 
@@ -96,10 +98,10 @@
         for known, here in ((before.old, self.old), (before.young, self.young)):
             for name, tenant in known.items():
                 if name in self.shares:
-                    here[name] = replace(tenant, per_second=self.shares[name])
+                    here[name] = replace(tenant, quota_per_second=self.shares[name])
 
 
-class Middle:
+class RunningMedian:
     """The middle one of the newest figures, one a name, of those seen within `span`.
 
     A figure costs the same whether a hundred or tens of thousands were seen.
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from pierglade.model import request as r
+from pierglade.model.outcome import Outcome
 from pierglade.simulation.backend import Backend, Job
 from pierglade.simulation.plan import Fleet
 
@@ -246,7 +246,7 @@
             or self.part["refuse"]
             and chance() < self.part["refuse"]
         ):
-            return self._answer(request, connection, r.REJECTED_UNPROCESSED, named)
+            return self._answer(request, connection, Outcome.REJECTED_UNPROCESSED, named)
         if request_class.repeats == "stamped" and self.fleet.is_repeat(
             self, request_class, request
         ):
@@ -265,12 +265,12 @@
     def _answer(self, request, connection, outcome, named):
         fleet, what = self.fleet, "never ran"
         if (
-            outcome == r.SUCCESS
+            outcome == Outcome.SUCCESS
             and self.part["errors"]
             and fleet.chance.random() < self.part["errors"]
         ):
-            outcome = r.ERROR
-        if outcome == r.SUCCESS:
+            outcome = Outcome.SERVER_ERROR
+        if outcome == Outcome.SUCCESS:
             what = "ran"
             if self.part["spoil"] and fleet.chance.random() < self.part["spoil"]:
                 connection.answer(request, SPOILT)
@@ -280,10 +280,10 @@
             self.settled += 1
             if self.pause_after and self.settled % self.pause_after == 0:
                 self._stand_still()
-        elif outcome == r.ERROR:
+        elif outcome == Outcome.SERVER_ERROR:
             what = "error"
             connection.answer(request, FAILED)
-        elif outcome == r.REJECTED_UNPROCESSED:
+        elif outcome == Outcome.REJECTED_UNPROCESSED:
             connection.answer(request, NEVER_RAN)
         else:  # The process is down, or went down with it inside.
             connection.end()
