--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -1,8 +1,7 @@
 """Short traces of a node's whole state: events in, effects out, no sockets."""
 
-from unittest import re
-
-import mock
+import re
+from unittest import mock
 
 from pierglade.model.decision import CancelAttempt
 from pierglade.model.endpoint import LoadReportSource
