--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -13,6 +13,7 @@
 from hashlib import blake2b
 from heapq import heappop, heappush
 from math import exp, log, sqrt
+from typing import NamedTuple
 
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import (
@@ -23,7 +24,7 @@
     RejectRequest,
     SendAttempt,
 )
-from pierglade.model.endpoint import EndpointState, LoadReportSource
+from pierglade.model.endpoint import EjectionReason, EndpointState, LoadReportSource
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Attempt, Idempotency
 from pierglade.tenants.registry import RunningMedian
@@ -148,6 +149,9 @@
 WAITED = 0.1  # share of the expected time; an oldest held wait beyond it ranks what is held by gain
 BEHIND = 1000  # 100 ms; a host that had no rest for so long is short of its core, not held up once
 FADE = 0.999  # share left of what was asked and settled after each 50 ms: about 50 s are seen
+PASSED_OVER = (
+    100  # 10 ms; about an attempt, by which a backend is skipped before its forecast pause
+)
 SWEEP = 500  # 50 ms; looking for silence costs little at this pace and finds it within one answer
 NEVER = 1 << 62  # a moment that does not come
 FORGET = 2  # times the longest hard limit; then a gone backend's index is used again
@@ -156,7 +160,7 @@
 COME_BACK = 5000  # 0.5 s; advice to a bounced client under overload, the time a burst takes to pass
 
 # Why a backend takes trials only.
-SLOW, SILENCE, FAILING = "slow", "silent", "failing"
+SLOW, SILENCE, FAILING = EjectionReason.SLOW, EjectionReason.UNRESPONSIVE, EjectionReason.FAILING
 FALLBACKS = ("forecast", SLOW, "crowded", "light")  # skips that give way when all are skipped
 COUNTED = (None, SLOW)  # trips on the others come to nothing and must not use up the limit
 
@@ -208,6 +212,22 @@
 )
 
 
+class EndpointStatus(NamedTuple):
+    """What a balancer knows of a backend, for operators."""
+
+    zone: str | None
+    is_in_subset: bool
+    in_flight: int
+    ejection_reason: EjectionReason | None
+    is_pausing: bool
+    next_pause_at: int | None
+    latency_level: float
+    """Times the usual latency."""
+    is_in_slow_start: bool
+    answered: int
+    """Successful answers counted for the forecast."""
+
+
 class Row:
     """What a node knows of one offering; the table has a row for each."""
 
@@ -302,6 +322,37 @@
         self.room, self.probe_share = (FIRST_ROOM, BLIND_PROBES) if blind else (1.0, PROBES)
         self.unprobed = FIRST_PROBES
 
+    # What hosts and operators may ask.
+
+    def endpoint_name(self, backend):
+        """The name of the backend with that index."""
+        return self.names[backend]
+
+    def endpoint_status(self, name, now):
+        """What is known of the backend of that name (`EndpointStatus`); None if nothing is."""
+        b = self.index.get(name)
+        if b is None:
+            return None
+        forecast = self.forecast[b]
+        is_pausing = forecast is not None and (
+            forecast - PASSED_OVER * self.level[b] <= now <= forecast + self.mean_pause[b]
+        )
+        return EndpointStatus(
+            zone=self.zone[b],
+            is_in_subset=b in self.turn,
+            in_flight=len(self.flying.get(b, ())),
+            ejection_reason=self.trouble[b],
+            is_pausing=is_pausing,
+            next_pause_at=forecast,
+            latency_level=self.level[b],
+            is_in_slow_start=now < self.cold_until[b],
+            answered=self.work[b],
+        )
+
+    def queue_length(self):
+        """How many requests wait for a backend."""
+        return sum(map(len, self.held))
+
     # Inputs: they update what is known.
 
     def quotas_updated(self, now):
--- a/pierglade/model/endpoint.py
+++ b/pierglade/model/endpoint.py
@@ -1,7 +1,7 @@
 """Backends as the endpoint list names them, and what they report of their load."""
 
 from dataclasses import dataclass
-from enum import Enum, StrEnum
+from enum import StrEnum
 
 from pierglade.model.ticks import Ticks
 
@@ -14,7 +14,7 @@
     REMOVED = "removed"
 
 
-class EjectionReason(Enum):
+class EjectionReason(StrEnum):
     """Why a backend gets trial requests only."""
 
     SLOW = "slow"
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from pierglade.model.endpoint import EndpointState
+from pierglade.model.endpoint import EjectionReason, EndpointState
 from pierglade.proxy.state.events import (
     ACTIVE_CALL,
     ADMISSION_CALL,
@@ -27,7 +27,6 @@
     30000  # 3 s; the end may come DOOR_OPEN and the longest hard limit, this at most, after it
 )
 LAST_CALL = 500  # 50 ms; for what was accepted last to be read
-GOES_BY = 100  # 10 ms; about a trip, by which a backend is passed over before its forecast pause
 OWED_PART = 0.83  # share of the time until then by which all is answered; 3.1 s of 3.7 s
 CALLS = {
     STATUS_CALL: b"GET",
@@ -45,6 +44,12 @@
     EndpointState.REMOVED: "gone",
 }
 
+EJECTION_WORDS = {
+    EjectionReason.SLOW: "slow",
+    EjectionReason.UNRESPONSIVE: "silent",
+    EjectionReason.FAILING: "failing",
+}
+
 
 class Stopping:
     """Mixed into the Reducer, which holds what is used here."""
@@ -94,34 +99,31 @@
         """Each backend as the decisions see it: plain data, times in ms from now on."""
         node, now, rows = self.node, self.now, []
         for name, backend in self.backends.items():
-            b = node.index.get(name)
-            if b is None:
+            status = node.endpoint_status(name, now)
+            if status is None:
                 continue
-            due = node.forecast[b]
-            pauses = (
-                due is not None and due - GOES_BY * node.level[b] <= now <= due + node.mean_pause[b]
-            )
+            next_pause = status.next_pause_at
             rows.append(
                 {
                     "name": name,
                     "address": backend.address,
-                    "zone": node.zone[b],
+                    "zone": status.zone,
                     "state": STATE_WORDS[backend.state],
-                    "in_view": b in node.turn,
-                    "out": len(node.flying.get(b, ())),
+                    "in_view": status.is_in_subset,
+                    "out": status.in_flight,
                     "links": backend.links,
-                    "trouble": node.trouble[b],
-                    "pauses": pauses,
-                    "next_pause_ms": None if due is None else round((due - now) / 10),
-                    "level": round(node.level[b], 2),
-                    "cold": now < node.cold_until[b],
-                    "settled": node.work[b],
+                    "trouble": EJECTION_WORDS.get(status.ejection_reason),
+                    "pauses": status.is_pausing,
+                    "next_pause_ms": None if next_pause is None else round((next_pause - now) / 10),
+                    "level": round(status.latency_level, 2),
+                    "cold": status.is_in_slow_start,
+                    "settled": status.answered,
                 }
             )
         return {
             "limit": round(node.limit.current_limit(), 1),
             "overloaded": node.overloaded,
-            "held": sum(map(len, node.held)),
+            "held": node.queue_length(),
             "backends": rows,
         }
 
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -79,7 +79,7 @@
                         self._return(attempt, Outcome.CANCELLED)
                 case CheckHealth(backend):
                     self._count("health_checks")
-                    self._probe(node.names[backend])
+                    self._probe(node.endpoint_name(backend))
                 case PollEndpoints():
                     self._count("endpoint_polls")
                     self._do(ASK)
@@ -128,7 +128,7 @@
 
     def _carry(self, attempt):
         """A trip goes out on a kept link, or on a new one."""
-        backend = self.backends.get(attempt.request.owner.names[attempt.backend])
+        backend = self.backends.get(attempt.request.owner.endpoint_name(attempt.backend))
         flow = attempt.request.host_context.message.flow
         if flow is not None and flow.spent():
             return self._return(
--- a/pierglade/simulation/seats.py
+++ b/pierglade/simulation/seats.py
@@ -71,13 +71,13 @@
         while (decision := node.next_decision(now)) is not None:
             match decision:
                 case SendAttempt(attempt):
-                    name = node.names[attempt.backend]
+                    name = node.endpoint_name(attempt.backend)
                     ask = attempt.request.host_context
                     self.world.send(self, attempt, ask, name, attempt.timeout_at)
                 case CancelAttempt(attempt):
                     self.world.call_off(self, attempt)
                 case CheckHealth(backend):
-                    self.world.probe(self, node.names[backend])
+                    self.world.probe(self, node.endpoint_name(backend))
                 case RejectRequest(request) | FailRequest(request):
                     request.host_context.answered(type(decision))
         wake = node.next_wakeup(now)
--- a/pierglade/simulator_adapter/connection.py
+++ b/pierglade/simulator_adapter/connection.py
@@ -240,7 +240,7 @@
                         "SubmitTo": {
                             "who": who,
                             "call": attempt.request.host_context,
-                            "backend": node.names[attempt.backend],
+                            "backend": node.endpoint_name(attempt.backend),
                             "capUs": max(1, attempt.timeout_at * 100 - self.wall),
                         }
                     }
@@ -267,7 +267,7 @@
                 case PollEndpoints():
                     message = {"Observe": {"who": who, "active": True}}
                 case CheckHealth(backend):
-                    message = {"Ping": {"who": who, "backend": node.names[backend]}}
+                    message = {"Ping": {"who": who, "backend": node.endpoint_name(backend)}}
             out.append(message)
         wake = node.next_wakeup(now)
         if wake is not None and (seat.timer is None or wake < seat.timer):
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -95,7 +95,7 @@
     def end(self, name, outcome=Outcome.SUCCESS, note=True):
         attempt = self.requests[name].attempts[-1]
         if note:
-            self.say(f"{name} at {self.node.names[attempt.backend]}: {outcome}")
+            self.say(f"{name} at {self.node.endpoint_name(attempt.backend)}: {outcome}")
         self.node.attempt_ended(
             self.now, attempt, outcome, self.now - attempt.sent_at, outcome == Outcome.SUCCESS
         )
@@ -108,7 +108,7 @@
             self.lines = []
             request = self.take("flow")
             if request.attempts:
-                name = self.node.names[request.attempts[-1].backend]
+                name = self.node.endpoint_name(request.attempts[-1].backend)
                 went.append(name)
                 self.after(slow_took if name in slow else took)
                 if request.attempts[-1].outcome is None:
@@ -123,15 +123,15 @@
             match decision:
                 case SendAttempt(attempt):
                     trial = " as a trial" if attempt.is_trial else ""
-                    name = self.node.names[attempt.backend]
+                    name = self.node.endpoint_name(attempt.backend)
                     self.say(f"send {attempt.request.host_context} to {name}{trial}")
                 case CancelAttempt(attempt):
-                    name = self.node.names[attempt.backend]
+                    name = self.node.endpoint_name(attempt.backend)
                     self.say(f"cancel {attempt.request.host_context} at {name}")
                 case PollEndpoints():
                     self.say("poll the endpoint list")
                 case CheckHealth(backend):
-                    name = self.node.names[backend]
+                    name = self.node.endpoint_name(backend)
                     self.say(f"check health of {name}")
                     self.node.health_checked(self.now, name, name not in self.dead, 5)
                 case RejectRequest(request):
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -8,7 +8,7 @@
 
 from pierglade.balancer.balancer import Balancer
 from pierglade.model.decision import CheckHealth, PollEndpoints
-from pierglade.model.endpoint import EndpointState
+from pierglade.model.endpoint import EjectionReason, EndpointState
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import MS, TraceTest, balancer_settings, listed
 
@@ -141,7 +141,7 @@
         """Each node probes what it lost; the rate that the backend sees is bounded, and it is found soon."""
         seers, found = [node for node in self.nodes() if node.index["b7"] in node.turn], {}
         for node in seers:
-            node._begin(node.index["b7"], "failing", self.now)
+            node._begin(node.index["b7"], EjectionReason.FAILING, self.now)
 
         def probe(node, decision):
             away = self.now - self.begin - 10000 * MS
