--- a/experiments/admission/floods.py
+++ b/experiments/admission/floods.py
@@ -19,8 +19,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.cli.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
 from pierglade.load import plan, run  # noqa: E402
+from pierglade.processes.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
 
 RATE, EXPECTED_MS = 150, 250
 HELD = 1200  # connections that a flood tries to hold
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -18,8 +18,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.cli.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
 from pierglade.load import plan, run  # noqa: E402
+from pierglade.processes.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
 from pierglade.snapshot import schema as form
 from pierglade.snapshot import store as files
 
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -10,33 +10,6 @@
 BREAKS_SHOWN = 5
 
 
-def terms_of(plan, grace_ms, budget):
-    """The terms that the plan of a stand-in fleet states. `budget`: (span in s, most, share) or None."""
-    from pierglade.audit.rules import AuditSettings
-
-    kind = plan.kind[0]
-    work = sum(o.share * o.work_ms for o in plan.request_class) / sum(
-        o.share for o in plan.request_class
-    )
-    able = kind.cores * kind.speed * 1000 / work if kind.cores and kind.cold_from < 1 else 0.0
-    return AuditSettings(
-        request_classes={
-            o.name: (o.repeats.replace("-", "_"), o.group, o.window_ms, o.hard_limit_ms)
-            for o in plan.request_class
-        },
-        grace_ms=grace_ms,
-        places={name: (place.zone, place.cell) for name, place in plan.names()},
-        cold_ms=kind.cold_for_s * 1000,
-        cold_from=kind.cold_from,
-        tip_multiple=kind.tip_multiple,
-        tip_ms=kind.tip_s * 1000,
-        able_per_s=able,
-        span_ms=budget[0] * 1000 if budget else 0.0,
-        most=int(budget[1]) if budget else 0,
-        share=budget[2] if budget else 0.0,
-    )
-
-
 @click.command(
     epilog="Example: pierglade audit --plan fleet.toml --clients c.jsonl --backends b.jsonl"
 )
@@ -69,6 +42,7 @@
     Ends with 4 where a rule was broken, with 3 where a ledger has a hole and none was seen broken.
     """
     from pierglade.audit import records, rules
+    from pierglade.audit.settings import settings_of_plan
     from pierglade.simulation.plan import Unreadable
     from pierglade.testbed import plan as plans
 
@@ -84,7 +58,7 @@
             holes += missing
         rows[side].sort(key=lambda row: row["t_ms"])
     verdict = rules.audit(
-        terms_of(plan, grace_ms, budget), rows["clients"], rows["backends"], holes
+        settings_of_plan(plan, grace_ms, budget), rows["clients"], rows["backends"], holes
     )
     held = verdict.held()
     if as_json:
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -8,7 +8,7 @@
 import click
 
 from pierglade.cli import UNSURE, fail
-from pierglade.cli.children import ChildEnded, Children, Stopped, free_port
+from pierglade.processes.children import ChildEnded, Children, Stopped, free_port
 
 BACKENDS = 8
 PAUSES_EVERY, PAUSE_MS = (
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -109,8 +109,8 @@
 
 def stopping(play):
     """Runs `play()`; a stop or a failure of it ends the command with 3 and one line."""
-    from pierglade.cli.children import Stopped
     from pierglade.experiment.play import Failed
+    from pierglade.processes.children import Stopped
 
     try:
         return play()
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -23,7 +23,7 @@
     """
     import msgspec
 
-    from pierglade.cli.children import Stopped
+    from pierglade.processes.children import Stopped
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
     from pierglade.scale.guard import Over
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -9,10 +9,10 @@
 import psutil
 
 from pierglade.audit import records, rules
-from pierglade.cli.audit import terms_of
-from pierglade.cli.children import ChildEnded, Children, Stopped, free_port
+from pierglade.audit.settings import settings_of_plan
 from pierglade.experiment import nodes, sums
 from pierglade.load import run as loads
+from pierglade.processes.children import ChildEnded, Children, Stopped, free_port
 
 LEAD_S, LEAD_EACH_S = 2.5, 0.4  # from the fleet's start to the load's: processes start, and warm up
 SAMPLE_S = 0.5  # between looks at CPU and memory of the nodes
@@ -213,7 +213,7 @@
             plan.rules.further_share,
         )
         verdict = rules.audit(
-            terms_of(plan.fleet, plan.rules.drain_grace_ms, budget or None),
+            settings_of_plan(plan.fleet, plan.rules.drain_grace_ms, budget or None),
             clients,
             backends,
             holes + missing,
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -13,9 +13,9 @@
 import orjson
 
 from pierglade.audit import records, rules
-from pierglade.cli.children import ChildEnded, Children, free_port
 from pierglade.experiment.nodes import HERE, START
 from pierglade.load.tally import Tally
+from pierglade.processes.children import ChildEnded, Children, free_port
 from pierglade.scale import figures
 from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
 from pierglade.scale.plan import (
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from pierglade.audit import records, rules
-from pierglade.cli.audit import terms_of
+from pierglade.audit.settings import settings_of_plan
 from pierglade.load import plan as loads
 from pierglade.load import run
 from pierglade.testbed import plan as plans
@@ -68,7 +68,7 @@
 
 def judged(plan, budget):
     """The terms, with slack for a machine busy with other tests; what is planted goes far beyond it."""
-    terms = terms_of(plan, 200.0, budget)
+    terms = settings_of_plan(plan, 200.0, budget)
     terms.slack_ms = 200.0
     return terms
 
