--- a/pierglade/simulator_adapter/__main__.py
+++ b/pierglade/simulator_adapter/__main__.py
@@ -1,17 +1,19 @@
-"""`python -m pierglade.simulator_adapter`: nodes on standard input and output until the input ends."""
+"""`python -m pierglade.simulator_adapter`: balancers on standard input and output, to its end."""
 
 import sys
 
-from pierglade.simulator_adapter.connection import Link, Malformed
+from pierglade.simulator_adapter.connection import SimulatorConnection
+from pierglade.simulator_adapter.messages import WireFormatError
 
 
-def main():
-    link = Link(sys.stdout.buffer)
+def main() -> int:
+    """Serves the wire until the input ends; returns the exit status."""
+    connection = SimulatorConnection(sys.stdout.buffer)
     try:
         for line in sys.stdin.buffer:
-            link.read(line)
-    except Malformed as fault:
-        print(f"pierglade.simulator_adapter: {fault}", file=sys.stderr)
+            connection.receive(line)
+    except WireFormatError as error:
+        print(f"pierglade.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/simulator_adapter/test_connection.py
+++ b/tests/simulator_adapter/test_connection.py
@@ -5,7 +5,8 @@
 import subprocess
 import sys
 
-from pierglade.simulator_adapter.connection import Link, Malformed
+from pierglade.simulator_adapter.connection import SimulatorConnection
+from pierglade.simulator_adapter.messages import WireFormatError
 from tests.support.scene import TraceTest
 
 CONF = {
@@ -116,17 +117,17 @@
 
 def run(messages):
     out = io.BytesIO()
-    link = Link(out)
+    connection = SimulatorConnection(out)
     for message in messages:
-        link.read(json.dumps(message).encode())
+        connection.receive(json.dumps(message).encode())
     return out.getvalue().decode().splitlines()
 
 
 class Session(TraceTest):
-    def test_session(self):
+    def test_a_session_of_two_requests_is_played_as_recorded(self):
         self.check("session", run(SESSION))
 
-    def test_malformed(self):
+    def test_malformed_messages_are_rejected(self):
         for line in (
             b"{",
             b"[]",
@@ -137,10 +138,10 @@
             b'{"Sync":3}',
             b'{"Discovery":{"ref":0}}',
         ):
-            with self.subTest(line), self.assertRaises(Malformed):
-                Link(io.BytesIO()).read(line)
+            with self.subTest(line), self.assertRaises(WireFormatError):
+                SimulatorConnection(io.BytesIO()).receive(line)
 
-    def test_malformed_ends_the_process(self):
+    def test_a_malformed_message_ends_the_process(self):
         done = subprocess.run(
             [sys.executable, "-m", "pierglade.simulator_adapter"],
             input=b'{"Surprise":{}}\n',
@@ -150,12 +151,12 @@
         self.assertEqual((done.returncode, done.stdout), (2, b""))
         self.assertEqual(len(done.stderr.splitlines()), 1)
 
-    def test_fault_in_the_decisions_is_told(self):
-        link = Link(io.BytesIO())
+    def test_an_error_in_the_decisions_gives_the_instance_up(self):
+        connection = SimulatorConnection(io.BytesIO())
         for message in SESSION[:7]:
-            link.read(json.dumps(message).encode())
-        link.seats["node_1"].node.next_decision = lambda now: 1 / 0
-        link.out = io.BytesIO()
+            connection.receive(json.dumps(message).encode())
+        connection.instances["node_1"].balancer.next_decision = lambda now: 1 / 0
+        connection.output = io.BytesIO()
         for message in SESSION[7:11]:
-            link.read(json.dumps(message).encode())
-        self.assertIn(b"GiveIn", link.out.getvalue())
+            connection.receive(json.dumps(message).encode())
+        self.assertIn(b"GiveIn", connection.output.getvalue())
