--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -22,7 +22,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.simulation import plan, world  # noqa: E402 - the checkout that this file stands in
+from pierglade.simulation import plan  # noqa: E402 - the checkout that this file stands in
+from pierglade.simulation import simulation as world  # noqa: E402
 from pierglade.simulation.backend import Backend  # noqa: E402
 
 RATE, BACKENDS, ASKED = 810.0, 32, 950.0  # requests a second; the same that tenants may ask for
--- a/pierglade/simulation/__main__.py
+++ b/pierglade/simulation/__main__.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from pierglade.simulation import plan as plans
-from pierglade.simulation import runs, world
+from pierglade.simulation import runs
+from pierglade.simulation import simulation as world
 
 
 @click.command(
--- a/pierglade/simulation/runs.py
+++ b/pierglade/simulation/runs.py
@@ -2,7 +2,7 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from pierglade.simulation import world
+from pierglade.simulation import simulation as world
 
 COLUMNS = (
     ("share", "share"),
--- a/pierglade/simulation/world.py
+++ b/pierglade/simulation/simulation.py
@@ -8,12 +8,12 @@
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.settings.balancer import BalancerSettings
-from pierglade.simulation import seats
+from pierglade.simulation import policies as seats
 from pierglade.simulation.backend import Backend, Job
 from pierglade.simulation.clients import Ask, Clients
 from pierglade.simulation.clock import MS, SECOND, Clock
-from pierglade.simulation.tally import BIN, Tally
-from pierglade.simulation.work import Picks, Sizes
+from pierglade.simulation.distributions import Picks, Sizes
+from pierglade.simulation.metrics import BIN, Tally
 from pierglade.tenants.registry import TenantRegistry
 
 FIXED = (2, 4, 16)  # trips a backend of the fixed baselines
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from pierglade.audit.ledger import Ledger
-from pierglade.simulation.work import Sizes
+from pierglade.simulation.distributions import Sizes
 from pierglade.testbed.backend import Stand
 from pierglade.testbed.clock import RealClock
 from pierglade.testbed.discovery import Agent
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -4,7 +4,7 @@
 
 from pierglade.concurrency.limiter import DRAINED, RESTED, ConcurrencyLimiter
 from pierglade.simulation import plan as plans
-from pierglade.simulation import world
+from pierglade.simulation import simulation as world
 from tests.support.scene import MS, TraceTest
 
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -9,12 +9,13 @@
 from pierglade.model.decision import RejectRequest
 from pierglade.model.outcome import Outcome
 from pierglade.simulation import plan as plans
-from pierglade.simulation import seats, world
+from pierglade.simulation import policies as seats
+from pierglade.simulation import simulation as world
 from pierglade.simulation.__main__ import main
 from pierglade.simulation.backend import Backend, Job
 from pierglade.simulation.clock import MS, SECOND, Clock
-from pierglade.simulation.tally import Tally
-from pierglade.simulation.work import Sizes
+from pierglade.simulation.distributions import Sizes
+from pierglade.simulation.metrics import Tally
 from tests.support.scene import TraceTest
 
 
