--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -24,7 +24,7 @@
 
 from pierglade.simulation import plan  # noqa: E402 - the checkout that this file stands in
 from pierglade.simulation import simulation as world  # noqa: E402
-from pierglade.simulation.backend import Backend  # noqa: E402
+from pierglade.simulation.backend import SimulatedBackend  # noqa: E402
 
 RATE, BACKENDS, ASKED = 810.0, 32, 950.0  # requests a second; the same that tenants may ask for
 EVERY = 127  # answers from one pause to the next where pauses come by work: 5 s of a backend's part
@@ -38,7 +38,7 @@
 POLICIES = ("node", "none", "seer")
 
 
-class Watched(Backend):
+class Watched(SimulatedBackend):
     """Counts who meets a pause, and asks the nodes what they think as one begins."""
 
     by_work = False
@@ -53,9 +53,9 @@
     def offer(self, job):
         if self.clock.now >= self.since:
             self.offered += 1
-            self.met += self.paused
+            self.met += self.is_paused
         super().offer(job)
-        self.most = max(self.most, self.inflight())
+        self.most = max(self.most, self.in_flight())
 
     def _pause(self):
         if not self.shifted:  # the model's all pause at the same moment, each of these at its own
@@ -66,10 +66,10 @@
                 )
             return
         if self.clock.now >= self.since:
-            self.met += self.inflight()
+            self.met += self.in_flight()
             self.pauses += 1
             for seat in self.seats:
-                node = getattr(seat, "node", None)
+                node = getattr(seat, "_balancer", None)
                 if node is not None and (b := node.index[self.name]) in node.turn:
                     self.seen += 1
                     self.forecast += self._expects(node, b)
@@ -80,14 +80,14 @@
             super()._pause()
 
     def _stand(self):
-        self.paused = True
+        self.is_paused = True
 
     def _go_on(self):
-        self.paused = False
+        self.is_paused = False
 
-    def _done(self, job, turn):
+    def _finish(self, job, plan_number):
         before = self.handled
-        super()._done(job, turn)
+        super()._finish(job, plan_number)
         if self.by_work and self.handled > before and (self.handled + self.number * 4) % EVERY == 0:
             self._pause()
 
@@ -99,10 +99,10 @@
 
 def one(job):
     nodes, policy, seed, seconds, pause_ms, by_work = job
-    world.Backend, Watched.by_work = Watched, by_work
+    world.SimulatedBackend, Watched.by_work = Watched, by_work
     fleet = {**PLAN["fleet"], "pause": {"every_s": 5, "for_ms": pause_ms}}
     spread = {"count": nodes, "members_per_s": ASKED}
-    made = plan.made(
+    made = plan.plan_from(
         {
             **PLAN,
             "fleet": fleet,
@@ -112,13 +112,13 @@
             "left_out_s": seconds / 2,
         }
     )
-    played = world.World(made, policy)
+    played = world.Simulation(made, policy)
     for backend in played.backends.values():
-        backend.since, backend.seats = seconds / 2 * 10000, played.seats
-    summary = played.play()
+        backend.since, backend.seats = seconds / 2 * 10000, played.policies
+    summary = played.run()
     backends = list(played.backends.values())
     asked = summary["per_s"]["asked"]
-    view = [len(seat.node.turn) for seat in played.seats if hasattr(seat, "node")]
+    view = [len(seat._balancer.turn) for seat in played.policies if hasattr(seat, "_balancer")]
     return {
         "in time": summary["per_s"]["in_time"] / asked,
         "p99": summary["p99_ms"],
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -43,12 +43,12 @@
     """
     from pierglade.audit import records, rules
     from pierglade.audit.settings import settings_of_plan
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
     from pierglade.testbed import plan as plans
 
     try:
         plan = plans.read(plan_path)
-    except Unreadable as fault:
+    except InvalidPlanError as fault:
         fail(str(fault))
     rows, holes = {"clients": [], "backends": []}, []
     for side, paths in (("clients", clients), ("backends", backends)):
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -36,11 +36,11 @@
 
 def plan_of(file, seed):
     from pierglade.experiment import plan as plans
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
 
     try:
         plan = plans.read(file)
-    except Unreadable as fault:
+    except InvalidPlanError as fault:
         fail(str(fault))
     if seed is not None:
         plan.seed = seed
@@ -177,11 +177,11 @@
     import msgspec
 
     from pierglade.experiment import cost
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
 
     try:
         plan = cost.read(file)
-    except Unreadable as fault:
+    except InvalidPlanError as fault:
         fail(str(fault))
     if any(build.plain for build in builds):
         fail("--build: the cost is that of nodes of ours")
--- a/pierglade/cli/fleet.py
+++ b/pierglade/cli/fleet.py
@@ -21,13 +21,13 @@
     where it was itself too late to be trusted, or the ledger has a hole.
     """
     from pierglade.cli.say import json_lines
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
     from pierglade.testbed import plan as plans
     from pierglade.testbed import run
 
     try:
         plan = plans.read(file)
-    except Unreadable as fault:
+    except InvalidPlanError as fault:
         fail(str(fault))
     if seconds is not None:
         plan.seconds = seconds
--- a/pierglade/cli/load.py
+++ b/pierglade/cli/load.py
@@ -31,7 +31,7 @@
     import msgspec
 
     from pierglade.load import plan
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
 
     try:
         if trace:
@@ -44,7 +44,7 @@
             told.append(msgspec.convert(pairs, plan.Shape, strict=False))
         told = told or [plan.Shape(rate=rate, seconds=seconds)]
         return plan.moments(told, spacing, seed), None
-    except (Unreadable, msgspec.ValidationError) as fault:
+    except (InvalidPlanError, msgspec.ValidationError) as fault:
         fail(str(fault))
 
 
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -27,7 +27,7 @@
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
     from pierglade.scale.guard import Over
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
 
     began = time.monotonic()
 
@@ -41,7 +41,7 @@
             told = report.axes(plan, file, play.play, say)
         else:
             told = play.play(plan, file, say)
-    except Unreadable as fault:
+    except InvalidPlanError as fault:
         fail(str(fault))
     except play.Failed as fault:
         fail(str(fault), fault.status)
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -10,7 +10,7 @@
 
 from pierglade.experiment import plan as plans
 from pierglade.experiment import play as plays
-from pierglade.simulation.plan import Count, Positive, Share, Struct, Unreadable, tables
+from pierglade.simulation.plan import Count, InvalidPlanError, Positive, Share, Struct, tables
 
 HARD = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
 TOO_FAR = 16  # doublings of the first rate after which the search ends
@@ -34,22 +34,22 @@
     """Whether the file asks for the cost; one that can't be read does not."""
     try:
         return "cost" in tables(path)
-    except Unreadable:
+    except InvalidPlanError:
         return False
 
 
 def read(path):
-    """The Cost in the file at `path`; raises Unreadable with one line that names the place."""
+    """The Cost in the file at `path`; raises InvalidPlanError with one line that names the place."""
     raw = tables(path)
     if set(raw) - {"cost", "title"}:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: $.{sorted(set(raw) - {'cost', 'title'})[0]}: beside [cost] there is only "
             "`title`"
         )
     try:
         return msgspec.convert(raw["cost"], Cost)
     except msgspec.ValidationError as fault:
-        raise Unreadable(f"{path}: {str(fault).replace('$', '$.cost')}") from None
+        raise InvalidPlanError(f"{path}: {str(fault).replace('$', '$.cost')}") from None
 
 
 def _plan(cost, rate, refused=False):
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -15,11 +15,11 @@
 from pierglade.load.plan import Recorded, Shape, moments
 from pierglade.simulation.plan import (
     Count,
+    InvalidPlanError,
     NotNegative,
     Positive,
     Share,
     Struct,
-    Unreadable,
     tables,
 )
 from pierglade.testbed import plan as fleets
@@ -122,7 +122,7 @@
 
 
 def read(path):
-    """The Experiment in the TOML file at `path`; raises Unreadable with one line that names the place.
+    """The Experiment in the TOML file at `path`; raises InvalidPlanError with one line that names the place.
 
     `base = "FILE"`, beside it, stands below it: a table's keys go before the base's, a list in place of it.
     """
@@ -135,7 +135,7 @@
     if base is None:
         return raw
     if not isinstance(base, str) or not left:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: $.base: {base!r} stands there; allowed: a file, {BASES} on one another"
         )
     return _over(_whole(os.path.join(os.path.dirname(path), base), left - 1), raw)
@@ -159,18 +159,18 @@
             {key: value for key, value in raw.items() if key != "raw"}, Experiment
         )
     except msgspec.ValidationError as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+        raise InvalidPlanError(f"{path}: {fault}") from None
     plan.raw = raw
     plan.fleet = fleets.made(raw["fleet"], f"{path}: fleet")
     if plan.fleet.ledger.path:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: $.fleet.ledger.path: an experiment has a folder of its own for it"
         )
     if len({member.name for member in plan.member}) < len(plan.member):
-        raise Unreadable(f"{path}: $.member: two of one name")
+        raise InvalidPlanError(f"{path}: $.member: two of one name")
     for number, befall in enumerate(plan.fleet.befall):
         if befall.at_s >= plan.seconds():
-            raise Unreadable(
+            raise InvalidPlanError(
                 f"{path}: $.fleet.befall[{number}].at_s: {befall.at_s:g} lies behind the load's "
                 f"end at {plan.seconds():g}"
             )
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -11,7 +11,7 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.simulation.plan import Positive, Struct, Unreadable
+from pierglade.simulation.plan import InvalidPlanError, Positive, Struct
 
 MOST = 20_000_000  # requests of a plan; their moments alone are 160 MB
 WAVE = 32  # points that a wave's rate is drawn with in each of its turns
@@ -49,7 +49,7 @@
         # So many are due by each point; between two the count goes as the area under a straight line does.
         due = np.concatenate(([0.0], np.cumsum((rates[1:] + rates[:-1]) / 2 * np.diff(at))))
         if due[-1] > MOST:
-            raise Unreadable(f"a plan of more than {MOST} requests")
+            raise InvalidPlanError(f"a plan of more than {MOST} requests")
         if spacing == "even":
             wanted = np.arange(int(due[-1] + 1e-9), dtype=float)
         else:
@@ -86,22 +86,22 @@
     """The requests of a trace, CSV with a head line or JSON lines, as (moments, [Recorded]).
 
     Columns: `offset` (s from the start, or `at_s`), `offering`, `customer`, `size`. `speed`: 2 is twice as
-    fast. Raises Unreadable with the file and the line.
+    fast. Raises InvalidPlanError with the file and the line.
     """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as fault:
-        raise Unreadable(f"{path}: {fault.strerror}") from None
+        raise InvalidPlanError(f"{path}: {fault.strerror}") from None
     except UnicodeDecodeError as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+        raise InvalidPlanError(f"{path}: {fault}") from None
     rows = list(_json_rows(path, text) if text.lstrip()[:1] == "{" else _csv_rows(path, text))
     if not rows:
-        raise Unreadable(f"{path}: there is no request in it")
+        raise InvalidPlanError(f"{path}: there is no request in it")
     before = 0.0
     for number, row in rows:
         if row.at_s < before:
-            raise Unreadable(
+            raise InvalidPlanError(
                 f"{path}:{number}: offset {row.at_s:g} lies before the one above it, {before:g}"
             )
         before = row.at_s
@@ -113,18 +113,18 @@
         at_s = float(told.get("offset", told.get("at_s")))
         size = int(told.get("size") or 0)
     except (TypeError, ValueError):
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}:{number}: offset and size are no numbers: {str(told)[:60]}"
         ) from None
     if not 0 <= at_s < 1e7 or not 0 <= size <= 1 << 26:
-        raise Unreadable(f"{path}:{number}: offset {at_s:g} or size {size} is out of bounds")
+        raise InvalidPlanError(f"{path}:{number}: offset {at_s:g} or size {size} is out of bounds")
     return Recorded(at_s, str(told.get("offering") or ""), str(told.get("customer") or ""), size)
 
 
 def _csv_rows(path, text):
     reader = csv.DictReader(io.StringIO(text))
     if text.strip() and not {"offset", "at_s"} & set(reader.fieldnames or ()):
-        raise Unreadable(f"{path}:1: no column `offset`")
+        raise InvalidPlanError(f"{path}:1: no column `offset`")
     for told in reader:
         yield reader.line_num, _row(path, reader.line_num, told)
 
@@ -135,7 +135,7 @@
             try:
                 told = msgspec.json.decode(line)
             except msgspec.DecodeError as fault:
-                raise Unreadable(f"{path}:{number}: {fault}") from None
+                raise InvalidPlanError(f"{path}:{number}: {fault}") from None
             if not isinstance(told, dict):
-                raise Unreadable(f"{path}:{number}: no object")
+                raise InvalidPlanError(f"{path}:{number}: no object")
             yield number, _row(path, number, told)
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -11,11 +11,11 @@
 
 from pierglade.simulation.plan import (
     Count,
+    InvalidPlanError,
     NotNegative,
     Positive,
     Share,
     Struct,
-    Unreadable,
     tables,
 )
 
@@ -176,7 +176,7 @@
 
 
 def read(path):
-    """The Plan in the TOML file at `path`; raises Unreadable with one line that names the place."""
+    """The Plan in the TOML file at `path`; raises InvalidPlanError with one line that names the place."""
     return made(tables(path), path)
 
 
@@ -185,37 +185,37 @@
     try:
         plan = msgspec.convert(raw, Plan)
     except msgspec.ValidationError as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+        raise InvalidPlanError(f"{path}: {fault}") from None
     if plan.watch_only() < 0:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: $.nodes.count: {plan.nodes.count}, fewer than `loaded`, `idle` and `full`"
         )
     if not plan.nodes.loaded + plan.nodes.idle:
-        raise Unreadable(f"{path}: $.nodes: no real node; `loaded` or `idle` is over 0")
+        raise InvalidPlanError(f"{path}: $.nodes: no real node; `loaded` or `idle` is over 0")
     for number, scene in enumerate(plan.scene):
         if scene.what != "calm" and scene.seconds <= scene.tail_s() + 1:
-            raise Unreadable(
+            raise InvalidPlanError(
                 f"{path}: $.scene[{number}].seconds: over {scene.tail_s() + 1:g}, as nothing "
                 f"begins in its last {scene.tail_s():g}"
             )
     for name in AXES if plan.axes else ():
         least, target = getattr(plan.axes, name)
         if least > target:
-            raise Unreadable(
+            raise InvalidPlanError(
                 f"{path}: $.axes.{name}: the least, {least}, is over the target, {target}"
             )
     return plan
 
 
 def refuse(plan, path="plan"):
-    """Raises Unreadable if a run would take more than it may."""
+    """Raises InvalidPlanError if a run would take more than it may."""
     if plan.processes() > plan.limits.processes:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: it would take {plan.processes()} processes, {plan.limits.processes} are "
             f"allowed"
         )
     if plan.memory_mb() > plan.most_mb():
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: it would take about {plan.memory_mb():,.0f} MB, {plan.most_mb():,.0f} are "
             f"allowed (at most half of the machine's)"
         )
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -50,7 +50,7 @@
 def play(plan, path="plan", say=lambda line: None):
     """Plays a Plan; returns plain data (`figures.summary`).
 
-    Raises Unreadable before anything is started, Failed where nothing is to be learned, Over where it took
+    Raises InvalidPlanError before anything is started, Failed where nothing is to be learned, Over where it took
     more than it may, Stopped by a signal.
     """
     refuse(plan, path)
--- a/pierglade/scale/report.py
+++ b/pierglade/scale/report.py
@@ -8,10 +8,10 @@
 
 def axes(plan, path, play, say):
     """Plays each axis at each share; {"runs": [...], "fits": [...]}."""
-    from pierglade.simulation.plan import Unreadable
+    from pierglade.simulation.plan import InvalidPlanError
 
     if plan.axes is None:
-        raise Unreadable(f"{path}: $.axes: there is none")
+        raise InvalidPlanError(f"{path}: $.axes: there is none")
     points = [
         (axis, share, at_axis(plan, axis, share)) for axis in AXES for share in plan.axes.shares
     ]
--- a/pierglade/simulation/__init__.py
+++ b/pierglade/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time: models of backends and clients round the real decisions and round baselines.
+"""Fleets in virtual time: real balancers, baselines and an oracle under one load model.
 
-Not for sockets, and never imported by a node. `pierglade.simulation.world.play` is the name to start with.
+Not for measuring sockets or CPU. Start with `pierglade.simulation.simulation.run_plan`.
 """
--- a/pierglade/simulation/backend.py
+++ b/pierglade/simulation/backend.py
@@ -1,247 +1,298 @@
-"""A backend in virtual time: cores, a queue, overdrive and rest, pauses, a cold start.
+"""A backend in virtual time: cores, a queue, overload and rest, pauses, slow start.
 
-Work is in tenths of a millisecond on one core of speed 1. One that is overdriven turns slower until it has
-been mostly idle for a while; a cold one that is sent too much falls over and stays down.
+Work is in ticks on one core of speed 1. A backend that is overloaded turns slower until it has been
+mostly idle for a while; one in slow start that is sent too much collapses and stays down.
 """
 
 from collections import deque
+from collections.abc import Callable
+from enum import Enum
 from math import sqrt
+from typing import NamedTuple
 
 from pierglade.model.outcome import Outcome
+from pierglade.simulation.clock import MS, SECOND
 
-LOOK = 1000.0  # 100 ms; how often overdrive and cold starts are judged, a tenth of what they span
-KEPT_LOOKS = 50  # looks; covers five seconds, more than any span that is judged
-WAIT_FOR_EVER = 1 << 60  # a queue without a bound
+SAMPLE_INTERVAL = 1000.0
+"""100 ms; how often overload and slow start are judged, a tenth of what they span."""
+MAX_SAMPLES = 50
+"""Samples; covers five seconds, more than any span that is judged."""
+UNBOUNDED = 1 << 60
+"""Cores or places in a queue without a bound."""
+
+
+class JobState(Enum):
+    """Where a job is in its backend."""
+
+    WAITING = "waiting"
+    RUNNING = "running"
 
 
 class Job:
-    """One trip at a backend. `ended(outcome)` is called once, when the answer leaves."""
+    """One attempt at a backend. `ended(outcome)` is called once, when the answer leaves."""
+
+    __slots__ = ("begun_at", "ended", "io_wait", "plan_number", "remaining", "state", "work")
+
+    def __init__(self, work: float, io_wait: float, ended: Callable[[Outcome], None]):
+        self.work, self.io_wait, self.ended = work, io_wait, ended
+        self.remaining = work
+        self.begun_at = 0.0  # when `remaining` was last true
+        self.plan_number = 0  # an end that was planned before the last plan is void
+        self.state: JobState | None = None  # None before it is begun and once it is over
+
 
-    __slots__ = ("work", "wait", "left", "begun", "turn", "state", "ended")
+class LoadSample(NamedTuple):
+    """What one sample interval saw of a backend."""
 
-    def __init__(self, work, wait, ended):
-        self.work, self.wait, self.ended = work, wait, ended
-        self.left = work  # of the work
-        self.begun = 0.0  # when `left` was last true
-        self.turn = 0  # counts reckonings, so that an end that was planned before the last is void
-        self.state = None  # "waiting", "running", or None once it is over
+    excess: float
+    """Jobs running or waiting beyond what it bears."""
+    utilization: float
+    arrived_work: float
 
 
-class Backend:
-    def __init__(self, clock, name, kind, fleet):
+class SimulatedBackend:
+    """The model of one backend; `kind` and `fleet` are its tables of the plan."""
+
+    def __init__(self, clock, name: str, kind, fleet):
         self.clock, self.name, self.kind, self.fleet = clock, name, kind, fleet
-        self.cores = kind.cores or WAIT_FOR_EVER
-        self.bound = WAIT_FOR_EVER if kind.queue < 0 else kind.queue
-        self.running, self.waiting = {}, deque()
-        self.slowed = 1.0  # times slower, by what the plan's changes say
-        self.tipped_at = None  # overdriven since
-        self.paused = self.down = self.hanging = False
-        self.failing = 0  # one of so many answers is an error, none at 0
-        self.started = None  # a cold start's moment; None: long ago
-        self.handled = 0  # answers of any kind, for failing and pauses
-        self.tips = self.falls = self.ran = 0
-        self.work_done = 0.0
-        # For each look: (those running or waiting beyond what it bears, share of cores busy, work arrived).
-        self.looks = deque(maxlen=KEPT_LOOKS)
-        self.seen_at, self.inside, self.busy, self.arrived = 0.0, 0.0, 0.0, 0.0
-        self.judged = fleet.overdrive is not None or kind.cold_from < 1
-        if self.judged:
-            clock.after(LOOK, self._look)
+        self.cores = kind.cores or UNBOUNDED
+        self.queue_bound = UNBOUNDED if kind.queue < 0 else kind.queue
+        self.running: dict[Job, None] = {}
+        self.waiting: deque[Job] = deque()
+        self.slowdown = 1.0  # times slower, by the plan's changes
+        self.overloaded_since: float | None = None
+        self.is_paused = self.is_down = self.is_hanging = False
+        self.error_interval = 0  # one of so many answers is an error, none at 0
+        self.started_at: float | None = None  # of a process in slow start; None: long ago
+        self.handled = 0  # answers of any kind
+        self.overloads = self.collapses = self.executed = 0
+        self._samples: deque[LoadSample] = deque(maxlen=MAX_SAMPLES)
+        # Sums of the sample interval under way, up to `_summed_at`.
+        self._summed_at = self._job_time = self._busy_time = self._arrived_work = 0.0
+        self._is_sampled = fleet.overdrive is not None or kind.cold_from < 1
+        if self._is_sampled:
+            clock.after(SAMPLE_INTERVAL, self._sample)
         if fleet.pause is not None:
-            clock.after(fleet.pause.every_s * 10000.0, self._pause)
+            clock.after(fleet.pause.every_s * SECOND, self._pause)
+
+    # What can be seen of it.
 
-    def speed(self):
-        """Of one core, now."""
-        if self.paused or self.hanging:
+    def speed(self) -> float:
+        """Speed of one core, now."""
+        if self.is_paused or self.is_hanging:
             return 0.0
-        speed = self.kind.speed / self.slowed
-        if self.tipped_at is not None:
+        speed = self.kind.speed / self.slowdown
+        if self.overloaded_since is not None:
             speed /= self.fleet.overdrive.slower
         return speed * self._warmth()
 
-    def _warmth(self):
-        if self.started is None:
-            return 1.0
-        age = (self.clock.now - self.started) / (self.kind.cold_for_s * 10000.0)
-        return min(1.0, self.kind.cold_from + (1 - self.kind.cold_from) * age)
+    def capacity(self) -> int:
+        """How many jobs it works on at once."""
+        return 0 if self.is_down or self.is_hanging else self.cores
 
-    def room(self):
-        """How many it works on at once; the bound that no policy knows."""
-        return 0 if self.down or self.hanging else self.cores
-
-    def inflight(self):
+    def in_flight(self) -> int:
+        """Jobs that run or wait."""
         return len(self.running) + len(self.waiting)
 
-    def backlog(self):
-        """When a new job would be begun, in tenths of a millisecond of this backend's own pace."""
-        if len(self.running) < self.cores:
-            return 0.0
-        pace = max(1e-9, self.speed()) * self.cores
-        return (
-            sum(job.left for job in self.running) + sum(job.work for job in self.waiting)
-        ) / pace
+    def is_responsive(self) -> bool:
+        """Whether it answers a health check."""
+        return not (self.is_down or self.is_hanging)
+
+    def _warmth(self):
+        """Share of its speed that it has in slow start."""
+        if self.started_at is None:
+            return 1.0
+        age = (self.clock.now - self.started_at) / (self.kind.cold_for_s * SECOND)
+        return min(1.0, self.kind.cold_from + (1 - self.kind.cold_from) * age)
 
-    # What comes in.
+    # Jobs.
 
-    def offer(self, job):
-        """A trip has arrived."""
-        self._count()
-        if self.down:
+    def offer(self, job: Job) -> None:
+        """An attempt has arrived."""
+        self._sum_up()
+        if self.is_down:
             job.ended(Outcome.CONNECT_FAILED)
             return
-        self.arrived += job.work
+        self._arrived_work += job.work
         if len(self.running) < self.cores and not self.waiting:
             self._start(job)
-        elif len(self.waiting) < self.bound:
-            job.state = "waiting"
+        elif len(self.waiting) < self.queue_bound:
+            job.state = JobState.WAITING
             self.waiting.append(job)
         else:
             job.ended(Outcome.REJECTED_UNPROCESSED)
 
-    def drop(self, job):
-        """Nobody waits for it any more: what waits goes, what runs goes on."""
-        if job.state == "waiting" and self.fleet.drops_waiting:
-            self._count()
+    def drop(self, job: Job) -> None:
+        """Nobody waits for the job any more: one that waits goes, one that runs goes on."""
+        if job.state is JobState.WAITING and self.fleet.drops_waiting:
+            self._sum_up()
             self.waiting.remove(job)
             job.state = None
 
     def _start(self, job):
-        job.state, job.begun = "running", self.clock.now
+        job.state, job.begun_at = JobState.RUNNING, self.clock.now
         self.running[job] = None
         if self.kind.contention:
-            job.left = job.work * (1 + self.kind.contention * (len(self.running) - 1))
-        self._plan(job)
+            others = len(self.running) - 1
+            job.remaining = job.work * (1 + self.kind.contention * others)
+        self._plan_end(job)
 
-    def _plan(self, job):
-        job.turn += 1
+    def _plan_end(self, job):
+        job.plan_number += 1
         speed = self.speed()
         if speed > 0:
-            self.clock.after(job.left / speed, self._done, job, job.turn)
+            self.clock.after(job.remaining / speed, self._finish, job, job.plan_number)
 
-    def _done(self, job, turn):
-        if turn != job.turn or job.state != "running":
+    def _finish(self, job, plan_number):
+        if plan_number != job.plan_number or job.state is not JobState.RUNNING:
             return
-        self._count()
+        self._sum_up()
         del self.running[job]
         job.state = None
         self.handled += 1
-        self.work_done += job.work
         while self.waiting and len(self.running) < self.cores:
             self._start(self.waiting.popleft())
-        if self.failing and self.handled % self.failing == 0:
+        if self.error_interval and self.handled % self.error_interval == 0:
             job.ended(Outcome.SERVER_ERROR)
             return
-        self.ran += 1
-        if job.wait:
-            self.clock.after(job.wait, job.ended, Outcome.SUCCESS)
+        self.executed += 1
+        if job.io_wait:
+            self.clock.after(job.io_wait, job.ended, Outcome.SUCCESS)
         else:
             job.ended(Outcome.SUCCESS)
 
-    # What changes its pace.
+    # What changes its speed.
 
-    def change(self, apply):
-        """Runs `apply()`, which may alter the pace; what runs is reckoned anew."""
-        self._count()
-        before, now = self.speed(), self.clock.now
+    def change(self, apply: Callable[[], None]) -> None:
+        """Runs `apply()`, which may alter the speed, and plans the running jobs anew."""
+        self._sum_up()
+        speed_before, now = self.speed(), self.clock.now
         apply()
         for job in self.running:
-            job.left = max(0.0, job.left - (now - job.begun) * before)
-            job.begun = now
-            self._plan(job)
-        while self.waiting and len(self.running) < self.cores and not self.down:
+            job.remaining = max(0.0, job.remaining - (now - job.begun_at) * speed_before)
+            job.begun_at = now
+            self._plan_end(job)
+        while self.waiting and len(self.running) < self.cores and not self.is_down:
             self._start(self.waiting.popleft())
 
-    def crash(self):
-        """The process dies: all trips in it break, and new ones find nobody."""
-        self._count()
+    def apply(self, change) -> None:
+        """Carries out a change of the plan that is no start or end of the process."""
+        self.change(lambda: self._alter(change))
+
+    def _alter(self, change):
+        if change.what == "slower":
+            self.slowdown = change.times
+        elif change.what == "cores":
+            self.cores = max(1, round(self.kind.cores * change.times))
+        elif change.what == "hang":
+            self.is_hanging = True
+        elif change.what == "errors":
+            self.error_interval = max(1, round(change.times))
+        elif change.what == "well":
+            self.is_hanging, self.error_interval, self.slowdown = False, 0, 1.0
+
+    def crash(self) -> None:
+        """The process dies: all attempts in it break, and new ones find nobody."""
+        self._sum_up()
         lost = [*self.running, *self.waiting]
         self.running.clear()
         self.waiting.clear()
-        self.down = True
+        self.is_down = True
         for job in lost:
             job.state = None
             job.ended(Outcome.CONNECTION_RESET)
 
-    def restart(self):
-        self._count()
-        self.down, self.tipped_at, self.looks = False, None, deque(maxlen=KEPT_LOOKS)
-        self.started = self.clock.now if self.kind.cold_from < 1 else None
+    def restart(self) -> None:
+        """A new process, in slow start where its kind has one."""
+        self._sum_up()
+        self.is_down, self.overloaded_since = False, None
+        self._samples = deque(maxlen=MAX_SAMPLES)
+        self.started_at = self.clock.now if self.kind.cold_from < 1 else None
 
-    def _pause(self):
-        def stand(still):
-            self.paused = still
+    def set_paused(self, is_paused: bool) -> None:
+        """Stops all work, or lets it go on."""
+
+        def _apply():
+            self.is_paused = is_paused
 
+        self.change(_apply)
+
+    def _pause(self):
         pause = self.fleet.pause
-        self.change(lambda: stand(True))
-        self.clock.after(pause.for_ms * 10.0, self.change, lambda: stand(False))
-        self.clock.after(pause.every_s * 10000.0, self._pause)
+        self.set_paused(True)
+        self.clock.after(pause.for_ms * MS, self.set_paused, False)
+        self.clock.after(pause.every_s * SECOND, self._pause)
 
-    # Overdrive and cold starts.
+    # Overload and slow start.
 
-    def _count(self):
-        if not self.judged:
+    def _sum_up(self):
+        if not self._is_sampled:
             return
-        span = self.clock.now - self.seen_at
-        self.inside += self.inflight() * span
-        self.busy += min(1.0, len(self.running) / self.cores) * span
-        self.seen_at = self.clock.now
-
-    def _mean(self, span_s, which):
-        count = max(1, round(span_s * 10000.0 / LOOK))
-        looks = list(self.looks)[-count:]
-        return sum(look[which] for look in looks) / count if len(looks) == count else None
-
-    def _look(self):
-        self._count()
-        at = self.fleet.overdrive.at if self.fleet.overdrive else 0.0
-        beyond = self.inside / LOOK - self.cores - at * sqrt(self.cores)
-        self.looks.append((beyond, self.busy / LOOK, self.arrived))
-        self.inside = self.busy = self.arrived = 0.0
-        self.clock.after(LOOK, self._look)
-        if self.started is not None:
-            self._look_cold()
-        if self.fleet.overdrive is not None and not self.down:
-            self._look_driven()
-        if self.started is not None:
-            self.change(lambda: None)  # it has grown warmer
-
-    def _look_driven(self):
-        drive, now = self.fleet.overdrive, self.clock.now
-        if self.tipped_at is None:
-            beyond = self._mean(drive.over_s, 0)
-            if beyond is not None and beyond > 0:
-                self.tips += 1
-
-                def tip():
-                    self.tipped_at = now
-
-                self.change(tip)
+        span = self.clock.now - self._summed_at
+        self._job_time += self.in_flight() * span
+        self._busy_time += min(1.0, len(self.running) / self.cores) * span
+        self._summed_at = self.clock.now
+
+    def _recent_samples(self, span_s):
+        """(the samples of the last `span_s`, how many there are when it is whole)."""
+        count = max(1, round(span_s * SECOND / SAMPLE_INTERVAL))
+        return list(self._samples)[-count:], count
+
+    def _mean(self, span_s, figure):
+        """The mean of a sample's figure over `span_s`; None until that has passed."""
+        samples, count = self._recent_samples(span_s)
+        if len(samples) != count:
+            return None
+        return sum(getattr(sample, figure) for sample in samples) / count
+
+    def _sample(self):
+        self._sum_up()
+        threshold = self.fleet.overdrive.at if self.fleet.overdrive else 0.0
+        excess = self._job_time / SAMPLE_INTERVAL - self.cores - threshold * sqrt(self.cores)
+        utilization = self._busy_time / SAMPLE_INTERVAL
+        self._samples.append(LoadSample(excess, utilization, self._arrived_work))
+        self._job_time = self._busy_time = self._arrived_work = 0.0
+        self.clock.after(SAMPLE_INTERVAL, self._sample)
+        if self.started_at is not None:
+            self._judge_slow_start()
+        if self.fleet.overdrive is not None and not self.is_down:
+            self._judge_overload()
+        if self.started_at is not None:
+            self.change(lambda: None)  # it has become faster
+
+    def _judge_overload(self):
+        overdrive, now = self.fleet.overdrive, self.clock.now
+        if self.overloaded_since is None:
+            excess = self._mean(overdrive.over_s, "excess")
+            if excess is not None and excess > 0:
+                self.overloads += 1
+                self.change(self._begin_overload)
             return
-        busy = self._mean(drive.rest_s, 1)
-        rested = (
-            now - self.tipped_at >= drive.rest_s * 10000.0
-            and busy is not None
-            and busy < drive.below
-        )
-        if rested or now - self.tipped_at >= drive.most_s * 10000.0:
+        span = now - self.overloaded_since
+        utilization = self._mean(overdrive.rest_s, "utilization")
+        is_idle = utilization is not None and utilization < overdrive.below
+        has_rested = span >= overdrive.rest_s * SECOND and is_idle
+        if has_rested or span >= overdrive.most_s * SECOND:
+            self.change(self._end_overload)
 
-            def rest():
-                self.tipped_at = None
-                self.looks.clear()
+    def _begin_overload(self):
+        self.overloaded_since = self.clock.now
 
-            self.change(rest)
+    def _end_overload(self):
+        self.overloaded_since = None
+        self._samples.clear()
 
-    def _look_cold(self):
+    def _judge_slow_start(self):
         kind = self.kind
-        if self.clock.now - self.started >= kind.cold_for_s * 10000.0:
-            self.change(self._warm)
+        if self.clock.now - self.started_at >= kind.cold_for_s * SECOND:
+            self.change(self._end_slow_start)
             return
-        count = max(1, round(kind.tip_s * 10000.0 / LOOK))
-        sent = sum(look[2] for look in list(self.looks)[-count:])
-        able = kind.tip_multiple * self._warmth() * self.cores * kind.speed * kind.tip_s * 10000.0
-        if sent > able and not self.down:
-            self.falls += 1
+        samples, _ = self._recent_samples(kind.tip_s)
+        arrived = sum(sample.arrived_work for sample in samples)
+        capacity = self._warmth() * self.cores * kind.speed * kind.tip_s * SECOND
+        if arrived > kind.tip_multiple * capacity and not self.is_down:
+            self.collapses += 1
             self.crash()
 
-    def _warm(self):
-        self.started = None
+    def _end_slow_start(self):
+        self.started_at = None
--- a/pierglade/simulation/clock.py
+++ b/pierglade/simulation/clock.py
@@ -1,31 +1,35 @@
-"""Virtual time: what is to happen, in order."""
+"""Virtual time: calls in the order of their moments."""
 
+from collections.abc import Callable
 from heapq import heappop, heappush
 
-SECOND = 10000.0  # tenths of a millisecond
-MS = 10.0  # the same
+SECOND = 10000.0
+"""Ticks (tenths of a millisecond) in a second."""
+MS = 10.0
+"""Ticks in a millisecond."""
 
 
 class Clock:
-    """Moments are tenths of a millisecond, with fractions; what is due at the same one keeps its order."""
+    """Runs calls at moments in ticks, with fractions; equal moments keep their order."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.now = 0.0
-        self.due = []
-        self.count = 0
-
-    def at(self, moment, call, *what):
-        """Calls `call(*what)` at `moment`, or now if that is past."""
-        self.count += 1
-        heappush(self.due, (max(moment, self.now), self.count, call, what))
-
-    def after(self, span, call, *what):
-        self.at(self.now + span, call, *what)
-
-    def run(self, until):
-        """Plays all that is due up to `until`, in tenths of a millisecond."""
-        due = self.due
-        while due and due[0][0] <= until:
-            self.now, _, call, what = heappop(due)
-            call(*what)
+        self._calls: list[tuple] = []
+        self._count = 0
+
+    def at(self, moment: float, call: Callable, *arguments) -> None:
+        """Calls `call(*arguments)` at `moment`, or as soon as possible if that is past."""
+        self._count += 1
+        heappush(self._calls, (max(moment, self.now), self._count, call, arguments))
+
+    def after(self, span: float, call: Callable, *arguments) -> None:
+        """Calls `call(*arguments)` when `span` has passed."""
+        self.at(self.now + span, call, *arguments)
+
+    def run(self, until: float) -> None:
+        """Makes all calls up to the moment `until`."""
+        calls = self._calls
+        while calls and calls[0][0] <= until:
+            self.now, _, call, arguments = heappop(calls)
+            call(*arguments)
         self.now = until
--- a/pierglade/simulation/plan.py
+++ b/pierglade/simulation/plan.py
@@ -1,6 +1,7 @@
-"""A plan of one run, read from TOML into typed structs.
+"""The plan of a run, read from TOML into typed structs.
 
-Times carry their unit in the name; shares are of 1. What can't be read is one line that names the place.
+Times carry their unit in the name; shares are of 1. The names of fields are the plan's keys; those
+of an earlier vocabulary are mapped by `msgspec.field(name=...)`.
 """
 
 import tomllib
@@ -11,34 +12,34 @@
 import msgspec
 from msgspec import Meta
 
+from pierglade.errors import PiergladeError
+
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1)]
 
 
-class Unreadable(Exception):
-    """A plan that can't be used: the file, the place and what is wrong there."""
+class InvalidPlanError(PiergladeError):
+    """A plan that can't be used: the file, the place and what is wrong there, in one line."""
 
 
 class Struct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    pass
+    """A table of a plan; a key that it does not have is an error."""
 
 
 class Kind(Struct):
     """Some backends of one kind."""
 
     count: Count = 1
-    cores: Annotated[int, Meta(ge=0)] = (
-        2  # worked on at once; 0: no bound, each answer takes its time
-    )
-    queue: Annotated[int, Meta(ge=-1)] = -1  # waiting before it turns away; -1: no bound
+    cores: Annotated[int, Meta(ge=0)] = 2  # jobs at once; 0: no bound, each takes its time
+    queue: Annotated[int, Meta(ge=-1)] = -1  # jobs that wait before it rejects; -1: no bound
     speed: Positive = 1.0
     contention: NotNegative = 0.0  # share by which each other one running slows a new one
     weight: Positive = 1.0  # as the list names it
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 1.0  # share of its speed right after a start
     cold_for_s: Positive = 8.0
-    tip_multiple: Positive = 3.0  # cold, it falls over beyond so many times what it can do
+    tip_multiple: Positive = 3.0  # in slow start it collapses beyond so many times its capacity
     tip_s: Positive = 2.0  # for so long
 
 
@@ -54,22 +55,26 @@
 
 
 class Pause(Struct):
-    """Each backend stands still for so long, so often, whenever its turn comes."""
+    """Each backend stops for so long, so often."""
 
     every_s: Positive = 5.0
     for_ms: Positive = 200.0
 
 
 class Fleet(Struct):
+    """The backends, and the network between them and the nodes."""
+
     kind: Annotated[list[Kind], Meta(min_length=1)]
     delay_ms: NotNegative = 0.1  # one way
     notice_s: NotNegative = 1.0  # until the list tells of a change
-    drops_waiting: bool = True  # trips that are called off and wait are dropped
+    drops_waiting: bool = True  # attempts that are cancelled while they wait are dropped
     overdrive: Overdrive | None = None
     pause: Pause | None = None
 
 
-class Offered(Struct):
+class RequestClassPlan(Struct):
+    """A request class: its work and what the settings say of it."""
+
     name: str
     work_ms: Positive
     share: Positive = 1.0
@@ -85,29 +90,35 @@
 
 
 class Nodes(Struct):
+    """The nodes, and what their settings say."""
+
     count: Count = 1
-    members_per_s: NotNegative = 0.0  # shares of one named member; 0: no members are named
-    most_trips: Count = 3
+    members_per_s: NotNegative = 0.0  # quota of one tenant; 0: no tenant has one
+    max_attempts: Count = msgspec.field(name="most_trips", default=3)
 
 
 class Load(Struct):
-    """Closed: `kept` invocations in the system. Open: `rate` a second, and bursts."""
+    """Closed: a population of `kept` requests. Open: `rate` requests a second, and bursts."""
 
     kept: Annotated[int, Meta(ge=0)] = 0
     kept_each: Annotated[int, Meta(ge=0)] = 0  # the same for each backend
-    again_ms: NotNegative = 0.0  # closed: until the next one, after a bounce as after an answer
+    # closed: until the next request, after any answer
+    next_request_ms: NotNegative = msgspec.field(name="again_ms", default=0.0)
     rate: NotNegative = 0.0
     rate_share: NotNegative = 0.0  # the same as a share of what the cores could do
     spacing: Literal["poisson", "even"] = "poisson"
     burst_times: Annotated[float, Meta(ge=1)] = 1.0
     burst_ms: NotNegative = 0.0
     burst_every_s: Positive = 5.0
-    retries: Annotated[int, Meta(ge=0)] = 0  # open: tries more after a bounce or a give-up
+    retries: Annotated[int, Meta(ge=0)] = 0  # open: further tries of a client
     retry_ms: NotNegative = 200.0  # the wait before each, doubled
-    patience: Share = 1.0  # share of the hard limit after which a try is abandoned
+    # share of the hard limit after which a try is abandoned
+    try_timeout_share: Share = msgspec.field(name="patience", default=1.0)
 
 
 class Change(Struct):
+    """A change of the backends or of the load during the run."""
+
     at_s: NotNegative
     what: Literal["gone", "back", "slower", "cores", "load", "hang", "errors", "well"]
     share: Share = 1.0  # of the backends, the first ones
@@ -116,8 +127,12 @@
 
 
 class Plan(Struct):
+    """The whole plan."""
+
     fleet: Fleet
-    request_class: Annotated[list[Offered], Meta(min_length=1)] = msgspec.field(name="offering")
+    request_class: Annotated[list[RequestClassPlan], Meta(min_length=1)] = msgspec.field(
+        name="offering"
+    )
     load: Load
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     change: list[Change] = []
@@ -126,73 +141,69 @@
     left_out_s: NotNegative = 8.0
     title: str = ""
 
-    def count(self):
+    def backend_count(self) -> int:
+        """How many backends there are."""
         return sum(kind.count for kind in self.fleet.kind)
 
-    def mean(self, figure):
-        """A figure of the offerings in the mean of what is asked."""
-        return sum(o.share * getattr(o, figure) for o in self.request_class) / sum(
-            o.share for o in self.request_class
-        )
+    def mean(self, figure: str) -> float:
+        """A figure of the request classes in the mean of what is requested."""
+        weighted = sum(each.share * getattr(each, figure) for each in self.request_class)
+        return weighted / sum(each.share for each in self.request_class)
 
-    def able(self):
-        """Invocations a second that the cores could do, by arithmetic."""
-        if any(k.cores == 0 for k in self.fleet.kind):
+    def capacity(self) -> float:
+        """Requests a second that the cores could do, by arithmetic."""
+        if any(kind.cores == 0 for kind in self.fleet.kind):
             return float("inf")
-        return (
-            sum(k.count * k.cores * k.speed for k in self.fleet.kind) * 1000 / self.mean("work_ms")
-        )
+        total = sum(kind.count * kind.cores * kind.speed for kind in self.fleet.kind)
+        return total * 1000 / self.mean("work_ms")
 
-    def possible(self):
-        """Settled a second that the fleet could bear and the clients ask for, by arithmetic, unchanged."""
+    def achievable_rate(self) -> float:
+        """Answers a second that the fleet could give and the clients ask for, without changes."""
         load = self.load
         if load.kept:
-            fast = max(k.speed for k in self.fleet.kind)
-            asked = (
-                load.kept
-                * 1000
-                / (
-                    self.mean("work_ms") / fast
-                    + self.mean("wait_ms")
-                    + 2 * self.fleet.delay_ms
-                    + load.again_ms
-                )
+            fastest = max(kind.speed for kind in self.fleet.kind)
+            round_trip_ms = (
+                self.mean("work_ms") / fastest
+                + self.mean("wait_ms")
+                + 2 * self.fleet.delay_ms
+                + load.next_request_ms
             )
+            requested = load.kept * 1000 / round_trip_ms
         else:
             bursts = load.burst_ms / 1000 / load.burst_every_s
-            asked = load.rate * (1 + bursts * (load.burst_times - 1))
-        return min(self.able(), asked)
+            requested = load.rate * (1 + bursts * (load.burst_times - 1))
+        return min(self.capacity(), requested)
 
 
-def tables(path):
-    """The tables of the TOML file at `path`, or of a JSON one, not looked into; raises Unreadable."""
+def tables(path: str) -> dict:
+    """The tables of a TOML or JSON file, not looked into; raises InvalidPlanError."""
     try:
         with open(path, "rb") as file:
             if path.endswith(".json"):
                 return msgspec.json.decode(file.read(), type=dict)
             return tomllib.load(file)
-    except OSError as fault:
-        raise Unreadable(f"{path}: {fault.strerror}") from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.DecodeError) as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+    except OSError as error:
+        raise InvalidPlanError(f"{path}: {error.strerror}") from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.DecodeError) as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
 
 
-def read(path):
-    """The plans in the TOML file at `path`, as (what was varied, plan) pairs; raises Unreadable.
+def read(path: str) -> list[tuple[dict, Plan]]:
+    """The plans in a TOML file, as (what was varied, plan) pairs; raises InvalidPlanError.
 
-    A table `vary` names figures by their place and gives each a list: `"fleet.kind.0.count" = [1, 4]`. There
-    is a plan for each combination, in order.
+    A table `vary` names figures by their place and gives each a list:
+    `"fleet.kind.0.count" = [1, 4]`. There is a plan for each combination, in order.
     """
     raw = tables(path)
     vary = raw.pop("vary", {})
     if not isinstance(vary, dict) or not all(isinstance(v, list) and v for v in vary.values()):
-        raise Unreadable(f"{path}: $.vary: a table of places, each with a list of values")
+        raise InvalidPlanError(f"{path}: $.vary: a table of places, each with a list of values")
     plans = []
     for values in product(*vary.values()):
         varied = deepcopy(raw)
-        for place, value in zip(vary, values):
+        for place, value in zip(vary, values, strict=True):
             _put(varied, place, value, path)
-        plans.append((dict(zip(vary, values)), made(varied, path)))
+        plans.append((dict(zip(vary, values, strict=True)), plan_from(varied, path)))
     return plans
 
 
@@ -203,36 +214,48 @@
             raw = raw.setdefault(word, {}) if isinstance(raw, dict) else raw[word]
         raw[last] = value
     except (KeyError, IndexError, TypeError, AttributeError):
-        raise Unreadable(f"{path}: $.vary.{place}: there is no such place") from None
+        raise InvalidPlanError(f"{path}: $.vary.{place}: there is no such place") from None
 
 
-def made(raw, path="plan"):
-    """A plan from a mapping; raises Unreadable, with `path` named in front."""
+def plan_from(raw: dict, path: str = "plan") -> Plan:
+    """A plan from plain data; raises InvalidPlanError, with `path` named in front."""
     try:
         plan = msgspec.convert(raw, Plan)
-    except msgspec.ValidationError as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+    except msgspec.ValidationError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
+    _complete_load(plan, path)
+    _check(plan, path)
+    return plan
+
+
+def _complete_load(plan, path):
+    """Turns figures a backend and shares of the capacity into absolute ones."""
     load = plan.load
     if sum(map(bool, (load.kept, load.kept_each, load.rate, load.rate_share))) != 1:
-        raise Unreadable(
+        raise InvalidPlanError(
             f"{path}: $.load: just one of `kept`, `kept_each`, `rate`, `rate_share` is over 0"
         )
-    if load.rate_share and plan.able() == float("inf"):
-        raise Unreadable(
+    if load.rate_share and plan.capacity() == float("inf"):
+        raise InvalidPlanError(
             f"{path}: $.load.rate_share: backends with `cores = 0` have no bound to take it of"
         )
-    load.kept = load.kept or load.kept_each * plan.count()
-    load.rate = load.rate or (load.rate_share * plan.able() if load.rate_share else 0.0)
+    load.kept = load.kept or load.kept_each * plan.backend_count()
+    load.rate = load.rate or (load.rate_share * plan.capacity() if load.rate_share else 0.0)
+
+
+def _check(plan, path):
+    """What single keys do not show."""
     if plan.left_out_s >= plan.seconds:
-        raise Unreadable(f"{path}: $.left_out_s: less than `seconds`, {plan.seconds:g}")
+        raise InvalidPlanError(f"{path}: $.left_out_s: less than `seconds`, {plan.seconds:g}")
     for number, change in enumerate(plan.change):
         if change.at_s >= plan.seconds:
-            raise Unreadable(
+            raise InvalidPlanError(
                 f"{path}: $.change[{number}].at_s: less than `seconds`, {plan.seconds:g}"
             )
-    for number, request_class in enumerate(plan.request_class):
-        if request_class.expected_ms > request_class.hard_limit_ms:
-            raise Unreadable(f"{path}: $.offering[{number}].expected_ms: at most `hard_limit_ms`")
-    if len({o.name for o in plan.request_class}) < len(plan.request_class):
-        raise Unreadable(f"{path}: $.offering: two of one name")
-    return plan
+    for number, each in enumerate(plan.request_class):
+        if each.expected_ms > each.hard_limit_ms:
+            raise InvalidPlanError(
+                f"{path}: $.offering[{number}].expected_ms: at most `hard_limit_ms`"
+            )
+    if len({each.name for each in plan.request_class}) < len(plan.request_class):
+        raise InvalidPlanError(f"{path}: $.offering: two of one name")
--- a/pierglade/simulation/policies.py
+++ b/pierglade/simulation/policies.py
@@ -1,8 +1,8 @@
-"""What stands between clients and backends in a play: real nodes, baselines, and one that sees all.
+"""What stands between clients and backends in a run: real balancers, baselines, and an oracle.
 
-Every seat is told `take(ask)` and `ended(trip, outcome)`, and calls the world's `send`, `call_off` and the
-ask's `answered`. Seats of baselines rotate, hold what has no room in order of arrival, and bounce it when
-its expected time is over.
+Each policy takes `request_received`, `attempt_ended` and the like, calls the simulation's `send`,
+`cancel` and `check_health`, and gives each request its answer. Baselines rotate, queue what exceeds
+their limit in order of arrival, and reject it when its latency objective has passed.
 """
 
 import random
@@ -16,257 +16,304 @@
     RejectRequest,
     SendAttempt,
 )
-from pierglade.model.endpoint import EndpointState
+from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, Request
-
-
-class NodeSeat:
-    """Hosts one real node as its own process does: inputs first, then decisions until there is none."""
-
-    def __init__(self, world, number, make):
-        self.world, self.clock = world, world.clock
-        self.settings = world.settings(number)
-        self.node = make(world.plan.seed * 1009 + number, self.settings, 0)
-        self.timer = None
-
-    def now(self):
-        return int(self.clock.now)
-
-    def listed(self, entries, whole):
-        self.node.endpoints_updated(self.now(), entries, whole)
-        self.pull()
-
-    def take(self, ask):
-        now = self.now()
-        tenants = self.settings.tenants
-        request = Request(
-            ask,
-            self.settings.request_classes[ask.request_class],
-            tenants[0] if tenants else None,
-            now,
-            now + int(ask.limit - self.clock.now),
-            False,
+from pierglade.simulation.clock import MS
+
+HEALTH_CHECK_LATENCY = 5
+"""Ticks; of no consequence for the decisions."""
+
+
+class BalancerPolicy:
+    """Hosts one real balancer as a node does: inputs first, then decisions until there is none."""
+
+    def __init__(self, simulation, number: int, make_balancer):
+        self._simulation, self._clock = simulation, simulation.clock
+        self._settings = simulation.settings(number)
+        seed = simulation.policy_seed(number)
+        self._balancer = make_balancer(seed, self._settings, 0)
+        self._timer = None
+
+    def _now(self):
+        return int(self._clock.now)
+
+    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+        """The endpoint list, or what has changed of it."""
+        self._balancer.endpoints_updated(self._now(), endpoints, is_whole)
+        self._pull()
+
+    def request_received(self, request) -> None:
+        """A client has sent a request."""
+        now = self._now()
+        tenants = self._settings.tenants
+        received = Request(
+            host_context=request,
+            request_class=self._settings.request_classes[request.class_index],
+            tenant=tenants[0] if tenants else None,
+            arrived_at=now,
+            deadline=now + int(request.deadline - self._clock.now),
         )
-        ask.held = request
-        self.node.request_received(now, request)
-        self.pull()
-
-    def gone(self, ask):
-        """The client left without an answer."""
-        self.node.client_disconnected(self.now(), ask.held)
-        self.pull()
-
-    def ended(self, attempt, outcome):
-        now = self.now()
-        done = outcome == Outcome.SUCCESS
-        ask = attempt.request.host_context
-        if done and not attempt.request.completed:
-            ask.answered(Outcome.SUCCESS)
-        self.node.attempt_ended(now, attempt, outcome, max(1, now - attempt.sent_at), done)
-        self.pull()
-
-    def pull(self):
-        node, now = self.node, self.now()
-        while (decision := node.next_decision(now)) is not None:
-            match decision:
-                case SendAttempt(attempt):
-                    name = node.endpoint_name(attempt.backend)
-                    ask = attempt.request.host_context
-                    self.world.send(self, attempt, ask, name, attempt.timeout_at)
-                case CancelAttempt(attempt):
-                    self.world.call_off(self, attempt)
-                case CheckHealth(backend):
-                    self.world.probe(self, node.endpoint_name(backend))
-                case RejectRequest(request) | FailRequest(request):
-                    request.host_context.answered(type(decision))
-        wake = node.next_wakeup(now)
-        if wake is not None and (self.timer is None or wake < self.timer or self.timer <= now):
-            self.timer = wake
-            self.clock.at(wake, self.ring, wake)
-
-    def ring(self, moment):
-        if self.timer == moment:
-            self.timer = None
-            self.pull()
-
-    def probed(self, name, good):
-        self.node.health_checked(self.now(), name, good, 5)
-        self.pull()
-
-    def limit(self):
-        """Trips that may be out, for the picture."""
-        node = self.node
-        if hasattr(node, "limit"):
-            return node.limit.current_limit()
-        return node.each * node.fleet
-
-
-class Sent:
-    """A baseline's trip; what the world reads of a node's own trips, and no more."""
-
-    __slots__ = ("ask", "place", "until", "cancelled", "outcome")
-
-    def __init__(self, ask, place):
-        self.ask, self.place, self.cancelled, self.outcome = ask, place, False, None
-
-
-class PlainSeat:
-    """A baseline that knows its own trips: `fixed` trips a backend over all nodes, or None for no limit."""
-
-    def __init__(self, world, number, choose="turns", fixed=None):
-        self.world, self.clock = world, world.clock
-        self.choose = {"turns": self._turns, "least": self._least, "random": self._random}[choose]
-        self.fixed, self.chance = fixed, random.Random(world.plan.seed * 1009 + number)
-        self.names, self.out, self.at, self.busy = [], {}, number, 0
-        self.line = deque()
-        self.nodes = world.plan.nodes.count
-
-    def listed(self, entries, whole):
-        gone = {e.name for e in entries if e.state != EndpointState.READY}
-        self.names = [n for n in self.names if n not in gone]
-        for entry in entries:
-            if entry.state == EndpointState.READY and entry.name not in self.names:
-                self.names.append(entry.name)
-                self.out.setdefault(entry.name, 0)
-        self.pull()
-
-    def limit(self):
-        if self.fixed is None:
+        request.policy_context = received
+        self._balancer.request_received(now, received)
+        self._pull()
+
+    def client_disconnected(self, request) -> None:
+        """The client has left without an answer."""
+        self._balancer.client_disconnected(self._now(), request.policy_context)
+        self._pull()
+
+    def attempt_ended(self, attempt, outcome: Outcome) -> None:
+        """An attempt has ended."""
+        now = self._now()
+        is_success = outcome == Outcome.SUCCESS
+        if is_success and not attempt.request.completed:
+            attempt.request.host_context.answered(Outcome.SUCCESS)
+        latency = max(1, now - attempt.sent_at)
+        self._balancer.attempt_ended(now, attempt, outcome, latency, is_success)
+        self._pull()
+
+    def health_checked(self, name: str, is_healthy: bool) -> None:
+        """The result of a health check."""
+        self._balancer.health_checked(self._now(), name, is_healthy, HEALTH_CHECK_LATENCY)
+        self._pull()
+
+    def limit(self) -> float:
+        """The concurrency limit, for the samples of a run."""
+        return self._balancer.limit.current_limit()
+
+    def _pull(self):
+        balancer, now = self._balancer, self._now()
+        while (decision := balancer.next_decision(now)) is not None:
+            self._carry_out(decision)
+        wakeup = balancer.next_wakeup(now)
+        if wakeup is None:
+            return
+        if self._timer is None or wakeup < self._timer or self._timer <= now:
+            self._timer = wakeup
+            self._clock.at(wakeup, self._timer_fired, wakeup)
+
+    def _carry_out(self, decision):
+        match decision:
+            case SendAttempt(attempt):
+                name = self._balancer.endpoint_name(attempt.backend)
+                request = attempt.request.host_context
+                self._simulation.send(self, attempt, request, name, attempt.timeout_at)
+            case CancelAttempt(attempt):
+                self._simulation.cancel(self, attempt)
+            case CheckHealth(backend):
+                self._simulation.check_health(self, self._balancer.endpoint_name(backend))
+            case RejectRequest(request) | FailRequest(request):
+                request.host_context.answered(type(decision))
+
+    def _timer_fired(self, moment):
+        if self._timer == moment:
+            self._timer = None
+            self._pull()
+
+
+class BaselineAttempt:
+    """An attempt of a baseline or of the oracle."""
+
+    __slots__ = ("backend", "cancelled", "outcome", "request")
+
+    def __init__(self, request, backend: str):
+        self.request, self.backend = request, backend
+        self.cancelled, self.outcome = False, None
+
+
+class BaselinePolicy:
+    """A baseline that knows its own attempts.
+
+    `selection`: "turns" (round robin), "least" (least in flight) or "random"; `limit_per_backend`:
+    attempts a backend over all nodes, or None for no limit.
+    """
+
+    def __init__(self, simulation, number: int, selection="turns", limit_per_backend=None):
+        self._simulation, self._clock = simulation, simulation.clock
+        self._select = {
+            "turns": self._round_robin,
+            "least": self._least_in_flight,
+            "random": self._random_choice,
+        }[selection]
+        self._limit_per_backend = limit_per_backend
+        self._random = random.Random(simulation.policy_seed(number))
+        self._names: list[str] = []
+        self._in_flight: dict[str, int] = {}
+        self._position, self._total_in_flight = number, 0
+        self._queue: deque = deque()
+        self._node_count = simulation.plan.nodes.count
+
+    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+        """The endpoint list, or what has changed of it."""
+        removed = {each.name for each in endpoints if each.state != EndpointState.READY}
+        self._names = [name for name in self._names if name not in removed]
+        for endpoint in endpoints:
+            if endpoint.state == EndpointState.READY and endpoint.name not in self._names:
+                self._names.append(endpoint.name)
+                self._in_flight.setdefault(endpoint.name, 0)
+        self._pull()
+
+    def limit(self) -> float:
+        """How many attempts may be in flight."""
+        if self._limit_per_backend is None:
             return float("inf")
-        return max(1, round(self.fixed * len(self.names) / self.nodes))
-
-    def take(self, ask):
-        ask.held = self
-        ask.attempts = 0
-        self.line.append(ask)
-        self.clock.at(ask.expected, self.overdue, ask, ask.turn)
-        self.pull()
-
-    def overdue(self, ask, turn):
-        if ask.turn == turn and not ask.over and ask in self.line:
-            self.line.remove(ask)
-            ask.answered(RejectRequest)
-
-    def gone(self, ask):
-        if ask in self.line:
-            self.line.remove(ask)
-
-    def pull(self):
-        line = self.line
-        while line and self.names and self.busy < self.limit():
-            ask = line.popleft()
-            if ask.over:
+        return max(1, round(self._limit_per_backend * len(self._names) / self._node_count))
+
+    def request_received(self, request) -> None:
+        """A client has sent a request."""
+        request.policy_context = self
+        request.attempts = 0
+        self._queue.append(request)
+        self._clock.at(request.objective_at, self._expire, request, request.try_number)
+        self._pull()
+
+    def client_disconnected(self, request) -> None:
+        """The client has left without an answer."""
+        if request in self._queue:
+            self._queue.remove(request)
+
+    def attempt_ended(self, attempt: BaselineAttempt, outcome: Outcome) -> None:
+        """An attempt has ended."""
+        self._in_flight[attempt.backend] -= 1
+        self._total_in_flight -= 1
+        attempt.outcome = outcome
+        if not attempt.request.has_answer:
+            self._answer_or_retry(attempt.request, outcome)
+        self._pull()
+
+    def health_checked(self, name: str, is_healthy: bool) -> None:
+        """A baseline makes no health checks."""
+
+    def _answer_or_retry(self, request, outcome):
+        if outcome == Outcome.SUCCESS:
+            request.answered(Outcome.SUCCESS)
+            return
+        is_safe = request.request_class.idempotency == Idempotency.SAFE
+        may_retry = outcome.is_unexecuted or is_safe
+        has_attempts = request.attempts < self._simulation.plan.nodes.max_attempts
+        if may_retry and has_attempts and request.objective_at > self._clock.now:
+            self._queue.appendleft(request)
+        else:
+            request.answered(RejectRequest if may_retry else FailRequest)
+
+    def _expire(self, request, try_number):
+        is_waiting = request.try_number == try_number and not request.has_answer
+        if is_waiting and request in self._queue:
+            self._queue.remove(request)
+            request.answered(RejectRequest)
+
+    def _pull(self):
+        queue = self._queue
+        while queue and self._names and self._total_in_flight < self.limit():
+            request = queue.popleft()
+            if request.has_answer:
                 continue
-            name = self.choose()
-            attempt = Sent(ask, name)
-            ask.attempts += 1
-            self.out[name] += 1
-            self.busy += 1
-            self.world.send(self, attempt, ask, name, ask.limit)
-
-    def ended(self, attempt, outcome):
-        self.out[attempt.place] -= 1
-        self.busy -= 1
+            name = self._select()
+            request.attempts += 1
+            self._in_flight[name] += 1
+            self._total_in_flight += 1
+            attempt = BaselineAttempt(request, name)
+            self._simulation.send(self, attempt, request, name, request.deadline)
+
+    def _round_robin(self):
+        self._position += 1
+        return self._names[self._position % len(self._names)]
+
+    def _least_in_flight(self):
+        self._position += 1
+        start = self._position % len(self._names)
+        candidates = self._names[start:] + self._names[:start]
+        return min(candidates, key=self._in_flight.__getitem__)
+
+    def _random_choice(self):
+        return self._random.choice(self._names)
+
+
+class OraclePolicy:
+    """The upper bound: one queue for all nodes, and the true state of every backend.
+
+    No real balancer can know it.
+    """
+
+    def __init__(self, simulation):
+        self._simulation, self._clock = simulation, simulation.clock
+        self._in_flight: dict[str, int] = {}
+        # A heap of (work, count, try, request): the shortest first answers most.
+        self._queue: list[tuple] = []
+        self._count = 0
+        plan = simulation.plan
+        self._round_trip = 2 * plan.fleet.delay_ms * MS
+        self._least_work = min(each.work_ms for each in plan.request_class) * MS
+
+    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+        """The oracle needs no list."""
+
+    def limit(self) -> float:
+        """How many attempts may be in flight."""
+        return sum(self._capacity(each) for each in self._simulation.backends.values())
+
+    def _capacity(self, backend):
+        # Those on their way there and back hold no core: so many more may be in flight.
+        travelling = self._round_trip * backend.kind.speed / self._least_work
+        return backend.capacity() * (1 + travelling)
+
+    def request_received(self, request) -> None:
+        """A client has sent a request."""
+        self._count += 1
+        heappush(self._queue, (request.work, self._count, request.try_number, request))
+        request.policy_context = True  # it is queued
+        self._clock.at(request.objective_at, self._expire, request, request.try_number)
+        self._pull()
+
+    def client_disconnected(self, request) -> None:
+        """A request whose client has left is skipped when its turn comes."""
+
+    def attempt_ended(self, attempt: BaselineAttempt, outcome: Outcome) -> None:
+        """An attempt has ended."""
+        self._in_flight[attempt.backend] -= 1
         attempt.outcome = outcome
-        ask = attempt.ask
-        if not ask.over:
-            again = outcome.is_unexecuted or ask.class_settings.idempotency == Idempotency.SAFE
-            if outcome == Outcome.SUCCESS:
-                ask.answered(Outcome.SUCCESS)
-            elif (
-                again
-                and ask.attempts < self.world.plan.nodes.most_trips
-                and ask.expected > self.clock.now
-            ):
-                self.line.appendleft(ask)
-            else:
-                ask.answered(RejectRequest if again else FailRequest)
-        self.pull()
-
-    def probed(self, name, good):
-        pass
-
-    def _turns(self):
-        self.at += 1
-        return self.names[self.at % len(self.names)]
-
-    def _least(self):
-        self.at += 1
-        start = self.at % len(self.names)
-        return min(self.names[start:] + self.names[:start], key=self.out.__getitem__)
-
-    def _random(self):
-        return self.chance.choice(self.names)
-
-
-class Seer:
-    """The bound: one line for all nodes, and the true state of every backend. No real node can know it."""
-
-    def __init__(self, world):
-        self.world, self.clock = world, world.clock
-        self.out = {}
-        self.line, self.count = (
-            [],
-            0,
-        )  # a heap of (work, count, turn, ask): the shortest first settles most
-        self.travel = 2 * world.plan.fleet.delay_ms * 10.0
-        self.least = min(o.work_ms for o in world.plan.request_class) * 10.0
-
-    def listed(self, entries, whole):
-        """It needs no list."""
-
-    def limit(self):
-        return sum(self._room(b) for b in self.world.backends.values())
-
-    def _room(self, backend):
-        # Those on their way there and back hold no core: so many more may be out.
-        return backend.room() * (1 + self.travel * backend.kind.speed / self.least)
-
-    def take(self, ask):
-        self.count += 1
-        heappush(self.line, (ask.work, self.count, ask.turn, ask))
-        ask.held = True
-        self.clock.at(ask.expected, self.overdue, ask, ask.turn)
-        self.pull()
-
-    def overdue(self, ask, turn):
-        if ask.turn == turn and not ask.over and ask.held:
-            ask.answered(RejectRequest)
-
-    def gone(self, ask):
-        """What is over is passed by when its turn comes."""
-
-    def pull(self):
-        line = self.line
-        while line:
-            _, _, turn, ask = line[0]
-            if ask.over or ask.turn != turn:
-                heappop(line)
+        if not attempt.request.has_answer:
+            is_success = outcome == Outcome.SUCCESS
+            attempt.request.answered(Outcome.SUCCESS if is_success else RejectRequest)
+        self._pull()
+
+    def health_checked(self, name: str, is_healthy: bool) -> None:
+        """The oracle makes no health checks."""
+
+    def _expire(self, request, try_number):
+        is_waiting = request.try_number == try_number and not request.has_answer
+        if is_waiting and request.policy_context:
+            request.answered(RejectRequest)
+
+    def _pull(self):
+        queue = self._queue
+        while queue:
+            _, _, try_number, request = queue[0]
+            if request.has_answer or request.try_number != try_number:
+                heappop(queue)
                 continue
-            if ask.expected <= self.clock.now + ask.work / 2:
-                heappop(line)
-                ask.answered(RejectRequest)
+            if request.objective_at <= self._clock.now + request.work / 2:
+                heappop(queue)
+                request.answered(RejectRequest)
                 continue
-            free = [
-                b
-                for b in self.world.backends.values()
-                if self.out.get(b.name, 0) + 1 <= self._room(b)
-            ]
-            if not free:
+            backend = self._best_free_backend()
+            if backend is None:
                 return
-            best = max(free, key=lambda b: (b.speed(), -self.out.get(b.name, 0) / b.cores))
-            heappop(line)
-            ask.held = False
-            self.out[best.name] = self.out.get(best.name, 0) + 1
-            self.world.send(self, Sent(ask, best.name), ask, best.name, ask.limit)
-
-    def ended(self, attempt, outcome):
-        self.out[attempt.place] -= 1
-        attempt.outcome = outcome
-        if not attempt.ask.over:
-            attempt.ask.answered(Outcome.SUCCESS if outcome == Outcome.SUCCESS else RejectRequest)
-        self.pull()
-
-    def probed(self, name, good):
-        pass
+            heappop(queue)
+            request.policy_context = False
+            name = backend.name
+            self._in_flight[name] = self._in_flight.get(name, 0) + 1
+            attempt = BaselineAttempt(request, name)
+            self._simulation.send(self, attempt, request, name, request.deadline)
+
+    def _best_free_backend(self):
+        in_flight = self._in_flight
+        free = [
+            each
+            for each in self._simulation.backends.values()
+            if in_flight.get(each.name, 0) + 1 <= self._capacity(each)
+        ]
+        if not free:
+            return None
+        return max(free, key=lambda each: (each.speed(), -in_flight.get(each.name, 0) / each.cores))
--- a/pierglade/simulation/simulation.py
+++ b/pierglade/simulation/simulation.py
@@ -1,237 +1,239 @@
-"""A play: one plan, one policy, from the first arrival to the last."""
+"""A run: one plan, one policy, from the first arrival to the last."""
 
 import importlib.util
 
 import numpy as np
 
+from pierglade.balancer.balancer import Balancer
 from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.settings.balancer import BalancerSettings
-from pierglade.simulation import policies as seats
-from pierglade.simulation.backend import Backend, Job
-from pierglade.simulation.clients import Ask, Clients
+from pierglade.simulation.backend import Job, SimulatedBackend
+from pierglade.simulation.clients import ClientPopulation, SimulatedRequest
 from pierglade.simulation.clock import MS, SECOND, Clock
-from pierglade.simulation.distributions import Picks, Sizes
-from pierglade.simulation.metrics import BIN, Tally
+from pierglade.simulation.distributions import WeightedChoice, WorkDistribution
+from pierglade.simulation.metrics import BIN, Metrics
+from pierglade.simulation.policies import BalancerPolicy, BaselinePolicy, OraclePolicy
 from pierglade.tenants.registry import TenantRegistry
 
-FIXED = (2, 4, 16)  # trips a backend of the fixed baselines
+FIXED_LIMITS = (2, 4, 16)
+"""Attempts a backend of the baselines with a fixed limit."""
 BASELINES = {
-    **{f"fixed-{n}": ("turns", n) for n in FIXED},
+    **{f"fixed-{limit}": ("turns", limit) for limit in FIXED_LIMITS},
     "none": ("turns", None),
     "least": ("least", None),
     "random": ("random", None),
 }
 POLICIES = ("node", *BASELINES, "seer")
+"""Names by which the command and plans call the policies; "seer" is the oracle."""
+IDEMPOTENCY = {
+    "harmless": Idempotency.SAFE,
+    "stamped": Idempotency.KEYED,
+    "one-shot": Idempotency.UNSAFE,
+}
+"""What a plan calls the idempotency of a request class."""
+SEED_FACTOR = 1009
+"""Keeps the seeds of the nodes of neighbouring plans apart."""
 
 
-def earlier(path):
-    """The Balancer of another text of the decisions, which must fit the present records."""
-    spec = importlib.util.spec_from_file_location("earlier_choice", path)
+def load_balancer(path: str):
+    """The Balancer of another text of the decisions, which must fit the present model."""
+    spec = importlib.util.spec_from_file_location("other_balancer", path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
     return module.Balancer
 
 
-# What a plan calls the idempotency of a request class.
-IDEMPOTENCY = {
-    "harmless": Idempotency.SAFE,
-    "stamped": Idempotency.KEYED,
-    "one-shot": Idempotency.UNSAFE,
-}
+class Simulation:
+    """The clock, clients, policies and backends of one run."""
 
-
-class World:
-    def __init__(self, plan, policy="node", node=None):
+    def __init__(self, plan, policy: str = "node", make_balancer=Balancer):
         if policy not in POLICIES:
             raise ValueError(f"no such policy: {policy}")
-        if node is None:
-            from pierglade.balancer.balancer import Balancer as node
         self.plan, self.clock = plan, Clock()
-        self.tally = Tally(plan, self.clock)
-        self.broken = {}
-        # A stream of chance each for what is asked and for its order: the same whatever the policy does.
+        self.metrics = Metrics(plan, self.clock)
+        self.rules_broken: dict[str, int] = {}
+        # A random stream for the order of request classes and one for the work of each: the same
+        # whatever the policy does.
         streams = np.random.SeedSequence(plan.seed).spawn(2 + len(plan.request_class))
-        self.mix = Picks(np.random.default_rng(streams[0]), [o.share for o in plan.request_class])
-        self.sizes = [
-            Sizes(np.random.default_rng(s), o.spread, o.work_ms * MS, o.cv)
-            for s, o in zip(streams[2:], plan.request_class)
+        shares = [each.share for each in plan.request_class]
+        self._class_choice = WeightedChoice(np.random.default_rng(streams[0]), shares)
+        self._work = [
+            WorkDistribution(np.random.default_rng(stream), each.spread, each.work_ms * MS, each.cv)
+            for stream, each in zip(streams[2:], plan.request_class, strict=True)
         ]
-        self.request_classes = self.settings(0).request_classes
+        self._request_classes = self.settings(0).request_classes
         kinds = [kind for kind in plan.fleet.kind for _ in range(kind.count)]
         self.backends = {
-            f"b{n}": Backend(self.clock, f"b{n}", kind, plan.fleet) for n, kind in enumerate(kinds)
+            f"b{number}": SimulatedBackend(self.clock, f"b{number}", kind, plan.fleet)
+            for number, kind in enumerate(kinds)
         }
-        self.jobs = {}  # trip -> its job and backend
-        self.clients = Clients(self, np.random.default_rng(streams[1]))
-        numbers = range(plan.nodes.count)
-        if policy == "node":
-            self.seats = [seats.NodeSeat(self, n, node) for n in numbers]
-        elif policy == "seer":
-            self.seats = [seats.Seer(self)]
-        else:
-            self.seats = [seats.PlainSeat(self, n, *BASELINES[policy]) for n in numbers]
-        entries = [self._entry(b) for b in self.backends.values()]
-        for seat in self.seats:
-            seat.listed(entries, True)
+        self._jobs: dict[object, tuple[Job, SimulatedBackend]] = {}  # by attempt
+        self.clients = ClientPopulation(self)
+        self.policies = self._make_policies(policy, make_balancer)
+        endpoints = [self._endpoint(each) for each in self.backends.values()]
+        for each in self.policies:
+            each.endpoints_updated(endpoints, True)
         for change in plan.change:
             self.clock.at(change.at_s * SECOND, self._change, change)
         self.clock.after(BIN, self._sample)
 
-    def settings(self, number):
+    def _make_policies(self, policy, make_balancer):
+        numbers = range(self.plan.nodes.count)
+        if policy == "node":
+            return [BalancerPolicy(self, number, make_balancer) for number in numbers]
+        if policy == "seer":
+            return [OraclePolicy(self)]
+        return [BaselinePolicy(self, number, *BASELINES[policy]) for number in numbers]
+
+    def policy_seed(self, number: int) -> int:
+        """The seed of the policy of that node."""
+        return self.plan.seed * SEED_FACTOR + number
+
+    def settings(self, number: int) -> BalancerSettings:
         """Fresh settings for the node of that number."""
         plan = self.plan
-        request_classes = [
-            RequestClass(
-                n,
-                o.name,
-                IDEMPOTENCY[o.repeats],
-                o.group,
-                int(o.window_ms * MS),
-                int(o.expected_ms * MS),
-                int(o.hard_limit_ms * MS),
-                o.priority_weight,
-            )
-            for n, o in enumerate(plan.request_class)
-        ]
         kinds = plan.fleet.kind
-        shares = {"all": plan.nodes.members_per_s} if plan.nodes.members_per_s else {}
+        quotas = {"all": plan.nodes.members_per_s} if plan.nodes.members_per_s else {}
         return BalancerSettings(
-            request_classes=request_classes,
-            tenants=TenantRegistry(shares),
+            request_classes=[
+                RequestClass(
+                    index=index,
+                    name=each.name,
+                    idempotency=IDEMPOTENCY[each.repeats],
+                    deduplication_scope=each.group,
+                    deduplication_window=int(each.window_ms * MS),
+                    latency_objective=int(each.expected_ms * MS),
+                    request_timeout=int(each.hard_limit_ms * MS),
+                    priority_weight=each.priority_weight,
+                )
+                for index, each in enumerate(plan.request_class)
+            ],
+            tenants=TenantRegistry(quotas),
             node_number=number,
             node_count=plan.nodes.count,
-            max_attempts=plan.nodes.most_trips,
+            max_attempts=plan.nodes.max_attempts,
             may_cancel=True,
             may_check_health=True,
             max_retry_after=0,
-            slow_start_duration=int(max(k.cold_for_s for k in kinds) * SECOND),
-            slow_start_capacity=min(k.cold_from for k in kinds),
-            slow_start_overload=min(k.tip_multiple for k in kinds),
+            slow_start_duration=int(max(kind.cold_for_s for kind in kinds) * SECOND),
+            slow_start_capacity=min(kind.cold_from for kind in kinds),
+            slow_start_overload=min(kind.tip_multiple for kind in kinds),
             worst_class_weight=0.0,
         )
 
-    def play(self):
+    def run(self) -> dict:
         """Plays the plan; returns the summary as plain data."""
         self.clients.start()
         self.clock.run(self.plan.seconds * SECOND)
-        return self.tally.summary(self.plan.possible(), list(self.backends.values()), self.broken)
-
-    def drawn(self, clients):
-        request_class = self.mix.next()
-        class_settings = self.request_classes[request_class]
-        wait = self.plan.request_class[request_class].wait_ms * MS
-        return Ask(clients, class_settings, self.sizes[request_class].next(), wait, self.clock.now)
+        backends = list(self.backends.values())
+        return self.metrics.summary(self.plan.achievable_rate(), backends, self.rules_broken)
+
+    def draw_request(self, clients: ClientPopulation) -> SimulatedRequest:
+        """A new request of a random class, with random work."""
+        index = self._class_choice.next()
+        io_wait = self.plan.request_class[index].wait_ms * MS
+        work = self._work[index].next()
+        return SimulatedRequest(
+            clients, self._request_classes[index], work, io_wait, self.clock.now
+        )
 
-    def broke(self, rule, what):
-        key = f"{rule}: {what}"
-        self.broken[key] = self.broken.get(key, 0) + 1
+    def rule_broken(self, rule: int, problem: str) -> None:
+        """Counts a breach of one of the four rules."""
+        key = f"{rule}: {problem}"
+        self.rules_broken[key] = self.rules_broken.get(key, 0) + 1
 
-    # Trips.
+    # Attempts.
 
-    def send(self, seat, attempt, ask, name, until):
-        """A trip leaves; its end comes back by `seat.ended` once, at `until` at the latest."""
-        self.tally.attempts += 1
-        if ask.over:
-            self.broke(1, "sent after its answer")
+    def send(self, policy, attempt, request: SimulatedRequest, name: str, timeout_at) -> None:
+        """An attempt leaves; `policy.attempt_ended` is called once, by `timeout_at`."""
+        self.metrics.attempts += 1
+        if request.has_answer:
+            self.rule_broken(1, "sent after its answer")
         backend = self.backends[name]
+        delay = self.plan.fleet.delay_ms * MS
 
-        def ended(outcome):
+        def _job_ended(outcome):
             if outcome in (Outcome.SUCCESS, Outcome.SERVER_ERROR):
-                ask.ran += 1
-                if ask.ran > 1 and ask.class_settings.idempotency == Idempotency.UNSAFE:
-                    self.broke(2, "a one-shot ran twice")
-            self.clock.after(delay, self._end, seat, attempt, outcome)
-
-        delay = self.plan.fleet.delay_ms * MS
-        job = Job(ask.work, ask.wait, ended)
-        self.jobs[attempt] = (job, backend)
+                request.executions += 1
+                is_unsafe = request.request_class.idempotency == Idempotency.UNSAFE
+                if request.executions > 1 and is_unsafe:
+                    self.rule_broken(2, "a one-shot ran twice")
+            self.clock.after(delay, self._end, policy, attempt, outcome)
+
+        job = Job(request.work, request.io_wait, _job_ended)
+        self._jobs[attempt] = (job, backend)
         self.clock.after(delay, self._arrive, attempt, job, backend)
-        self.clock.at(until, self._end, seat, attempt, Outcome.TIMEOUT)
+        self.clock.at(timeout_at, self._end, policy, attempt, Outcome.TIMEOUT)
+
+    def cancel(self, policy, attempt) -> None:
+        """The policy waits no longer for an attempt."""
+        self.clock.after(0, self._end, policy, attempt, Outcome.CANCELLED)
+
+    def check_health(self, policy, name: str) -> None:
+        """Sends a health check to a backend; the policy gets the result a round trip later."""
+        is_healthy = self.backends[name].is_responsive()
+        round_trip = 2 * self.plan.fleet.delay_ms * MS + MS
+        self.clock.after(round_trip, policy.health_checked, name, is_healthy)
 
     def _arrive(self, attempt, job, backend):
-        if attempt in self.jobs:
+        if attempt in self._jobs:
             backend.offer(job)
 
-    def _end(self, seat, attempt, outcome):
-        pair = self.jobs.pop(attempt, None)
+    def _end(self, policy, attempt, outcome):
+        pair = self._jobs.pop(attempt, None)
         if pair is None:
             return
         job, backend = pair
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.clock.after(self.plan.fleet.delay_ms * MS, backend.drop, job)
-        seat.ended(attempt, outcome)
-
-    def call_off(self, seat, attempt):
-        self.clock.after(0, self._end, seat, attempt, Outcome.CANCELLED)
-
-    def probe(self, seat, name):
-        backend = self.backends[name]
-        self.clock.after(
-            2 * self.plan.fleet.delay_ms * MS + MS,
-            self._probed,
-            seat,
-            name,
-            not (backend.down or backend.hanging),
-        )
-
-    def _probed(self, seat, name, good):
-        seat.probed(name, good)
+        policy.attempt_ended(attempt, outcome)
 
     # Changes of the plan, and samples.
 
-    def _entry(self, backend, state=EndpointState.READY):
-        started = int(backend.started) if backend.started is not None else 0
-        return Endpoint(backend.name, state, "z", 0, started, backend.kind.weight)
+    def _endpoint(self, backend, state=EndpointState.READY):
+        started_at = int(backend.started_at) if backend.started_at is not None else 0
+        return Endpoint(backend.name, state, "z", 0, started_at, backend.kind.weight)
 
-    def _tell(self, entries):
-        for seat in self.seats:
-            seat.listed(entries, False)
+    def _notify(self, endpoints):
+        for policy in self.policies:
+            policy.endpoints_updated(endpoints, False)
 
     def _change(self, change):
         if change.what == "load":
             self.clients.scale(change.times)
             return
-        hit = list(self.backends.values())
-        hit = hit[: round(len(hit) * change.share)]
-        entries = []
-        for backend in hit:
+        backends = list(self.backends.values())
+        endpoints = []
+        for backend in backends[: round(len(backends) * change.share)]:
             if change.what == "gone":
                 backend.crash()
-                entries.append(self._entry(backend, EndpointState.REMOVED))
+                endpoints.append(self._endpoint(backend, EndpointState.REMOVED))
             elif change.what == "back":
                 backend.restart()
-                entries.append(self._entry(backend))
+                endpoints.append(self._endpoint(backend))
             else:
-                backend.change(lambda b=backend: self._alter(b, change))
-        if entries and change.listed:
-            self.clock.after(self.plan.fleet.notice_s * SECOND, self._tell, entries)
-
-    def _alter(self, backend, change):
-        if change.what == "slower":
-            backend.slowed = change.times
-        elif change.what == "cores":
-            backend.cores = max(1, round(backend.kind.cores * change.times))
-        elif change.what == "hang":
-            backend.hanging = True
-        elif change.what == "errors":
-            backend.failing = max(1, round(change.times))
-        elif change.what == "well":
-            backend.hanging, backend.failing, backend.slowed = False, 0, 1.0
+                backend.apply(change)
+        if endpoints and change.listed:
+            self.clock.after(self.plan.fleet.notice_s * SECOND, self._notify, endpoints)
 
     def _sample(self):
-        able = sum(b.room() for b in self.backends.values())
-        inside = sum(b.inflight() for b in self.backends.values())
-        self.tally.sample(
-            len(self.jobs),
-            sum(seat.limit() for seat in self.seats),
-            sum(b.tipped_at is not None for b in self.backends.values()),
-            inside / able if able else 0.0,
+        backends = self.backends.values()
+        capacity = sum(each.capacity() for each in backends)
+        inside = sum(each.in_flight() for each in backends)
+        self.metrics.sample(
+            in_flight=len(self._jobs),
+            limit=sum(policy.limit() for policy in self.policies),
+            overloaded=sum(each.overloaded_since is not None for each in backends),
+            relative_load=inside / capacity if capacity else 0.0,
         )
         self.clock.after(BIN, self._sample)
 
 
-def play(plan, policy="node", node=None):
-    """Plays `plan` under `policy`, one of POLICIES; `node` is another Balancer to host. Returns the summary."""
-    return World(plan, policy, node).play()
+def run_plan(plan, policy: str = "node", make_balancer=Balancer) -> dict:
+    """Plays `plan` under `policy`, one of POLICIES, and returns the summary.
+
+    `make_balancer`: another Balancer to host in the policy "node".
+    """
+    return Simulation(plan, policy, make_balancer).run()
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -1,6 +1,6 @@
 """One stand-in backend: the protocol's side of a backend on a listening socket, over the model of one.
 
-The model (`pierglade.simulation.backend.Backend`) says when an invocation's answer leaves and how it ended; here it
+The model (`pierglade.simulation.backend.SimulatedBackend`) says when an invocation's answer leaves and how it ended; here it
 is read, answered and written down. Times are tenths of a millisecond, as in the model.
 """
 
@@ -11,7 +11,7 @@
 import httptools
 
 from pierglade.model.outcome import Outcome
-from pierglade.simulation.backend import Backend, Job
+from pierglade.simulation.backend import Job, JobState, SimulatedBackend
 from pierglade.simulation.plan import Fleet
 
 BACKLOG = 512  # connections that the kernel holds
@@ -142,7 +142,7 @@
     def __init__(self, fleet, name, place, port):
         self.fleet, self.clock, self.name, self.place = fleet, fleet.clock, name, place
         plan = fleet.plan
-        self.model = Backend(
+        self.model = SimulatedBackend(
             fleet.clock,
             name,
             plan.kind_of(place),
@@ -294,7 +294,7 @@
         """Whoever sent it has ended the connection."""
         if job is None:
             return
-        waits, what = job.state == "waiting", "called off"
+        waits, what = job.state is JobState.WAITING, "called off"
         if job.state is not None:
             self.model.drop(job)
             if waits and job.state is None:
@@ -305,7 +305,7 @@
     def _probed(self, request, connection, path):
         if not self.fleet.plan.probes:
             connection.answer(request, UNKNOWN)
-        elif self.model.hanging:
+        elif self.model.is_hanging:
             return  # The process runs and says nothing.
         elif path == HEALTH or self.fleet.plan.report.how == "none":
             connection.answer(request, b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", b"ok\n")
@@ -321,7 +321,7 @@
         """The load report as it goes over the wire."""
         model = self.model
         figures = {
-            "inflight": f"{model.inflight()}",
+            "inflight": f"{model.in_flight()}",
             "queue": f"{len(model.waiting)}",
             "util": f"{self.util:.2f}",
             "qps": f"{self.pace:.1f}",
@@ -351,11 +351,8 @@
     # What befalls it.
 
     def _stand_still(self):
-        def paused(still):
-            self.model.paused = still
-
-        self.model.change(lambda: paused(True))
-        self.clock.after(self.pause_for, self.model.change, lambda: paused(False))
+        self.model.set_paused(True)
+        self.clock.after(self.pause_for, self.model.set_paused, False)
 
     def crash(self):
         self.model.crash()
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -10,14 +10,14 @@
 from msgspec import Meta
 
 from pierglade.simulation.plan import (
+    InvalidPlanError,
     Kind,
     NotNegative,
-    Offered,
     Overdrive,
     Positive,
+    RequestClassPlan,
     Share,
     Struct,
-    Unreadable,
     tables,
 )
 
@@ -124,7 +124,9 @@
 class Plan(Struct):
     kind: Annotated[list[Named], Meta(min_length=1)]
     place: Annotated[list[Place], Meta(min_length=1)]
-    request_class: Annotated[list[Offered], Meta(min_length=1)] = msgspec.field(name="offering")
+    request_class: Annotated[list[RequestClassPlan], Meta(min_length=1)] = msgspec.field(
+        name="offering"
+    )
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     report: Report = msgspec.field(default_factory=Report)
     ledger: Ledger = msgspec.field(default_factory=Ledger)
@@ -163,19 +165,19 @@
 
 
 def read(path):
-    """The plan in the TOML file at `path`; raises Unreadable with one line that names the place."""
+    """The plan in the TOML file at `path`; raises InvalidPlanError with one line that names the place."""
     return made(tables(path), path)
 
 
 def made(raw, path="plan"):
-    """A plan from a mapping; raises Unreadable, with `path` named in front."""
+    """A plan from a mapping; raises InvalidPlanError, with `path` named in front."""
     try:
         plan = msgspec.convert(raw, Plan)
     except msgspec.ValidationError as fault:
-        raise Unreadable(f"{path}: {fault}") from None
+        raise InvalidPlanError(f"{path}: {fault}") from None
     wrong = next(_faults(plan), None)
     if wrong:
-        raise Unreadable(f"{path}: {wrong}")
+        raise InvalidPlanError(f"{path}: {wrong}")
     return plan
 
 
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from pierglade.audit.ledger import Ledger
-from pierglade.simulation.distributions import Sizes
+from pierglade.simulation.distributions import WorkDistribution
 from pierglade.testbed.backend import Stand
 from pierglade.testbed.clock import RealClock
 from pierglade.testbed.discovery import Agent
@@ -41,7 +41,7 @@
         streams = np.random.SeedSequence(plan.seed).spawn(len(plan.request_class))
         self.request_classes = {o.name.encode(): o for o in plan.request_class}
         self.sizes = {
-            o.name: Sizes(np.random.default_rng(s), o.spread, o.work_ms * 10, o.cv)
+            o.name: WorkDistribution(np.random.default_rng(s), o.spread, o.work_ms * 10, o.cv)
             for o, s in zip(plan.request_class, streams)
         }
         self.body = b"x" * plan.body_bytes
@@ -181,7 +181,11 @@
         """Plain data: counts in all and by backend, its own lateness in ms, the ledger's state."""
         late = self.clock.lateness_ms(0.99)
         by_backend = {
-            stand.name: {**stand.counts, "tips": stand.model.tips, "falls": stand.model.falls}
+            stand.name: {
+                **stand.counts,
+                "tips": stand.model.overloads,
+                "falls": stand.model.collapses,
+            }
             for stand in self.stands.values()
         }
         whole = {
--- a/pierglade/testbed/script.py
+++ b/pierglade/testbed/script.py
@@ -12,8 +12,8 @@
         self.fleet, self.clock = fleet, fleet.clock
         self.begins = {
             "crash": self._crash,
-            "hang": partial(self._model, "hanging", True),
-            "slow": lambda stand, befall: stand.set("slowed", befall.times),
+            "hang": partial(self._model, "is_hanging", True),
+            "slow": lambda stand, befall: stand.set("slowdown", befall.times),
             "pause": self._pause,
             "drain": self._drain,
             "restart": self._restart,
@@ -22,8 +22,8 @@
         }
         self.ends = {
             "crash": self._start_again,
-            "hang": partial(self._model, "hanging", False),
-            "slow": lambda stand, befall: stand.set("slowed", 1.0),
+            "hang": partial(self._model, "is_hanging", False),
+            "slow": lambda stand, befall: stand.set("slowdown", 1.0),
             "pause": self._no_pause,
             "drain": self._gone,
             **{part: self._no_part for part in PARTS},
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -183,8 +183,8 @@
 
 def played(seconds, left_out, kinds, request_class, load, nodes=1, change=(), seed=1, **fleet):
     request_classes = [{"name": f"o{n}", **each} for n, each in enumerate(request_class)]
-    return world.play(
-        plans.made(
+    return world.run_plan(
+        plans.plan_from(
             dict(
                 seed=seed,
                 seconds=seconds,
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -13,7 +13,7 @@
 import psutil
 
 from pierglade.experiment import compare, plan, report, sums
-from pierglade.simulation.plan import Unreadable
+from pierglade.simulation.plan import InvalidPlanError
 from tests.support.scene import TraceTest
 
 BASE = {
@@ -62,7 +62,7 @@
             try:
                 plan.made(raw, "FILE")
                 lines.append("good")
-            except Unreadable as fault:
+            except InvalidPlanError as fault:
                 lines.append(str(fault))
         with tempfile.TemporaryDirectory() as folder:
             files(
@@ -76,7 +76,7 @@
             for name in ("ring", "far", "odd"):
                 try:
                     plan.read(f"{folder}/{name}.toml")
-                except Unreadable as fault:
+                except InvalidPlanError as fault:
                     lines.append(str(fault).replace(folder, "FOLDER"))
             lines.append(str(plan._whole(f"{folder}/above.toml", 2)))
         self.check("experiment_plans", lines)
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from pierglade.load import plan, run
-from pierglade.simulation.plan import Unreadable
+from pierglade.simulation.plan import InvalidPlanError
 from tests.support.scene import TraceTest
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -130,7 +130,7 @@
                     lines.append(
                         f"{at.tolist()} {[(row.request_class, row.customer, row.size) for row in rows]}"
                     )
-                except Unreadable as fault:
+                except InvalidPlanError as fault:
                     lines.append(str(fault).replace(file.name, "FILE"))
         self.check("load_traces", lines)
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -9,13 +9,12 @@
 from pierglade.model.decision import RejectRequest
 from pierglade.model.outcome import Outcome
 from pierglade.simulation import plan as plans
-from pierglade.simulation import policies as seats
-from pierglade.simulation import simulation as world
+from pierglade.simulation import policies, simulation
 from pierglade.simulation.__main__ import main
-from pierglade.simulation.backend import Backend, Job
+from pierglade.simulation.backend import Job, SimulatedBackend
 from pierglade.simulation.clock import MS, SECOND, Clock
-from pierglade.simulation.distributions import Sizes
-from pierglade.simulation.metrics import Tally
+from pierglade.simulation.distributions import WorkDistribution
+from pierglade.simulation.metrics import Metrics
 from tests.support.scene import TraceTest
 
 
@@ -27,7 +26,7 @@
         seconds=5,
         left_out_s=1,
     )
-    return plans.made({**raw, **changed})
+    return plans.plan_from({**raw, **changed})
 
 
 class Backends(TraceTest):
@@ -36,7 +35,7 @@
 
     def backend(self, overdrive=None, pause=None, drops=True, **kind):
         fleet = plans.Fleet(kind=[], overdrive=overdrive, pause=pause, drops_waiting=drops)
-        return Backend(self.clock, "b", plans.Kind(**kind), fleet)
+        return SimulatedBackend(self.clock, "b", plans.Kind(**kind), fleet)
 
     def offer(self, backend, name, ms, wait=0):
         job = Job(ms * MS, wait * MS, lambda outcome: self.say(f"{name} {outcome}"))
@@ -59,7 +58,7 @@
         self.clock.run(20 * MS)
 
         def slower():
-            backend.slowed = 2.0
+            backend.slowdown = 2.0
 
         backend.change(slower)
         self.say("40 of 100 ms done, twice slower")
@@ -82,13 +81,13 @@
             self.clock.at(n * 100 * MS, self.offer, backend, f"job {n}", 250)
         for tenth in range(1, 300):
             self.clock.run(tenth * 1000.0)
-            tipped = backend.tipped_at is not None
+            tipped = backend.overloaded_since is not None
             if tipped != (self.lines and "tipped" in self.lines[-1]) and "job" not in str(
                 self.lines[-1:]
             ):
                 self.say("tipped" if tipped else "well")
             self.lines = [line for line in self.lines if "job" not in line]
-        self.say(f"tips {backend.tips}")
+        self.say(f"tips {backend.overloads}")
         self.check("lab_overdrive", self.lines)
 
     def test_cold_it_falls_over(self):
@@ -99,7 +98,9 @@
             for n in range(200):
                 self.clock.at(n * gap * MS, self.offer, backend, "job", 10)
             self.clock.run(5 * SECOND)
-            self.lines = [f"a job of 10 ms each {gap} ms: falls {backend.falls}, ran {backend.ran}"]
+            self.lines = [
+                f"a job of 10 ms each {gap} ms: falls {backend.collapses}, ran {backend.executed}"
+            ]
             with self.subTest(gap=gap):
                 self.check(f"lab_cold_{gap}", self.lines)
 
@@ -121,7 +122,7 @@
             ("lognormal", 1.5),
             ("pareto", 2),
         ):
-            sizes = Sizes(np.random.default_rng(1), spread, 50.0, cv)
+            sizes = WorkDistribution(np.random.default_rng(1), spread, 50.0, cv)
             drawn = np.array([sizes.next() for _ in range(200000)])
             lines.append(
                 f"{spread} {cv}: mean {drawn.mean():.0f}, cv {drawn.std() / drawn.mean():.1f}"
@@ -195,10 +196,12 @@
             ("for one, nearly twice", [(30, 10)], [(5, 1), (1, 1.9), (24, 1)]),
             ("to the end", [(30, 10)], [(5, 1), (25, 2)]),
         ):
-            tally = Tally(plan(seconds=30, change=[dict(at_s=5, what="cores", times=0.5)]), Clock())
-            tally.bins["in_time"][:300] = np.concatenate([np.full(s * 10, n) for s, n in rates])
-            tally.beyond = [n for s, n in beyond for _ in range(s * 10)]
-            lines.append(f"{name}: {tally.after_change()}")
+            metrics = Metrics(
+                plan(seconds=30, change=[dict(at_s=5, what="cores", times=0.5)]), Clock()
+            )
+            metrics.bins["in_time"][:300] = np.concatenate([np.full(s * 10, n) for s, n in rates])
+            metrics.relative_load = [n for s, n in beyond for _ in range(s * 10)]
+            lines.append(f"{name}: {metrics.after_change()}")
         self.check("lab_after_change", lines)
 
 
@@ -206,46 +209,56 @@
     """The model must see a broken rule, or its silence on the node would mean nothing."""
 
     def broken(self, spoil, **changed):
-        made = world.World(plan(**changed), "none")
+        made = simulation.Simulation(plan(**changed), "none")
         spoil(made)
         made.clients.start()
         made.clock.run(3 * SECOND)
-        return sorted(made.broken)
+        return sorted(made.rules_broken)
 
     def test_planted(self):
         def twice(made):
-            def ended(attempt, outcome, seat=made.seats[0]):
-                seats.PlainSeat.ended(seat, attempt, outcome)
-                attempt.ask.answered(Outcome.SUCCESS)
+            def ended(attempt, outcome, policy=made.policies[0]):
+                policies.BaselinePolicy.attempt_ended(policy, attempt, outcome)
+                attempt.request.answered(Outcome.SUCCESS)
 
-            made.seats[0].ended = ended
+            made.policies[0].attempt_ended = ended
 
         def again(made):
-            seat, send = made.seats[0], made.send
+            policy, send = made.policies[0], made.send
 
             def ended(attempt, outcome):
-                if attempt.ask.ran < 2:
-                    send(seat, seats.Sent(attempt.ask, "b0"), attempt.ask, "b0", attempt.ask.limit)
+                if attempt.request.executions < 2:
+                    send(
+                        policy,
+                        policies.BaselineAttempt(attempt.request, "b0"),
+                        attempt.request,
+                        "b0",
+                        attempt.request.deadline,
+                    )
 
-            seat.ended = ended
+            policy.attempt_ended = ended
 
         def after(made):
-            seat = made.seats[0]
+            policy = made.policies[0]
 
             def ended(attempt, outcome):
-                if not attempt.ask.over:
-                    seats.PlainSeat.ended(seat, attempt, outcome)
-                if attempt.ask.ran < 2:
+                if not attempt.request.has_answer:
+                    policies.BaselinePolicy.attempt_ended(policy, attempt, outcome)
+                if attempt.request.executions < 2:
                     made.send(
-                        seat, seats.Sent(attempt.ask, "b0"), attempt.ask, "b0", attempt.ask.limit
+                        policy,
+                        policies.BaselineAttempt(attempt.request, "b0"),
+                        attempt.request,
+                        "b0",
+                        attempt.request.deadline,
                     )
 
-            seat.ended = ended
+            policy.attempt_ended = ended
 
         def late(made):
-            seat = made.seats[0]
-            seat.ended = lambda attempt, outcome: made.clock.at(
-                attempt.ask.limit + 1, attempt.ask.answered, RejectRequest
+            policy = made.policies[0]
+            policy.attempt_ended = lambda attempt, outcome: made.clock.at(
+                attempt.request.deadline + 1, attempt.request.answered, RejectRequest
             )
 
         one_shot = [dict(name="pay", work_ms=20, repeats="one-shot")]
@@ -259,6 +272,6 @@
         self.check("lab_rules", lines)
 
     def test_the_same_seed_plays_the_same(self):
-        first, second = (world.play(plan(seconds=3)) for _ in range(2))
+        first, second = (simulation.run_plan(plan(seconds=3)) for _ in range(2))
         self.assertEqual(first, second)
-        self.assertNotEqual(first, world.play(plan(seconds=3, seed=2)))
+        self.assertNotEqual(first, simulation.run_plan(plan(seconds=3, seed=2)))
--- a/tests/testbed/test_stand_in_backend.py
+++ b/tests/testbed/test_stand_in_backend.py
@@ -8,7 +8,7 @@
 import threading
 import time
 
-from pierglade.simulation.plan import Unreadable
+from pierglade.simulation.plan import InvalidPlanError
 from pierglade.testbed import plan as plans
 from pierglade.testbed import run
 from pierglade.testbed.clock import RealClock
@@ -107,7 +107,7 @@
             try:
                 made(**more)
                 lines.append(f"{more}: good")
-            except Unreadable as fault:
+            except InvalidPlanError as fault:
                 lines.append(str(fault))
         self.check("standin_plans", lines)
 
@@ -133,7 +133,7 @@
                 until = time.monotonic() + 5
                 while time.monotonic() < until and set(fleet.agent.entries) != told:
                     time.sleep(0.001)
-                names, cold = sorted(fleet.agent.entries), stand.model.started is not None
+                names, cold = sorted(fleet.agent.entries), stand.model.started_at is not None
                 return lines + [
                     f"    over: {ask(stand.address)}, named {stand.name}, "
                     f"cold since its start {cold}, listed {' '.join(names)}"
