--- a/pierglade/audit/__init__.py
+++ b/pierglade/audit/__init__.py
@@ -1,4 +1,4 @@
-"""Joins what clients and backends wrote down and says for each rule whether it held.
+"""Joins what clients and backends recorded and says for each rule whether it held.
 
-Not for service, and with nothing of the node's code. `pierglade.audit.rules.audit` is the name to start with.
+Not for service, and with nothing of the node's code. Start with `pierglade.audit.rules.audit`.
 """
--- a/pierglade/audit/ledger.py
+++ b/pierglade/audit/ledger.py
@@ -1,73 +1,98 @@
-"""What stand-in backends and clients write down: JSON lines, one place, bounded.
+"""What stand-in backends and clients record: JSON lines, written in bundles, bounded in size.
 
-Written in bundles by whoever calls `flush`, never by the path of an invocation. A line has `t_ms` (Unix
-time), `event`, and as far as known `backend`, `id`, `offering`, `key`, `conn`, `status`. Of backends:
-`arrived` (its last byte has come), `ran`, `never ran`, `error`, `dropped` (its connection ended, and it never
-ran), `called off` (its connection ended, and what runs runs on), `repeat` (a stamped one, dropped as a
-repeat), `listed` (what the list says from now on, `state`), `befalls` (with `what`, `begins` and `backends`),
-`hole`. Of clients: `sent`, `answer`, `left` (the client waits no longer, or its connection broke).
-What can't be written is told as a hole, by a line where that is possible and by `hole` in any case.
+A line has `t_ms` (Unix time), `event`, and as far as known `backend`, `id`, `offering`, `key`,
+`conn`, `status`. Events of backends: `arrived` (the last byte of a request has come), `ran`,
+`never ran`, `error`, `dropped` (the connection ended before the request was executed), `called off`
+(the connection ended while it was executed), `repeat` (a keyed request, dropped as a duplicate),
+`listed` (what the endpoint list says from now on, `state`), `befalls` (a fault, with `what`,
+`begins` and `backends`), `hole`. Events of clients: `sent`, `answer`, `left` (the client waits no
+longer, or its connection broke). What can't be written is recorded as a gap: by a line where that
+is possible, and by `gap` in any case.
 """
 
+import contextlib
 import os
+from collections.abc import Callable
 
 import msgspec
 
+BYTES_PER_MB = 1 << 20
+
 
 class Ledger:
-    """`path`: where to write, empty for nowhere; raises OSError where that can't be opened."""
+    """Records lines in memory until `flush` is called, never on the path of a request.
+
+    Raises OSError where `path` can't be opened; an empty path records nothing. `now_ms()` is the
+    Unix time in ms, of a clock that does not step.
+    """
+
+    def __init__(self, path: str, max_mb: float, now_ms: Callable[[], float]):
+        self._now_ms, self._max_bytes = now_ms, int(max_mb * BYTES_PER_MB)
+        flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
+        self._fd = os.open(path, flags) if path else None
+        self._encode = msgspec.json.Encoder().encode
+        self._lines: list[bytes] = []
+        self._size = 0
+        self.written = 0
+        """Lines written."""
+        self.gap: str | None = None
+        """Why it is not whole."""
+        self.missing = 0
+        """Lines that are not in it."""
 
-    def __init__(self, path, most_mb, now_ms):
-        """`now_ms()` is the Unix time in ms, of a clock that does not step."""
-        self.now_ms, self.most = now_ms, int(most_mb * (1 << 20))
-        self.fd = (
-            os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC) if path else None
-        )
-        self.encode = msgspec.json.Encoder().encode
-        self.lines, self.size, self.written = [], 0, 0
-        self.hole = None  # why it is not whole
-        self.missing = 0  # lines that are not in it
+    @property
+    def is_open(self) -> bool:
+        """Whether anything is recorded."""
+        return self._fd is not None
 
-    def note(self, event, **more):
-        if self.fd is None:
+    @property
+    def pending(self) -> int:
+        """Lines that wait to be written."""
+        return len(self._lines)
+
+    def note(self, event: str, **fields) -> None:
+        """Records an event of now."""
+        if self._fd is None:
             return
-        if self.hole is not None:
+        if self.gap is not None:
             self.missing += 1
             return
-        line = self.encode({"t_ms": round(self.now_ms(), 1), "event": event, **more})
-        if self.size + len(line) + 1 > self.most:
-            self._break("full")
+        line = self._line(event, fields)
+        if self._size + len(line) + 1 > self._max_bytes:
+            self._begin_gap("full")
             self.missing += 1
             return
-        self.size += len(line) + 1
-        self.lines.append(line)
+        self._size += len(line) + 1
+        self._lines.append(line)
+
+    def _line(self, event, fields):
+        return self._encode({"t_ms": round(self._now_ms(), 1), "event": event, **fields})
 
-    def _break(self, why):
-        """From here on it has a hole; the line that says so is written, if anything can be."""
-        self.hole = why
-        self.lines.append(
-            self.encode({"t_ms": round(self.now_ms(), 1), "event": "hole", "why": why})
-        )
+    def _begin_gap(self, reason):
+        """From here on lines are missing; the line that says so is written, if anything can be."""
+        self.gap = reason
+        self._lines.append(self._line("hole", {"why": reason}))
 
-    def flush(self):
-        if self.fd is None or not self.lines:
+    def flush(self) -> None:
+        """Writes what was recorded."""
+        if self._fd is None or not self._lines:
             return
-        data, lines, self.lines = b"\n".join(self.lines) + b"\n", len(self.lines), []
+        data, count = b"\n".join(self._lines) + b"\n", len(self._lines)
+        self._lines = []
         try:
             while data:
-                data = data[os.write(self.fd, data) :]
-            self.written += lines
-        except OSError as fault:
+                data = data[os.write(self._fd, data) :]
+            self.written += count
+        except OSError as error:
             # Part of a line may stand there: whoever reads it finds a last line that is cut off.
-            self.hole, self.missing = fault.strerror or str(fault), self.missing + lines
-            try:
-                os.close(self.fd)
-            except OSError:
-                pass
-            self.fd = None
+            self.gap, self.missing = error.strerror or str(error), self.missing + count
+            with contextlib.suppress(OSError):
+                os.close(self._fd)
+            self._fd = None
 
-    def close(self):
+    def close(self) -> None:
+        """Writes what is pending and closes the file."""
         self.flush()
-        if self.fd is not None:
-            os.close(self.fd)
-            self.fd = None
+        if self._fd is not None:
+            os.close(self._fd)
+            self._fd = None
--- /dev/null
+++ b/pierglade/audit/retry_budget.py
@@ -0,0 +1,61 @@
+"""The retry budget: in any window a node's retries are few beside the requests that it took."""
+
+from collections import defaultdict, deque
+from collections.abc import Iterator
+
+from pierglade.audit.settings import AuditSettings, RetryBudgetRules
+from pierglade.audit.verdict import RequestRecords, Violation
+
+
+def check_retry_budget(
+    settings: AuditSettings,
+    client_rows: list[dict],
+    backend_rows: list[dict],
+    requests: dict[str, RequestRecords],
+) -> Iterator[Violation]:
+    """Violations of the retry budget: one a node."""
+    budget = settings.retry_budget
+    if budget is None:
+        return
+    sent = [row for row in client_rows if row["event"] == "sent"]
+    arrived = [row for row in backend_rows if row["event"] == "arrived" and "id" in row]
+    node_of = {row["id"]: row.get("node", "") for row in sent}
+    windows: defaultdict[str, _Window] = defaultdict(lambda: _Window(budget))
+    attempted, reported = set(), set()
+    for row in sorted(sent + arrived, key=lambda row: (row["t_ms"], row["event"] != "sent")):
+        node = node_of.get(row["id"], "")
+        window = windows[node]
+        if row["event"] == "sent":
+            window.requests.append(row["t_ms"])
+            continue
+        if row["id"] not in attempted:
+            attempted.add(row["id"])
+            continue
+        problem = window.retried(row["t_ms"])
+        if problem and node not in reported:
+            reported.add(node)
+            timeline = requests[row["id"]].timeline()
+            yield Violation("budget", node or "the node", problem, timeline)
+
+
+class _Window:
+    """The requests and retries of a node in the window."""
+
+    def __init__(self, budget: RetryBudgetRules):
+        self._budget = budget
+        self.requests: deque[float] = deque()
+        self._retries: deque[float] = deque()
+
+    def retried(self, now) -> str | None:
+        """Counts a retry; returns what is wrong with it."""
+        budget = self._budget
+        self._retries.append(now)
+        for moments in (self.requests, self._retries):
+            while moments and moments[0] <= now - budget.window_ms:
+                moments.popleft()
+        # What was taken within the slack before the window may still count at the node.
+        allowed = budget.minimum + budget.ratio * (len(self.requests) + budget.ratio) + 1
+        if len(self._retries) <= allowed:
+            return None
+        count, window = len(self._retries), f"{budget.window_ms:.0f} ms"
+        return f"{count} further trips within {window}, {allowed:.1f} are allowed"
--- a/pierglade/cli/audit.py
+++ b/pierglade/cli/audit.py
@@ -65,23 +65,23 @@
         told = {
             "held": held,
             "counts": verdict.counts,
-            "breaks": verdict.breaks,
-            "holes": verdict.holes,
+            "breaks": verdict.violations,
+            "holes": verdict.gaps,
         }
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
     else:
         click.echo(", ".join(f"{name} {count}" for name, count in verdict.counts.items()))
         words = {True: "held", False: "BROKEN", None: "open: the records have a hole"}
         for rule, how in held.items():
-            of_it = [each for each in verdict.breaks if each.rule == rule]
+            of_it = [each for each in verdict.violations if each.rule == rule]
             click.echo(f"{rule:16} {words[how]}" + (f", {len(of_it)} times" if of_it else ""))
             for each in of_it[:BREAKS_SHOWN]:
-                click.echo(f"    {each.who}: {each.what}")
-                for line in each.lines:
+                click.echo(f"    {each.subject}: {each.problem}")
+                for line in each.timeline:
                     click.echo(f"        {line}")
-        for hole in verdict.holes:
-            click.echo(f"hole: {hole.text()}")
-    if verdict.breaks:
+        for gap in verdict.gaps:
+            click.echo(f"hole: {gap.text()}")
+    if verdict.violations:
         sys.exit(RULE_BROKEN)
-    if verdict.holes:
+    if verdict.gaps:
         sys.exit(UNSURE)
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -224,12 +224,12 @@
             "seed": plan.seed,
             **sums.figures(plan, clients, backends, self.samples, self.began_ms),
             "rules": verdict.held(),
-            "breaks": len(verdict.breaks),
-            "holes": [hole.text() for hole in verdict.holes],
+            "breaks": len(verdict.violations),
+            "holes": [hole.text() for hole in verdict.gaps],
             "not_to_be_trusted": self._doubts(),
         }
         _write(self.folder, "summary.json", summary)
-        _write(self.folder, "breaks.json", verdict.breaks)
+        _write(self.folder, "breaks.json", verdict.violations)
         _write(
             self.folder,
             "samples.json",
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -138,14 +138,14 @@
         self.all_sent = True
         self._look_if_done()
         await self.done.wait()
-        if self.ledger.fd is not None:
+        if self.ledger.is_open:
             await asyncio.sleep(LINGER)  # a second answer would come now
         self.pool.close()
         self.ledger.close()
 
     def _flush(self):
         """Whoever stops the run finds all but the last of it written down."""
-        if self.ledger.fd is not None:
+        if self.ledger.is_open:
             self.ledger.flush()
             self.loop.call_later(FLUSH_S, self._flush)
 
@@ -156,7 +156,7 @@
             self.tally.counts["sent"] += 1
             self.tally.add("late", now - planned)
         request = Request(self.data(number, tries), self.ended, (number, planned, now, tries))
-        if self.ledger.fd is not None:
+        if self.ledger.is_open:
             row = self.load.rows[number] if self.load.rows else None
             self.ledger.note(
                 "sent",
@@ -179,10 +179,10 @@
         now = time.monotonic() - self.begins
         self.owed -= 1
         self.tally.add("service", now - sent)
-        if self.ledger.fd is not None:
+        if self.ledger.is_open:
             told = {"status": status} if status else {"why": why or CLOSED}
             self.ledger.note("answer" if status else "left", id=self.id(number, tries), **told)
-            if len(self.ledger.lines) >= BUNDLE:
+            if self.ledger.pending >= BUNDLE:
                 self.ledger.flush()
         again = status != 200 and tries < self.load.retries
         if again:
--- a/pierglade/scale/backends.py
+++ b/pierglade/scale/backends.py
@@ -129,7 +129,7 @@
     def over(self):
         """The ledger is whole."""
         self.ledger.flush()
-        return {"open": sum(map(len, self.open.values())), "hole": self.ledger.hole}
+        return {"open": sum(map(len, self.open.values())), "hole": self.ledger.gap}
 
 
 async def serve(spec):
--- a/pierglade/scale/figures.py
+++ b/pierglade/scale/figures.py
@@ -394,7 +394,7 @@
         "answered": tally.counts["answered"],
         "statuses": dict(sorted(tally.statuses.items())),
         "rules": verdict.held(),
-        "breaks": len(verdict.breaks),
+        "breaks": len(verdict.violations),
         "audited": verdict.counts,
     }
     return wrong, told
@@ -435,7 +435,7 @@
             f"the machine was busy: 99 in 100 straight to a backend took over {BUSY_MS:g} ms more "
             f"than its {plan.backends.answer_ms:g} in {', '.join(busy)}"
         )
-    doubts += [f"hole: {hole.text()}" for hole in verdict.holes]
+    doubts += [f"hole: {hole.text()}" for hole in verdict.gaps]
     return {
         "title": plan.title,
         "seed": plan.seed,
@@ -460,7 +460,7 @@
         "needs": needs(plan, scenes, told),
         "counts": count,
         "wrong": wrong,
-        "breaks": [msgspec.to_builtins(each) for each in verdict.breaks[:5]],
+        "breaks": [msgspec.to_builtins(each) for each in verdict.violations[:5]],
         "last_version": {"after_s": last["after_s"], "index": last["index"]},
         "doubts": doubts,
     }
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -13,6 +13,7 @@
 import orjson
 
 from pierglade.audit import records, rules
+from pierglade.audit.settings import AuditSettings, request_class_rules
 from pierglade.experiment.nodes import HERE, START
 from pierglade.load.tally import Tally
 from pierglade.processes.children import ChildEnded, Children, free_port
@@ -629,15 +630,15 @@
             backends += rows
         backends.sort(key=lambda row: row["t_ms"])
         limit = self.plan.load.limit_ms
-        terms = rules.AuditSettings(
-            grace_ms=500.0,
+        settings = AuditSettings(
+            drain_grace_ms=500.0,
             request_classes={
-                name: (repeats.replace("-", "_"), "all", 0.0, limit)
+                name: request_class_rules(repeats, "all", 0.0, limit)
                 for name, repeats in REPEATS.items()
             },
         )
         verdict = rules.audit(
-            terms, clients, backends, [hole for _, some in read for hole in some] + holes
+            settings, clients, backends, [hole for _, some in read for hole in some] + holes
         )
         return clients, straight, verdict
 
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -206,7 +206,7 @@
             "ledger": {
                 "lines": self.ledger.written,
                 "missing": self.ledger.missing,
-                "hole": self.ledger.hole,
+                "hole": self.ledger.gap,
             },
         }
 
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -67,10 +67,10 @@
 
 
 def judged(plan, budget):
-    """The terms, with slack for a machine busy with other tests; what is planted goes far beyond it."""
-    terms = settings_of_plan(plan, 200.0, budget)
-    terms.slack_ms = 200.0
-    return terms
+    """The settings, with slack for a machine busy with other tests; what is planted goes far beyond it."""
+    settings = settings_of_plan(plan, 200.0, budget)
+    settings.slack_ms = 200.0
+    return settings
 
 
 class Audits(TraceTest):
@@ -132,11 +132,11 @@
             backends, more_holes = records.read(theirs)
             verdict = rules.audit(judged(plan, budget), clients, backends, holes + more_holes)
             kept = self.cut(plan, ours, theirs) if fault == "none" else []
-        broken = sorted({each.rule for each in verdict.breaks})
-        first = verdict.breaks[0] if verdict.breaks else None
+        broken = sorted({each.rule for each in verdict.violations})
+        first = verdict.violations[0] if verdict.violations else None
         return [
-            f"{fault}: {', '.join(broken) or 'all held'}, holes {len(verdict.holes)}, a timeline "
-            f"{bool(first and first.lines)}"
+            f"{fault}: {', '.join(broken) or 'all held'}, holes {len(verdict.gaps)}, a timeline "
+            f"{bool(first and first.timeline)}"
         ] + kept
 
     def cut(self, plan, ours, theirs):
@@ -153,7 +153,7 @@
             backends, more = records.read(theirs)
             verdict = rules.audit(judged(plan, None), clients, backends, holes + more)
             passed = [rule for rule, how in verdict.held().items() if how]
-            lines.append(f"    backends' ledger {what}: held {passed}, {verdict.holes[0].why}")
+            lines.append(f"    backends' ledger {what}: held {passed}, {verdict.gaps[0].reason}")
         return lines
 
     def test_each_planted_fault_and_a_good_run(self):
