--- a/pierglade/experiment/sums.py
+++ b/pierglade/experiment/sums.py
@@ -9,7 +9,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from pierglade.load.tally import DIGITS, HIGHEST, LOWEST, SHARES
+from pierglade.load.recorder import DIGITS, HIGHEST, LOWEST, SHARES
 
 NEVER = -1  # in place of a latency: no answer came
 
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -12,7 +12,7 @@
 
 from pierglade.audit.ledger import Ledger
 from pierglade.load.client import CLOSED, Pool, Request
-from pierglade.load.tally import Tally
+from pierglade.load.recorder import Tally
 
 AHEAD = 0.0005  # s; what is due so soon is sent at once, as the loop's timer is no finer
 LEDGER_MB = 512.0  # of a worker's ledger
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -15,7 +15,7 @@
 from pierglade.audit import records, rules
 from pierglade.audit.settings import AuditSettings, request_class_rules
 from pierglade.experiment.nodes import HERE, START
-from pierglade.load.tally import Tally
+from pierglade.load.recorder import Tally
 from pierglade.processes.children import ChildEnded, Children, free_port
 from pierglade.scale import figures
 from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
