--- a/experiments/admission/floods.py
+++ b/experiments/admission/floods.py
@@ -171,8 +171,8 @@
         load = run.Load(
             node["listen"],
             "/look/x",
-            plan.moments([plan.Shape(rate=RATE, seconds=seconds)], "even", 1),
-            patience_s=1.0,
+            plan.moments([plan.ArrivalPattern(rate=RATE, seconds=seconds)], "even", 1),
+            timeout_s=1.0,
             ledger=children.path("clients.jsonl"),
         )
         tally = run.play(load)
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -124,18 +124,18 @@
         time.sleep(1.0)
         begins = time.monotonic() + 0.5
         ledgers = [children.path(f"clients-{number}") for number in range(NODES)]
-        crew = run.Crew(
+        worker_pool = run.WorkerPool(
             [
                 (
                     run.Load(
                         f"127.0.0.1:{port}",
                         "/look/x",
                         plan.moments(
-                            [plan.Shape(rate=RATE / NODES, seconds=RESTART_AT + AFTER)],
+                            [plan.ArrivalPattern(rate=RATE / NODES, seconds=RESTART_AT + AFTER)],
                             "poisson",
                             seed * 10 + number,
                         ),
-                        patience_s=1.0,
+                        timeout_s=1.0,
                         ledger=ledger,
                     ),
                     (0, 1),
@@ -152,8 +152,8 @@
                 lie(folder, f"n{number}", 3600 if case == "stale" else 1)
             start(number, "b")
             children.running[f"n{number}"][0].terminate()
-        crew.collect()
-        crew.end()
+        worker_pool.collect()
+        worker_pool.end()
         rows = []
         for ledger in ledgers:
             sent = {}
--- a/pierglade/cli/load.py
+++ b/pierglade/cli/load.py
@@ -35,14 +35,14 @@
 
     try:
         if trace:
-            return plan.recorded(trace, speed)
+            return plan.read_trace(trace, speed)
         told = []
         for text in shapes:
             pairs = dict(
                 pair.split("=", 1) if "=" in pair else ("shape", pair) for pair in text.split(",")
             )
-            told.append(msgspec.convert(pairs, plan.Shape, strict=False))
-        told = told or [plan.Shape(rate=rate, seconds=seconds)]
+            told.append(msgspec.convert(pairs, plan.ArrivalPattern, strict=False))
+        told = told or [plan.ArrivalPattern(rate=rate, seconds=seconds)]
         return plan.moments(told, spacing, seed), None
     except (InvalidPlanError, msgspec.ValidationError) as fault:
         fail(str(fault))
@@ -103,6 +103,7 @@
 @click.option("--marks", is_flag=True, help="Mark them with X-Second-Try.")
 @click.option(
     "--leaves",
+    "abandon_share",
     type=click.FloatRange(0, 1),
     default=0.0,
     help="Share of clients that go away early.",
@@ -132,7 +133,7 @@
     one_each,
     retries,
     marks,
-    leaves,
+    abandon_share,
     workers,
     seed,
     ledger,
@@ -160,7 +161,7 @@
         not one_each,
         retries,
         marks=marks,
-        leaves=leaves,
+        abandon_share=abandon_share,
         seed=seed,
         rows=rows,
         ledger=ledger,
@@ -171,7 +172,7 @@
     stopped = False
     try:
         tally = run.play(load_of, workers)
-    except run.Void as fault:
+    except run.InvalidRunError as fault:
         fail(str(fault), UNSURE)
     except KeyboardInterrupt as fault:
         stopped, tally = True, fault.args[0] if fault.args else None
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -12,7 +12,7 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.load.plan import Recorded, Shape, moments
+from pierglade.load.plan import ArrivalPattern, RecordedRequest, moments
 from pierglade.simulation.plan import (
     Count,
     InvalidPlanError,
@@ -36,7 +36,8 @@
     retry_ms: NotNegative = 200.0  # the wait before the first of them; then doubled, if `doubled`
     doubled: bool = True
     marks: bool = True  # they mark them with X-Second-Try
-    leaves: Share = 0.0  # go away after half of their patience
+    # go away after half of their patience
+    abandon_share: Share = msgspec.field(name="leaves", default=0.0)
     kept: bool = True  # connections are used again
     processes: Count = 1  # that send to each node
 
@@ -70,7 +71,7 @@
 
 class Experiment(Struct):
     fleet: fleets.Plan
-    load: Annotated[list[Shape], Meta(min_length=1)]
+    load: Annotated[list[ArrivalPattern], Meta(min_length=1)]
     title: str = ""
     seed: int = 1
     clients: Clients = msgspec.field(default_factory=Clients)
@@ -82,7 +83,7 @@
     def seconds(self):
         return sum(shape.seconds for shape in self.load)
 
-    def patience_s(self):
+    def timeout_s(self):
         return (
             self.clients.patience_ms or max(o.hard_limit_ms for o in self.fleet.request_class)
         ) / 1000
@@ -103,7 +104,7 @@
         request_classes = drawn(self.fleet.request_class)
         members = drawn(self.member) if self.member else None
         rows = [
-            Recorded(
+            RecordedRequest(
                 float(moment),
                 self.fleet.request_class[request_class].name,
                 self.member[members[number]].name if self.member else "",
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -41,11 +41,11 @@
                 one.whole()
             finally:
                 one.over.set()
-                if one.crew is not None:
-                    one.crew.end()
+                if one.worker_pool is not None:
+                    one.worker_pool.end()
     except ChildEnded as fault:
         raise Failed(str(fault)) from None
-    except loads.Void as fault:
+    except loads.InvalidRunError as fault:
         raise Failed(str(fault)) from None
     except Stopped as fault:
         if one.begins is None or time.monotonic() <= one.begins:
@@ -59,7 +59,7 @@
 class _Play:
     def __init__(self, plan, folder, build, progress):
         self.plan, self.folder, self.build, self.progress = plan, folder, build, progress
-        self.children = self.crew = self.begins = self.began_ms = None
+        self.children = self.worker_pool = self.begins = self.began_ms = None
         self.stopped, self.fleet_said, self.tally = "", {}, None
         self.samples, self.left_out = [], []
         self.over = threading.Event()
@@ -91,7 +91,7 @@
         self.begins = self.began_ms / 1000 - ahead
         if time.monotonic() > self.begins - 0.2:
             raise Failed("the nodes took too long to start")
-        self.crew = loads.Crew([(load, (0, 1)) for load in self._loads()], self.begins)
+        self.worker_pool = loads.WorkerPool([(load, (0, 1)) for load in self._loads()], self.begins)
         askers = [
             threading.Thread(target=self._ask, args=(number, management), daemon=True)
             for number, management in enumerate(managements)
@@ -100,7 +100,7 @@
         for asker in askers:
             asker.start()
         self._watch()
-        self.tally = self.crew.collect()
+        self.tally = self.worker_pool.collect()
         self.over.set()
         for asker in askers:
             asker.join()
@@ -148,12 +148,12 @@
                 self.nodes[node][1],
                 "/",
                 at[mine],
-                patience_s=plan.patience_s(),
+                timeout_s=plan.timeout_s(),
                 keeps=clients.kept,
                 retries=clients.retries,
                 retry_s=clients.retry_ms / 1000,
                 marks=clients.marks,
-                leaves=clients.leaves,
+                abandon_share=clients.abandon_share,
                 seed=plan.seed + number,
                 doubled=clients.doubled,
                 repeats=repeats,
@@ -166,7 +166,7 @@
         """Samples the nodes while the load runs."""
         processes = [psutil.Process(process.pid) for process, _ in self.nodes]
         seconds = self.plan.seconds()
-        while self.crew.running():
+        while self.worker_pool.running():
             self.children.look()
             now = time.monotonic() - self.begins
             try:
--- a/pierglade/load/client.py
+++ b/pierglade/load/client.py
@@ -50,7 +50,7 @@
         request, self.request = self.request, None
         if request is None:
             if self.last is not None:
-                self.pool.unasked(self.last, status)
+                self.pool.on_unsolicited(self.last, status)
             return self.transport.abort()  # nobody asked: it must not answer the next request
         self.last = request
         backend = self.backend
@@ -96,12 +96,14 @@
         host, _, port = address.rpartition(":")
         self.place, self.loop, self.keeps = (host, int(port)), loop, keeps
         self.idle, self.open, self.most = [], 0, 0
-        self.unasked = lambda request, status: None  # told of an answer behind the one to `request`
+        self.on_unsolicited = lambda request, status: (
+            None
+        )  # told of an answer behind the one to `request`
         self.tasks = set()
 
-    def send(self, request, patience_s):
+    def send(self, request, timeout_s):
         """Sends it now; it ends by itself after `patience_s`, its connection with it."""
-        request.timer = self.loop.call_later(patience_s, self._out_of_patience, request)
+        request.timer = self.loop.call_later(timeout_s, self._out_of_patience, request)
         while self.idle:
             connection = self.idle.pop()
             if not connection.transport.is_closing():
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -17,7 +17,7 @@
 WAVE = 32  # points that a wave's rate is drawn with in each of its turns
 
 
-class Shape(Struct):
+class ArrivalPattern(Struct):
     """A stretch of the load; rates are requests a second."""
 
     shape: Literal["steady", "ramp", "surge", "wave"] = "steady"
@@ -73,7 +73,7 @@
     return at[piece] + 2 * rest / np.maximum(first + root, 1e-12)
 
 
-class Recorded(msgspec.Struct):
+class RecordedRequest(msgspec.Struct):
     """A request of a recorded trace."""
 
     at_s: float
@@ -82,7 +82,7 @@
     size: int = 0
 
 
-def recorded(path, speed=1.0):
+def read_trace(path, speed=1.0):
     """The requests of a trace, CSV with a head line or JSON lines, as (moments, [Recorded]).
 
     Columns: `offset` (s from the start, or `at_s`), `offering`, `customer`, `size`. `speed`: 2 is twice as
@@ -118,7 +118,9 @@
         ) from None
     if not 0 <= at_s < 1e7 or not 0 <= size <= 1 << 26:
         raise InvalidPlanError(f"{path}:{number}: offset {at_s:g} or size {size} is out of bounds")
-    return Recorded(at_s, str(told.get("offering") or ""), str(told.get("customer") or ""), size)
+    return RecordedRequest(
+        at_s, str(told.get("offering") or ""), str(told.get("customer") or ""), size
+    )
 
 
 def _csv_rows(path, text):
--- a/pierglade/load/recorder.py
+++ b/pierglade/load/recorder.py
@@ -1,4 +1,4 @@
-"""What a load saw: three histograms and counts, which add up over workers."""
+"""Latency histograms and counts of a load, which add up over worker processes."""
 
 import msgspec
 from hdrh.histogram import HdrHistogram
@@ -11,53 +11,57 @@
 )
 
 
-class Tally:
-    """`latency`: from the planned moment to the answer, or until it failed; `service`: from the send; `late`:
-    from the planned moment to the send. All of them in microseconds."""
+class LatencyRecorder:
+    """Histograms in microseconds, and counts.
+
+    `latency`: from the planned moment to the answer or failure; `service`: from the send; `late`: from
+    the planned moment to the send.
+    """
 
     def __init__(self):
-        self.of = {kind: HdrHistogram(LOWEST, HIGHEST, DIGITS) for kind in KINDS}
+        self.histograms = {kind: HdrHistogram(LOWEST, HIGHEST, DIGITS) for kind in KINDS}
         self.counts = dict.fromkeys(("planned", "sent", "answered", "failed"), 0)
         self.statuses = {}
 
-    def add(self, kind, seconds):
-        self.of[kind].record_value(min(HIGHEST, max(LOWEST, int(seconds * 1e6))))
+    def add(self, kind: str, seconds: float) -> None:
+        """Records a span of one of KINDS."""
+        self.histograms[kind].record_value(min(HIGHEST, max(LOWEST, int(seconds * 1e6))))
 
-    def ended(self, status, why):
-        good = status == 200
+    def ended(self, status: int, reason: str | None) -> None:
+        """Counts the end of a request: its status, or why it has none."""
         self.counts["answered" if status else "failed"] += 1
-        name = str(status) if status else why
+        name = str(status) if status else reason
         self.statuses[name] = self.statuses.get(name, 0) + 1
-        return good
 
-    def packed(self):
-        """What another process adds up again."""
+    def encoded(self) -> bytes:
+        """What another process merges."""
         return msgspec.json.encode(
             {
                 "counts": self.counts,
                 "statuses": self.statuses,
-                "of": {kind: of.encode().decode() for kind, of in self.of.items()},
+                "of": {kind: each.encode().decode() for kind, each in self.histograms.items()},
             }
         )
 
-    def add_up(self, packed):
-        told = msgspec.json.decode(packed)
-        for name, count in told["counts"].items():
+    def merge(self, encoded: bytes) -> None:
+        """Adds what another recorder saw."""
+        other = msgspec.json.decode(encoded)
+        for name, count in other["counts"].items():
             self.counts[name] += count
-        for name, count in told["statuses"].items():
+        for name, count in other["statuses"].items():
             self.statuses[name] = self.statuses.get(name, 0) + count
-        for kind, encoded in told["of"].items():
-            self.of[kind].decode_and_add(encoded)
+        for kind, histogram in other["of"].items():
+            self.histograms[kind].decode_and_add(histogram)
 
     def figures(self, kind):
         """In ms: p50, p90, p99, p999 and max."""
-        of = self.of[kind]
-        if not of.total_count:
+        histogram = self.histograms[kind]
+        if not histogram.total_count:
             return dict.fromkeys((*SHARES, "max"), 0.0)
-        told = {name: of.get_value_at_percentile(share) for name, share in SHARES.items()}
+        values = {name: histogram.get_value_at_percentile(share) for name, share in SHARES.items()}
         return {
             name: round(value / 1000, 3)
-            for name, value in {**told, "max": of.get_max_value()}.items()
+            for name, value in {**values, "max": histogram.get_max_value()}.items()
         }
 
     def summary(self, more=()):
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -12,17 +12,17 @@
 
 from pierglade.audit.ledger import Ledger
 from pierglade.load.client import CLOSED, Pool, Request
-from pierglade.load.recorder import Tally
+from pierglade.load.recorder import LatencyRecorder
 
 AHEAD = 0.0005  # s; what is due so soon is sent at once, as the loop's timer is no finer
 LEDGER_MB = 512.0  # of a worker's ledger
-BUNDLE = 500  # lines of it that are written at once
+FLUSH_LINES = 500  # lines of it that are written at once
 FLUSH_S = 0.25  # s; no line of it waits longer
-LINGER = 0.3  # s; with a ledger, for answers that nobody asked for
+LINGER_S = 0.3  # s; with a ledger, for answers that nobody asked for
 MOST_OPEN = 20000  # connections of a worker; beyond it requests fail, and say so
 
 
-class Void(Exception):
+class InvalidRunError(Exception):
     """The run says nothing; one line that tells why."""
 
 
@@ -43,12 +43,12 @@
         moments,
         method="GET",
         headers=(),
-        patience_s=10.0,
+        timeout_s=10.0,
         keeps=True,
         retries=0,
         retry_s=0.2,
         marks=False,
-        leaves=0.0,
+        abandon_share=0.0,
         seed=1,
         rows=None,
         body=b"",
@@ -58,19 +58,19 @@
         node="",
     ):
         self.target, self.path, self.moments, self.method = target, path, moments, method
-        self.headers, self.patience_s, self.keeps = list(headers), patience_s, keeps
-        self.retries, self.retry_s, self.marks, self.leaves, self.seed = (
+        self.headers, self.timeout_s, self.keeps = list(headers), timeout_s, keeps
+        self.retries, self.retry_s, self.marks, self.abandon_share, self.seed = (
             retries,
             retry_s,
             marks,
-            leaves,
+            abandon_share,
             seed,
         )
         self.rows, self.body, self.ledger = rows, body, ledger
         self.doubled, self.repeats, self.node = doubled, repeats, node
 
 
-class _Player:
+class _Sender:
     def __init__(self, load, share, begins, tally):
         self.load, self.tally, self.loop = load, tally, asyncio.get_running_loop()
         self.pool = Pool(load.target, self.loop, load.keeps)
@@ -85,7 +85,7 @@
         ahead = time.time() - time.monotonic()  # one clock with the backends', and no step of it
         path = load.ledger and (load.ledger if share[1] == 1 else f"{load.ledger}.{share[0]}")
         self.ledger = Ledger(path, LEDGER_MB, lambda: (ahead + time.monotonic()) * 1000)
-        self.pool.unasked = self._unasked
+        self.pool.on_unsolicited = self._unsolicited
         self.request_class = (
             load.path.split("/")[1].partition("?")[0] if load.path[:1] == "/" else ""
         )
@@ -100,7 +100,7 @@
             f"{method} {path} HTTP/1.1",
             f"Host: {load.target}",
             f"X-Trace-Id: {self.id(number, tries)}",
-            f"X-Expires-In-Ms: {max(1, int(load.patience_s * 1000))}",
+            f"X-Expires-In-Ms: {max(1, int(load.timeout_s * 1000))}",
             *load.headers,
         ]
         if row and row.customer:
@@ -117,7 +117,7 @@
     def id(self, number, tries):
         return f"{self.prefix}-{number}-{tries}"
 
-    def _unasked(self, request, status):
+    def _unsolicited(self, request, status):
         """An answer to what was answered already."""
         number, _, _, tries = request.what
         self.ledger.note("answer", id=self.id(number, tries), status=status, unasked=True)
@@ -139,7 +139,7 @@
         self._look_if_done()
         await self.done.wait()
         if self.ledger.is_open:
-            await asyncio.sleep(LINGER)  # a second answer would come now
+            await asyncio.sleep(LINGER_S)  # a second answer would come now
         self.pool.close()
         self.ledger.close()
 
@@ -170,9 +170,9 @@
         if self.pool.open >= self.most_open and not self.pool.idle:
             request.timer = self.loop.call_later(0, lambda: None)
             return self.pool.ended(request, 0, "", "too many connections")
-        self.pool.send(request, self.load.patience_s)
-        if self.load.leaves and self.chance() < self.load.leaves:
-            self.loop.call_later(self.load.patience_s / 2, self.pool.leave, request)
+        self.pool.send(request, self.load.timeout_s)
+        if self.load.abandon_share and self.chance() < self.load.abandon_share:
+            self.loop.call_later(self.load.timeout_s / 2, self.pool.leave, request)
 
     def ended(self, request, status, backend, why):
         number, planned, sent, tries = request.what
@@ -182,7 +182,7 @@
         if self.ledger.is_open:
             told = {"status": status} if status else {"why": why or CLOSED}
             self.ledger.note("answer" if status else "left", id=self.id(number, tries), **told)
-            if self.ledger.pending >= BUNDLE:
+            if self.ledger.pending >= FLUSH_LINES:
                 self.ledger.flush()
         again = status != 200 and tries < self.load.retries
         if again:
@@ -207,15 +207,15 @@
     """One worker process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
-    tally = Tally()
+    tally = LatencyRecorder()
 
     async def whole():
-        await _Player(load, share, begins, tally).play()
+        await _Sender(load, share, begins, tally).play()
 
     gc.freeze()
     gc.disable()  # a collection is a stall of the sender; what it leaves is bounded by the plan
     asyncio.run(whole())
-    pipe.send_bytes(tally.packed())
+    pipe.send_bytes(tally.encoded())
     pipe.close()
 
 
@@ -229,30 +229,30 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # a stall takes a connection a request
     begins = time.monotonic() + (0.05 if workers == 1 else 0.3 + 0.1 * workers)
     if workers == 1:
-        tally = Tally()
+        tally = LatencyRecorder()
 
         async def whole():
-            await _Player(load, (0, 1), begins, tally).play()
+            await _Sender(load, (0, 1), begins, tally).play()
 
         try:
             asyncio.run(whole())
         except KeyboardInterrupt:
             raise KeyboardInterrupt(tally) from None
         return tally
-    crew = Crew([(load, (number, workers)) for number in range(workers)], begins)
+    worker_pool = WorkerPool([(load, (number, workers)) for number in range(workers)], begins)
     try:
-        return crew.collect()
+        return worker_pool.collect()
     except KeyboardInterrupt:
-        raise KeyboardInterrupt(crew.tally) from None
+        raise KeyboardInterrupt(worker_pool.tally) from None
     finally:
-        crew.end()
+        worker_pool.end()
 
 
-class Crew:
+class WorkerPool:
     """Processes that send at once. `jobs`: a (Load, share) each; `begins`: the monotonic moment of all."""
 
     def __init__(self, jobs, begins):
-        self.tally, self.children = Tally(), []
+        self.tally, self.children = LatencyRecorder(), []
         context = multiprocessing.get_context("fork")
         for load, share in jobs:
             ours, theirs = context.Pipe(False)
@@ -265,11 +265,11 @@
         """The Tally of all, once the last has ended; raises Void where one did not come to its end."""
         for number, (child, pipe) in enumerate(self.children):
             try:
-                self.tally.add_up(pipe.recv_bytes())
+                self.tally.merge(pipe.recv_bytes())
             except EOFError:
                 child.join()
                 how = f"worker {number} ended with {child.exitcode} before its plan"
-                raise Void(f"{how}; the run is void") from None
+                raise InvalidRunError(f"{how}; the run is void") from None
         return self.tally
 
     def running(self):
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -15,7 +15,7 @@
 from pierglade.audit import records, rules
 from pierglade.audit.settings import AuditSettings, request_class_rules
 from pierglade.experiment.nodes import HERE, START
-from pierglade.load.recorder import Tally
+from pierglade.load.recorder import LatencyRecorder
 from pierglade.processes.children import ChildEnded, Children, free_port
 from pierglade.scale import figures
 from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
@@ -297,9 +297,9 @@
 
     def _collect(self):
         """The Tally of all senders, each of which has heard all its answers."""
-        tally = Tally()
+        tally = LatencyRecorder()
         for name in self.senders:
-            tally.add_up(self.get(name)["tally"].encode())
+            tally.merge(self.get(name)["tally"].encode())
         return tally
 
     # The scenes.
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from pierglade.load import run as loads
-from pierglade.load.plan import Recorded, Shape, moments
+from pierglade.load.plan import ArrivalPattern, RecordedRequest, moments
 from pierglade.scale import child
 from pierglade.scale.plan import REPEATS, Plan
 
@@ -21,19 +21,21 @@
 def load_of(spec):
     """Requests of chance, each of one offering and one tenant; the same for the same plan and number."""
     plan, seed = msgspec.convert(spec["plan"], Plan), [spec["plan"]["seed"], spec["number"]]
-    at = moments([Shape(seconds=plan.seconds(), rate=plan.load.rate)], plan.load.spacing, seed)
+    at = moments(
+        [ArrivalPattern(seconds=plan.seconds(), rate=plan.load.rate)], plan.load.spacing, seed
+    )
     chance = np.random.default_rng([*seed, 1])
     one_shot = chance.random(len(at)) < plan.load.one_shot
     tenants = chance.integers(plan.tenants.count, size=len(at))
     rows = [
-        Recorded(float(moment), "pay" if once else "look", f"tenant-{tenant}")
+        RecordedRequest(float(moment), "pay" if once else "look", f"tenant-{tenant}")
         for moment, once, tenant in zip(at, one_shot, tenants)
     ]
     return loads.Load(
         spec["target"],
         "/",
         at,
-        patience_s=plan.load.limit_ms / 1000,
+        timeout_s=plan.load.limit_ms / 1000,
         seed=sum(seed),
         rows=rows,
         repeats=REPEATS,
@@ -58,7 +60,7 @@
     gc.freeze()
     gc.disable()  # a collection is a stall of the sender; what it leaves is bounded by the plan
     tally = loads.play(load)
-    child.say({"tally": tally.packed().decode()})
+    child.say({"tally": tally.encoded().decode()})
     threading.Event().wait()
 
 
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -112,14 +112,16 @@
             )
             try:
                 where = json.loads(node.stdout.readline())["listen"]
-                moments = loads.moments([loads.Shape(rate=60, seconds=1.5)], "even", 1) + 0.3
+                moments = (
+                    loads.moments([loads.ArrivalPattern(rate=60, seconds=1.5)], "even", 1) + 0.3
+                )
                 run.play(
                     run.Load(
                         where,
                         path,
                         moments,
                         method,
-                        patience_s=0.3 if fault == "left" else 3.0,
+                        timeout_s=0.3 if fault == "left" else 3.0,
                         ledger=ours,
                     )
                 )
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -67,7 +67,9 @@
         A busy machine may add to them; a load that waits for its answers shows 0.001 s."""
         target = Target(0.7, 0.6)
         load = run.Load(
-            target.address, "/look/x", plan.moments([plan.Shape(rate=200, seconds=2)], "even", 1)
+            target.address,
+            "/look/x",
+            plan.moments([plan.ArrivalPattern(rate=200, seconds=2)], "even", 1),
         )
         result = run.play(load).summary()
         target.end()
@@ -85,15 +87,18 @@
         """So many as the area under the rate, and at the moments at which it is reached."""
         lines = []
         for told, spacing in (
-            ([plan.Shape(rate=100, seconds=2)], "even"),
-            ([plan.Shape(shape="ramp", rate=0, to=200, seconds=2)], "even"),
-            ([plan.Shape(shape="wave", rate=50, to=150, seconds=10)], "even"),
+            ([plan.ArrivalPattern(rate=100, seconds=2)], "even"),
+            ([plan.ArrivalPattern(shape="ramp", rate=0, to=200, seconds=2)], "even"),
+            ([plan.ArrivalPattern(shape="wave", rate=50, to=150, seconds=10)], "even"),
             (
-                [plan.Shape(rate=10, seconds=1), plan.Shape(shape="surge", rate=10, seconds=1)],
+                [
+                    plan.ArrivalPattern(rate=10, seconds=1),
+                    plan.ArrivalPattern(shape="surge", rate=10, seconds=1),
+                ],
                 "even",
             ),
-            ([plan.Shape(rate=1000, seconds=10)], "poisson"),
-            ([plan.Shape(rate=0, seconds=1)], "even"),
+            ([plan.ArrivalPattern(rate=1000, seconds=10)], "poisson"),
+            ([plan.ArrivalPattern(rate=0, seconds=1)], "even"),
         ):
             at = plan.moments(told, spacing, 3)
             counts = np.histogram(at, bins=4, range=(0, sum(s.seconds for s in told)))[0]
@@ -126,7 +131,7 @@
                 file.write(text)
                 file.flush()
                 try:
-                    at, rows = plan.recorded(file.name, 2.0)
+                    at, rows = plan.read_trace(file.name, 2.0)
                     lines.append(
                         f"{at.tolist()} {[(row.request_class, row.customer, row.size) for row in rows]}"
                     )
@@ -137,7 +142,7 @@
     def test_a_worker_that_is_killed_voids_the_run(self):
         target = Target()
         load = run.Load(
-            target.address, "/", plan.moments([plan.Shape(rate=50, seconds=30)], "even", 1)
+            target.address, "/", plan.moments([plan.ArrivalPattern(rate=50, seconds=30)], "even", 1)
         )
         work = run._work
 
@@ -147,7 +152,7 @@
             work(load, share, begins, pipe)
 
         load.moments = load.moments[:20]
-        with mock.patch.object(run, "_work", dies), self.assertRaises(run.Void) as void:
+        with mock.patch.object(run, "_work", dies), self.assertRaises(run.InvalidRunError) as void:
             run.play(load, 2)
         target.end()
         self.check("load_void", [str(void.exception)])
