--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -1,5 +1,6 @@
 """What outlives a restart: the form under damage, what age leaves of it, and files under every kind of trouble."""
 
+import fcntl
 import json
 import os
 import pathlib
@@ -257,7 +258,92 @@
     return good, torn, none
 
 
+class NoticedLock:
+    """A lock that sets an event when a second thread is about to wait for it."""
+
+    def __init__(self, waited_for):
+        self.lock, self.waited_for = threading.Lock(), waited_for
+
+    def __enter__(self):
+        if not self.lock.acquire(blocking=False):
+            self.waited_for.set()
+            self.lock.acquire()
+
+    def __exit__(self, *_):
+        self.lock.release()
+
+
+def crossed(folder, call, first, second):
+    """Runs `second` while `first` is held behind its first `call` (as "os.fsync"); what each returned.
+
+    `first` goes on when `second` has ended or waits for the lock of the folder: events alone, no spans.
+    """
+    held, arrived, results = threading.Event(), threading.Event(), {}
+    folder.writing = NoticedLock(arrived)
+    module, name = call.split(".")
+    real = getattr({"os": os, "fcntl": fcntl}[module], name)
+
+    def hold(*args):
+        result = real(*args)
+        if not held.is_set():
+            held.set()
+            arrived.wait(20)
+        return result
+
+    def run(what, work):
+        try:
+            results[what] = work()
+        except OSError as error:
+            results[what] = error
+        if what == "second":
+            arrived.set()
+
+    with mock.patch(call, hold):
+        threads = [
+            threading.Thread(target=run, args=("first", first)),
+            threading.Thread(target=run, args=("second", second)),
+        ]
+        threads[0].start()
+        held.wait(20)
+        threads[1].start()
+        for thread in threads:
+            thread.join(20)
+    return results["first"], results["second"]
+
+
 class Files(TraceTest):
+    def test_two_writings_that_cross_follow_each_other(self):
+        """The last writing at SIGTERM meets the periodic one: both are kept, the later as the newest."""
+        with tempfile.TemporaryDirectory() as path:
+            folder = files.Folder(path, "n1")
+            self.addCleanup(folder.release)
+            locked = crossed(folder, "fcntl.flock", folder.lock_it, folder.lock_it)
+            self.assertEqual(locked, (True, True))
+            folder.write(form.encode(snapshot(written=1)))
+            written = crossed(
+                folder,
+                "os.fsync",
+                lambda: folder.write(form.encode(snapshot(written=2))),
+                lambda: folder.write(form.encode(snapshot(written=3))),
+            )
+            self.assertEqual(written, (None, None))
+            kept = {name: one.written for name, one in files.found(path)}
+            self.assertEqual(kept, {"n1.learned": 3, "n1.learned.1": 2})
+
+    def test_parts_of_killed_processes_do_not_pile_up(self):
+        """A writing removes the parts of its own node, of this form and the one before, and no other's."""
+        with tempfile.TemporaryDirectory() as path:
+            for name in ("n1.learned.part", "n1.learned.7-1.part", "n1.x.learned.7-1.part"):
+                pathlib.Path(path, name).write_bytes(b"PG")
+            folder = files.Folder(path, "n1")
+            self.addCleanup(folder.release)
+            folder.lock_it()
+            self.assertEqual(len(list(files.found(path))), 3)
+            folder.write(form.encode(snapshot()))
+            self.assertEqual(
+                [name for name, _ in files.found(path)], ["n1.learned", "n1.x.learned.7-1.part"]
+            )
+
     def test_killed_while_writing(self):
         """The full thousand: python -c 'from tests.snapshot.test_snapshot import *; print(killed_while_writing(1000))'."""
         self.assertEqual(killed_while_writing(8), (8, 0, 0))
