--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -125,6 +125,33 @@
         self.check("learned_versions", lines)
 
 
+class EarlierBuilds(TraceTest):
+    """Files that earlier builds wrote (tests/snapshot/fixtures/README.md)."""
+
+    def test_a_file_of_13653db_is_read_and_restored(self):
+        path = pathlib.Path(__file__).parent / "fixtures" / "13653db.learned"
+        one = files.load(path)
+        self.assertEqual(form.decode(form.encode(one)), one)
+        self.assertEqual(form.encode(one), path.read_bytes())
+        desk = Desk(["b0", "b1"])
+        desk.reducer.now = one.written
+        line = desk.reducer.remember(one, 60 * S)
+        node = desk.reducer.node
+        lines = [line, f"written {one.written} by {one.node}, list {one.index}, asked {one.asked}"]
+        lines += [
+            f"{o.name}: typical {row.typical:.6f} of {row.answers}, skew {row.skew:.6f}, "
+            f"left {row.usual_left} of {row.usual_votes}"
+            for o, row in zip(desk.reducer.settings.request_classes, node.table)
+        ]
+        for name in ("b0", "b1"):
+            b = node.index[name]
+            lines.append(
+                f"{name}: level {node.level[b]:.6f}, quick {node.quick[b]:.6f}, "
+                f"pause {node.mean_pause[b]}, work {node.work[b]}, window {node.window[b]}"
+            )
+        self.check("snapshot_of_13653db", lines)
+
+
 class Ages(TraceTest):
     def remembered(self, one, at_s=100, entries=("b0",), half_life_s=60):
         """What a fresh node that starts `at_s` takes back."""
