--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -73,13 +73,13 @@
 
 def lie(folder, name, age_s):
     """Turns the snapshot of a node into what the page above calls a lie."""
-    kept = files.Folder(folder, name)
+    kept = files.SnapshotStore(folder, name)
     one, _, _ = kept.read()
-    one.written = int(time.time() * 10000 - age_s * 10000)
+    one.written_at = int(time.time() * 10000 - age_s * 10000)
     for row in one.request_classes.values():
         row["typical"] *= 2
     for backend in one.backends.values():
-        told = backend.figures
+        told = backend.statistics
         told["level"] = 3.0 if told["level"] < 1.5 else 0.5
         told["mean_pause"] = 40000
         told["pauses"] = []
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -35,7 +35,7 @@
             node.pauses[b] = deque(range(0, 9000, 1000))
             node.work_due[b] = 9000.0
         with tempfile.TemporaryDirectory(dir=".") as path:
-            folder = files.Folder(path, "n1")
+            folder = files.SnapshotStore(path, "n1")
 
             def gather():
                 request_classes, backends, _, entries = desk.reducer.kept(
@@ -47,7 +47,7 @@
                     0,
                     0.0,
                     request_classes,
-                    {name: form.Backend(*told) for name, told in backends.items()},
+                    {name: form.StoredBackend(*told) for name, told in backends.items()},
                     1,
                     entries,
                 )
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -12,14 +12,14 @@
 
 
 def _age(snapshot):
-    return time.time() - snapshot.written / 10000
+    return time.time() - snapshot.written_at / 10000
 
 
 def _found(folder):
     from pierglade.snapshot import store as files
 
     try:
-        return list(files.found(folder))
+        return list(files.find_snapshots(folder))
     except OSError as fault:
         fail(f"{folder}: {fault.strerror}")
 
@@ -44,7 +44,7 @@
 
     try:
         snapshot = files.load(file)
-    except (OSError, form.Spoilt) as fault:
+    except (OSError, form.CorruptSnapshotError) as fault:
         fail(f"{file}: {_why(fault)}", UNUSABLE)
     told = {"age_s": round(_age(snapshot), 1), **msgspec.to_builtins(snapshot)}
     click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -72,12 +72,14 @@
         self.learning = None
         if place.keeping is not None:
             # loads what a node without a folder need not
-            from pierglade.proxy.snapshot_writer import Keeping, Learning
+            from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 
-            self.learning = Learning(self, Keeping(*place.keeping), place.name)
-        self.reducer.known(self.learning.list_or(place.known) if self.learning else place.known)
+            self.learning = SnapshotWriter(self, SnapshotSettings(*place.keeping), place.name)
+        self.reducer.known(
+            self.learning.newer_endpoints(place.known) if self.learning else place.known
+        )
         if self.learning:
-            self.learning.remember()
+            self.learning.restore()
         self.fixed = place.known if place.discovery is None else None  # a list that nobody tells of
         # From the version that is known: forty whole lists at once keep a discovery busy for seconds.
         self.follow(place.discovery, self.reducer.index)
@@ -127,7 +129,7 @@
             self._stop()
         self.done.wait()
         if self.learning:
-            self.learning.last()
+            self.learning.write_final()
         self.note("stopped")
         self.log.flush()
         return 0
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -1,23 +1,28 @@
-"""Keeps what a node has learned, beside its work: gathered in the loop, written by a thread, never waited
-for."""
+"""Writes what a node has learned, beside its work: gathered in the event loop, written by a thread.
+
+Requests never wait for the disk.
+"""
 
 import random
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import gevent
 
-from pierglade.snapshot import aging as ageing
-from pierglade.snapshot import schema as form
-from pierglade.snapshot.store import Folder
+from pierglade.snapshot import aging, schema
+from pierglade.snapshot.store import SnapshotStore
+
+if TYPE_CHECKING:
+    from pierglade.proxy.server import ProxyServer
 
-JITTER = 0.2  # share of the period, by chance: nodes that start together must not write together
-GAPS = 16  # times the period; the longest gap between tries where nothing can be written
-LAST_S = 0.6  # s; for the last writing at the end, which may come a moment before SIGKILL
+JITTER = 0.2  # share of the period, random: nodes that start together must not write together
+MAX_BACKOFF = 16  # times the period; the longest gap between tries where nothing can be written
+FINAL_WRITE_S = 0.6  # s; SIGKILL may follow a moment later
 
 
 @dataclass(slots=True)
-class Keeping:
-    """What the operator's file says of it."""
+class SnapshotSettings:
+    """The `[learning]` table of the operator's file."""
 
     folder: str
     every_s: float
@@ -25,95 +30,99 @@
     most_mb: float
 
 
-class Learning:
-    def __init__(self, host, keeping, name):
-        self.host, self.keeping = host, keeping
-        self.began = host.clock.now()
-        self.work_at, self.work, self.asked = self.began, 0, 0.0
-        self.gap, self.why = 1, ""
-        self.files, self.snapshot = None, None
+class SnapshotWriter:
+    """Restores a node's snapshot at its start and writes a new one periodically and at its end."""
+
+    def __init__(self, host: "ProxyServer", settings: SnapshotSettings, name: str) -> None:
+        self.host, self.settings = host, settings
+        self.started_at = host.clock.now()
+        self.counted_at, self.completed, self.request_rate = self.started_at, 0, 0.0
+        self.backoff, self.reason = 1, ""
+        self.store, self.snapshot = None, None
         try:
-            self.files = Folder(keeping.folder, name, keeping.most_mb)
-            self.snapshot, file, wrong = self.files.read()
-            for line in wrong:
+            self.store = SnapshotStore(settings.folder, name, settings.most_mb)
+            self.snapshot, self.file, rejected = self.store.read()
+            for line in rejected:
                 host.note("snapshot_rejected", error=line)
-            self.file = file
-        except OSError as fault:
-            self._fails(fault)
+        except OSError as error:
+            self._write_failed(error)
 
-    def list_or(self, known):
-        """The list to start with: the configuration's, or the snapshot's where that is newer."""
-        return known if self.snapshot is None else ageing.newer_list(self.snapshot, known)
+    def newer_endpoints(self, known: dict | None) -> dict | None:
+        """Returns the endpoint list to start with: `known`, or the snapshot's if newer."""
+        return known if self.snapshot is None else aging.newer_list(self.snapshot, known)
 
-    def remember(self):
-        """After the list: the node takes back what is still true."""
+    def restore(self) -> None:
+        """Restores what still holds; called once the endpoint list is known."""
         if self.snapshot is None:
             return
         try:
-            line = self.host.reducer.remember(self.snapshot, int(self.keeping.half_life_s * 10000))
+            line = self.host.reducer.remember(self.snapshot, int(self.settings.half_life_s * 10000))
             self.host.note("snapshot_restored", file=self.file, summary=line)
-        except ageing.Unworthy as fault:
-            self.host.note("snapshot_rejected", error=f"{self.file}: {fault}")
+        except schema.UntrustedSnapshotError as error:
+            self.host.note("snapshot_rejected", error=f"{self.file}: {error}")
         self.snapshot = None
 
-    def run(self):
+    def run(self) -> None:
+        """Writes a snapshot each period, for as long as the node runs."""
         while True:
-            period = self.keeping.every_s * self.gap
+            period = self.settings.every_s * self.backoff
             gevent.sleep(period * (1 + JITTER * (random.random() - 0.5)))
-            self.keep()
+            self.write()
+
+    def write(self) -> bool:
+        """Writes a snapshot now; returns whether one was written.
 
-    def keep(self):
-        """Writes a snapshot now; whether one was written. Never after a fault of ours: it may be what is
-        wrong."""
-        if self.host.faults or self.files is None:
+        Never after an internal error: what was learned may be what is wrong.
+        """
+        if self.host.faults or self.store is None:
             return False
         gathered = self._gather()
-        # What takes long is not done in the loop: a disk may need seconds.
-        fault = gevent.get_hub().threadpool.spawn(self._write, gathered).get()
-        if fault is not None:
-            self._fails(fault)
+        # Not in the event loop: a disk may need seconds.
+        error = gevent.get_hub().threadpool.spawn(self._write, gathered).get()
+        if error is not None:
+            self._write_failed(error)
             return False
-        self.gap, self.why = 1, ""
+        self.backoff, self.reason = 1, ""
         return True
 
-    def last(self):
-        """At the end, within its time."""
-        with gevent.Timeout(LAST_S, False):
-            return self.keep()
+    def write_final(self) -> bool | None:
+        """Writes the last snapshot before the node ends, within FINAL_WRITE_S."""
+        with gevent.Timeout(FINAL_WRITE_S, False):
+            return self.write()
 
-    def _gather(self):
+    def _gather(self) -> schema.Snapshot:
         now = self.host.clock.now()
-        request_classes, backends, work, entries = self.host.reducer.kept(
-            ageing.KEYS, ageing.ROW_KEYS
+        request_classes, backends, completed, entries = self.host.reducer.kept(
+            aging.KEYS, aging.ROW_KEYS
         )
-        if now > self.work_at and work >= self.work:
-            self.asked = (work - self.work) / (now - self.work_at)
-        self.work_at, self.work = now, work
-        return form.Snapshot(
-            node=self.files.name,
-            written=now,
-            began=self.began,
-            asked=self.asked,
+        if now > self.counted_at and completed >= self.completed:
+            self.request_rate = (completed - self.completed) / (now - self.counted_at)
+        self.counted_at, self.completed = now, completed
+        return schema.Snapshot(
+            node=self.store.name,
+            written_at=now,
+            node_started_at=self.started_at,
+            request_rate=self.request_rate,
             request_classes=request_classes,
-            backends={name: form.Backend(*told) for name, told in backends.items()},
-            index=self.host.reducer.index,
-            list=entries,
+            backends={name: schema.StoredBackend(*stored) for name, stored in backends.items()},
+            endpoints_version=self.host.reducer.index,
+            endpoints=entries,
         )
 
-    def _write(self, snapshot):
-        """In a thread: None, or the fault."""
+    def _write(self, snapshot: schema.Snapshot) -> OSError | None:
+        """Runs in a thread; returns the error that it met."""
         try:
-            if not self.files.lock_it():
+            if not self.store.lock_files():
                 return OSError(11, "another process of this name keeps its own there")
-            self.files.write(form.encode(snapshot))
-        except OSError as fault:
-            return fault
+            self.store.write(schema.encode(snapshot))
+        except OSError as error:
+            return error
         return None
 
-    def _fails(self, fault):
-        """One line for each new reason, and tries farther apart."""
-        self.gap = min(GAPS, self.gap * 2)
-        why = fault.strerror or str(fault)
-        if why != self.why:
-            self.why = why
-            self.host.note("snapshot_write_failed", error=f"{self.keeping.folder}: {why}")
+    def _write_failed(self, error: OSError) -> None:
+        """Logs each new reason once, and makes the periods between writes longer."""
+        self.backoff = min(MAX_BACKOFF, self.backoff * 2)
+        reason = error.strerror or str(error)
+        if reason != self.reason:
+            self.reason = reason
+            self.host.note("snapshot_write_failed", error=f"{self.settings.folder}: {reason}")
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -51,7 +51,7 @@
     def remember(self, snapshot, half_life):
         """Takes back what is still true of a Snapshot, after the list; the line that says what that was.
 
-        Raises ageing.Unworthy where nothing is. `half_life`: tenths of a millisecond.
+        Raises UntrustedSnapshotError where nothing is. `half_life`: tenths of a millisecond.
         """
         fresh, _ = self.node.export_statistics(())
         listed = {
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -15,7 +15,7 @@
 
 from collections import deque
 
-from pierglade.snapshot.schema import STORED_IDEMPOTENCY
+from pierglade.snapshot.schema import STORED_IDEMPOTENCY, UntrustedSnapshotError
 
 MOST_HALVES = 8  # half-lives after which nothing is kept; the next answers tell more
 FUTURE = 50000  # 5 s; clocks of machines differ so much, and a file from later than that is none
@@ -31,36 +31,38 @@
 ROW_KEYS = (*ROW_FADING, "answers", "usual_left", "usual_votes")
 
 
-class Unworthy(ValueError):
-    """A snapshot of which nothing is to be believed; one line that says why."""
-
-
 def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
     """(rows, backends) for Balancer.remember, and a line that says what was kept.
 
     `offerings`: the rows of the settings; `fresh_rows`: what a fresh node knows of them; `listed`: name to
-    (address, started) of the backends that are ready. Raises Unworthy.
+    (address, started) of the backends that are ready. Raises UntrustedSnapshotError.
     """
-    age = now - snapshot.written
+    age = now - snapshot.written_at
     if age < -FUTURE:
-        raise Unworthy(f"it was written {-age / 10000:.0f} s from now: a clock was set back")
+        raise UntrustedSnapshotError(
+            f"it was written {-age / 10000:.0f} s from now: a clock was set back"
+        )
     age = max(0, age)
     if age > MOST_HALVES * half_life:
-        raise Unworthy(f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives")
+        raise UntrustedSnapshotError(
+            f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives"
+        )
     weight = 0.5 ** (age / half_life)
     rows = [
         _row(snapshot.request_classes.get(request_class.name), request_class, fresh, weight)
         for request_class, fresh in zip(request_classes, fresh_rows)
     ]
     if not any(rows):
-        raise Unworthy("none of its offerings is one of the settings: another deployment's")
+        raise UntrustedSnapshotError(
+            "none of its offerings is one of the settings: another deployment's"
+        )
     backends = {}
     for name, (address, started) in listed.items():
         told = snapshot.backends.get(name)
-        if told is not None and told.address == address and told.started == started:
+        if told is not None and told.address == address and told.started_at == started:
             # Each backend gets its part of what this node settled; work is counted by that.
             backends[name] = _backend(
-                told.figures, weight, age * snapshot.asked / max(1, len(listed))
+                told.statistics, weight, age * snapshot.request_rate / max(1, len(listed))
             )
     kept = sum(map(bool, rows))
     return (
@@ -139,13 +141,13 @@
 
     By the version of discovery where both have one; else the snapshot's, which discovery told this node last.
     """
-    if not snapshot.list:
+    if not snapshot.endpoints:
         return known
     if (
         known
         and known.get("endpoints")
         and type(known.get("index")) is int
-        and (snapshot.index is None or known["index"] >= snapshot.index)
+        and (snapshot.endpoints_version is None or known["index"] >= snapshot.endpoints_version)
     ):
         return known
-    return {"index": snapshot.index, "snapshot": True, "endpoints": snapshot.list}
+    return {"index": snapshot.endpoints_version, "snapshot": True, "endpoints": snapshot.endpoints}
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -1,30 +1,39 @@
-"""The form of a snapshot: a head, then MessagePack, checked by xxHash. Bytes in and out, no I/O.
+"""The format of a stored snapshot: a head, then MessagePack, checked by xxHash. It does no I/O.
 
     "PGLE" | version, 2 bytes | bytes of the body, 4 | xxh3-64 of version, length and body, 8 | body
 
-all numbers big-endian. What can't be believed is a Spoilt, whatever is wrong with it. An older version is
-carried forward by STEPS, one version at a time; a newer one is refused, never guessed at.
+All numbers are big-endian. Data that cannot be trusted raises `CorruptSnapshotError`, whatever
+is wrong with it. An older version is migrated by MIGRATIONS, one version at a time; a newer one is
+refused, never guessed at. The stored names of version 1 are mapped to this package's names here and nowhere else.
 """
 
 import struct
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 import xxhash
 
+from pierglade.errors import PiergladeError
 from pierglade.model.request import Idempotency
+from pierglade.model.ticks import Ticks
 
 MAGIC = b"PGLE"
 HEAD = struct.Struct(">4sHIQ")
 VERSION = 1
-MOST = 64 << 20  # bytes of a body; a thousand backends take a quarter of a megabyte
-# version: what makes of its body, as plain data, that of the next one.
-STEPS = {}
+MAX_BODY_BYTES = 64 << 20  # a thousand backends take a quarter of a megabyte
+# Version to the function that makes the next version's body of its body, both as plain data.
+MIGRATIONS: dict[int, Callable[[Any], Any]] = {}
 
 
-class Spoilt(ValueError):
+class CorruptSnapshotError(PiergladeError, ValueError):
     """Bytes that are no snapshot that this build can use; one line that says why."""
 
 
+class UntrustedSnapshotError(PiergladeError, ValueError):
+    """A well-formed snapshot of which nothing may be restored; one line that says why."""
+
+
 # What a stored file calls the idempotency of a request class.
 STORED_IDEMPOTENCY = {
     Idempotency.SAFE: "harmless",
@@ -33,61 +42,78 @@
 }
 
 
-class Backend(msgspec.Struct):
+class StoredBackend(msgspec.Struct):
     """What was known of one backend, and which process it was."""
 
     address: str
-    started: int  # tenths of a ms of Unix time, as the list told; 0: it did not
-    figures: dict  # by the decisions' own names
+    # Of Unix time, as the endpoint list says; 0 where it does not.
+    started_at: Ticks = msgspec.field(name="started")
+    # Learned statistics, by the balancer's own names for them.
+    statistics: dict = msgspec.field(name="figures")
 
 
 class Snapshot(msgspec.Struct):
-    """Moments are tenths of a millisecond of Unix time."""
+    """What a node has learned. Moments are tenths of a millisecond of Unix time."""
 
     node: str
-    written: int
-    began: int  # the node's start
-    asked: float  # invocations that it settled in a tenth of a ms of late
-    # Name to what was known, `expected`, `hard_limit` and `repeats` with it.
+    written_at: Ticks = msgspec.field(name="written")
+    node_started_at: Ticks = msgspec.field(name="began")
+    # Requests that the node completed in a tenth of a millisecond, over the last period.
+    request_rate: float = msgspec.field(name="asked")
+    # Name to statistics, with `expected`, `hard_limit` and `repeats` of the class.
     request_classes: dict[str, dict] = msgspec.field(name="offerings")
-    backends: dict[str, Backend]
-    index: int | None  # the version of the list
-    list: list[dict]  # the list's entries in the platform's form
+    backends: dict[str, StoredBackend]
+    endpoints_version: int | None = msgspec.field(name="index")
+    # Entries in the platform's format.
+    endpoints: list[dict] = msgspec.field(name="list")
 
 
-def encode(snapshot):
-    """The bytes of a Snapshot."""
+def encode(snapshot: Snapshot) -> bytes:
+    """Encodes a snapshot as version VERSION."""
     body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, VERSION, len(body), _sum(VERSION, body)) + body
+    return HEAD.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
+
+
+def decode(
+    data: bytes,
+    migrations: dict[int, Callable[[Any], Any]] | None = None,
+    newest_version: int = VERSION,
+) -> Snapshot:
+    """Decodes a snapshot, migrated from its version to the newest one.
 
+    Args:
+        data: The whole file.
+        migrations: Used in place of MIGRATIONS.
+        newest_version: Used in place of VERSION.
 
-def decode(data, steps=None, upto=VERSION):
-    """The Snapshot of these bytes; raises Spoilt. `steps`, `upto`: in place of STEPS and VERSION."""
+    Raises:
+        CorruptSnapshotError: The bytes are no snapshot that this build can use.
+    """
     if len(data) < HEAD.size:
-        raise Spoilt(f"{len(data)} bytes: cut off in its head")
-    magic, version, length, told = HEAD.unpack_from(data)
+        raise CorruptSnapshotError(f"{len(data)} bytes: cut off in its head")
+    magic, version, length, checksum = HEAD.unpack_from(data)
     body = data[HEAD.size :]
     if magic != MAGIC:
-        raise Spoilt("no snapshot: it does not begin with PGLE")
-    if length > MOST:
-        raise Spoilt(f"a body of {length} bytes is over the most, {MOST}")
+        raise CorruptSnapshotError("no snapshot: it does not begin with PGLE")
+    if length > MAX_BODY_BYTES:
+        raise CorruptSnapshotError(f"a body of {length} bytes is over the most, {MAX_BODY_BYTES}")
     if len(body) != length:
-        raise Spoilt(f"its body has {len(body)} bytes of {length}")
-    if _sum(version, body) != told:
-        raise Spoilt("its sum is not that of its bytes")
-    if version > upto:
-        raise Spoilt(f"version {version}; this build reads up to {upto}")
-    steps = STEPS if steps is None else steps
+        raise CorruptSnapshotError(f"its body has {len(body)} bytes of {length}")
+    if _checksum(version, body) != checksum:
+        raise CorruptSnapshotError("its sum is not that of its bytes")
+    if version > newest_version:
+        raise CorruptSnapshotError(f"version {version}; this build reads up to {newest_version}")
+    migrations = MIGRATIONS if migrations is None else migrations
     try:
         raw = msgspec.msgpack.decode(body)
-        while version < upto:
-            if version not in steps:
-                raise Spoilt(f"version {version}, which nothing carries forward")
-            raw, version = steps[version](raw), version + 1
+        while version < newest_version:
+            if version not in migrations:
+                raise CorruptSnapshotError(f"version {version}, which nothing carries forward")
+            raw, version = migrations[version](raw), version + 1
         return msgspec.convert(raw, Snapshot)
-    except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError) as fault:
-        raise Spoilt(f"its body is none of version {version}: {fault}") from None
+    except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError) as error:
+        raise CorruptSnapshotError(f"its body is none of version {version}: {error}") from None
 
 
-def _sum(version, body):
+def _checksum(version: int, body: bytes) -> int:
     return xxhash.xxh3_64_intdigest(struct.pack(">HI", version, len(body)) + body)
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -19,7 +19,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from pierglade.proxy import snapshot_writer as learning
+from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 from pierglade.snapshot import aging as ageing
 from pierglade.snapshot import schema as form
 from pierglade.snapshot import store as files
@@ -42,11 +42,11 @@
 def snapshot(**more):
     plain = dict(
         node="n1",
-        written=100 * S,
-        began=0,
-        asked=0.0,
-        index=7,
-        list=[entry("b0")],
+        written_at=100 * S,
+        node_started_at=0,
+        request_rate=0.0,
+        endpoints_version=7,
+        endpoints=[entry("b0")],
         request_classes={
             "look": {
                 "expected": 4000,
@@ -60,7 +60,7 @@
                 "usual_votes": 9,
             }
         },
-        backends={"b0": form.Backend("127.0.0.1:9000", 0, FIGURES)},
+        backends={"b0": form.StoredBackend("127.0.0.1:9000", 0, FIGURES)},
     )
     return form.Snapshot(**{**plain, **more})
 
@@ -86,7 +86,7 @@
         some.floats(0, 1e6),
     )
     def test_there_and_back(self, request_classes, written, asked):
-        one = snapshot(request_classes=request_classes, written=written, asked=asked)
+        one = snapshot(request_classes=request_classes, written_at=written, request_rate=asked)
         self.assertEqual(form.decode(form.encode(one)), one)
 
     def test_every_byte_flipped_and_every_truncation(self):
@@ -97,7 +97,7 @@
                 good[:at] + bytes([good[at] ^ bit]) + good[at + 1 :] for bit in (1, 128, 255)
             ]
         for data in spoilt:
-            with self.assertRaises(form.Spoilt):
+            with self.assertRaises(form.CorruptSnapshotError):
                 form.decode(data)
 
     def test_older_and_newer_versions(self):
@@ -119,8 +119,8 @@
             ("newer", {}, 0),
         ):
             try:
-                lines.append(f"{what}: asked {form.decode(data, steps, upto).asked}")
-            except form.Spoilt as fault:
+                lines.append(f"{what}: asked {form.decode(data, steps, upto).request_rate}")
+            except form.CorruptSnapshotError as fault:
                 lines.append(f"{what}: {fault}")
         self.check("learned_versions", lines)
 
@@ -134,10 +134,13 @@
         self.assertEqual(form.decode(form.encode(one)), one)
         self.assertEqual(form.encode(one), path.read_bytes())
         desk = Desk(["b0", "b1"])
-        desk.reducer.now = one.written
+        desk.reducer.now = one.written_at
         line = desk.reducer.remember(one, 60 * S)
         node = desk.reducer.node
-        lines = [line, f"written {one.written} by {one.node}, list {one.index}, asked {one.asked}"]
+        lines = [
+            line,
+            f"written {one.written_at} by {one.node}, list {one.endpoints_version}, asked {one.request_rate}",
+        ]
         lines += [
             f"{o.name}: typical {row.typical:.6f} of {row.answers}, skew {row.skew:.6f}, "
             f"left {row.usual_left} of {row.usual_votes}"
@@ -159,7 +162,7 @@
         desk.reducer.now = at_s * S
         try:
             line = desk.reducer.remember(one, half_life_s * S)
-        except ageing.Unworthy as fault:
+        except form.UntrustedSnapshotError as fault:
             return str(fault)
         node = desk.reducer.node
         b, row = node.index["b0"], node.table[0]
@@ -185,9 +188,9 @@
         }
         address = desk.reducer.backends["b0"].address
         whole = snapshot(
-            request_classes={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)}
+            request_classes={o.name: row}, backends={"b0": form.StoredBackend(address, 0, FIGURES)}
         )
-        busy = msgspec.structs.replace(whole, asked=0.05)  # 500 a second; a gap is 200
+        busy = msgspec.structs.replace(whole, request_rate=0.05)  # 500 a second; a gap is 200
         cases = (
             ("at once", whole, 100),
             ("after a half-life", whole, 160),
@@ -209,12 +212,16 @@
             ),
             (
                 "moved",
-                msgspec.structs.replace(whole, backends={"b0": form.Backend("x:1", 0, FIGURES)}),
+                msgspec.structs.replace(
+                    whole, backends={"b0": form.StoredBackend("x:1", 0, FIGURES)}
+                ),
                 100,
             ),
             (
                 "replaced",
-                msgspec.structs.replace(whole, backends={"b0": form.Backend(address, -5, FIGURES)}),
+                msgspec.structs.replace(
+                    whole, backends={"b0": form.StoredBackend(address, -5, FIGURES)}
+                ),
                 100,
             ),
             (
@@ -222,7 +229,7 @@
                 msgspec.structs.replace(
                     whole,
                     backends={
-                        "b0": form.Backend(
+                        "b0": form.StoredBackend(
                             address,
                             0,
                             {**FIGURES, "level": "high", "work": float("nan"), "pauses": [1, None]},
@@ -249,7 +256,7 @@
         ):
             got = ageing.newer_list(one, known)
             lines.append(f"{known and known['index']}: {[e['name'] for e in got['endpoints']]}")
-        lines.append(f"nothing kept: {ageing.newer_list(snapshot(list=[]), None)}")
+        lines.append(f"nothing kept: {ageing.newer_list(snapshot(endpoints=[]), None)}")
         self.check("learned_lists", lines)
 
 
@@ -258,11 +265,11 @@
 from pierglade.snapshot import store as files
 from pierglade.snapshot import schema as form
 from tests.snapshot.test_snapshot import snapshot
-folder, number = files.Folder(sys.argv[1], "n1"), 0
-folder.lock_it()
+folder, number = files.SnapshotStore(sys.argv[1], "n1"), 0
+folder.lock_files()
 while True:
     number += 1
-    folder.write(form.encode(snapshot(written=number, node="n" * (number % 4000))))
+    folder.write(form.encode(snapshot(written_at=number, node="n" * (number % 4000))))
     if number == 1:
         print("on", flush=True)     # killed before, it would have left nothing that could be read
 """
@@ -278,7 +285,7 @@
             time.sleep(chance.uniform(0.002, 0.02))
             writer.send_signal(signal.SIGKILL)
             writer.communicate()
-            one, _, wrong = files.Folder(path, "n1").read()
+            one, _, wrong = files.SnapshotStore(path, "n1").read()
             torn += len(wrong)
             good += one is not None
             none += one is None
@@ -342,19 +349,19 @@
     def test_two_writings_that_cross_follow_each_other(self):
         """The last writing at SIGTERM meets the periodic one: both are kept, the later as the newest."""
         with tempfile.TemporaryDirectory() as path:
-            folder = files.Folder(path, "n1")
+            folder = files.SnapshotStore(path, "n1")
             self.addCleanup(folder.release)
-            locked = crossed(folder, "fcntl.flock", folder.lock_it, folder.lock_it)
+            locked = crossed(folder, "fcntl.flock", folder.lock_files, folder.lock_files)
             self.assertEqual(locked, (True, True))
-            folder.write(form.encode(snapshot(written=1)))
+            folder.write(form.encode(snapshot(written_at=1)))
             written = crossed(
                 folder,
                 "os.fsync",
-                lambda: folder.write(form.encode(snapshot(written=2))),
-                lambda: folder.write(form.encode(snapshot(written=3))),
+                lambda: folder.write(form.encode(snapshot(written_at=2))),
+                lambda: folder.write(form.encode(snapshot(written_at=3))),
             )
             self.assertEqual(written, (None, None))
-            kept = {name: one.written for name, one in files.found(path)}
+            kept = {name: one.written_at for name, one in files.find_snapshots(path)}
             self.assertEqual(kept, {"n1.learned": 3, "n1.learned.1": 2})
 
     def test_parts_of_killed_processes_do_not_pile_up(self):
@@ -362,13 +369,14 @@
         with tempfile.TemporaryDirectory() as path:
             for name in ("n1.learned.part", "n1.learned.7-1.part", "n1.x.learned.7-1.part"):
                 pathlib.Path(path, name).write_bytes(b"PG")
-            folder = files.Folder(path, "n1")
+            folder = files.SnapshotStore(path, "n1")
             self.addCleanup(folder.release)
-            folder.lock_it()
-            self.assertEqual(len(list(files.found(path))), 3)
+            folder.lock_files()
+            self.assertEqual(len(list(files.find_snapshots(path))), 3)
             folder.write(form.encode(snapshot()))
             self.assertEqual(
-                [name for name, _ in files.found(path)], ["n1.learned", "n1.x.learned.7-1.part"]
+                [name for name, _ in files.find_snapshots(path)],
+                ["n1.learned", "n1.x.learned.7-1.part"],
             )
 
     def test_killed_while_writing(self):
@@ -378,12 +386,12 @@
     def test_falls_back_to_the_one_before_and_one_process_writes(self):
         lines = []
         with tempfile.TemporaryDirectory() as path:
-            folder, other = files.Folder(path, "n1"), files.Folder(path, "n1")
+            folder, other = files.SnapshotStore(path, "n1"), files.SnapshotStore(path, "n1")
             lines.append(
-                f"locks: {folder.lock_it()} {other.lock_it()}, in use {files.in_use(path, 'n1')}"
+                f"locks: {folder.lock_files()} {other.lock_files()}, in use {files.in_use(path, 'n1')}"
             )
             for written in (1, 2, 3):
-                folder.write(form.encode(snapshot(written=written)))
+                folder.write(form.encode(snapshot(written_at=written)))
             newest = pathlib.Path(path, "n1.learned")
             for what in ("whole", "spoilt", "gone"):
                 if what == "spoilt":
@@ -391,13 +399,13 @@
                 elif what == "gone":
                     newest.unlink()
                 one, file, wrong = folder.read()
-                lines.append(f"{what}: {one.written} from {file} {wrong}")
+                lines.append(f"{what}: {one.written_at} from {file} {wrong}")
             folder.release()
-            lines.append(f"released: {other.lock_it()}")
+            lines.append(f"released: {other.lock_files()}")
             other.release()
             for name in ("../n1", "", ".n"):
                 try:
-                    files.Folder(path, name)
+                    files.SnapshotStore(path, name)
                 except OSError as fault:
                     lines.append(str(fault.strerror))
         self.check("learned_files", lines)
@@ -414,19 +422,19 @@
                     f"{event} {fields['error'].replace(path, 'FOLDER')}"
                 ),
             )
-            keeps = learning.Learning(host, learning.Keeping(path, 10.0, 60.0, 1.0), "n1")
-            notes.append(f"kept {keeps.keep()}")
+            keeps = SnapshotWriter(host, SnapshotSettings(path, 10.0, 60.0, 1.0), "n1")
+            notes.append(f"kept {keeps.write()}")
             for fault in (
                 OSError(28, "No space left on device"),
                 OSError(28, "No space left on device"),
                 OSError(30, "Read-only file system"),
             ):
                 with mock.patch("os.write", side_effect=fault):
-                    notes.append(f"kept {keeps.keep()}, next after {keeps.gap} periods")
-            notes.append(f"still there {keeps.files.read()[1]}")
+                    notes.append(f"kept {keeps.write()}, next after {keeps.backoff} periods")
+            notes.append(f"still there {keeps.store.read()[1]}")
             slow, turns = threading.Event(), 0
             with mock.patch("os.fsync", side_effect=lambda fd: slow.wait(20)):
-                writing = gevent.spawn(keeps.keep)
+                writing = gevent.spawn(keeps.write)
                 for _ in range(50):
                     gevent.sleep(0)
                     turns += 1
@@ -434,16 +442,16 @@
                     f"turns of the loop while the disk is slow {turns}, done {writing.ready()}"
                 )
                 slow.set()
-                notes.append(f"kept {writing.get()}, next after {keeps.gap} period")
+                notes.append(f"kept {writing.get()}, next after {keeps.backoff} period")
             host.faults = 1
-            notes.append(f"after a fault of ours: kept {keeps.keep()}")
+            notes.append(f"after a fault of ours: kept {keeps.write()}")
             host.faults = 0
-            keeps.files.path = os.path.join(path, "gone")
-            notes.append(f"kept {keeps.keep()}")
-            small = learning.Learning(host, learning.Keeping(path, 10.0, 60.0, 0.0001), "n2")
-            notes.append(f"kept {small.keep()}")
-            keeps.files.release()
-            small.files.release()
+            keeps.store.path = os.path.join(path, "gone")
+            notes.append(f"kept {keeps.write()}")
+            small = SnapshotWriter(host, SnapshotSettings(path, 10.0, 60.0, 0.0001), "n2")
+            notes.append(f"kept {small.write()}")
+            keeps.store.release()
+            small.store.release()
         self.check("learned_disk", notes)
 
 
@@ -451,10 +459,10 @@
     def test_show_verify_and_prune(self):
         lines = []
         with tempfile.TemporaryDirectory() as path:
-            running = files.Folder(path, "runs")
-            running.lock_it()
-            for folder in (running, files.Folder(path, "old")):
-                folder.write(form.encode(snapshot(written=S)))
+            running = files.SnapshotStore(path, "runs")
+            running.lock_files()
+            for folder in (running, files.SnapshotStore(path, "old")):
+                folder.write(form.encode(snapshot(written_at=S)))
             pathlib.Path(path, "torn.learned").write_bytes(b"PGLE")
             pathlib.Path(path, "cut.learned.part").write_bytes(b"PG")
             for words in (
