--- a/pierglade/concurrency/__init__.py
+++ b/pierglade/concurrency/__init__.py
@@ -1,5 +1,6 @@
-"""How many trips a node may have out at once. It knows no backend by name, and does no I/O.
+"""How many attempts a node may have in flight at once, found from how long answers take.
 
-Not for which backend, retry or refusal: those are `pierglade/balancer/balancer.py`. `pierglade.concurrency.limiter.Room` is the
-name to start with; docs/notes/limit.md has the reasons.
+It knows no backend by name and does no I/O. Not for the choice of a backend, retries or rejections:
+those are `pierglade/balancer/balancer.py`. Start with `pierglade.concurrency.limiter`;
+docs/notes/limit.md has the reasons.
 """
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -2,7 +2,8 @@
 
 from math import exp, log
 
-from pierglade.concurrency.limiter import DRAINED, RESTED, ConcurrencyLimiter
+from pierglade.concurrency.capacity_search import DRAINED, RESTED
+from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.simulation import plan as plans
 from pierglade.simulation import world
 from tests.support.scene import MS, TraceTest
@@ -16,7 +17,7 @@
 
     def say(self, room, what):
         self.lines.append(
-            f"{self.now / MS:8.1f}  {what}: {room.current_limit():.1f} trips, {room.mode}"
+            f"{self.now / MS:8.1f}  {what}: {room.current_limit():.1f} trips, {room.mode.value}"
         )
 
     def keep_full(self, room, ms, took, kept=1000, expected=1000 * MS):
@@ -107,46 +108,57 @@
             self.keep_full(
                 room, 15000, lambda out: int(100 * MS * max(1.0, out / 4)), 200, 4000 * MS
             )
-            self.lines.append(f"unhurried {exp(room.base[0]) / MS:.0f} ms, unsure {room.unsure}")
+            self.lines.append(
+                f"unhurried {exp(room.base[0]) / MS:.0f} ms, unsure {room._search.estimate.is_uncertain}"
+            )
         self.check("limit_drain", self.lines)
 
     def test_what_a_drain_has_taught_is_not_forgotten_under_load(self):
         """A deep queue is drained again; once that shows little new, loaded rounds do not raise the base."""
         room = self.room()
-        room.answers, room.base, room.rests, room.spread = [32], [log(400 * MS)], 64.0, 1.2
+        search = room._search
+        estimate = search.estimate
+        estimate.answers, estimate.base = [32], [log(400 * MS)]
+        estimate.round_answers, estimate.spread = 64.0, 1.2
         room.change_in_flight(0, 16)
         for took in (100 * MS, 95 * MS, *[300 * MS] * 20):
             if took < 300 * MS:
-                room.before, room.busy_before = room.each, 4.0
-                room._rest(self.now, DRAINED, 0.0)
-            while room.open > 0:
+                search.before, search.busy_before = room.each, 4.0
+                search.begin_rest(self.now, DRAINED, 0.0)
+            while search.round.unsent > 0:
                 room.attempt_sent(self.now, 0)
             for n in range(max(room.missing)):
                 self.now += 10 * MS if n else took
-                room.attempt_answered(self.now, 0, room.round, self.now - took, took, 9000 * MS)
+                room.attempt_answered(
+                    self.now, 0, search.round.number, self.now - took, took, 9000 * MS
+                )
             self.now += 1000 * MS
             self.lines.append(
-                f"{took / MS:.0f} ms: base {exp(room.base[0]) / MS:.0f}, unsure {room.unsure}"
+                f"{took / MS:.0f} ms: base {exp(room.base[0]) / MS:.0f}, unsure {room._search.estimate.is_uncertain}"
             )
         self.check("limit_drain_kept", self.lines[:3] + self.lines[-1:])
 
     def test_a_rest_is_not_judged_by_those_back_when_its_time_is_up(self):
         room = self.room()
-        room.base, room.before, room.busy_before = [log(100 * MS)], 4.0, 4.0
-        room._rest(0, RESTED, 1.1)
-        half = room.size // 2 + 1
-        for n in range(room.size):
+        search = room._search
+        search.estimate.base, search.before, search.busy_before = [log(100 * MS)], 4.0, 4.0
+        search.begin_rest(0, RESTED, 1.1)
+        half = room._search.round.size // 2 + 1
+        for n in range(room._search.round.size):
             room.attempt_sent((6400 if n < half else 6495) * MS, 0)
         for n in range(half):
             now = 6501 * MS if n == half - 1 else 6480 * MS
-            room.attempt_answered(now, 0, room.round, 6400 * MS, now - 6400 * MS, 9000 * MS)
-        self.assertIsNone(room.most)
+            room.attempt_answered(
+                now, 0, search.round.number, 6400 * MS, now - 6400 * MS, 9000 * MS
+            )
+        self.assertIsNone(room._search.overload_limit)
 
     def test_few_slow_answers_are_not_worth_many(self):
         """Ninety quick ones and one slow one say as much of the work as two answers, or noise is a queue."""
         room = ConcurrencyLimiter(1, 2, 0)
-        room.base, room.shifts, room.missing = [0.0, 7.0], [(0.0, 1.0)] * 90, [0, 1]
-        self.assertLess(room._worth(90 + exp(7.0)), 1.5)
+        probe = room._search.round
+        probe.shifts, probe.missing = [(0.0, 1.0)] * 90, [0, 1]
+        self.assertLess(probe.effective_answers([0.0, 7.0], 90 + exp(7.0)), 1.5)
 
     def test_looks_for_no_more_room_than_shares_need(self):
         lines = []
@@ -160,7 +172,7 @@
     def test_quick_ones_that_are_back_first_prove_nothing(self):
         """Every step must wait for the slow half, or each would look like a good one."""
         room, self.now = self.room(), 0
-        for n in range(room.size):
+        for n in range(room._search.round.size):
             room.change_in_flight(0, 1)
             self.assertEqual(room.attempt_sent(0, 0), 1)
         room.attempt_answered(1 * MS, 0, 1, 0, 1 * MS, 1000 * MS)
@@ -168,13 +180,15 @@
         room.attempt_answered(2 * MS, 0, 1, 0, 2 * MS, 1000 * MS)
         room.attempt_answered(50 * MS, 0, 1, 0, 50 * MS, 1000 * MS)
         self.say(room, "three back")
-        self.lines.append(f"unhurried {exp(room.base[0]) / MS:.1f} ms, spread {room.spread:.1f}")
+        self.lines.append(
+            f"unhurried {exp(room.base[0]) / MS:.1f} ms, spread {room._search.estimate.spread:.1f}"
+        )
         self.check("limit_back_first", self.lines)
 
     def test_refused_beyond_the_first_limit(self):
         room = self.room()
         for each in (4.0, 20.0):
-            room.each = each
+            room._budget.per_backend = each
             for _ in range(4):
                 room.attempt_rejected(self.now, self.now)
             self.say(room, f"four refused at {each:.0f} a backend")
