--- a/pierglade/concurrency/capacity_estimate.py
+++ b/pierglade/concurrency/capacity_estimate.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass
 from math import exp, log, sqrt
 
-from pierglade.concurrency.probing_round import MAX_SIZE
+from pierglade.concurrency.in_flight_budget import RoundUsage
+from pierglade.concurrency.probing_round import MAX_SIZE, ProbingRound
 from pierglade.model.ticks import Ticks
 
 # Constants.
@@ -16,6 +17,7 @@
 NOISY = 0.3  # spread of shifts beyond which answers differ
 SURE = 1.5  # standard errors; one wrong increment in fifteen is taken back a round later
 MEDIAN = 1.25  # times the standard error of a mean; that of a median
+LOW_PART = 0.16  # share of a round's answers; up to the median they span one standard deviation
 CLEAR = 0.25  # shift over unhurried answers up to which no queue is seen, whatever its cause
 # Times the root of how many are worked on may wait while the limit grows; chance fills it.
 QUEUE_SOME = 1.0
@@ -44,17 +46,6 @@
     """How many answers of equal weight it rests on."""
 
 
-@dataclass(slots=True)
-class RoundUsage:
-    """How busy the backends were in a round."""
-
-    span: Ticks
-    busy: float
-    """Attempts in flight for each backend, of all nodes together, in the mean."""
-    is_at_ease: bool
-    """So few in flight that answers were unhurried."""
-
-
 @dataclass(slots=True)
 class Assessment:
     """A steady round seen against all that is known."""
@@ -113,9 +104,29 @@
         self.strain += (STRAIN * objective - self.strain) / BASE_FIRST
         return weight
 
-    def add_spread(self, spread: float) -> None:
-        """Takes in the spread of a round; a wider one counts at once."""
+    def evaluate(
+        self, now: Ticks, probe: ProbingRound, is_late: bool, needs_all: bool
+    ) -> RoundResult | None:
+        """Returns what a round showed; None if not enough (yet, where it is not late).
+
+        With `needs_all` those answered in time prove nothing: they are the quick ones.
+        """
+        whole = probe.total_weight(self.base)
+        if 2 * probe.answered_weight < whole or not probe.shifts:
+            return None
+        shift, low = probe.shift_at(whole / 2), probe.shift_at(whole * LOW_PART)
+        slow_until = probe.slow_until(self.base, shift)
+        if slow_until is not None and slow_until > now:
+            if not is_late:
+                probe.judge_at = slow_until
+                return None
+            if needs_all:
+                return None
+        # A wider spread counts at once.
+        spread = shift - low
         self.spread = max(spread, self.spread + (spread - self.spread) / 4)
+        answers = probe.effective_answers(self.base, whole)
+        return RoundResult(shift, self.standard_error(answers), answers)
 
     def standard_error(self, answers: float) -> float:
         """By how much the median shift of so many answers may be wrong, at SURE."""
@@ -161,6 +172,14 @@
         )
         return Assessment(shift, sure, answers, usage.span, busy, worked)
 
+    def is_doubtful(self, now: Ticks, is_deep: bool, is_stuck: bool) -> bool:
+        """Whether unhurried answers may have been slow from a queue, if the limit always bound."""
+        return (
+            self.is_uncertain
+            and self.first_busy is not None
+            and (is_deep or (now >= self.doubt_at and is_stuck))
+        )
+
     def check_certainty(self, now: Ticks, view: Assessment, has_demand: bool) -> None:
         """Ends the doubt in unhurried latencies once twice as many in flight were no slower."""
         if self.is_uncertain and self.round_answers >= min(
--- a/pierglade/concurrency/capacity_search.py
+++ b/pierglade/concurrency/capacity_search.py
@@ -9,40 +9,37 @@
 
 from copy import copy
 from enum import Enum
-from math import exp, log, sqrt
+from math import exp, log
 
 from pierglade.concurrency.capacity_estimate import (
     CLEAR,
     DOUBT,
-    NOISY,
     RESTS_STEP,
     Assessment,
     CapacityEstimate,
     RoundResult,
-    RoundUsage,
 )
-from pierglade.concurrency.in_flight_budget import LEAST, InFlightBudget
+from pierglade.concurrency.in_flight_budget import UNUSED, InFlightBudget
+from pierglade.concurrency.increment import (
+    HOLD,
+    STEP_LEAST,
+    STEP_NOISY,
+    Increment,
+)
+from pierglade.concurrency.overload_history import OverloadHistory
 from pierglade.concurrency.probing_round import MAX_SIZE, MIN_SIZE, ProbingRound
 from pierglade.model.ticks import Ticks
 
 # Constants. Times are tenths of a millisecond; shifts are natural logarithms of times answers took.
-STEP_MOST = log(3)  # where answers hardly differ, an increment is judged by the first ones
-STEP_NOISY = log(1.5)  # else; overshoot by half for a round fills no queue that lasts
-STEP_LEAST = log(1.15)  # a smaller one gains little
 # As sure as of such a step must it be that half as many in flight are no quicker.
 STEP_HALF = log(2) / 2
-LOW_PART = 0.16  # share of a round's answers; up to the median they span one standard deviation
 STEADY_SPAN: Ticks = 5000  # 0.5 s; a round that waits for the next increment
 # 1 s; a steady round takes no more, as far as the one before shows.
 ROUND_SPAN: Ticks = 10000
 # 0.8 s; an increment not known good by then is taken back: backends bear that long.
 STEP_SPAN: Ticks = 8000
 SETTLE: Ticks = 10000  # 1 s; the other nodes see the same queue and halve within it
-HOLD, HOLD_MOST = 10000, 80000  # 1 s, 8 s; between increments that failed, doubled
 GIVEN = 1.5  # times what quotas keep in flight unhurried; no more capacity than that is sought
-QUEUE_KEPT = 2.0  # times the root of how many are worked on; left waiting, halved round by round
-UNUSED = 1.25  # times what is in flight; no more is kept open while a queue is seen
-EASE = 0.5  # share of the limit in use up to which answers are unhurried
 REST = 0.15  # of what was in flight when half as many were no quicker; mostly idle, they recover
 TWICE = log(2)  # shift from which a rest is tried at once where half as many could not be judged
 HALF_SPAN: Ticks = 20000  # 2 s; half as many for longer costs more than it shows
@@ -52,11 +49,6 @@
 REST_MORE: Ticks = 15000  # 1.5 s; with other nodes, which may begin theirs so much later
 # 2 s; what was only a queue is gone sooner, even where others halve later.
 OVERLOADED_REST: Ticks = 20000
-BACK = 0.5  # of what was in flight before; what a limit begins with after a rest that helped
-OVERLOADED = 0.85  # of what was in flight before; no more than that is let out for long after
-FORGIVES = log(1.07) / 600000  # in a tenth of a millisecond; this bound grows by 7% a minute
-# 1 min, 10 min; no rest again after one that did not help, doubled each time.
-USELESS, USELESS_MOST = 600000, 6000000
 
 
 class SearchMode(Enum):
@@ -85,26 +77,19 @@
         self.estimate = CapacityEstimate(request_classes, now, is_uncertain=demand is None)
         self.rate = MAX_SIZE  # attempts in a tenth of a millisecond, in steady rounds
         self.mode = STEADY
-        self.step = STEP_MOST
         self.before, self.shift_before, self.busy_before = budget.per_backend, 0.0, 0.0
-        self.hold, self.hold_until = HOLD, now
-        self.healthy_limit = 0.0  # a backend, when the last round without a queue was over
-        # The limit a backend that overloaded them, less a part.
-        self.overload_limit, self.overloaded_at = None, now
-        self.rested, self.useless, self.useless_until = now, USELESS, now
+        self.rested = now
+        self.increment, self.overload = Increment(now), OverloadHistory(now)
         self.round = ProbingRound(1, now, MIN_SIZE, request_classes)
 
     def successor(
-        self,
-        budget: InFlightBudget,
-        now: Ticks,
-        places: list[int | None],
-        demand: float | None,
+        self, budget: InFlightBudget, now: Ticks, places: list[int | None], demand: float | None
     ) -> "CapacitySearch":
         """Returns a copy for another budget and other request classes, with a new round."""
         heir = copy(self)
         heir.budget, heir.demand = budget, demand
         heir.estimate = self.estimate.successor(places)
+        heir.increment, heir.overload = copy(self.increment), copy(self.overload)
         heir.round = ProbingRound(self.round.number, now, self.round.size, len(places))
         heir.begin_round(now, self.round.size)
         return heir
@@ -114,50 +99,29 @@
         self.budget.used = 0.0
         self.round = ProbingRound(self.round.number + 1, now, attempts, len(self.round.missing))
 
-    def bounded(self, limit: float) -> float:
-        """Returns a limit a backend, at most what once overloaded the backends, for some time."""
-        if self.overload_limit is None:
-            return limit
-        since = self.budget.spare_at - self.overloaded_at
-        return min(limit, self.overload_limit * exp(FORGIVES * since))
-
     def judge(self, now: Ticks) -> None:
         """Ends the round if it has shown enough."""
         probe = self.round
         late = self._is_late(now)
         if probe.unsent > 0 and not late:
             return
-        if self.mode is STEADY and now < self.hold_until and now - probe.began < STEADY_SPAN:
+        is_held = self.mode is STEADY and now < self.increment.hold_until
+        if is_held and now - probe.began < STEADY_SPAN:
             return
         if now < probe.judge_at and not late:
             return
-        estimate = self.estimate
-        whole = probe.total_weight(estimate.base)
-        if 2 * probe.answered_weight < whole or not probe.shifts:
-            if late:
-                self._abandon_round(now)
-            return
-        shift, low = probe.shift_at(whole / 2), probe.shift_at(whole * LOW_PART)
-        slow_until = probe.slow_until(estimate.base, shift)
-        if slow_until is not None and slow_until > now:
-            if not late:
-                probe.judge_at = slow_until
-                return
-            if self.mode in (RESTED, DRAINED):
-                # Those answered in time are the quick ones, and would prove any rest a help.
-                self._abandon_round(now)
-                return
-        estimate.add_spread(shift - low)
-        answers = probe.effective_answers(estimate.base, whole)
-        self._end_round(now, RoundResult(shift, estimate.standard_error(answers), answers))
+        needs_all = self.mode in (RESTED, DRAINED)
+        result = self.estimate.evaluate(now, probe, late, needs_all)
+        if result is not None:
+            self._end_round(now, result)
+        elif late:
+            self._abandon_round(now)
 
     def take_back_step(self, now: Ticks) -> None:
         """Goes back to the limit before an increment, and waits before the next."""
         budget = self.budget
-        self.step = max(STEP_LEAST, log(max(1.0, budget.per_backend / self.before)) / 2)
+        self.increment.failed(now, budget.per_backend / self.before)
         budget.per_backend = min(budget.per_backend, self.before)
-        self.hold_until = now + self.hold
-        self.hold = min(HOLD_MOST, 2 * self.hold)
         self._become_steady(now, self.shift_before)
 
     def begin_rest(self, now: Ticks, mode: SearchMode, shift: float) -> None:
@@ -201,10 +165,10 @@
         if is_quicker:
             self._limit_to_worked(self.shift_before)
             self._become_steady(now, shift)
-        elif now < self.useless_until:
+        elif now < self.overload.useless_until:
             self._accept_slower(now, shift)
         else:
-            # Half as many and no quicker: overloaded, or others have not halved, or slower for good.
+            # Half as many, no quicker: overloaded, or others have not halved, or slower for good.
             self.begin_rest(now, RESTED, shift)
 
     def _end_drained(self, now: Ticks, result: RoundResult, rise: float) -> None:
@@ -228,22 +192,19 @@
             if now - self.rested < OVERLOADED_REST:
                 self._limit_to_worked(self.shift_before)
             else:
-                # Never back to what was too much: a second overload would be caused by this node. By
-                # the limit when all was well: since then it has fallen, maybe to the least.
-                overload = max(self.before, self.healthy_limit)
-                self.overload_limit, self.overloaded_at = OVERLOADED * overload, now
-                self.budget.per_backend = self.healthy_limit = BACK * overload
-                self.step = STEP_LEAST
-            self.useless = USELESS
+                self.budget.per_backend = self.overload.recovered(now, self.before)
+                self.increment.step = STEP_LEAST
+            self.overload.rest_helped()
             self._become_steady(now, shift)
         elif now - self.rested < self._rest_span():
             self.begin_round(now, self.estimate.attempts_needed(self.shift_before / 2))
         else:
-            self._end_useless_rest(now, shift)
+            self.overload.rest_was_useless(now)
+            self._accept_slower(now, shift)
 
     def _keep_step(self, now: Ticks, result: RoundResult) -> None:
         budget = self.budget
-        self.step, self.hold = min(STEP_MOST, 2 * self.step), HOLD
+        self.increment.succeeded()
         self.mode = STEADY
         if budget.last_limited_at < self.round.began and self.demand is None:
             # Capacity that is not used is not known to be there, and all of it would be when
@@ -258,18 +219,14 @@
         if self.mode is STEPPED:
             self.take_back_step(now)
         elif self.mode is RESTED:
-            self._end_useless_rest(now, self.shift_before)
+            self.overload.rest_was_useless(now)
+            self._accept_slower(now, self.shift_before)
         else:
             estimate = self.estimate
             estimate.is_uncertain = estimate.is_uncertain and self.mode is not DRAINED
             self.budget.per_backend = self.before
             self._become_steady(now, self.shift_before)
 
-    def _end_useless_rest(self, now: Ticks, shift: float) -> None:
-        self.useless_until = now + self.useless
-        self.useless = min(USELESS_MOST, 2 * self.useless)
-        self._accept_slower(now, shift)
-
     def _accept_slower(self, now: Ticks, shift: float) -> None:
         """Takes it that there is no queue: the backends are that much slower than they were."""
         self.estimate.shift_base(shift)
@@ -278,8 +235,7 @@
 
     def _limit_to_worked(self, shift: float) -> None:
         """Lets out what is worked on and chance makes wait, when answers took `shift` longer."""
-        worked, nodes = self.busy_before * exp(-shift), self.budget.nodes
-        limit = max(LEAST / nodes, (worked + sqrt(worked)) / nodes)
+        limit = self.budget.limit_for_worked(self.busy_before * exp(-shift))
         self.budget.per_backend = min(self.before, limit)
 
     def _become_steady(self, now: Ticks, shift: float) -> None:
@@ -287,9 +243,9 @@
         if self.mode is not STEADY:
             estimate.mean_answers = 0
         elif not estimate.is_queued:
-            self.healthy_limit = limit
+            self.overload.healthy_limit = limit
         self.mode, self.shift_before, self.before = STEADY, shift, limit
-        needed = estimate.attempts_needed(min(STEP_NOISY, self.step))
+        needed = estimate.attempts_needed(min(STEP_NOISY, self.increment.step))
         self.begin_round(now, min(needed, self.rate * ROUND_SPAN))
 
     # What follows a steady round.
@@ -299,17 +255,22 @@
         view = self._assess(now, result)
         estimate = self.estimate
         if estimate.is_queued:
-            self._close_unused(view)
-        largest = STEP_NOISY if estimate.spread > NOISY else STEP_MOST
+            self.budget.lower_while_queued(view.busy, view.worked, self.demand is not None)
+        largest = self.increment.largest(estimate.spread)
         # Answers that an increment has time for.
         within = min(MAX_SIZE, self._step_span() * view.answers / view.span)
         estimate.check_certainty(now, view, self.demand is not None)
         can_step = estimate.attempts_needed(largest) <= within
         is_deep = estimate.is_queued and view.is_queue_deep()
-        is_doubtful = self._is_doubtful(now, view, is_deep, can_step)
+        has_bound = self.budget.has_bound_since(self.round.began)
+        is_stuck = view.shift > CLEAR or self.increment.hold > HOLD or not can_step
+        is_doubtful = has_bound and estimate.is_doubtful(now, is_deep, is_stuck)
         can_halve = estimate.attempts_needed(STEP_HALF) <= within * HALF_SPAN / self._step_span()
         needs_rest = is_doubtful or (
-            is_deep and view.sure_shift > TWICE and not can_halve and now >= self.useless_until
+            is_deep
+            and view.sure_shift > TWICE
+            and not can_halve
+            and now >= self.overload.useless_until
         )
         if needs_rest and self._try_rest(now, view, is_doubtful):
             return
@@ -322,48 +283,11 @@
 
     def _assess(self, now: Ticks, result: RoundResult) -> Assessment:
         budget, probe = self.budget, self.round
-        span = max(1, now - probe.began)
         # Not until it was judged.
         self.rate = probe.size / max(1, probe.last_sent_at - probe.began)
-        budget.spend(now)
-        # A short round of a node with half an attempt shows one in flight all along; in the mean it
-        # keeps to its part.
-        busy = min(budget.used / span / budget.fleet, budget.per_backend) * budget.nodes
-        is_at_ease = busy < EASE * budget.per_backend * budget.nodes
-        usage = RoundUsage(span, busy, is_at_ease)
+        usage = budget.usage_since(now, probe.began)
         return self.estimate.assess(result, usage, self.demand is not None)
 
-    def _close_unused(self, view: Assessment) -> None:
-        """Lowers the limit while a queue is seen."""
-        budget = self.budget
-        least, nodes = budget.least_per_backend(), budget.nodes
-        # What others fill must not be open to this node as well: unused, its part goes back.
-        limit = min(budget.per_backend, max(least, UNUSED * view.busy / nodes))
-        kept = (view.worked + QUEUE_KEPT * sqrt(view.worked)) / nodes
-        if self.demand is None and kept < limit:
-            limit = max(min(limit, least), (limit + kept) / 2)
-        budget.per_backend = limit
-
-    def _is_doubtful(self, now: Ticks, view: Assessment, is_deep: bool, can_step: bool) -> bool:
-        """Whether unhurried answers may have been slow from a queue, as the limit always bound."""
-        estimate = self.estimate
-        return (
-            estimate.is_uncertain
-            and self._has_bound()
-            and estimate.first_busy is not None
-            and (
-                is_deep
-                or (
-                    now >= estimate.doubt_at
-                    and (view.shift > CLEAR or self.hold > HOLD or not can_step)
-                )
-            )
-        )
-
-    def _has_bound(self) -> bool:
-        """Whether something had to wait for the limit in this round."""
-        return self.round.began <= self.budget.last_limited_at
-
     def _try_rest(self, now: Ticks, view: Assessment, is_doubtful: bool) -> bool:
         expected, part = (TWICE, DRAIN) if is_doubtful else (view.sure_shift / 2, REST)
         # Answers that a rest has time for.
@@ -392,10 +316,11 @@
     def _may_step(self, now: Ticks, view: Assessment) -> bool:
         estimate = self.estimate
         return (
-            now >= self.hold_until
-            and self._has_bound()
+            now >= self.increment.hold_until
+            and self.budget.has_bound_since(self.round.began)
             and view.shift <= CLEAR
-            and self._wants_more()
+            # Tenants may ask for more than the limit, as far as quotas say.
+            and (self.demand is None or self.budget.limit() < GIVEN * self.demand * estimate.work)
             and (
                 self.demand is not None
                 or (not estimate.is_queued and estimate.round_answers >= RESTS_STEP)
@@ -404,16 +329,12 @@
 
     def _try_step(self, now: Ticks, view: Assessment, within: float, largest: float) -> bool:
         estimate, budget = self.estimate, self.budget
-        # As small as the last failed one allows, but not too small to be seen in the noise.
-        step = self.step
-        while estimate.attempts_needed(step) > within:
-            step *= 1.25
-        step = min(step, largest)
-        limit = self.bounded(budget.per_backend * exp(step))
+        step = self.increment.choose(estimate, within, largest)
+        limit = self.overload.bounded(budget.per_backend * exp(step), budget.spare_at)
         if log(limit / budget.per_backend) <= STEP_LEAST / 2:
             return False
         self._move(STEPPED, limit, view.shift, view.busy)
-        # The first ones sent are ahead of the rest in any queue: all that an increment lets out must
+        # The first ones sent are ahead in any queue: all that an increment lets out must
         # be judged.
         more = min((limit - self.before) * budget.fleet, self.rate * STEP_SPAN / 2)
         self.begin_round(now, max(estimate.attempts_needed(step), more))
@@ -424,12 +345,6 @@
         self.estimate.mean_answers = 0
         self.shift_before, self.busy_before = shift, busy
 
-    def _wants_more(self) -> bool:
-        """Whether tenants may ask for more than the limit, as far as quotas say."""
-        if self.demand is None:
-            return True
-        return self.budget.limit() < GIVEN * self.demand * self.estimate.work
-
     # Spans.
 
     def _is_late(self, now: Ticks) -> bool:
--- a/pierglade/concurrency/in_flight_budget.py
+++ b/pierglade/concurrency/in_flight_budget.py
@@ -1,5 +1,8 @@
 """Holds the limit in the mean of a short span: a node's part may be half an attempt."""
 
+from dataclasses import dataclass
+from math import sqrt
+
 from pierglade.model.ticks import Ticks
 
 # Constants.
@@ -13,9 +16,23 @@
 PEAK_SMALL = 1.5
 # Times a limit of some attempts, and attempts; from 15 on the limit itself.
 PEAK_LARGE, PEAK_MORE = 0.8, 3
+EASE = 0.5  # share of the limit in use up to which answers are unhurried
+QUEUE_KEPT = 2.0  # times the root of how many are worked on; left waiting, halved round by round
+UNUSED = 1.25  # times what is in flight; no more is kept open while a queue is seen
 AHEAD = 2.0  # times that peak; what goes ahead is little, and more than this is no burst of it
 
 
+@dataclass(slots=True)
+class RoundUsage:
+    """How busy the backends were in a round."""
+
+    span: Ticks
+    busy: float
+    """Attempts in flight for each backend, of all nodes together, in the mean."""
+    is_at_ease: bool
+    """So few in flight that answers were unhurried."""
+
+
 class InFlightBudget:
     """Attempts in flight against the limit, as a budget of attempts times ticks."""
 
@@ -59,6 +76,33 @@
         self.spare = min(limit * SPAN, self.spare + (limit - self.in_flight) * span)
         self.spare_at = now
 
+    def usage_since(self, now: Ticks, began: Ticks) -> RoundUsage:
+        """Returns how busy the backends were in the round that began then."""
+        span = max(1, now - began)
+        self.spend(now)
+        # A short round of a node with half an attempt shows one in flight all along; in the mean it
+        # keeps to its part.
+        busy = min(self.used / span / self.fleet, self.per_backend) * self.nodes
+        return RoundUsage(span, busy, busy < EASE * self.per_backend * self.nodes)
+
+    def limit_for_worked(self, worked: float) -> float:
+        """Returns a limit a backend for what is worked on and what chance makes wait."""
+        return max(LEAST / self.nodes, (worked + sqrt(worked)) / self.nodes)
+
+    def lower_while_queued(self, busy: float, worked: float, has_demand: bool) -> None:
+        """Lowers the limit towards what is worked on, of `busy` attempts a backend of all nodes."""
+        least, nodes = self.least_per_backend(), self.nodes
+        # What others fill must not be open to this node as well: unused, its part goes back.
+        limit = min(self.per_backend, max(least, UNUSED * busy / nodes))
+        kept = (worked + QUEUE_KEPT * sqrt(worked)) / nodes
+        if not has_demand and kept < limit:
+            limit = max(min(limit, least), (limit + kept) / 2)
+        self.per_backend = limit
+
+    def has_bound_since(self, moment: Ticks) -> bool:
+        """Whether something had to wait for the limit since then."""
+        return moment <= self.last_limited_at
+
     def is_full(self, now: Ticks, ahead: bool) -> bool:
         """Whether what waits has to wait; `ahead` borrows from what waits behind it."""
         self.spend(now)
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -182,4 +182,6 @@
         ):
             # A limit under one is used up by one attempt: that shows no demand, but capacity for
             # it all the same.
-            budget.per_backend = search.bounded(budget.per_backend * (1 + follows * part))
+            budget.per_backend = search.overload.bounded(
+                budget.per_backend * (1 + follows * part), budget.spare_at
+            )
--- a/pierglade/concurrency/probing_round.py
+++ b/pierglade/concurrency/probing_round.py
@@ -54,7 +54,7 @@
         insort(self.shifts, (shift, weight))
 
     def total_weight(self, base: list[float]) -> float:
-        """Returns the weight of answered and missing attempts, by the log of unhurried latencies."""
+        """Returns the weight of all attempts; `base` has the logs of unhurried latencies."""
         return self.answered_weight + sum(
             n * exp(log) for n, log in zip(self.missing, base, strict=True) if n
         )
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -151,7 +151,7 @@
             room.attempt_answered(
                 now, 0, search.round.number, 6400 * MS, now - 6400 * MS, 9000 * MS
             )
-        self.assertIsNone(room._search.overload_limit)
+        self.assertIsNone(room._search.overload.overload_limit)
 
     def test_few_slow_answers_are_not_worth_many(self):
         """Ninety quick ones and one slow one say as much of the work as two answers, or noise is a queue."""
