--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -8,7 +8,8 @@
 
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.settings.balancer import BalancerSettings
-from pierglade.settings.platform import InvalidSettingsError, settings_from, short_of
+from pierglade.settings.platform import InvalidSettingsError, settings_from
+from pierglade.settings.validation import missing_key
 
 SOCKETS = 1024  # descriptors; where no limit is told
 MEMORY = 192  # MB; likewise
@@ -130,7 +131,7 @@
 def steps_again(first):
     """The same in steps, between which a node may go on; returns the Place. The known list is not read."""
     place = yield from _place_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
-    missing = short_of(place.told, first.told)
+    missing = missing_key(place.told, first.told)
     if missing:
         raise Unusable(
             f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start"
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -31,7 +31,7 @@
     WRITE,
     Link,
 )
-from pierglade.settings.platform import load_told
+from pierglade.settings.platform import load_from_text as load_told
 
 # Constants. Times are tenths of a millisecond.
 REST = 100  # 10 ms; second answers came up to 4 ms late, and must not answer the next trip
--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -9,7 +9,8 @@
 
 import orjson
 
-from pierglade.settings.platform import InvalidSettingsError, shares_from
+from pierglade.settings.platform import shares_from
+from pierglade.settings.validation import InvalidSettingsError
 
 # Constants.
 WHOLE = 1 << 16  # bytes that are parsed at once
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -16,7 +16,7 @@
 from pierglade.proxy.state import events as ev
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.reconfiguration import quota_changes as shares
-from pierglade.settings.platform import InvalidSettingsError
+from pierglade.settings.validation import InvalidSettingsError
 from pierglade.tenants.registry import (
     LATELY,
     QuotaDelta,
