--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -184,7 +184,7 @@
                 self.tell(ev.HEARD, fixed)
             self.fixed = fixed
             if tenants is not self.reducer.settings.tenants:
-                in_steps(shares.let_go(tenants.shares))
+                in_steps(shares.clear(tenants.shares))
 
     def _cap(self, caps):
         """Other caps hold from now on; who is in stays in. A gate that came later counts who comes from
--- a/pierglade/reconfiguration/__init__.py
+++ b/pierglade/reconfiguration/__init__.py
@@ -1,5 +1,5 @@
-"""A change of configuration by difference: read and compared in steps that each take about a millisecond.
+"""Changes of configuration, read and compared in steps that each take about a millisecond.
 
-Not for lists of backends, which discovery tells by difference itself, and no I/O: whoever calls lets requests
-pass between two steps. Start with `reading.steps` and `shares.steps`.
+Not for endpoint lists, whose differences discovery sends itself, and no I/O: the caller lets
+requests pass between two steps. Start with `document_reader.steps` and `quota_changes.steps`.
 """
--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -1,11 +1,14 @@
 """The JSON of a configuration, or of a list, read in steps.
 
-One call of a parser on tens of thousands of rows takes some 35 ms, in which a node answers nothing. Where a
-cut may be made is guessed, and the parser itself tells whether it was right: no JSON is read by code of ours.
+One call of a parser on tens of thousands of rows takes some 35 ms, in which a node answers nothing.
+Where a cut may be made is guessed, and the parser itself decides whether it was right: no JSON is
+read by code of this package.
 """
 
 import re
 import uuid
+from collections.abc import Callable, Generator, Iterable
+from typing import Any, NamedTuple
 
 import orjson
 
@@ -23,86 +26,105 @@
 BEHIND = re.compile(rb"[ \t\r\n]*([],])")
 
 
-def steps(text, known=True):
-    """Yields after each step; returns the document with `settings.customers` empty, and what stood there as
-    shares by name, in requests a second.
+class LargeArray(NamedTuple):
+    """An array that is read in steps, outside of its document."""
 
-    `known`: whether the list that is known is kept; else it is left empty. Raises ValueError where the text
-    is no JSON, and Wrong where a customer can't be used.
+    path: tuple[str, ...]
+    """The keys that lead to it."""
+    take: Callable[[list, int], None]
+    """Takes some of its rows, and the place of the first."""
+    replacement: list
+    """Stands in the document in its place."""
+
+
+def steps(text: bytes, known: bool = True) -> Generator[None, None, tuple[Any, dict[str, float]]]:
+    """Yields after each step; returns the document without customers, and their quotas by name.
+
+    Quotas are in requests a second.
+
+    Args:
+        text: The JSON.
+        known: Whether the endpoint list that is known is kept; else it is left empty.
+
+    Raises:
+        ValueError: The text is no JSON.
+        InvalidSettingsError: A customer cannot be used.
     """
-    shares, faults, rows = {}, [], []
+    shares, errors, rows = {}, [], []
 
-    def take(some, first):
+    def _take(some, first):
         try:
             shares.update(shares_from(some, first))
-        except InvalidSettingsError as fault:
-            faults.append(fault)  # told once it is sure that it stands among the customers
+        except InvalidSettingsError as error:
+            errors.append(error)  # raised once it is sure that it stands among the customers
 
-    def keep(some, _):
+    def _keep(some, _):
         rows.extend(some if known else ())
 
-    told = yield from _without(text, ((CUSTOMERS, take, []), (KNOWN, keep, rows)), PIECE)
-    if told is None:
+    document = yield from _without(
+        text, (LargeArray(CUSTOMERS, _take, []), LargeArray(KNOWN, _keep, rows)), PIECE
+    )
+    if document is None:
         # Rows that stand elsewhere under the same key; rare enough to be read at once.
-        told, faults = orjson.loads(text), []
+        document, errors = orjson.loads(text), []
         shares.clear()
-    if faults:
-        raise faults[0]
-    told = without_customers(told, shares)
-    if not known and isinstance(told, dict) and told.get("known") is not None:
-        told["known"] = {}
-    return told, shares
+    if errors:
+        raise errors[0]
+    document = without_customers(document, shares)
+    if not known and isinstance(document, dict) and document.get("known") is not None:
+        document["known"] = {}
+    return document, shares
 
 
-def parsed(text):
-    """Yields after each step; returns the list of backends, or whatever else the JSON holds."""
+def parsed(text: bytes) -> Generator[None, None, Any]:
+    """Yields after each step; returns the endpoint list, or whatever else the JSON holds."""
     rows = []
-    told = yield from _without(
-        text, ((("endpoints",), lambda some, _: rows.extend(some), rows),), LARGE
+    document = yield from _without(
+        text, (LargeArray(("endpoints",), lambda some, _: rows.extend(some), rows),), LARGE
     )
-    return orjson.loads(text) if told is None else told
+    return orjson.loads(text) if document is None else document
 
 
-def without_customers(told, shares):
-    """The same document with its customers taken out, into `shares`."""
-    settings = told.get("settings") if isinstance(told, dict) else None
+def without_customers(document: Any, shares: dict[str, float]) -> Any:
+    """Returns the document without its customers; adds their quotas to `shares`."""
+    settings = document.get("settings") if isinstance(document, dict) else None
     if isinstance(settings, dict) and settings.get("customers") is not None:
         shares.update(shares_from(settings["customers"]))
-        told = {**told, "settings": {**settings, "customers": []}}
-    return told
+        document = {**document, "settings": {**settings, "customers": []}}
+    return document
 
 
-def _without(text, arrays, piece):
-    """The document with the arrays in it, of (path, who takes the rows, what to leave there), read in steps.
+def _without(text: bytes, arrays: Iterable[LargeArray], piece: int) -> Generator[None, None, Any]:
+    """Yields after each step; returns the document, its large arrays read and replaced.
 
     None if one of them was not what its key made it look like.
     """
     marks = []
-    for path, take, left in arrays:
+    for path, take, replacement in arrays:
         opens = re.search(OPENS % path[-1].encode(), text) if len(text) > WHOLE else None
         if opens is not None:
             end = yield from _rows(text, opens.end(), take, piece)
-            # Nobody has written this before: what holds it later is what the rows stood in.
+            # A mark that no text holds: what holds it later is what the rows stood in.
             mark = uuid.uuid4().hex
-            marks.append((path, mark, left))
+            marks.append((path, mark, replacement))
             text = b'%b"%b"%b' % (text[: opens.end() - 1], mark.encode(), text[end:])
             yield
-    told = orjson.loads(text)
-    for (*way, last), mark, left in marks:
-        place = told
+    document = orjson.loads(text)
+    for (*way, last), mark, replacement in marks:
+        place = document
         for key in way:
             place = place.get(key) if isinstance(place, dict) else None
         if not isinstance(place, dict) or place.get(last) != mark:
             return None
-        place[last] = left
-    return told
+        place[last] = replacement
+    return document
 
 
 def _rows(text, at, take, piece):
     """Reads an array whose first row begins `at`; returns where the text goes on behind it.
 
-    A cut that falls into a row or into a text leaves no whole JSON: then it is tried further on. One behind the
-    array's end does neither, and the parser says where the array was over.
+    A cut that falls into a row or into a text leaves no whole JSON: then it is tried further on.
+    One behind the array's end does neither, and the parser says where the array was over.
     """
     count, tries, cut = 0, 0, at + piece
     while True:
@@ -110,8 +132,8 @@
         part = b"[%b]" % text[at : cut or len(text)]
         try:
             rows, end = orjson.loads(part), None
-        except orjson.JSONDecodeError as fault:
-            rows, end = _closed(part, fault.pos)
+        except orjson.JSONDecodeError as error:
+            rows, end = _closed(part, error.pos)
             if rows is None:
                 if not cut:
                     raise
@@ -137,7 +159,7 @@
 
 
 def _closed(part, pos):
-    """The rows and the bytes of the array that `part` begins with, if it is over before the character `pos`."""
+    """Returns rows and length of the array that `part` begins with, if it ends before `pos`."""
     try:
         array = part.decode()[:pos].rstrip(" \t\r\n").encode()
         return (orjson.loads(array), len(array)) if array[-1:] == b"]" else (None, None)
--- a/tests/settings/test_validation.py
+++ b/tests/settings/test_validation.py
@@ -1,4 +1,4 @@
-"""What is said of settings that cannot be used, and that the error carries place, value and expected."""
+"""Messages about settings that cannot be used, and the fields of their error."""
 
 import copy
 import unittest
