--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -1,4 +1,4 @@
-"""What outlives a restart: the form under damage, what age leaves of it, and files under every kind of trouble."""
+"""Snapshots: the format under damage, what age leaves, and files under disk faults."""
 
 import fcntl
 import json
@@ -101,7 +101,7 @@
                 form.decode(data)
 
     def test_older_and_newer_versions(self):
-        """Two steps forward from the form before; a newer one, a missing step and a body of another shape."""
+        """Two migrations; a newer version, a missing migration and a body of another shape."""
         data, lines = form.encode(snapshot()), []
 
         def add(raw):
@@ -172,7 +172,7 @@
             f"usual {node.usual[b]:g} of {node.usual_of[b]}; trouble {node.trouble[b]}"
         )
 
-    def test_by_age_and_by_what_it_tells_of(self):
+    def test_restored_by_age_and_by_what_still_matches(self):
         desk = Desk(["b0"])
         o = desk.reducer.settings.request_classes[0]
         row = {
@@ -276,7 +276,7 @@
 
 
 def killed_while_writing(times, seed=1):
-    """So many writers are killed at moments of chance; (generations read, torn ones, none at all)."""
+    """Kills so many writers at random; returns generations read, torn and missing."""
     chance, good, torn, none = random.Random(seed), 0, 0, 0
     with tempfile.TemporaryDirectory() as path:
         for _ in range(times):
@@ -380,7 +380,7 @@
             )
 
     def test_killed_while_writing(self):
-        """The full thousand: python -c 'from tests.snapshot.test_snapshot import *; print(killed_while_writing(1000))'."""
+        """The full thousand: print(killed_while_writing(1000)) from this module."""
         self.assertEqual(killed_while_writing(8), (8, 0, 0))
 
     def test_falls_back_to_the_one_before_and_one_process_writes(self):
@@ -411,7 +411,7 @@
         self.check("learned_files", lines)
 
     def test_a_disk_that_is_full_slow_or_gone(self):
-        """The loop goes on, a reason is told once, tries come farther apart, and the generation before stays."""
+        """The loop goes on, a reason is logged once, tries back off, the previous file stays."""
         notes = []
         with tempfile.TemporaryDirectory() as path:
             host = SimpleNamespace(
