--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -78,7 +78,7 @@
         self.answered = self.late = self.refused = self.failed = 0
 
     def ended(self, request, status, backend, why):
-        took = (time.monotonic() - request.what) * 1000
+        took = (time.monotonic() - request.context) * 1000
         if status == 200:
             self.answered += 1
             self.late += took > 150
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -149,7 +149,7 @@
                 "/",
                 at[mine],
                 timeout_s=plan.timeout_s(),
-                keeps=clients.kept,
+                reuses=clients.kept,
                 retries=clients.retries,
                 retry_s=clients.retry_ms / 1000,
                 marks=clients.marks,
--- a/pierglade/load/__init__.py
+++ b/pierglade/load/__init__.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: arrivals are planned beforehand, and a stall of the target counts in full.
+"""An open-loop load generator: arrivals are planned beforehand, and a stall counts in full.
 
-Not for service, and with nothing of the node's code. `pierglade.load.run.play` is the name to start with.
+Not for service, and with nothing of the node's code. Start with `pierglade.load.run.play`.
 """
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -1,4 +1,4 @@
-"""When each request is to be sent: shapes one after the other, or a recorded trace. Planned before the first.
+"""When each request is to be sent: patterns one after the other, or a recorded trace.
 
 Moments are seconds from the start, as numpy arrays of float64 in order.
 """
@@ -42,11 +42,11 @@
 
 
 def moments(shapes, spacing, seed):
-    """The moments of all requests of these shapes. `spacing` is "even" or "poisson"."""
+    """The moments of all requests of these patterns; `spacing` is "even" or "poisson"."""
     generator, begins, parts = np.random.default_rng(seed), 0.0, []
     for shape in shapes:
         at, rates = _rate(shape)
-        # So many are due by each point; between two the count goes as the area under a straight line does.
+        # Requests due by each point; between two the count grows as the area under a line.
         due = np.concatenate(([0.0], np.cumsum((rates[1:] + rates[:-1]) / 2 * np.diff(at))))
         if due[-1] > MOST:
             raise InvalidPlanError(f"a plan of more than {MOST} requests")
@@ -68,7 +68,7 @@
     span = at[piece + 1] - at[piece]
     slope = (rates[piece + 1] - rates[piece]) / span
     rest, first = wanted - due[piece], rates[piece]
-    # rest = first * t + slope * t * t / 2, in a form that does not lose its figures where slope is small.
+    # rest = first * t + slope * t * t / 2, in a form that stays exact where the slope is small.
     root = np.sqrt(np.maximum(0.0, first * first + 2 * slope * rest))
     return at[piece] + 2 * rest / np.maximum(first + root, 1e-12)
 
@@ -83,18 +83,18 @@
 
 
 def read_trace(path, speed=1.0):
-    """The requests of a trace, CSV with a head line or JSON lines, as (moments, [Recorded]).
+    """The requests of a trace as (moments, [RecordedRequest]); CSV with a head line or JSON lines.
 
-    Columns: `offset` (s from the start, or `at_s`), `offering`, `customer`, `size`. `speed`: 2 is twice as
-    fast. Raises InvalidPlanError with the file and the line.
+    Columns: `offset` (s from the start, or `at_s`), `offering`, `customer`, `size`. `speed`: 2 is
+    twice as fast. Raises InvalidPlanError with the file and the line.
     """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except OSError as fault:
-        raise InvalidPlanError(f"{path}: {fault.strerror}") from None
-    except UnicodeDecodeError as fault:
-        raise InvalidPlanError(f"{path}: {fault}") from None
+    except OSError as error:
+        raise InvalidPlanError(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
     rows = list(_json_rows(path, text) if text.lstrip()[:1] == "{" else _csv_rows(path, text))
     if not rows:
         raise InvalidPlanError(f"{path}: there is no request in it")
@@ -108,18 +108,18 @@
     return np.array([row.at_s / speed for _, row in rows]), [row for _, row in rows]
 
 
-def _row(path, number, told):
+def _row(path, number, fields):
     try:
-        at_s = float(told.get("offset", told.get("at_s")))
-        size = int(told.get("size") or 0)
+        at_s = float(fields.get("offset", fields.get("at_s")))
+        size = int(fields.get("size") or 0)
     except (TypeError, ValueError):
         raise InvalidPlanError(
-            f"{path}:{number}: offset and size are no numbers: {str(told)[:60]}"
+            f"{path}:{number}: offset and size are no numbers: {str(fields)[:60]}"
         ) from None
     if not 0 <= at_s < 1e7 or not 0 <= size <= 1 << 26:
         raise InvalidPlanError(f"{path}:{number}: offset {at_s:g} or size {size} is out of bounds")
     return RecordedRequest(
-        at_s, str(told.get("offering") or ""), str(told.get("customer") or ""), size
+        at_s, str(fields.get("offering") or ""), str(fields.get("customer") or ""), size
     )
 
 
@@ -127,17 +127,17 @@
     reader = csv.DictReader(io.StringIO(text))
     if text.strip() and not {"offset", "at_s"} & set(reader.fieldnames or ()):
         raise InvalidPlanError(f"{path}:1: no column `offset`")
-    for told in reader:
-        yield reader.line_num, _row(path, reader.line_num, told)
+    for fields in reader:
+        yield reader.line_num, _row(path, reader.line_num, fields)
 
 
 def _json_rows(path, text):
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip():
             try:
-                told = msgspec.json.decode(line)
-            except msgspec.DecodeError as fault:
-                raise InvalidPlanError(f"{path}:{number}: {fault}") from None
-            if not isinstance(told, dict):
+                fields = msgspec.json.decode(line)
+            except msgspec.DecodeError as error:
+                raise InvalidPlanError(f"{path}:{number}: {error}") from None
+            if not isinstance(fields, dict):
                 raise InvalidPlanError(f"{path}:{number}: no object")
-            yield number, _row(path, number, told)
+            yield number, _row(path, number, fields)
--- a/pierglade/load/recorder.py
+++ b/pierglade/load/recorder.py
@@ -14,8 +14,8 @@
 class LatencyRecorder:
     """Histograms in microseconds, and counts.
 
-    `latency`: from the planned moment to the answer or failure; `service`: from the send; `late`: from
-    the planned moment to the send.
+    `latency`: from the planned moment to the answer or failure; `service`: from the send; `late`:
+    from the planned moment to the send.
     """
 
     def __init__(self):
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -11,6 +11,7 @@
 import time
 
 from pierglade.audit.ledger import Ledger
+from pierglade.errors import PiergladeError
 from pierglade.load.client import CLOSED, Pool, Request
 from pierglade.load.recorder import LatencyRecorder
 
@@ -22,18 +23,18 @@
 MOST_OPEN = 20000  # connections of a worker; beyond it requests fail, and say so
 
 
-class InvalidRunError(Exception):
-    """The run says nothing; one line that tells why."""
+class InvalidRunError(PiergladeError):
+    """The run proves nothing; its text says why."""
 
 
 class Load:
-    """What is sent where. `target` is host:port; `path` begins with a slash.
+    """What is sent where.
 
-    `retries`: tries more after a refusal or a failure, `retry_s` apart and, if `doubled`, doubled, marked
-    X-Second-Try where `marks`; `leaves`: share of the requests whose client goes away after half of its
-    patience. `repeats`: what a repeat of each offering of `rows` does; without it `method` serves all.
-    `node`:
-    a name for the target in the ledger.
+    `target` is host:port; `path` begins with a slash. `retries`: further tries after a rejection
+    or a failure, `retry_s` apart and, if `doubled`, doubled, marked X-Second-Try where `marks`;
+    `abandon_share`: share of the requests whose client goes away after half of its timeout.
+    `repeats`: the idempotency of each request class of `rows`, in a plan's words; without it
+    `method` serves all. `node`: a name for the target in the ledger.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         method="GET",
         headers=(),
         timeout_s=10.0,
-        keeps=True,
+        reuses=True,
         retries=0,
         retry_s=0.2,
         marks=False,
@@ -58,7 +59,7 @@
         node="",
     ):
         self.target, self.path, self.moments, self.method = target, path, moments, method
-        self.headers, self.timeout_s, self.keeps = list(headers), timeout_s, keeps
+        self.headers, self.timeout_s, self.reuses = list(headers), timeout_s, reuses
         self.retries, self.retry_s, self.marks, self.abandon_share, self.seed = (
             retries,
             retry_s,
@@ -73,10 +74,10 @@
 class _Sender:
     def __init__(self, load, share, begins, tally):
         self.load, self.tally, self.loop = load, tally, asyncio.get_running_loop()
-        self.pool = Pool(load.target, self.loop, load.keeps)
+        self.pool = Pool(load.target, self.loop, load.reuses)
         self.moments = load.moments[share[0] :: share[1]].tolist()
         self.numbers = itertools.count(share[0], share[1])
-        self.begins, self.owed, self.all_sent = begins, 0, False
+        self.begins, self.pending, self.all_sent = begins, 0, False
         self.done = asyncio.Event()
         self.most_open = min(MOST_OPEN, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 64)
         self.prefix = f"{os.getpid():x}{time.time_ns() & 0xFFFFFF:x}"
@@ -91,6 +92,7 @@
         )
 
     def data(self, number, tries):
+        """The bytes of a try."""
         load, row = self.load, self.load.rows[number] if self.load.rows else None
         path = f"/{row.request_class}/x" if row and row.request_class else load.path
         method, repeats = load.method, load.repeats and load.repeats[row.request_class]
@@ -115,11 +117,12 @@
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
     def id(self, number, tries):
+        """The id of a try."""
         return f"{self.prefix}-{number}-{tries}"
 
     def _unsolicited(self, request, status):
         """An answer to what was answered already."""
-        number, _, _, tries = request.what
+        number, _, _, tries = request.context
         self.ledger.note("answer", id=self.id(number, tries), status=status, unasked=True)
 
     async def play(self):
@@ -150,7 +153,8 @@
             self.loop.call_later(FLUSH_S, self._flush)
 
     def send(self, number, planned, tries):
-        self.owed += 1
+        """Sends a try of the request with that number, planned for that moment."""
+        self.pending += 1
         now = time.monotonic() - self.begins
         if not tries:
             self.tally.counts["sent"] += 1
@@ -174,32 +178,33 @@
         if self.load.abandon_share and self.chance() < self.load.abandon_share:
             self.loop.call_later(self.load.timeout_s / 2, self.pool.leave, request)
 
-    def ended(self, request, status, backend, why):
-        number, planned, sent, tries = request.what
+    def ended(self, request, status, backend, reason):
+        """A try has ended: it is counted, and retried if the load says so."""
+        number, planned, sent, tries = request.context
         now = time.monotonic() - self.begins
-        self.owed -= 1
+        self.pending -= 1
         self.tally.add("service", now - sent)
         if self.ledger.is_open:
-            told = {"status": status} if status else {"why": why or CLOSED}
-            self.ledger.note("answer" if status else "left", id=self.id(number, tries), **told)
+            fields = {"status": status} if status else {"why": reason or CLOSED}
+            self.ledger.note("answer" if status else "left", id=self.id(number, tries), **fields)
             if self.ledger.pending >= FLUSH_LINES:
                 self.ledger.flush()
-        again = status != 200 and tries < self.load.retries
-        if again:
-            self.owed += 1
+        is_retried = status != 200 and tries < self.load.retries
+        if is_retried:
+            self.pending += 1
             wait = self.load.retry_s * (2**tries if self.load.doubled else 1)
-            self.loop.call_later(wait, self._again, number, planned, tries + 1)
+            self.loop.call_later(wait, self._retry, number, planned, tries + 1)
         else:
             self.tally.add("latency", now - planned)
-            self.tally.ended(status, why or CLOSED)
+            self.tally.ended(status, reason or CLOSED)
         self._look_if_done()
 
-    def _again(self, number, planned, tries):
-        self.owed -= 1
+    def _retry(self, number, planned, tries):
+        self.pending -= 1
         self.send(number, planned, tries)
 
     def _look_if_done(self):
-        if self.all_sent and not self.owed:
+        if self.all_sent and not self.pending:
             self.done.set()
 
 
@@ -209,12 +214,12 @@
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
     tally = LatencyRecorder()
 
-    async def whole():
+    async def _send_all():
         await _Sender(load, share, begins, tally).play()
 
     gc.freeze()
     gc.disable()  # a collection is a stall of the sender; what it leaves is bounded by the plan
-    asyncio.run(whole())
+    asyncio.run(_send_all())
     pipe.send_bytes(tally.encoded())
     pipe.close()
 
@@ -231,11 +236,11 @@
     if workers == 1:
         tally = LatencyRecorder()
 
-        async def whole():
+        async def _send_all():
             await _Sender(load, (0, 1), begins, tally).play()
 
         try:
-            asyncio.run(whole())
+            asyncio.run(_send_all())
         except KeyboardInterrupt:
             raise KeyboardInterrupt(tally) from None
         return tally
@@ -249,7 +254,10 @@
 
 
 class WorkerPool:
-    """Processes that send at once. `jobs`: a (Load, share) each; `begins`: the monotonic moment of all."""
+    """Worker processes that send at once.
+
+    `jobs`: a (Load, share) each; `begins`: the monotonic moment at which all begin.
+    """
 
     def __init__(self, jobs, begins):
         self.tally, self.children = LatencyRecorder(), []
@@ -272,10 +280,12 @@
                 raise InvalidRunError(f"{how}; the run is void") from None
         return self.tally
 
-    def running(self):
+    def running(self) -> bool:
+        """Whether a worker is still alive."""
         return any(child.is_alive() for child, _ in self.children)
 
-    def end(self):
+    def end(self) -> None:
+        """Ends all workers."""
         for child, _ in self.children:
             child.terminate()
             child.join()
--- a/pierglade/testbed/plain.py
+++ b/pierglade/testbed/plain.py
@@ -72,7 +72,7 @@
     def connection_lost(self, fault):
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            self.node.pools[attempt.what[1]].leave(attempt)
+            self.node.pools[attempt.context[1]].leave(attempt)
 
     def data_received(self, data):
         try:
@@ -171,7 +171,7 @@
         self.pools[name].send(attempt, PATIENCE_S)
 
     def ended(self, attempt, status, backend, why):
-        client, name, method, tries = attempt.what
+        client, name, method, tries = attempt.context
         self.choice.out[name] -= 1
         if client.attempt is not attempt:
             return
