--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -225,10 +225,10 @@
 
 
 def play(load, workers=1):
-    """Plays a Load; returns its Tally.
+    """Plays a Load; returns its LatencyRecorder.
 
-    Raises Void where a worker did not come to its end, and KeyboardInterrupt with what was seen so far as its
-    first argument where it is stopped.
+    Raises InvalidRunError where a worker ended before its plan, and KeyboardInterrupt with what was
+    seen so far as its first argument where it is stopped.
     """
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # a stall takes a connection a request
@@ -270,7 +270,10 @@
             self.children.append((child, ours))
 
     def collect(self):
-        """The Tally of all, once the last has ended; raises Void where one did not come to its end."""
+        """The LatencyRecorder of all, once the last has ended.
+
+        Raises InvalidRunError where one ended before its plan.
+        """
         for number, (child, pipe) in enumerate(self.children):
             try:
                 self.tally.merge(pipe.recv_bytes())
