--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -9,7 +9,8 @@
 
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.event_loop import PER_SECOND, in_steps
-from pierglade.proxy.http.message import Answers, Malformed, request_head
+from pierglade.proxy.http.message import request_head
+from pierglade.proxy.http.reader import ProtocolError, ResponseReader
 from pierglade.proxy.state import events
 from pierglade.reconfiguration import document_reader as reading
 
@@ -32,7 +33,7 @@
 LINE_MOST = 1 << 22  # bytes of a list; 6,800 entries are 0.9 MB, indented 1.3 to 1.7
 
 
-class Lists(Answers):
+class Lists(ResponseReader):
     body_most = held_most = LINE_MOST
 
 
@@ -113,7 +114,7 @@
                 if self.index is None:
                     self._whole_list()
                 self._follow()
-            except (OSError, Lost, Malformed, httptools.HttpParserError, ValueError) as fault:
+            except (OSError, Lost, ProtocolError, httptools.HttpParserError, ValueError) as fault:
                 if not isinstance(fault, (OSError, Lost)):
                     self.index = None  # What could not be read may have been a change.
                 if not self.left:
@@ -184,7 +185,7 @@
         sock = self._ask(LIST_PATH, within)
         answers = Lists()
         while (message := answers.next()) is None:
-            count = sock.recv_into(answers.room())
+            count = sock.recv_into(answers.writable())
             if not count:
                 raise Lost("closed")
             sock.settimeout(goes_on)
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -7,8 +7,15 @@
 from gevent.event import Event
 
 from pierglade.proxy import socket_io as sending
-from pierglade.proxy.http.body_stream import GATHER_MOST, GATHER_PART, WINDOW, WINDOW_COST, Flow
-from pierglade.proxy.http.message import GO_ON, Malformed, Requests
+from pierglade.proxy.http.body_stream import (
+    GATHER_MOST,
+    GATHER_PART,
+    WINDOW,
+    WINDOW_COST,
+    BodyStream,
+)
+from pierglade.proxy.http.message import GO_ON
+from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state import events
 
 BACKLOG = 4096  # connections; whatever the kernel's queue holds counts as taken
@@ -35,7 +42,7 @@
         self.host, self.line, self.address = host, host.line, address
         self.gate = host.reducer.gate  # that let it in; None: nobody was asked
         self.now = host.clock.now
-        self.requests = Requests()
+        self.requests = RequestReader()
         self.read_on = Event()
         self.last = False  # what still comes is thrown away: it follows a fault or the last answer
         self.message = None  # that it belongs to
@@ -63,7 +70,7 @@
                     self.read_on.clear()
                     self.read_on.wait()
                     continue
-                room = THROWN if self.last else self.requests.room()
+                room = THROWN if self.last else self.requests.writable()
                 if room is None:
                     # More than one request ahead: its end is not seen until the one in hand is answered.
                     self.read_on.clear()
@@ -117,7 +124,7 @@
             if self.flow is not None:
                 return self._take_piece()
             message = self.requests.next()
-        except Malformed as fault:
+        except ProtocolError as fault:
             # Where the fault ends nobody can tell: nothing behind it is read as a request.
             self.last = True
             self._end_flow()
@@ -138,14 +145,14 @@
     # A body too large to hold.
 
     def _begin_flow(self, message):
-        if not self.space.take(WINDOW_COST):
+        if not self.space.reserve(WINDOW_COST):
             # Before its body is read: together they are far more than the node may hold.
             self.last, self.thrown_most = True, REST_MOST
             self.tell(events.FAULTY, self.client, 503)
             return
         self.held = WINDOW_COST
         self.message, self.asked = message, False
-        message.flow = self.flow = Flow(
+        message.flow = self.flow = BodyStream(
             self.requests.length if self.requests.pieces is None else None, self.read_on.set
         )
         if self.requests.expects_go_on():
@@ -173,7 +180,7 @@
         if self.flow.size + WINDOW > GATHER_MOST:
             return False
         if more > 0:
-            if not self.space.take(more, GATHER_PART):
+            if not self.space.reserve(more, GATHER_PART):
                 return False
             self.held += more
         return True
@@ -187,14 +194,14 @@
     def _free(self):
         self._end_flow()
         self.message = None
-        self.space.free(self.held)
+        self.space.release(self.held)
         self.held = 0
 
     def answer(self, head, body, last, chunked=False):
         self._free()
         if self.gate is not None and head[9:12] in FAULTS:
             self.gate.faulted(self.now(), self.address)
-        if isinstance(body, Flow):
+        if isinstance(body, BodyStream):
             self.passing = True
             gevent.spawn(self._pass_on, head, body, last, chunked)
             return
@@ -238,7 +245,7 @@
                 self.thrown_most = REST_MOST
             self.last = True
             self.requests.drop()
-            self.requests = Requests()
+            self.requests = RequestReader()
             try:
                 self.sock.shutdown(socket.SHUT_WR)
             except OSError:
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -6,7 +6,8 @@
 from gevent import socket
 
 from pierglade.proxy import socket_io as sending
-from pierglade.proxy.http.message import Malformed, Requests, answer_head
+from pierglade.proxy.http.message import answer_head
+from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state import events
 
 CALLS = 8  # connections at once; each holds a descriptor, and staff call one by one
@@ -23,13 +24,13 @@
 
     def __init__(self, sock):
         self.sock = sock
-        self.requests = Requests()
+        self.requests = RequestReader()
         self.method = self.path = b""
 
     def read(self):
         """Reads the call; whether there is one. What is no HTTP is answered here."""
         while (message := self._next()) is None:
-            count = self.sock.recv_into(self.requests.room())
+            count = self.sock.recv_into(self.requests.writable())
             if not count:
                 return False
             self.requests.filled(count)
@@ -40,7 +41,7 @@
     def _next(self):
         try:
             return self.requests.next()
-        except Malformed as fault:
+        except ProtocolError as fault:
             self.reply(fault.status, b"not understood\n")
             return False
 
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -14,7 +14,7 @@
 from pierglade.proxy.discovery import Discovery
 from pierglade.proxy.downstream import ClientSocket, Door
 from pierglade.proxy.event_loop import Clock, Timer, Turns, in_steps
-from pierglade.proxy.http.body_stream import Space
+from pierglade.proxy.http.body_stream import BufferBudget
 from pierglade.proxy.logging import Log
 from pierglade.proxy.management import CALLS, Management
 from pierglade.proxy.state import events as ev
@@ -44,7 +44,7 @@
 class Host:
     def __init__(self, place):
         self.clock = Clock()
-        self.space = Space(int(place.memory_mb * SPACE_PART) << 20)
+        self.space = BufferBudget(int(place.memory_mb * SPACE_PART) << 20)
         self.log = (place.log or Log)(sys.stdout.fileno(), place.name)
         self.door = Door(place.listen, self)
         self.management = Management(place.management, self) if place.management else None
@@ -186,7 +186,8 @@
 
     def _cap(self, caps):
         """Other caps hold from now on; who is in stays in. A gate that came later counts who comes from
-        then."""
+        then.
+        """
         gate = self.reducer.gate
         if gate is not None:
             gate.allow(caps or Caps())
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -5,8 +5,8 @@
 from gevent.event import Event
 
 from pierglade.proxy import socket_io as sending
-from pierglade.proxy.http.body_stream import Flow
-from pierglade.proxy.http.message import Answers, Malformed
+from pierglade.proxy.http.body_stream import BodyStream
+from pierglade.proxy.http.reader import ProtocolError, ResponseReader
 from pierglade.proxy.state import events
 
 
@@ -14,7 +14,7 @@
     def __init__(self, link, tell):
         self.link, self.tell = link, tell
         self.sock = socket.socket()
-        self.answers = Answers()
+        self.answers = ResponseReader()
         self.kept = False  # it has stood idle, or brought an answer, since it came up
         self.whole = False  # the last byte of the request that is out was handed to the kernel
         self.flow = None  # the answer that comes, where it is too large to hold
@@ -47,7 +47,7 @@
                     self.read_on.clear()
                     self.read_on.wait()
                     continue
-                if not (count := self.sock.recv_into(self.answers.room())):
+                if not (count := self.sock.recv_into(self.answers.writable())):
                     break
                 self.answers.filled(count)
                 self._take()
@@ -58,7 +58,7 @@
                     self.tell(events.REPLYING, self.link)
             if self.answers.ended():
                 self._take_last()
-        except Malformed as fault:
+        except ProtocolError as fault:
             return self._ended(events.GARBLED, f"malformed answer: {fault}")
         except OSError as fault:
             return self._ended(events.BROKE, f"broke: {fault.strerror or fault}")
@@ -76,7 +76,7 @@
                 return
             elif self.answers.flows:
                 counted = self.answers.pieces is None
-                message.flow = self.flow = Flow(
+                message.flow = self.flow = BodyStream(
                     self.answers.length if counted else None, self.read_on.set
                 )
                 self.flow.add(self.answers.piece())
@@ -136,7 +136,7 @@
         if self._unwanted():
             self.tell(events.LEFT, self.link)
             return
-        if isinstance(body, Flow):
+        if isinstance(body, BodyStream):
             gevent.spawn(self._write_flow, head, body)
             return
         try:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -15,7 +15,7 @@
 from pierglade.admission import connection_admission as gate
 from pierglade.admission import fair_queue as fair
 from pierglade.admission import load_shedder as press
-from pierglade.proxy.http import message as http
+from pierglade.proxy.http import reader
 from tests.proxy.test_sockets import Peer, answer
 from tests.support.scene import Desk, TraceTest
 
@@ -214,8 +214,8 @@
         ):
             name = what.replace(" ", "-")
             data = (head.replace("{id}", name) + "\r\n").encode()
-            inbox = http.Requests()
-            inbox.room()[: len(data)] = data
+            inbox = reader.RequestReader()
+            inbox.writable()[: len(data)] = data
             inbox.filled(len(data))
             desk.open(name)
             refusal = desk.reducer.glance(desk.now, desk.clients[name], inbox, desk.now, desk.now)
@@ -316,7 +316,8 @@
     def known(self, place, count):
         """Of so many requests of a known client, each on a connection of its own: all answered, most served?
 
-        The flood takes what it can of the core, and a machine that stands still makes the node refuse some."""
+        The flood takes what it can of the core, and a machine that stands still makes the node refuse some.
+        """
         got = Counter()
         for number in range(count):
             with socket.create_connection(place, 20) as sock:
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -5,8 +5,8 @@
 
 from pierglade.model.decision import CancelAttempt
 from pierglade.model.endpoint import LoadReportSource
-from pierglade.proxy.http import message as http
-from pierglade.proxy.http.body_stream import Flow
+from pierglade.proxy.http import reader
+from pierglade.proxy.http.body_stream import BodyStream
 from pierglade.proxy.state import events as ev
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import Desk, TraceTest, balancer_settings, entry, message
@@ -115,7 +115,10 @@
                 desk.now += 1000
                 answer = b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n"
                 desk.tell(
-                    ev.REPLIED, desk.links[0], message(answer, http.Answers), came=desk.now - 800
+                    ev.REPLIED,
+                    desk.links[0],
+                    message(answer, reader.ResponseReader),
+                    came=desk.now - 800,
                 )
                 desk.taken("c0")
         typical = desk.reducer.node.table[0].typical
@@ -398,7 +401,7 @@
             desk.tell(
                 ev.REPLIED,
                 link,
-                message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", http.Answers),
+                message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", reader.ResponseReader),
             )
             desk.taken("c0")
             desk.after(10)
@@ -406,7 +409,7 @@
                 break
         desk.up()
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
-        desk.tell(ev.REPLIED, desk.links[-1], message(answer, http.Answers))
+        desk.tell(ev.REPLIED, desk.links[-1], message(answer, reader.ResponseReader))
         desk.say(f"pace {desk.reducer.node.told_pace}, queue {desk.reducer.node.told_queue}")
         self.check("node_stats", desk.lines)
 
@@ -478,8 +481,8 @@
         desk.taken("ann")
         desk.after(10)
         desk.ask("ann", method="HEAD")
-        large = message(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", http.Answers)
-        large.flow = Flow(70000, lambda: None)
+        large = message(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", reader.ResponseReader)
+        large.flow = BodyStream(70000, lambda: None)
         desk.tell(ev.REPLIED, desk.links[-1], large)
         self.check("node_head", desk.lines)
 
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -24,7 +24,7 @@
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
-from pierglade.proxy.http import message as http
+from pierglade.proxy.http import reader
 from pierglade.proxy.server import Host
 from pierglade.proxy.state import downstream as state_clients
 from pierglade.proxy.state import events as ev
@@ -68,9 +68,9 @@
             gevent.spawn(self.serve, self.socks[-1])
 
     def serve(self, sock):
-        inbox = http.Requests()
+        inbox = reader.RequestReader()
         try:
-            while count := sock.recv_into(inbox.room()):
+            while count := sock.recv_into(inbox.writable()):
                 inbox.filled(count)
                 while (message := inbox.next()) is not None:
                     self.seen.append(message.url.decode())
@@ -266,7 +266,7 @@
         """Behind one in hand, whose answer comes as the client leaves."""
         link = self.first(house, sock, request_class, http_request(request_class, "1"))
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
 
     def far_ahead(self, house, sock, request_class):
         """Behind one in hand and before more than the buffer holds."""
@@ -277,7 +277,7 @@
             b"".join(http_request(request_class, str(n)) for n in range(1, 90)),
         )
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
 
     def decisions(self, house, sock, request_class):
         """Held by the decisions: they decide as the client leaves."""
@@ -377,7 +377,7 @@
             sock = house.client()
             link = self.first(house, sock, "look", http_request("look", "1"))
             client = link.attempt.request.host_context
-            house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+            house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
             client.io.requests.drop()
             gevent.sleep(0)
             gevent.sleep(0)
@@ -520,7 +520,8 @@
 
     def test_settings_that_change_while_a_link_comes_up(self):
         """Gone binds under the settings that took it, and not under the new ones: it is left alone. Where the
-        list was asked for, who waits for the word to ask again is not left waiting."""
+        list was asked for, who waits for the word to ask again is not left waiting.
+        """
         desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
         desk.ask("c0", "/pay")
         desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(removal_binds=False))
@@ -568,7 +569,8 @@
 class Stopping(TraceTest):
     def test_the_end_comes_with_the_settings_own_limits(self):
         """Limits of 0.6 s: the process may be killed at 1.3 s. One with no limit near it on a link that comes
-        up later, one half read, one that asks when the end is near: each is answered, nothing goes out."""
+        up later, one half read, one that asks when the end is near: each is answered, nothing goes out.
+        """
         rows = [
             RequestClass(0, "look", Idempotency.SAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
             RequestClass(1, "pay", Idempotency.UNSAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -8,7 +8,7 @@
 import gevent
 
 from pierglade.proxy.http import body_stream as flow
-from pierglade.proxy.http import message as http
+from pierglade.proxy.http import reader
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.upstream import LinkSocket
 from tests.proxy import test_sockets as test_net
@@ -22,7 +22,7 @@
         f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {name}\r\n"
         f"X-Expires-In-Ms: {left}\r\n\r\n".encode()
     )
-    taken.flow = flow.Flow(size)
+    taken.flow = flow.BodyStream(size)
     taken.flow.add(b"x" * 100)
     desk.tell(ev.ASKED, desk.clients[name], taken)
     return taken.flow
@@ -30,8 +30,10 @@
 
 def download(desk, status=200, size=None):
     """An answer whose body is on its way; the flow."""
-    taken = message(f"HTTP/1.1 {status} .\r\nContent-Length: 0\r\n\r\n".encode(), http.Answers)
-    taken.flow = flow.Flow(size)
+    taken = message(
+        f"HTTP/1.1 {status} .\r\nContent-Length: 0\r\n\r\n".encode(), reader.ResponseReader
+    )
+    taken.flow = flow.BodyStream(size)
     desk.tell(ev.REPLIED, desk.links[-1], taken)
     return taken.flow
 
@@ -39,7 +41,7 @@
 class Window(unittest.TestCase):
     def test_whoever_reads_waits_for_whoever_writes(self):
         woken = []
-        one = flow.Flow(None, lambda: woken.append(1))
+        one = flow.BodyStream(None, lambda: woken.append(1))
         one.add(b"x" * flow.WINDOW)
         self.assertTrue(one.full())
         self.assertFalse(one.spent())
@@ -47,16 +49,18 @@
         self.assertEqual((one.full(), one.spent(), one.take()), (False, True, b""))
         one.finish()
         self.assertIsNone(one.take())
-        other = flow.Flow(9)
+        other = flow.BodyStream(9)
         other.add(b"four")
         other.break_off()
         self.assertEqual((other.take(), other.spent(), len(woken)), (None, True, 3))
 
     def test_the_space_is_shared(self):
-        space = flow.Space(10)
-        self.assertEqual([space.take(6), space.take(6), space.take(2, 0.5)], [True, False, False])
-        space.free(6)
-        self.assertTrue(space.take(10))
+        space = flow.BufferBudget(10)
+        self.assertEqual(
+            [space.reserve(6), space.reserve(6), space.reserve(2, 0.5)], [True, False, False]
+        )
+        space.release(6)
+        self.assertTrue(space.reserve(10))
 
 
 class Uploads(TraceTest):
@@ -111,7 +115,7 @@
             seat = LinkSocket(link, lambda kind, _, *what: lines.append(f"{kind} {what}"))
             seat.sock.close()
             seat.sock = gevent.socket.socket(fileno=ours.detach())
-            body = flow.Flow(500)
+            body = flow.BodyStream(500)
             body.add(b"x")
             writing = gevent.spawn(seat._write_flow, b"", body)
             gevent.sleep(0)
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -22,7 +22,8 @@
 from pierglade.proxy.downstream import ClientSocket
 from pierglade.proxy.event_loop import Clock, Timer, Turns
 from pierglade.proxy.http import message as http
-from pierglade.proxy.http.body_stream import Space
+from pierglade.proxy.http import reader
+from pierglade.proxy.http.body_stream import BufferBudget
 from pierglade.proxy.logging import Log
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.upstream import LinkSocket
@@ -42,7 +43,7 @@
 
 def read(inbox, data, step):
     """What comes out of an inbox that is fed so many bytes at once, with the reader a read ahead."""
-    lines, room, flowing = [], inbox.room(), None
+    lines, room, flowing = [], inbox.writable(), None
 
     def take():
         """Whether there is a message, the whole of it if it is one that flows."""
@@ -71,11 +72,11 @@
             inbox.filled(count)
             while take():
                 pass
-            room = inbox.room()
+            room = inbox.writable()
         if inbox.ended():
             flowing = flowing or (inbox.message, b"")
             take()
-    except http.Malformed as fault:
+    except reader.ProtocolError as fault:
         lines.append(f"{fault.status} {fault}")
     return lines
 
@@ -137,7 +138,10 @@
 
     def test_messages(self):
         lines = []
-        for inbox, cases in ((http.Requests, self.REQUESTS), (http.Answers, self.ANSWERS)):
+        for inbox, cases in (
+            (reader.RequestReader, self.REQUESTS),
+            (reader.ResponseReader, self.ANSWERS),
+        ):
             for data in cases:
                 whole = read(inbox(), data, len(data))
                 lines += [f"{data[:60]} of {len(data)}", *(f"    {line}" for line in whole)]
@@ -147,11 +151,11 @@
 
     def test_the_next_request_is_read_into_the_room_given_before(self):
         """The reader waits with a view taken before the message in hand was let go."""
-        inbox = http.Requests()
+        inbox = reader.RequestReader()
         first, second = b"GET /a HTTP/1.1\r\n\r\n", b"GET /b HTTP/1.1\r\n\r\n"
-        inbox.room()[: len(first)] = first
+        inbox.writable()[: len(first)] = first
         inbox.filled(len(first))
-        taken, room = inbox.next(), inbox.room()
+        taken, room = inbox.next(), inbox.writable()
         self.assertEqual(taken.url, b"/a")
         inbox.release()
         room[: len(second)] = second
@@ -160,7 +164,7 @@
 
     def test_an_inbox_that_is_dropped_is_gone(self):
         """Not at the next collection: under ever new connections their buffers would add up until then."""
-        for kind in (http.Requests, http.Answers):
+        for kind in (reader.RequestReader, reader.ResponseReader):
             inbox = kind()
             gone = weakref.ref(inbox)
             inbox.drop()
@@ -319,14 +323,14 @@
             threading.Thread(target=self.serve, args=self.sock.accept()[:1], daemon=True).start()
 
     def serve(self, sock):
-        inbox = http.Requests()
+        inbox = reader.RequestReader()
         with sock:
-            while count := sock.recv_into(inbox.room()):
+            while count := sock.recv_into(inbox.writable()):
                 inbox.filled(count)
                 while (message := inbox.next()) is not None:
                     if inbox.flows:
                         message.flow = len(inbox.piece())  # only how much it was is kept
-                        while not inbox.over and (count := sock.recv_into(inbox.room())):
+                        while not inbox.over and (count := sock.recv_into(inbox.writable())):
                             inbox.filled(count)
                             message.flow += len(inbox.piece())
                     self.seen.append(message.url.decode())
@@ -430,7 +434,7 @@
     return mock.Mock(
         tell=tell,
         came=came,
-        space=Space(1 << 20),
+        space=BufferBudget(1 << 20),
         refuse=lambda *what: None,
         reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
         line=mock.Mock(full=lambda: False),
@@ -589,12 +593,12 @@
 
     def ask(self, *requests):
         """Sends the requests on one connection; the answers, and whether it then ends."""
-        inbox, lines = http.Answers(), []
+        inbox, lines = reader.ResponseReader(), []
         with socket.create_connection(self.place, 20) as sock:
             for data in requests:
                 sock.sendall(data)
                 while (message := inbox.next()) is None:
-                    if not (count := sock.recv_into(inbox.room())):
+                    if not (count := sock.recv_into(inbox.writable())):
                         return lines + ["ended"]
                     inbox.filled(count)
                 lines.append(
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -17,8 +17,8 @@
 from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, Request, RequestClass
-from pierglade.proxy.http import message as http
-from pierglade.proxy.http.body_stream import Flow
+from pierglade.proxy.http import reader
+from pierglade.proxy.http.body_stream import BodyStream
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.settings.balancer import BalancerSettings
@@ -155,9 +155,9 @@
     }
 
 
-def message(data, inbox=http.Requests):
+def message(data, inbox=reader.RequestReader):
     taken = inbox()
-    taken.room()[: len(data)] = data
+    taken.writable()[: len(data)] = data
     taken.filled(len(data))
     return taken.next()
 
@@ -200,7 +200,9 @@
                 self.links.append(subject)
                 rest = [subject.backend.name]
             rest = [
-                f"a flow of {p.length}" if isinstance(p, Flow) else p for p in rest if p is not None
+                f"a flow of {p.length}" if isinstance(p, BodyStream) else p
+                for p in rest
+                if p is not None
             ]
             texts = [
                 (str(p) if isinstance(p, (str, int)) else bytes(p).decode()).replace("\r\n", "|")
@@ -238,7 +240,7 @@
 
     def reply(self, status=200, headers="", link=-1):
         answer = f"HTTP/1.1 {status} .\r\nContent-Length: 2\r\n{headers}\r\nok"
-        self.tell(ev.REPLIED, self.links[link], message(answer.encode(), http.Answers))
+        self.tell(ev.REPLIED, self.links[link], message(answer.encode(), reader.ResponseReader))
 
     def lose(self, how=ev.BROKE, whole=True, link=-1):
         self.tell(ev.LINK_ENDED, self.links[link], how, whole, "as the test says")
