--- a/pierglade/admission/__init__.py
+++ b/pierglade/admission/__init__.py
@@ -1,4 +1,5 @@
-"""Who is let in and what is refused before it costs anything: choices with no I/O and a hand-moved clock.
+"""Who is admitted and what is rejected before it costs anything; no I/O, `now` is passed in.
 
-Not for where an invocation goes, which is the policy's. Start with `press.Press` and `gate.Gate`.
+Not for which backend serves a request, which is the balancer's. Start with
+`connection_admission.ConnectionAdmission` and `load_shedder.LoadShedder`.
 """
--- a/pierglade/admission/fair_queue.py
+++ b/pierglade/admission/fair_queue.py
@@ -1,42 +1,42 @@
 """Who is served next: deficit round robin between addresses (Shreedhar and Varghese, 1995).
 
-Each address has a queue; in its turn it may spend QUANTUM and what it saved. So one that sends a thousand
-requests, or large ones, delays its own. Within an address the first goes first, until it has waited for LATE:
-then the newest does, as its client is the likelier one to wait still (adaptive LIFO, Maurer, 2015).
+Each address has a queue; in its turn it may spend QUANTUM and its saved deficit, so an address that
+sends a thousand requests, or large ones, delays only its own. Within an address the order is first
+in, first out, until the first has waited for LATE: then the newest goes first, as its client is the
+one most likely to wait still (adaptive LIFO, Maurer, 2015).
 """
 
 from collections import deque
 
-# bytes; what one turn of an address is worth: one request of usual size, with its overhead
-QUANTUM = 2048
-EACH = 1024  # bytes; what a request costs beside its own, as most of its price is not in its bytes
-LATE = 600  # 60 ms in tenths of a ms; as long as the loop may go without a rest (`press.BEHIND`)
+QUANTUM = 2048  # bytes a turn of an address; one request of usual size, with its overhead
+OVERHEAD = 1024  # bytes; the cost of a request beside its size, as most of it is not in its bytes
+LATE = 600  # tenths of a ms; as long as the event loop may go on without idling
 
 
-class Fair:
-    """Items by address. Holds as many keys as there are items, no more."""
+class FairQueue:
+    """Items by address; as many keys as there are items at most."""
 
     def __init__(self):
         self.queues = {}  # address: deque of (when it was put, cost, item)
-        self.saved = {}  # address: what it may spend
+        self.saved = {}  # address: its deficit, in bytes
         self.turns = deque()  # addresses, whose turn it is first
         self.count = 0
 
     def __len__(self):
         return self.count
 
-    def put(self, now, address, size, item):
-        """`size`: bytes that came of it."""
+    def put(self, now: int, address: str, size: int, item: object):
+        """Adds an item; `size`: bytes that were read of it."""
         queue = self.queues.get(address)
         if queue is None:
             queue = self.queues[address] = deque()
             self.saved[address] = QUANTUM
             self.turns.append(address)
-        queue.append((now, EACH + size, item))
+        queue.append((now, OVERHEAD + size, item))
         self.count += 1
 
-    def take(self, now):
-        """The next item; there must be one."""
+    def take(self, now: int) -> object:
+        """Removes and returns the next item; there must be one."""
         while True:
             address = self.turns[0]
             queue = self.queues[address]
--- a/pierglade/admission/load_shedder.py
+++ b/pierglade/admission/load_shedder.py
@@ -1,42 +1,45 @@
-"""What is refused at a glance while the node is short of its core: a bar that follows how long all has
-waited.
+"""What is rejected unparsed while the node is short of CPU: a threshold on queueing delay.
 
-After AIMD, as TCP's congestion control and Netflix's concurrency limits use it, on the signal that CoDel
-takes: not how much waits, nor how busy the core is, but the least that anything of the last moment has
-waited.
-A burst, or clients that keep the core just busy, leave that small; a queue that stands does not. While it is
-over HIGH of the expected time, the share that is taken goes down by a factor a step; under LOW it goes up by
-one. Both are factors, as at ten times the load a tenth is right, and a step must be small beside it. Times
-are
-tenths of a millisecond, the bar is the share of what comes that is refused.
+AIMD, as in TCP's congestion control and Netflix's concurrency limits, on the signal that CoDel
+takes: not how much waits, nor how busy the CPU is, but the least that anything of the last
+interval has waited. A burst, or clients that keep the CPU just busy, leave that small; a standing
+queue does not. While it is over HIGH of the latency objective, the admitted share goes down by a
+factor a step; under LOW it goes up by one. Both are factors: at ten times the load a tenth is
+right, and a step must be small beside it. Times are tenths of a millisecond; the threshold is the
+rejected share of arrivals.
 """
 
-STEP = 100  # 10 ms; the bar moves at most once in it
-# of the expected time, waited before anything was done: with the way there and back it is late
+from collections.abc import Callable, Sequence
+
+STEP = 100  # 10 ms; the threshold moves at most once in it
+# of the latency objective, waited before any work: with the way there and back it is late
 HIGH = 0.15
-LOW = 0.06  # likewise, and there is room: between the two the bar stands
-# times what is taken, a step; half in 80 ms, a tenth in 0.3 s, as long as clients take to retry
+LOW = 0.06  # likewise, with capacity to spare: between the two the threshold stays
+# times the admitted share, a step; half in 80 ms, a tenth in 0.3 s, as clients take to retry
 DOWN = 0.92
-UP = 1.035  # the same once there is room; from a twentieth to all within 0.9 s of a surge's end
-LEAST = 0.005  # of what comes is taken in any case: else nobody could tell whether it would be late
-STEPS_MOST = 200  # steps made up for at once
-FADE = 0.9  # times, a step; of what was seen of each class, so that shares follow within 0.1 s
+UP = 1.035  # the same with capacity to spare; from 1/20 to all within 0.9 s of a surge's end
+LEAST = 0.005  # admitted in any case: else there is no measure of whether it would be late
+STEPS_MOST = 200  # steps that are caught up at once
+DECAY = 0.9  # of each class's arrivals, a step, so that shares follow within 0.1 s
 NEVER = float("inf")
 
 
-class Press:
-    """`credits`: of each offering, by its place in the table; `chance`: a random.random of the node's own.
+class LoadShedder:
+    """Rejects the least valuable arrivals while the threshold is above 0.
+
+    `priority_weights`: of each request class, by its index; `chance`: returns a random float in
+    [0, 1).
 
-    What comes is of a class: strangers before known clients, second tries before first ones, then by credit,
-    the least worth first. A bar of 0.3 refuses the first 30% in that order; of the class in which it lies, by
-    chance.
+    Arrivals are of a shedding class: unknown clients before known ones, retries before first
+    attempts, then by priority weight, the least first. A threshold of 0.3 rejects the first 30% in
+    that order; within the class in which it lies, at random.
     """
 
-    def __init__(self, credits, chance):
+    def __init__(self, priority_weights: Sequence[float], chance: Callable[[], float]):
         self.chance = chance
-        self.bar = 0.0
-        order = sorted(set(credits))
-        # Of offering, whether it is a second try, and whether its client is known: the class.
+        self.threshold = 0.0
+        order = sorted(set(priority_weights))
+        # Shedding class by request class, whether it is a retry, and whether its client is known.
         self.classes = [
             [
                 [
@@ -45,21 +48,21 @@
                 ]
                 for first in (True, False)
             ]
-            for priority_weight in credits
+            for priority_weight in priority_weights
         ]
-        self.seen = [0.0] * (4 * len(order))  # lately, by class
-        self.parts = [0.0] * (4 * len(order))  # of each, what is refused
+        self.seen = [0.0] * (4 * len(order))  # arrivals of late, by shedding class
+        self.parts = [0.0] * (4 * len(order))  # rejected share of each
         self.moved, self.least = None, NEVER
 
-    def waits(self, now, share):
-        """One that is taken up has waited for this share of its expected time."""
+    def note_wait(self, now: int, share: float):
+        """Notes that an admitted request has waited for this share of its latency objective."""
         if share < self.least:
             self.least = share
         if self.moved is None or now - self.moved >= STEP:
             self._move(now)
 
-    def refuses(self, request_class, second, known=False):
-        """Whether one of `offering` (its place) is refused."""
+    def rejects(self, request_class: int, second: bool, known: bool = False) -> bool:
+        """Decides on one arrival; `request_class`: its index, `second`: it is a retry."""
         of = self.classes[request_class][second][known]
         self.seen[of] += 1
         part = self.parts[of]
@@ -67,27 +70,30 @@
 
     def _move(self, now):
         steps = 1 if self.moved is None else min(STEPS_MOST, (now - self.moved) // STEP)
-        least, taken = self.least, 1.0 - self.bar
+        least, admitted = self.least, 1.0 - self.threshold
         self.moved, self.least = now, NEVER
         if least > HIGH:
-            # once, however long ago: of a pause of its own it knows nothing
-            taken = max(LEAST, taken * DOWN)
+            # Once, however long ago: it cannot tell a pause of this process.
+            admitted = max(LEAST, admitted * DOWN)
         elif least < LOW:
-            taken = min(1.0, taken * UP**steps)
-        bar = 1.0 - taken
-        fade = FADE**steps
-        self.seen = [seen * fade for seen in self.seen]
-        if bar or self.bar:
-            self.bar = bar
-            self._part()
+            admitted = min(1.0, admitted * UP**steps)
+        threshold = 1.0 - admitted
+        decay = DECAY**steps
+        self.seen = [seen * decay for seen in self.seen]
+        if threshold or self.threshold:
+            self.threshold = threshold
+            self._spread()
 
-    def _part(self):
-        """What of each class lies under the bar."""
-        left = self.bar * sum(self.seen)
+    def _spread(self):
+        """Sets the rejected share of each class from the threshold."""
+        left = self.threshold * sum(self.seen)
         for of, seen in enumerate(self.seen):
-            self.parts[of] = (
-                0.0 if not self.bar else 1.0 if left >= seen > 0 else left / seen if seen else 0.0
-            )
+            if not self.threshold:
+                self.parts[of] = 0.0
+            elif left >= seen > 0:
+                self.parts[of] = 1.0
+            else:
+                self.parts[of] = left / seen if seen else 0.0
             left = max(0.0, left - seen)
-        if self.bar and not any(self.parts):
-            self.parts = [self.bar] * len(self.parts)  # nothing was seen lately: by chance alone
+        if self.threshold and not any(self.parts):
+            self.parts = [self.threshold] * len(self.parts)  # no arrivals of late: at random
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -66,11 +66,13 @@
 
 def _caps(told):
     """The caps of the operator's file, None where it states none."""
-    from pierglade.admission.connection_admission import Caps
+    from pierglade.admission.connection_admission import ConnectionLimits
 
     if not (told.per_address or told.per_prefix or told.rate_per_address or told.reserve):
         return None
-    return Caps(told.per_address, told.per_prefix, told.rate_per_address, told.known, told.reserve)
+    return ConnectionLimits(
+        told.per_address, told.per_prefix, told.rate_per_address, told.known, told.reserve
+    )
 
 
 def first_place(path):
--- a/pierglade/proxy/admission_queue.py
+++ b/pierglade/proxy/admission_queue.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from pierglade.admission.fair_queue import Fair
+from pierglade.admission.fair_queue import FairQueue
 
 # 25 ms in tenths of a ms; that a turn spends on clients before the others wait. Shorter turns are dearer: with
 # 10 ms, 64 clients that ask at once cost a sixth more an answer.
@@ -20,7 +20,7 @@
 class Line:
     def __init__(self, clock, turns):
         self.clock, self.turns = clock, turns
-        self.known, self.strangers, self.called = Fair(), Fair(), False
+        self.known, self.strangers, self.called = FairQueue(), FairQueue(), False
         self.hub = gevent.get_hub()
 
     def full(self):
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -82,7 +82,7 @@
                 if not self.last:
                     self.requests.filled(count)
                     self.come += count
-                    if self.host.reducer.press.bar and self._refused():
+                    if self.host.reducer.press.threshold and self._refused():
                         continue
                     came = events.NEVER
                     if self.line.full():
--- a/pierglade/proxy/http/body_stream.py
+++ b/pierglade/proxy/http/body_stream.py
@@ -1,7 +1,7 @@
 """A body too large to hold, streamed from one connection to another.
 
-No I/O: the reading side adds pieces and pauses while the window is full, the writing side takes them; each
-side may end it early.
+No I/O: the reading side adds pieces and pauses while the window is full, the writing side takes
+them; each side may end it early.
 """
 
 from collections import deque
@@ -35,8 +35,8 @@
 class BodyStream:
     """The pieces of one body that were read and not yet written.
 
-    `length`: bytes of the whole body, None where it is known only at its end. `wakes`: called whenever
-    either side may continue.
+    `length`: bytes of the whole body, None where it is known only at its end. `wakes`: called
+    whenever either side may continue.
     """
 
     def __init__(self, length, *wakes):
--- a/pierglade/proxy/http/head.py
+++ b/pierglade/proxy/http/head.py
@@ -10,15 +10,15 @@
 LENGTH_DIGITS = 18  # digits of a length; longer ones are refused before they are counted with
 FRAMING = frozenset((b"content-length", b"transfer-encoding"))
 
-# The grammar that a head must match. Parsers tolerate more than this, and differ in what: what one reads as
-# one message, the next may read as two (request smuggling).
+# The grammar that a head must match. Parsers tolerate more than this, and differ in what: what one
+# reads as one message, the next may read as two (request smuggling).
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 FIELDS = rb"(?:" + TOKEN + rb":[^\r\n\0]*+\r\n)*+(?:\r\n)?"
 REQUEST_LINE = TOKEN + rb" [\x21\x22\x24-\x7e]+ HTTP/1\.[01]\r\n"
 STATUS_LINE = rb"HTTP/1\.[01] [1-5][0-9][0-9](?: [^\r\n\0]*+)?\r\n"
 
-# The fields that load shedding needs of a request it does not parse; one that changes the framing is left to
-# the parser.
+# The fields that load shedding needs of a request it does not parse; one that changes the framing
+# is left to the parser.
 GLANCED_FIELDS = re.compile(
     rb"\r\n(x-trace-id|x-expires-in-ms|x-customer|host|content-length|transfer-encoding|"
     rb"connection|expect|idempotency-key):[ \t]*([^\r\n]*)",
@@ -71,7 +71,7 @@
         raise ProtocolError(400, "length is no number")
     count = int(length[:LENGTH_DIGITS])
     if count > body_most or len(length) > LENGTH_DIGITS:
-        raise ProtocolError(413, "body of %s bytes" % length[:LENGTH_DIGITS].decode())
+        raise ProtocolError(413, f"body of {length[:LENGTH_DIGITS].decode()} bytes")
     return BodyFraming.LENGTH, count
 
 
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -9,7 +9,7 @@
 import gevent
 from gevent.event import Event
 
-from pierglade.admission.connection_admission import Caps, Gate
+from pierglade.admission.connection_admission import ConnectionAdmission, ConnectionLimits
 from pierglade.proxy.admission_queue import Line
 from pierglade.proxy.discovery import Discovery
 from pierglade.proxy.downstream import ClientSocket, Door
@@ -67,7 +67,7 @@
             self.alone,
         )
         self.reducer.gives_ids = place.gives_ids
-        self.reducer.gate = Gate(place.caps) if place.caps is not None else None
+        self.reducer.gate = ConnectionAdmission(place.caps) if place.caps is not None else None
         self.faults = self.rereads = 0
         self.learning = None
         if place.keeping is not None:
@@ -190,9 +190,9 @@
         """
         gate = self.reducer.gate
         if gate is not None:
-            gate.allow(caps or Caps())
+            gate.set_limits(caps or ConnectionLimits())
         elif caps is not None:
-            self.reducer.gate = Gate(caps)
+            self.reducer.gate = ConnectionAdmission(caps)
 
     def note(self, event, **fields):
         self.log.line(self.clock.now(), event, **fields)
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -210,11 +210,11 @@
                 client, 400, "X-Trace-Id is in use, or was answered just now", last=True
             )
         left = min(int(left) * 10, request_class.request_timeout)
-        self.press.waits(self.now, (self.now - self.came) / request_class.latency_objective)
+        self.press.note_wait(self.now, (self.now - self.came) / request_class.latency_objective)
         refused = (
-            self.press.bar
+            self.press.threshold
             and not client.passed
-            and self.press.refuses(
+            and self.press.rejects(
                 request_class.index, left < request_class.latency_objective, client.known
             )
         )
@@ -256,7 +256,12 @@
 
         No event: nothing is decided, due or noted but the count, so that it costs a tenth of an answer.
         """
-        if not self.press.bar or client.state not in (FRESH, IDLE) or client.yields or client.last:
+        if (
+            not self.press.threshold
+            or client.state not in (FRESH, IDLE)
+            or client.yields
+            or client.last
+        ):
             return None
         seen = requests.glance()
         if seen is None:
@@ -284,7 +289,7 @@
         ):
             return None
         left = min(int(left) * 10, request_class.request_timeout)
-        if not self.press.refuses(
+        if not self.press.rejects(
             request_class.index, left < request_class.latency_objective, client.known
         ):
             client.passed = True  # Once is enough: it is not asked again after its wait.
@@ -312,7 +317,9 @@
         nothing."""
         most = self.settings.max_retry_after
         return (
-            b"%g" % (max(1, round(STAYS * self.press.bar)) * most / STAYS / 10000) if most else b""
+            b"%g" % (max(1, round(STAYS * self.press.threshold)) * most / STAYS / 10000)
+            if most
+            else b""
         )
 
     def _give_id(self, message):
@@ -447,7 +454,7 @@
 
     def _tell_turned_away(self, _):
         self.turned_away = 0
-        why, by = self.gate.told() if self.gate is not None else ({}, [])
+        why, by = self.gate.take_rejections() if self.gate is not None else ({}, [])
         self._note("connections_rejected", reason=why, addresses=dict(by))
 
     def may_open(self, most):
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -86,7 +86,7 @@
         """Plain data: what share is refused as the core is short, and who was turned away at the door."""
         gate = self.gate
         return {
-            "refused_share": round(self.press.bar, 3),
+            "refused_share": round(self.press.threshold, 3),
             "open": self.open,
             "clients": sum(map(len, self.clients.values())),
             "sockets": self.sockets,
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from heapq import heappop, heappush
 
-from pierglade.admission.load_shedder import Press
+from pierglade.admission.load_shedder import LoadShedder
 from pierglade.balancer.balancer import Balancer
 from pierglade.model.request import Idempotency
 from pierglade.proxy.state.downstream import Clients
@@ -150,7 +150,7 @@
             for o in terms.request_classes
             if o.idempotency == Idempotency.KEYED
         }
-        self.press = Press(
+        self.press = LoadShedder(
             [o.priority_weight for o in terms.request_classes],
             random.Random(f"{self.seed} press").random,
         )
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -26,14 +26,14 @@
 
 class Gates(TraceTest):
     def test_caps_reserve_and_a_known_one_that_turns_bad(self):
-        caps = gate.Caps(
+        caps = gate.ConnectionLimits(
             per_address=3,
             per_prefix=5,
             rate_per_address=4,
             known=["10.0.0.0/8", "2001:db8::/32"],
             reserve=0.25,
         )
-        door, lines = gate.Gate(caps), []
+        door, lines = gate.ConnectionAdmission(caps), []
 
         def come(now, address, times, budget=16):
             got = [door.opened(now, address, budget) or "in" for _ in range(times)]
@@ -54,8 +54,12 @@
             door.faulted(2 * S, "10.1.1.1")
         come(2 * S, "10.1.1.1", 1)  # a stranger now: over a stranger's cap
         come(8 * S, "10.1.1.1", 1)
-        lines += [f"open to strangers {door.strangers}", str(door.told()), str(door.top(8 * S, 3))]
-        door.allow(gate.Caps(per_address=9, known=["192.0.2.0/24"]))
+        lines += [
+            f"open to strangers {door.strangers}",
+            str(door.take_rejections()),
+            str(door.top(8 * S, 3)),
+        ]
+        door.set_limits(gate.ConnectionLimits(per_address=9, known=["192.0.2.0/24"]))
         come(9 * S, "192.0.2.1", 9)  # an honest one behind a NAT, lifted by its operator
         lines.append(f"open to strangers {door.strangers}")
         for address, row in list(door.rows.items()):
@@ -65,7 +69,7 @@
         self.check("admission_gate", lines)
 
     def test_a_penalty_doubles_and_fades_and_fresh_addresses_wash_none_out(self):
-        door, lines = gate.Gate(gate.Caps(per_address=1)), []
+        door, lines = gate.ConnectionAdmission(gate.ConnectionLimits(per_address=1)), []
         now = 0
         for again in (0, 6 * S, 12 * S, 1000 * S):
             now += again
@@ -86,7 +90,7 @@
 class Turns(TraceTest):
     def test_one_that_sends_much_delays_its_own(self):
         """A flood of 40 and one of large requests beside two of one each; then, late, the newest go first."""
-        line, lines = fair.Fair(), []
+        line, lines = fair.FairQueue(), []
         for number in range(40):
             line.put(0, "flood", 100, f"f{number}")
         for number in range(3):
@@ -108,7 +112,7 @@
     """
 
     def __init__(self, with_bar):
-        self.bar = press.Press([1.0, 3.0], random.Random(1).random) if with_bar else None
+        self.bar = press.LoadShedder([1.0, 3.0], random.Random(1).random) if with_bar else None
         self.now = 0.0
         self.due, self.chance = [], random.Random(2)
 
@@ -127,9 +131,9 @@
                 self.now = at
             waited = self.now - at
             if self.bar:
-                turned = self.bar.refuses(int(dear), tries > 0)
+                turned = self.bar.rejects(int(dear), tries > 0)
                 if not turned:
-                    self.bar.waits(self.now, waited / 2500)
+                    self.bar.note_wait(self.now, waited / 2500)
             else:
                 turned = waited > 2500
             if turned:
@@ -161,23 +165,23 @@
 
     def test_clients_that_keep_the_core_just_busy_are_no_overload(self):
         """32 clients that ask again at once: the core never rests, and each waits for 16 ms of 250."""
-        bar = press.Press([1.0], random.Random(1).random)
+        bar = press.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 50000, 5):
-            bar.waits(now, 0.064 + 0.02 * (now % 3))
-        self.check("admission_busy", [f"bar {bar.bar}"])
+            bar.note_wait(now, 0.064 + 0.02 * (now % 3))
+        self.check("admission_busy", [f"bar {bar.threshold}"])
 
     def test_a_pause_of_its_own_is_no_overload(self):
         """Half a second without the core, then what came meanwhile: the bar is down again at once."""
-        bar = press.Press([1.0], random.Random(1).random)
+        bar = press.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 5000, 10):
-            bar.waits(now, 0.001)
+            bar.note_wait(now, 0.001)
         highest = 0.0
         for each in range(100):
-            bar.waits(10000 + 4 * each, (5000 - 50 * each) / 2500)
-            highest = max(highest, bar.bar)
+            bar.note_wait(10000 + 4 * each, (5000 - 50 * each) / 2500)
+            highest = max(highest, bar.threshold)
         for now in range(10400, 14400, 10):
-            bar.waits(now, 0.001)
-        self.check("admission_pause", [f"at most {highest:.2f}, then {bar.bar:.2f}"])
+            bar.note_wait(now, 0.001)
+        self.check("admission_pause", [f"at most {highest:.2f}, then {bar.threshold:.2f}"])
 
 
 class Glances(TraceTest):
@@ -188,8 +192,8 @@
         desk, lines = Desk(["b0"]), []
         desk.ask("busy", trace="out")
         bar = desk.reducer.press
-        bar.bar = 0.99
-        bar.refuses = lambda *what: True
+        bar.threshold = 0.99
+        bar.rejects = lambda *what: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
         for what, head in (
             ("harmless", get),
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -436,7 +436,7 @@
         came=came,
         space=BufferBudget(1 << 20),
         refuse=lambda *what: None,
-        reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
+        reducer=mock.Mock(gate=None, press=mock.Mock(threshold=0.0)),
         line=mock.Mock(full=lambda: False),
     )
 
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -530,15 +530,15 @@
         self.assertEqual(self.reducer.older, [])
 
     def test_what_is_refused_at_the_door_stays_refused(self):
-        self.reducer.press.bar = 0.5
+        self.reducer.press.threshold = 0.5
         self.configure(max_attempts=1)
-        self.assertEqual(self.reducer.press.bar, 0.5)
+        self.assertEqual(self.reducer.press.threshold, 0.5)
         self.configure(
             request_classes=[
                 replace(row, priority_weight=1.0) for row in balancer_settings().request_classes
             ]
         )
-        self.assertEqual(self.reducer.press.bar, 0.0)  # Its classes are others.
+        self.assertEqual(self.reducer.press.threshold, 0.0)  # Its classes are others.
 
     def test_settings_that_shrink_while_requests_are_owed(self):
         """Fewer attempts, a shorter limit: what was taken before has both as it was taken."""
