--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -204,12 +204,12 @@
     """Through the reducer and the file that SIGHUP reads again."""
     import msgspec
 
-    from pierglade.__main__ import GARBAGE, place_again, place_from
+    from pierglade.__main__ import GARBAGE, reloaded_config, config_from_environ
     from pierglade.proxy.state import events as ev
     from pierglade.proxy.state.machine import ProxyStateMachine
 
     try:
-        from pierglade.__main__ import steps_again
+        from pierglade.__main__ import reload_steps
         from pierglade.reconfiguration import quota_changes as shares
     except ImportError:
         shares = None  # before changes by difference
@@ -230,7 +230,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = os.environ["BALANCER_CONFIG"] = os.path.join(folder, "n1.json")
         write(path, document)
-        first = place_from(os.environ)
+        first = config_from_environ(os.environ)
         gc.collect()
         gc.freeze()  # as a node does; else collections count among the steps
         gc.set_threshold(GARBAGE, 20, 20)
@@ -274,7 +274,7 @@
             now += 10000
             steps = []
             if shares is None:
-                place, ms = cpu_ms(place_again, first)
+                place, ms = cpu_ms(reloaded_config, first)
                 steps.append(
                     ms
                     + cpu_ms(
@@ -287,7 +287,7 @@
                     )[1]
                 )
                 return sum(steps), steps[0]
-            place = walked(steps_again(first), steps)
+            place = walked(reload_steps(first), steps)
             told = walked(
                 shares.steps(reducer.settings.tenants, place.settings.tenants.shares), steps
             )
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -1,25 +1,31 @@
-"""`python -m pierglade`: one node on sockets, told by its environment where it stands."""
+"""`python -m pierglade`: one node on sockets, configured by its environment."""
 
 import gc
 import os
 import signal
 import sys
+from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
+from pierglade.errors import PiergladeError
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.settings.balancer import BalancerSettings
 from pierglade.settings.platform import InvalidSettingsError, settings_from, short_of
 
-SOCKETS = 1024  # descriptors; where no limit is told
+if TYPE_CHECKING:
+    from pierglade.admission.connection_admission import ConnectionLimits
+    from pierglade.proxy.logging import Log
+
+SOCKETS = 1024  # descriptors; where no limit is configured
 MEMORY = 192  # MB; likewise
-GARBAGE = (
-    10000  # objects more than before; next to nothing here is freed by collections, and each costs
-)
+# objects more than before; collections free next to nothing here, and each costs
+GARBAGE = 10000
 
 
 @dataclass(slots=True)
-class Place:
-    """What a node is told at its start."""
+class NodeConfig:
+    """The configuration of one node process."""
 
     name: str
     listen: str
@@ -28,21 +34,21 @@
     sockets: int
     known: dict
     settings: BalancerSettings
-    told: dict  # the file itself, without its customers and the list that is known
-    management: str | None = None  # where operators call; None: nowhere
+    told: dict  # the document itself, without its customers and the initial endpoint list
+    management: str | None = None  # host:port of the management address; None: there is none
     memory_mb: int = MEMORY
-    gives_ids: bool = False  # to requests that bring none
-    caps: object = None  # an admission.gate.Caps; None: anybody may connect
-    keeping: tuple | None = None  # folder, period s, half-life s, most MB; None: nothing is kept
-    log: object = None  # makes the log, of a descriptor and the name; None: the usual one
+    gives_ids: bool = False  # assigns a trace id to requests that have none
+    caps: "ConnectionLimits | None" = None  # None: no limits
+    keeping: tuple | None = None  # folder, period s, half-life s, most MB; None: no snapshots
+    log: "Callable[[int, str], Log] | None" = None  # makes the log; None: the default one
 
 
-class Unusable(ValueError):
-    """What was told is not enough to start on."""
+class UnusableConfigError(PiergladeError, ValueError):
+    """The configuration cannot be used; the text is one line."""
 
 
-def through(steps):
-    """What a generator returns at the end of its steps."""
+def through(steps: Generator) -> object:
+    """Runs a generator to its end and returns its result."""
     while True:
         try:
             next(steps)
@@ -50,128 +56,159 @@
             return over.value
 
 
-def place_from(environ):
-    """The configuration file, with what the environment says besides."""
-    return through(_place_steps(environ))
+def config_from_environ(environ: Mapping[str, str]) -> NodeConfig:
+    """Reads the file that $BALANCER_CONFIG names; other variables override it.
+
+    Raises:
+        UnusableConfigError: it cannot be used.
+    """
+    return through(_config_steps(environ))
 
 
-def _place_steps(environ, known=True):
+def _config_steps(environ, known=True):
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise Unusable("BALANCER_CONFIG is not set")
-    return (yield from place_at(path, environ, known))
+        raise UnusableConfigError("BALANCER_CONFIG is not set")
+    return (yield from config_at(path, environ, known))
+
 
+def config_at(path: str, environ: Mapping[str, str], known: bool = True) -> Generator:
+    """Reads the JSON document at `path` in steps; the generator returns a NodeConfig.
 
-def place_at(path, environ, known=True):
-    """The Place of the JSON document at `path`, in steps; without the list that is `known`, if so told."""
+    `known`: whether the initial endpoint list is read too.
+
+    Raises:
+        UnusableConfigError: it cannot be used.
+    """
     try:
         with open(path, "rb") as file:
             text = file.read()
-        told, shares = yield from reading.steps(text, known)
+        document, shares = yield from reading.steps(text, known)
     except OSError as fault:
-        raise Unusable(f"{path} cannot be read: {fault.strerror}") from None
+        raise UnusableConfigError(f"{path} cannot be read: {fault.strerror}") from None
     except InvalidSettingsError as fault:
-        raise Unusable(f"{path}: {fault}") from None
+        raise UnusableConfigError(f"{path}: {fault}") from None
     except ValueError as fault:
-        raise Unusable(f"{path} is no JSON: {fault}") from None
-    if not isinstance(told, dict):
-        raise Unusable(f"{path} holds no object")
-    return place_of(told, path, environ, shares=shares)
-
-
-def place_of(told, path, environ, fixed=False, shares=None):
-    """A Place from the document `told` of the file at `path`; raises Unusable.
-
-    `fixed`: without a discovery its known list stands, as an operator's own file may say. `shares`: of its
-    customers, where these were taken out of it.
+        raise UnusableConfigError(f"{path} is no JSON: {fault}") from None
+    if not isinstance(document, dict):
+        raise UnusableConfigError(f"{path} holds no object")
+    return config_from_document(document, path, environ, shares=shares)
+
+
+def config_from_document(
+    document: dict,
+    path: str,
+    environ: Mapping[str, str],
+    fixed: bool = False,
+    shares: dict | None = None,
+) -> NodeConfig:
+    """Makes a NodeConfig of the `document` in the file at `path`.
+
+    `fixed`: discovery may be missing, as an operator's own file may say; the initial list stays.
+    `shares`: the quotas of its customers, where these were taken out of it.
+
+    Raises:
+        UnusableConfigError: it cannot be used.
     """
     try:
         if shares is None:
-            told = reading.without_customers(told, shares := {})
-        limits = told.get("limits") or {}
-        place = Place(
-            name=environ.get("BALANCER_NAME") or told["name"],
-            listen=environ.get("BALANCER_LISTEN") or told["listen"],
-            discovery=(
-                environ.get("BALANCER_DISCOVERY")
-                or (told.get("discovery") if fixed else told["discovery"])
-            ),
-            seed=told["seed"],
+            document = reading.without_customers(document, shares := {})
+        limits = document.get("limits") or {}
+        config = NodeConfig(
+            name=environ.get("BALANCER_NAME") or document["name"],
+            listen=environ.get("BALANCER_LISTEN") or document["listen"],
+            discovery=_discovery_address(document, environ, fixed),
+            seed=document["seed"],
             sockets=int(limits.get("sockets") or SOCKETS),
             memory_mb=int(limits.get("memory_mb") or MEMORY),
-            known=told.get("known") or {},
-            settings=settings_from(told["settings"], shares),
-            # Kept for as long as the node runs; what is large of it is known elsewhere.
-            told={**told, "known": {}} if told.get("known") is not None else told,
-            management=environ.get("BALANCER_MANAGEMENT") or told.get("management"),
+            known=document.get("known") or {},
+            settings=settings_from(document["settings"], shares),
+            # Kept for as long as the node runs, without its large parts.
+            told={**document, "known": {}} if document.get("known") is not None else document,
+            management=environ.get("BALANCER_MANAGEMENT") or document.get("management"),
         )
     except InvalidSettingsError as fault:
-        raise Unusable(f"{path}: {fault}") from None
+        raise UnusableConfigError(f"{path}: {fault}") from None
     except (KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise Unusable(f"{path}: {type(fault).__name__}: {fault}") from None
-    for address in (place.listen, place.discovery, place.management):
+        raise UnusableConfigError(f"{path}: {type(fault).__name__}: {fault}") from None
+    _check(config, path, fixed)
+    return config
+
+
+def _discovery_address(document, environ, fixed):
+    return environ.get("BALANCER_DISCOVERY") or (
+        document.get("discovery") if fixed else document["discovery"]
+    )
+
+
+def _check(config, path, fixed):
+    for address in (config.listen, config.discovery, config.management):
         if address is None:
             continue
         host, _, port = str(address).rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
-            raise Unusable(f"{address!r} is no host:port")
-    if not fixed and place.discovery is None:
-        raise Unusable(f"{path}: discovery is no host:port")
-    if not isinstance(place.seed, (str, int)):
-        raise Unusable(f"{path}: the seed is neither text nor a number")
-    return place
+            raise UnusableConfigError(f"{address!r} is no host:port")
+    if not fixed and config.discovery is None:
+        raise UnusableConfigError(f"{path}: discovery is no host:port")
+    if not isinstance(config.seed, (str, int)):
+        raise UnusableConfigError(f"{path}: the seed is neither text nor a number")
+
 
+def reloaded_config(first: NodeConfig) -> NodeConfig:
+    """Reads the file again; its discovery address overrides the environment's.
 
-def place_again(first):
-    """The configuration file as it is now; what it says of discovery wins over what the start was told."""
-    return through(steps_again(first))
+    Raises:
+        UnusableConfigError: it cannot be used, or lacks what `first` had.
+    """
+    return through(reload_steps(first))
 
 
-def steps_again(first):
-    """The same in steps, between which a node may go on; returns the Place. The known list is not read."""
-    place = yield from _place_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
-    missing = short_of(place.told, first.told)
+def reload_steps(first: NodeConfig) -> Generator:
+    """Does the same in steps, between which a node may serve; the initial list is not read."""
+    config = yield from _config_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
+    missing = short_of(config.told, first.told)
     if missing:
-        raise Unusable(
+        raise UnusableConfigError(
             f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start"
         )
-    return place
+    return config
 
 
-def main():
-    return run(lambda: place_from(os.environ), steps_again)
+def main() -> int:
+    """Runs one node by the environment; returns the exit status."""
+    return run(lambda: config_from_environ(os.environ), reload_steps)
 
 
-def run(first, again):
-    """Serves under the Place of `first()`; at SIGHUP `again(place)` gives the new one, or the steps to it.
+def run(first: Callable[[], NodeConfig], again: Callable[[NodeConfig], object]) -> int:
+    """Serves with the configuration of `first()`; returns the exit status.
 
-    Returns the exit status.
+    `again`: at SIGHUP, returns the new configuration, or a generator that does.
     """
-    # What is told during the start must neither end it nor be lost: the file was read before or after it.
+    # Signals during the start must neither end it nor be lost: the file was read before or after.
     early = []
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda told, _: early.append(told))
+        signal.signal(number, lambda received, _: early.append(received))
     try:
-        place = first()
-        # Imported late, so that a bad configuration is told with nothing else loaded.
-        from pierglade.proxy.server import Host
+        config = first()
+        # Imported late, so that a bad configuration is reported with nothing else loaded.
+        from pierglade.proxy.server import ProxyServer
 
         try:
-            host = Host(place)
+            server = ProxyServer(config)
         except OSError as fault:
-            where = getattr(fault, "filename", None) or place.listen
-            raise Unusable(f"cannot listen on {where}: {fault.strerror}") from None
+            where = getattr(fault, "filename", None) or config.listen
+            raise UnusableConfigError(f"cannot listen on {where}: {fault.strerror}") from None
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            raise Unusable(
+            raise UnusableConfigError(
                 f"the known list cannot be used: {type(fault).__name__}: {fault}"
             ) from None
-    except Unusable as fault:
+    except UnusableConfigError as fault:
         print(f"pierglade: {fault}", file=sys.stderr)
         return 2
-    place.known = {}  # The host has what it needs of it.
-    gc.freeze()  # What is loaded stays; collections need not look at it again.
+    config.known = {}  # The server has what it needs of it.
+    gc.freeze()  # What is loaded stays; collections need not visit it again.
     gc.set_threshold(GARBAGE, 20, 20)
-    return host.run(lambda: again(place), early)
+    return server.run(lambda: again(config), early)
 
 
 if __name__ == "__main__":
--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -10,7 +10,7 @@
 
 def lines_of(path):
     """What is wrong with the file at `path`, a line each; empty where a node would start on it."""
-    from pierglade.__main__ import Unusable, place_of
+    from pierglade.__main__ import UnusableConfigError, config_from_document
     from pierglade.config.platform import to_platform
     from pierglade.config.read import Unusable as UnusableFileError
     from pierglade.config.read import read
@@ -18,12 +18,12 @@
     try:
         if path.endswith(".json"):
             with open(path, "rb") as file:
-                place_of(orjson.loads(file.read()), path, {})
+                config_from_document(orjson.loads(file.read()), path, {})
         else:
-            place_of(to_platform(read(path)), path, {}, fixed=True)
+            config_from_document(to_platform(read(path)), path, {}, fixed=True)
     except UnusableFileError as fault:
         return fault.lines
-    except Unusable as fault:
+    except UnusableConfigError as fault:
         return [str(fault)]
     except OSError as fault:
         return [f"{path}: {fault.strerror}"]
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -18,16 +18,16 @@
 
     Raises ValueError with one line where it can't be used.
     """
-    from pierglade.__main__ import place_at, place_of, through
+    from pierglade.__main__ import config_at, config_from_document, through
 
     if path.endswith(".json"):
-        return through(place_at(path, {}))
-    from pierglade.config.logged import Chosen
+        return through(config_at(path, {}))
+    from pierglade.config.logged import FilteredLog
     from pierglade.config.platform import to_platform
     from pierglade.config.read import read
 
     file = read(path)
-    place = place_of(to_platform(file), path, {}, fixed=True)
+    place = config_from_document(to_platform(file), path, {}, fixed=True)
     place.gives_ids = file.listen.ids == "optional"
     place.caps = _caps(file.admission)
     keep = file.learning
@@ -38,7 +38,7 @@
     readable = file.log.form == "readable" or file.log.form == "auto" and terminal
     if readable or file.log.level != "debug" or file.log.sampling < 1:
         place.log = partial(
-            Chosen,
+            FilteredLog,
             level=file.log.level,
             sampling=file.log.sampling,
             readable=readable,
@@ -50,9 +50,9 @@
 def place_again(path):
     """The same while a node serves, which goes on meanwhile."""
     if path.endswith(".json"):
-        from pierglade.__main__ import place_at
+        from pierglade.__main__ import config_at
 
-        return place_at(path, {}, known=False)
+        return config_at(path, {}, known=False)
     from gevent import get_hub
 
     # The reader of TOML can't be stopped between two rows: its thread lets the node in now and then.
@@ -77,7 +77,7 @@
 
 def first_place(path):
     """The same; the line says where all that is wrong is told."""
-    from pierglade.__main__ import Unusable
+    from pierglade.__main__ import UnusableConfigError
     from pierglade.config.read import Unusable as UnusableFileError
 
     try:
@@ -88,7 +88,7 @@
             if len(fault.lines) > 1
             else ""
         )
-        raise Unusable(f"{fault}{more}") from None
+        raise UnusableConfigError(f"{fault}{more}") from None
 
 
 def _end_with_parent():
--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -1,7 +1,7 @@
-"""The events of a node's log: at which level each is, what it tells, and its fields. One list.
+"""The events of the log, in one table: the level of each, what it means, and its fields.
 
-`docs/operate/log.md` is made from it by `python -m pierglade.config.logged`; a test holds the page and the
-node's sources to it. Each line has `at_ms` (Unix time), `node` and `event` besides.
+`docs/operate/log.md` is made from it by `python -m pierglade.config.logged`; a test holds the page
+and the sources to it. Each line has `at_ms` (Unix time), `node` and `event` besides.
 """
 
 import sys
@@ -183,13 +183,21 @@
 }
 
 
-class Chosen(Log):
-    """A log that leaves out what is below a level, and all but a share of what is below warning.
+class FilteredLog(Log):
+    """A log that drops events below a level, and all but a share of those below warning.
 
     `readable`: a line for people instead of a JSON object, with `colours` or without.
     """
 
-    def __init__(self, fd, name, level="debug", sampling=1.0, readable=False, colours=False):
+    def __init__(
+        self,
+        fd: int,
+        name: str,
+        level: str = "debug",
+        sampling: float = 1.0,
+        readable: bool = False,
+        colours: bool = False,
+    ):
         super().__init__(fd, name)
         least = LEVELS.index(level)
         self.written = frozenset(
@@ -201,7 +209,8 @@
         self.sampling, self.sum = sampling, 0.0
         self.readable, self.colours = readable, colours
 
-    def line(self, now, event, **fields):
+    def line(self, now: int, event: str, **fields):
+        """Adds the line of an event unless it is filtered out."""
         if event not in self.written:
             return
         if self.sampling < 1 and event in self.sampled:
@@ -211,11 +220,12 @@
             self.sum -= 1
         super().line(now, event, **fields)
 
-    def text(self, now, event, fields):
+    def text(self, now: int, event: str, fields: dict) -> bytes:
+        """Returns the line of an event, as JSON or for people."""
         if not self.readable:
             return super().text(now, event, fields)
         seconds = now // 10000 % 86400
-        told = " ".join(
+        details = " ".join(
             f"{key}={value}" for key, value in fields.items() if value not in (None, "", [])
         )
         level = EVENTS[event][0]
@@ -223,11 +233,11 @@
         clock = (
             f"{seconds // 3600:02}:{seconds // 60 % 60:02}:{seconds % 60:02}.{now // 10 % 1000:03}"
         )
-        return (f"{before}{clock} {level:7} {event:22} {told}{after}").rstrip().encode()
+        return (f"{before}{clock} {level:7} {event:22} {details}{after}").rstrip().encode()
 
 
-def page():
-    """docs/operate/log.md as text."""
+def page() -> str:
+    """Returns the text of docs/operate/log.md."""
     lines = [
         "# The node's log",
         "",
--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -1,4 +1,4 @@
-"""Follows discovery: the whole list first, then a watch, which is opened again when it falls silent."""
+"""Follows discovery: the whole list, then a watch that is opened again when it falls silent."""
 
 from time import monotonic
 
@@ -7,6 +7,7 @@
 from gevent import socket
 from gevent.event import Event
 
+from pierglade.errors import PiergladeError
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.event_loop import PER_SECOND, in_steps
 from pierglade.proxy.http.message import request_head
@@ -15,34 +16,31 @@
 from pierglade.reconfiguration import document_reader as reading
 
 LIST_PATH = b"/registry/instances"
-ANSWER_IN = (
-    0.15  # s; the agent is on this machine and answers at once; with AGAIN under the least grace
-)
-ASKED_IN = (
-    3.5  # s; where the list must be asked for calls wait in line; one given up is answered in vain
-)
-BUSY = (429, 503)  # what is asked for is not to be had now; the version stays good
-SILENT = 3.5  # s; nearly two heartbeats of 2 s; leaves time for tries until what is missed is told
-TOLD_IN = 6.0  # s; so long after a watch fell silent what it misses counts as told
-ASKED_WITHIN = 4.5  # s; the decisions say within 4.4 s when to ask again
-GOES_ON = (
-    0.5  # s; between the pieces of a list; an answer may break off unseen, after a wait in line
-)
-AGAIN = 0.05  # s; between tries; what the agent has counts as told, whether or not a watch is open
-READ = 16384  # bytes read at once
+RESPONSE_TIMEOUT = 0.15  # s; the agent is local; with RETRY_INTERVAL less than the least grace
+# s; a polled discovery queues requests; one given up early is still answered, in vain
+POLLED_RESPONSE_TIMEOUT = 3.5
+BUSY_STATUSES = (429, 503)  # the request cannot be served now; the version stays good
+SILENCE_TIMEOUT = 3.5  # s; nearly two heartbeats of 2 s; leaves time to retry within MISSED_AFTER
+MISSED_AFTER = 6.0  # s; so long after a watch fell silent, changes it misses count as announced
+POLL_WAIT_MOST = 4.5  # s; the balancer decides within 4.4 s to poll again
+PIECE_TIMEOUT = 0.5  # s; between the pieces of a list; a queued response may break off unseen
+RETRY_INTERVAL = 0.05  # s; changes that the agent has count as announced, also without a watch
+READ_SIZE = 16384  # bytes read at once
 LINE_MOST = 1 << 22  # bytes of a list; 6,800 entries are 0.9 MB, indented 1.3 to 1.7
 
 
-class Lists(ResponseReader):
+class ListReader(ResponseReader):
+    """Reads a whole list, which is held whole."""
+
     body_most = held_most = LINE_MOST
 
 
-class Lost(Exception):
-    """The watch is of no more use."""
+class DiscoveryUnavailableError(PiergladeError):
+    """Discovery gives no answer, or the watch has ended; the version stays good."""
 
 
-class Watch:
-    """The chunked answer of a watch, line by line."""
+class WatchStream:
+    """The chunked response of a watch, line by line."""
 
     def __init__(self):
         self.parser = httptools.HttpResponseParser(self)
@@ -50,25 +48,32 @@
         self.lines, self.indented = [], []
         self.over = False
 
-    def feed(self, data):
-        """The lines that are whole with this; empty ones are heartbeats."""
+    def feed(self, data: bytes) -> list[bytes]:
+        """Returns the lines that are whole with `data`; empty ones are heartbeats.
+
+        Raises:
+            DiscoveryUnavailableError: discovery is busy.
+            ValueError: another status than 200, or a line too long.
+        """
         self.lines = []
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserCallbackError as fault:
-            # Taken for an answer that cannot be read, a watch refused by a busy discovery would cost the
-            # version, and each node would ask for the whole list, which keeps it overbooked.
+            # Taken for a malformed response, a watch rejected by a busy discovery would lose the
+            # version, and each node would request the whole list, which keeps it overloaded.
             raise (fault.__context__ or fault) from None
         return self.lines
 
     def on_headers_complete(self):
+        """Parser callback: the head is whole."""
         status = self.parser.get_status_code()
-        if status in BUSY:
-            raise Lost(f"status {status}")
+        if status in BUSY_STATUSES:
+            raise DiscoveryUnavailableError(f"status {status}")
         if status != 200:
             raise ValueError(f"status {status}")  # It may not know the version any more.
 
     def on_body(self, body):
+        """Parser callback: decoded bytes of the stream."""
         *lines, rest = body.split(b"\n")
         for line in lines:
             self._line(b"".join((*self.pending, line)))
@@ -79,7 +84,7 @@
             raise ValueError("line too long")
 
     def _line(self, line):
-        """Lists may come indented: such a one ends with the line that closes what its first one opened."""
+        """Adds a line. A list may be indented: it ends with the line that closes its first one."""
         bare = line.strip()
         if self.indented or bare == b"{":
             self.indented.append(line)
@@ -91,33 +96,55 @@
         self.lines.append(line)
 
     def on_message_complete(self):
+        """Parser callback: the stream has ended."""
         self.over = True
 
 
-class Discovery:
-    def __init__(self, address, host, index=None):
+class FixedEndpointList:
+    """Replaces DiscoveryClient where the endpoint list is fixed: there is nothing to follow."""
+
+    def run(self):
+        """Does nothing."""
+
+    relist = ask = stop = run
+
+
+class DiscoveryClient:
+    """Follows the discovery service at `address` (host:port) and reports to `host`.
+
+    `index`: the version to follow from; None: the whole list is requested first.
+    """
+
+    def __init__(self, address: str, host, index: int | None = None):
         name, _, port = address.rpartition(":")
         self.address, self.place = address, (name, int(port))
         self.host = host
-        self.index = index  # version to follow from; None: the whole list is wanted
+        self.index = index
         self.sock = None
-        self.left = False
-        self.word = 0.0  # when a watch last said anything, or the call for it began
-        self.silent = None  # since when the watch has said nothing; None: it was not lost by that
-        self.waits = lambda: False  # whether the decisions say when to ask again
+        self.stopped = False
+        self.last_word = 0.0  # when the watch last delivered anything, or its request began
+        self.silent = None  # since when the watch was silent; None: it was not lost by that
+        self.is_polled = lambda: False  # whether the balancer decides when to ask again
         self.asked = Event()
 
     def run(self):
-        while not self.left:
+        """Follows until `stop`."""
+        while not self.stopped:
             self.asked.clear()
             try:
                 if self.index is None:
                     self._whole_list()
                 self._follow()
-            except (OSError, Lost, ProtocolError, httptools.HttpParserError, ValueError) as fault:
-                if not isinstance(fault, (OSError, Lost)):
+            except (
+                OSError,
+                DiscoveryUnavailableError,
+                ProtocolError,
+                httptools.HttpParserError,
+                ValueError,
+            ) as fault:
+                if not isinstance(fault, (OSError, DiscoveryUnavailableError)):
                     self.index = None  # What could not be read may have been a change.
-                if not self.left:
+                if not self.stopped:
                     self.host.tell(
                         events.NO_WORD, f"{type(fault).__name__}: {fault}", self._waited()
                     )
@@ -126,29 +153,34 @@
             self._wait()
 
     def _waited(self):
-        """Tenths of a ms that are lost of the time in which a change counts as told."""
+        """Returns the tenths of a ms for which changes may have been missed."""
         now = monotonic()
-        since = self.word if self.silent is None or now >= self.silent + TOLD_IN else self.silent
+        since = (
+            self.last_word
+            if self.silent is None or now >= self.silent + MISSED_AFTER
+            else self.silent
+        )
         return int((now - since) * PER_SECOND)
 
     def _wait(self):
-        # Both are bounded: should the settings change meanwhile, nobody would say when.
-        if self.waits():
-            self.asked.wait(ASKED_WITHIN)
+        # Both are bounded: should the settings change meanwhile, nothing else would end the wait.
+        if self.is_polled():
+            self.asked.wait(POLL_WAIT_MOST)
         else:
-            gevent.sleep(AGAIN)
+            gevent.sleep(RETRY_INTERVAL)
 
     def ask(self):
+        """Ends the wait before the next request."""
         self.asked.set()
 
     def relist(self):
-        """What was heard does not fit: the next thing asked for is the whole list."""
+        """Resyncs: what was received does not fit, so the whole list is requested next."""
         self.index = None
         self._close()
 
-    def leave(self):
-        """Nothing that was read here is told from now on."""
-        self.left = True
+    def stop(self):
+        """Ends following; nothing that was read is reported from now on."""
+        self.stopped = True
         self._close()
 
     def _close(self):
@@ -157,59 +189,62 @@
             self.sock = None
 
     def _ask(self, path, within):
-        """`within`: s from now to the first word. A connection that comes up late leaves less for that."""
-        if self.left:
-            raise Lost("moved")
-        self.word = monotonic()
-        # Kept here as well: who moves or relists while this waits closes it, and `self.sock` is gone.
+        """Sends a request; `within`: s from now to the first byte, connecting included."""
+        if self.stopped:
+            raise DiscoveryUnavailableError("moved")
+        self.last_word = monotonic()
+        # Kept here as well: `stop` and `relist` close it meanwhile, and `self.sock` is None then.
         sock = self.sock = socket.socket()
-        sock.settimeout(ASKED_IN if self.waits() else ANSWER_IN)
+        sock.settimeout(POLLED_RESPONSE_TIMEOUT if self.is_polled() else RESPONSE_TIMEOUT)
         sock.connect(self.place)
         sending.set_up(sock)
         sock.sendall(request_head(b"GET", path, [(b"Host", self.address.encode())], 0))
-        sock.settimeout(max(ANSWER_IN, self.word + within - monotonic()))
+        sock.settimeout(max(RESPONSE_TIMEOUT, self.last_word + within - monotonic()))
         return sock
 
     def _tell(self, line):
         document = in_steps(reading.parsed(line), 0)
-        if self.left:
-            # Read before the move, told after it, it would stand in the list of the new place.
-            raise Lost("moved")
+        if self.stopped:
+            # Read before the move, reported after it, it would enter the new address's list.
+            raise DiscoveryUnavailableError("moved")
         self.index = document.get("index") if isinstance(document, dict) else None
         self.host.tell(events.HEARD, document)
         if self.index is None:
-            raise Lost("the list does not fit")
+            raise DiscoveryUnavailableError("the list does not fit")
 
     def _whole_list(self):
-        within, goes_on = (ASKED_IN, GOES_ON) if self.waits() else (ANSWER_IN, ANSWER_IN)
+        if self.is_polled():
+            within, goes_on = POLLED_RESPONSE_TIMEOUT, PIECE_TIMEOUT
+        else:
+            within = goes_on = RESPONSE_TIMEOUT
         sock = self._ask(LIST_PATH, within)
-        answers = Lists()
+        answers = ListReader()
         while (message := answers.next()) is None:
             count = sock.recv_into(answers.writable())
             if not count:
-                raise Lost("closed")
+                raise DiscoveryUnavailableError("closed")
             sock.settimeout(goes_on)
             answers.filled(count)
         if message.status != 200:
-            raise Lost(f"status {message.status}")
+            raise DiscoveryUnavailableError(f"status {message.status}")
         self._tell(bytes(message.body))
         self._close()
 
     def _follow(self):
-        sock = self._ask(LIST_PATH + b"?follow=1&since=%d" % self.index, SILENT)
-        watch, room = Watch(), memoryview(bytearray(READ))
+        sock = self._ask(LIST_PATH + b"?follow=1&since=%d" % self.index, SILENCE_TIMEOUT)
+        watch, buffer = WatchStream(), memoryview(bytearray(READ_SIZE))
         while not watch.over:
             try:
-                count = sock.recv_into(room)
+                count = sock.recv_into(buffer)
             except TimeoutError:
-                self.silent = self.silent or self.word
+                self.silent = self.silent or self.last_word
                 raise
             if not count:
-                raise Lost("closed")
-            lines = watch.feed(bytes(room[:count]))
-            self.word, self.silent = monotonic(), None  # a refusal is none
-            sock.settimeout(SILENT)
+                raise DiscoveryUnavailableError("closed")
+            lines = watch.feed(bytes(buffer[:count]))
+            self.last_word, self.silent = monotonic(), None  # a rejection does not count
+            sock.settimeout(SILENCE_TIMEOUT)
             for line in lines:
                 if line.strip():
                     self._tell(line)
-        raise Lost("ended")
+        raise DiscoveryUnavailableError("ended")
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -1,5 +1,6 @@
-"""The clients' side: takes every connection, reads requests from each in a greenlet, writes answers."""
+"""A downstream connection on its socket: one greenlet reads requests, responses are written."""
 
+import contextlib
 from collections import deque
 
 import gevent
@@ -18,87 +19,77 @@
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state import events
 
-BACKLOG = 4096  # connections; whatever the kernel's queue holds counts as taken
-ACCEPTS = 64  # connections taken in a turn, where descriptors are not short
-PAUSE = 0.01  # s; until descriptors are free again, should accepting fail
-AHEAD_MOST = 16  # reads whose time is kept; a client may send a byte at a time
-THROWN_MOST = (
+PIPELINED_MOST = 16  # reads whose time is kept; a client may send a byte at a time
+DISCARD_MOST = (
     1 << 20
-)  # bytes; read after the last answer so that it is not reset away, but not 60 MB
-REST_MOST = 1 << 25  # bytes; the same behind an answer that came before its body was whole
-FAULTS = (b"400", b"408", b"413", b"431")  # what is answered to no request, or to half of one
-REJECTED_UNPROCESSED = (
-    b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 5\r\nContent-Type: text/plain\r\n"
-    b"Content-Length: 35\r\nConnection: close\r\n\r\ntoo many connections from this side\n"[:-1]
-)
-THROWN = memoryview(bytearray(65536))  # where all of them read what nobody wants
+)  # bytes; read after the last response, so that a reset does not destroy it; but not 60 MB
+DISCARD_REST_MOST = (
+    1 << 25
+)  # bytes; the same behind a response that came before the request was whole
+FAULTS = (b"400", b"408", b"413", b"431")  # statuses sent for a malformed or incomplete request
+DISCARDED = memoryview(bytearray(65536))  # a shared buffer for what is read and discarded
+
 
+class DownstreamHandler:
+    """The socket of one client.
 
-class ClientSocket:
-    """One client's connection. It is read on while an answer is owed, as its end means that nobody waits."""
+    It is read on while a response is pending: its end means that the client no longer waits.
+    """
 
-    def __init__(self, sock, host, address):
-        self.sock, self.tell, self.space, self.refuse = sock, host.tell, host.space, host.refuse
-        self.host, self.line, self.address = host, host.line, address
-        self.gate = host.reducer.gate  # that let it in; None: nobody was asked
+    def __init__(self, sock: socket.socket, host, address: str):
+        self.sock, self.tell, self.budget, self.refuse = sock, host.tell, host.budget, host.refuse
+        self.host, self.line, self.address = host, host.admission_queue, address
+        self.gate = host.reducer.gate  # that admitted it; None: no limits
         self.now = host.clock.now
         self.requests = RequestReader()
         self.read_on = Event()
-        self.last = False  # what still comes is thrown away: it follows a fault or the last answer
-        self.message = None  # that it belongs to
-        self.thrown, self.thrown_most = 0, THROWN_MOST  # bytes
-        self.flow = None  # the body that comes, where it is too large to hold
-        self.passing = False  # an answer is on its way to it as it comes, and not whole
-        self.held = 0  # bytes of the space that it holds
-        self.asked = False  # the reducer was told of it
-        self.client = None  # the reducer's, set as it is told
-        self.came = host.came  # when what is read now is likely to have come
-        self.come = 0  # bytes read
-        self.ahead = (
+        self.last = (
+            False  # what is still read is discarded: it follows a fault or the last response
+        )
+        self.message = None  # the request whose body is read
+        self.discarded, self.discard_most = 0, DISCARD_MOST  # bytes
+        self.flow = None  # the body that is read, where it is too large to hold
+        self.passing = False  # a response is being streamed to it, and not whole
+        self.held = 0  # bytes of the budget that it holds
+        self.asked = False  # the state machine knows of the request
+        self.client = None  # the DownstreamConnection, set by the state machine
+        self.came = host.came  # returns when what is read now is likely to have arrived
+        self.received = 0  # bytes read
+        self.pipelined = (
             deque()
-        )  # (bytes read by then, when) while a request waited behind the one in hand
+        )  # (bytes read by then, when) while requests wait behind the current one
         sending.set_up(sock)
         self.known = self.gate is not None and self.gate.knows(self.now(), address)
         self.tell(events.OPENED, self, self.known)
 
     def run(self):
+        """Reads until the connection ends, and reports how it ended."""
         reason = "client closed"
         try:
             while True:
                 if self.flow is not None and self.flow.full() and self.asked and not self.last:
-                    # Whoever takes the body is slower than the client, who has to wait for it.
+                    # The upstream side takes the body more slowly than the client sends it.
                     self.read_on.clear()
                     self.read_on.wait()
                     continue
-                room = THROWN if self.last else self.requests.writable()
-                if room is None:
-                    # More than one request ahead: its end is not seen until the one in hand is answered.
+                buffer = DISCARDED if self.last else self.requests.writable()
+                if buffer is None:
+                    # More than one pipelined request: an end is not seen until a response is sent.
                     self.read_on.clear()
                     self.read_on.wait()
                     continue
-                count = self.sock.recv_into(room)
+                count = self.sock.recv_into(buffer)
                 if not count:
                     break
                 if not self.last:
-                    self.requests.filled(count)
-                    self.come += count
-                    if self.host.reducer.press.threshold and self._refused():
-                        continue
-                    came = events.NEVER
-                    if self.line.full():
-                        came = self.came()
-                        self.line.wait(self.address, count, self.known)
-                        if self.client.io is None:
-                            break  # Ended meanwhile, by us.
-                    self._take(came)
-                    if self.requests.held and self.requests.more():
-                        self._note_ahead()
+                    if not self._received(count):
+                        break
                     continue
-                self.thrown += count
-                if self.thrown > self.thrown_most:
+                self.discarded += count
+                if self.discarded > self.discard_most:
                     reason = "sends on after its last answer"
                     break
-                gevent.sleep(0)  # It may send at full speed, and must not have the core to itself.
+                gevent.sleep(0)  # It may send at full speed, and must not use the CPU alone.
         except OSError as fault:
             reason = f"broke: {fault.strerror}"
         finally:
@@ -106,8 +97,29 @@
             self._end_flow()
         self.tell(events.CLIENT_ENDED, self.client, reason)
 
-    def _refused(self):
-        """Whether what came was refused at a glance: the refusal is written, or its client reads nothing."""
+    def _received(self, count):
+        """Takes up `count` bytes that were read; returns whether the connection is still open."""
+        self.requests.filled(count)
+        self.received += count
+        if self.host.reducer.press.threshold and self._was_shed():
+            return True
+        came = events.NEVER
+        if self.line.full():
+            came = self.came()
+            self.line.wait(self.address, count, self.known)
+            if self.client.io is None:
+                return False  # Closed by us meanwhile.
+        self._take(came)
+        if self.requests.held and self.requests.more():
+            self._note_pipelined()
+        return True
+
+    def _was_shed(self):
+        """Whether what was read was rejected unparsed.
+
+        Raises:
+            BrokenPipeError: the client does not read the rejection.
+        """
         if self.flow is not None or self.line.over():
             return False
         refusal = self.refuse(self.client, self.requests)
@@ -119,13 +131,13 @@
         return True
 
     def _take(self, came=events.NEVER):
-        """`came`: when it came, where that was before this turn."""
+        """Takes up what was read; `came`: when it arrived, if before this turn of the loop."""
         try:
             if self.flow is not None:
                 return self._take_piece()
             message = self.requests.next()
         except ProtocolError as fault:
-            # Where the fault ends nobody can tell: nothing behind it is read as a request.
+            # Where the malformed part ends is unknown: nothing behind it is read as a request.
             self.last = True
             self._end_flow()
             self.tell(events.FAULTY, self.client, fault.status, str(fault))
@@ -133,8 +145,8 @@
         if message is not None and self.requests.flows:
             self._begin_flow(message)
         elif message is not None:
-            if self.ahead:
-                self.tell(events.ASKED, self.client, message, came=self._came_ahead())
+            if self.pipelined:
+                self.tell(events.ASKED, self.client, message, came=self._arrival_of_pipelined())
             else:
                 self.tell(events.ASKED, self.client, message, came=came)
         elif self.requests.begun():
@@ -145,9 +157,9 @@
     # A body too large to hold.
 
     def _begin_flow(self, message):
-        if not self.space.reserve(WINDOW_COST):
-            # Before its body is read: together they are far more than the node may hold.
-            self.last, self.thrown_most = True, REST_MOST
+        if not self.budget.reserve(WINDOW_COST):
+            # Before its body is read: many such bodies are far more than the process may hold.
+            self.last, self.discard_most = True, DISCARD_REST_MOST
             self.tell(events.FAULTY, self.client, 503)
             return
         self.held = WINDOW_COST
@@ -160,14 +172,14 @@
         self._take_piece()
 
     def _take_piece(self):
-        """A slow sender's body is gathered, as far as there is space; else it is passed on as it comes."""
+        """Buffers a slow sender's body while the budget allows it; streams it otherwise."""
         flow, requests = self.flow, self.requests
         flow.add(requests.piece())
         if requests.over:
             flow.finish()
         if self.asked:
             self.tell(events.BODY, self.client)
-        elif requests.over or not self._gathers():
+        elif requests.over or not self._buffers_whole():
             self.asked = True
             self.tell(events.ASKED, self.client, self.message)
         else:
@@ -175,18 +187,19 @@
         if requests.over:
             self.flow = None
 
-    def _gathers(self):
+    def _buffers_whole(self):
+        """Whether the body may go on being buffered whole, so that it can be sent again."""
         more = self.flow.size - self.held
         if self.flow.size + WINDOW > GATHER_MOST:
             return False
         if more > 0:
-            if not self.space.reserve(more, GATHER_PART):
+            if not self.budget.reserve(more, GATHER_PART):
                 return False
             self.held += more
         return True
 
     def _end_flow(self):
-        """Its connection or its answer has come to an end: nothing more of the body is passed on."""
+        """Aborts the body: its connection or its response has ended."""
         if self.flow is not None:
             self.flow.break_off()
             self.flow = None
@@ -194,21 +207,22 @@
     def _free(self):
         self._end_flow()
         self.message = None
-        self.space.release(self.held)
+        self.budget.release(self.held)
         self.held = 0
 
-    def answer(self, head, body, last, chunked=False):
+    def answer(self, head: bytes, body, last: bool, chunked: bool = False):
+        """Sends a response; `body`: bytes or a BodyStream; `last`: close after it."""
         self._free()
         if self.gate is not None and head[9:12] in FAULTS:
             self.gate.faulted(self.now(), self.address)
         if isinstance(body, BodyStream):
             self.passing = True
-            gevent.spawn(self._pass_on, head, body, last, chunked)
+            gevent.spawn(self._stream_body, head, body, last, chunked)
             return
         try:
             rest = sending.send_now(self.sock, head, body)
         except OSError as fault:
-            # The reader may be waiting for this answer, and not see it before the time for slow readers.
+            # The reading greenlet may wait for this response, and see it only at its timeout.
             return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
         if rest:
             gevent.spawn(self._write_rest, rest, last)
@@ -222,10 +236,10 @@
             return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
         self._written(last)
 
-    def _pass_on(self, head, flow, last, chunked):
-        """An answer as it comes. One that breaks off must not look whole."""
+    def _stream_body(self, head, flow, last, chunked):
+        """Streams a response. One that is aborted must not look whole."""
         try:
-            sending.pass_on(
+            sending.stream_body(
                 self.sock, head, flow, chunked, lambda: self.tell(events.TAKES, self.client)
             )
         except OSError:
@@ -240,118 +254,61 @@
         self.passing = False
         self.tell(events.ANSWERED, self.client)
         if last:
-            # Closed at once with something unread, the connection would be reset and the answer lost.
+            # Closed at once with something unread, it would be reset and the response lost.
             if not self.last and self.requests.flows and not self.requests.over:
-                self.thrown_most = REST_MOST
+                self.discard_most = DISCARD_REST_MOST
             self.last = True
             self.requests.drop()
             self.requests = RequestReader()
-            try:
+            with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
-            except OSError:
-                pass
         else:
             self.requests.release()
             if self.requests.more():
-                # Answered in order, each in a turn of its own: hundreds in a row take no turn of others.
+                # In order, each in its own turn of the loop: hundreds in a row delay no others.
                 gevent.spawn(self._take_next)
         self.read_on.set()
 
     def _take_next(self):
-        # Its connection may have ended before its turn came, and the inbox be dropped.
+        # The connection may have ended by now, and the reader be dropped.
         if self.requests.parser is not None and not self.last and not self.requests.held:
             self._take()
 
-    # Requests sent ahead of the answer to the one in hand (RFC 9112, 9.3.2).
+    # Pipelined requests (RFC 9112, 9.3.2).
 
-    def _note_ahead(self):
-        """The time of a request runs from its last byte, also where that waits behind another."""
-        if len(self.ahead) == AHEAD_MOST:
-            self.ahead[-1] = (self.come, self.ahead[-1][1])  # Rather too early than too late.
+    def _note_pipelined(self):
+        """Keeps when bytes arrived: a pipelined request's time runs from its last byte, too."""
+        if len(self.pipelined) == PIPELINED_MOST:
+            self.pipelined[-1] = (
+                self.received,
+                self.pipelined[-1][1],
+            )  # Rather too early than too late.
         else:
-            self.ahead.append((self.come, self.came()))
-
-    def _came_ahead(self):
-        """When the last byte of the message that was just taken had come."""
-        upto = self.come - (self.requests.end - self.requests.at)
-        while self.ahead and self.ahead[0][0] < upto:
-            self.ahead.popleft()
-        came = self.ahead[0][1] if self.ahead else events.NEVER
+            self.pipelined.append((self.received, self.came()))
+
+    def _arrival_of_pipelined(self):
+        """Returns when the last byte of the message that was just taken had arrived."""
+        upto = self.received - (self.requests.end - self.requests.at)
+        while self.pipelined and self.pipelined[0][0] < upto:
+            self.pipelined.popleft()
+        came = self.pipelined[0][1] if self.pipelined else events.NEVER
         if not self.requests.more():
-            self.ahead.clear()
+            self.pipelined.clear()
         return came
 
-    def let_go(self, reason):
-        """Closes if nothing has come that was not taken."""
-        if not self.requests.begun() and not sending.waiting(self.sock):
-            # At once: a request that comes between the look and the end would be lost.
+    def let_go(self, reason: str):
+        """Closes the connection if nothing has arrived that was not taken up."""
+        if not self.requests.begun() and not sending.is_readable(self.sock):
+            # At once: a request that arrived between check and close would be lost.
             sending.hang_up(self.sock)
             self.tell(events.CLIENT_ENDED, self.client, reason)
 
     def end(self):
+        """Ends the connection at once."""
         self._free()
         self.read_on.set()
-        # Broken off by the link's time or by its own, whichever is due first, it must not look whole.
+        # Aborted by the timeout of either side, whichever is due first, it must not look whole.
         (sending.reset if self.passing else sending.hang_up)(self.sock)
         if self.gate is not None:
             self.gate.closed(self.now(), self.address)
             self.gate = None
-
-
-class Door:
-    """The listening socket."""
-
-    def __init__(self, address, host):
-        self.host = host
-        self.sock = sending.bound(address, shared=True)
-        self.open = False
-
-    def listen(self):
-        self.sock.listen(BACKLOG)
-        self.open = True
-        sending.steer_here(self.sock)
-
-    def run(self):
-        taken = 0
-        while self.open:
-            try:
-                sock, address = self.sock.accept()
-            except OSError as fault:
-                if self.open:
-                    self.host.note("accept_failed", error=fault.strerror)
-                    gevent.sleep(PAUSE)
-                continue
-            self._admit(sock, address)
-            taken += 1
-            if taken >= self.host.reducer.may_open(ACCEPTS) or self.host.line.full():
-                # Lets the loop close what has yielded before the next one takes a descriptor.
-                taken = 0
-                gevent.sleep(0)
-
-    def _admit(self, sock, address):
-        reducer = self.host.reducer
-        if reducer.gate is not None and not reducer.lets_in(self.host.clock.now(), address[0]):
-            return self._turn_away(sock)
-        seat = ClientSocket(sock, self.host, address[0])
-        self.host.spawn(seat.run, seat)
-
-    def _turn_away(self, sock):
-        """One line for whoever looks at it; nothing is read, so a client that has sent may see a reset."""
-        try:
-            sock._sock.send(REJECTED_UNPROCESSED, socket.MSG_DONTWAIT)
-            sock._sock.shutdown(socket.SHUT_RDWR)
-        except OSError:
-            pass
-        sock.close()
-
-    def close(self):
-        """What the kernel has accepted by now is still taken."""
-        self.open = False
-        self.sock.setblocking(False)
-        while True:
-            try:
-                sock, address = self.sock.accept()
-            except OSError:
-                break
-            self._admit(sock, address)
-        self.sock.close()
--- a/pierglade/proxy/logging.py
+++ b/pierglade/proxy/logging.py
@@ -1,4 +1,4 @@
-"""The node's log: one JSON line an event on standard output, never waited for."""
+"""The log: one JSON line an event on standard output, written without blocking."""
 
 import os
 import select
@@ -11,6 +11,8 @@
 
 
 class Log:
+    """Collects lines and writes them together to `fd`; drops them while its reader is slow."""
+
     def __init__(self, fd, name):
         self.fd, self.name = fd, name
         self.dropped = 0
@@ -18,12 +20,14 @@
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
 
-    def text(self, now, event, fields):
+    def text(self, now: int, event: str, fields: dict) -> bytes:
+        """Returns the line of an event."""
         return orjson.dumps(
             {"at_ms": now / 10, "node": self.name, "event": event, **fields}, default=str
         )
 
-    def line(self, now, event, **fields):
+    def line(self, now: int, event: str, **fields):
+        """Adds the line of an event; `now`: tenths of a millisecond."""
         text = self.text(now, event, fields)
         if len(text) >= LINE_MOST:
             text = orjson.dumps(
@@ -37,7 +41,7 @@
         self.size += len(text) + 1
 
     def flush(self):
-        """Writes what is pending, or drops it: whoever reads may be slow, and is not waited for."""
+        """Writes what is pending, or drops it where that would block."""
         lines, self.pending, self.size = self.pending, [], 0
         if not lines:
             return
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -1,61 +1,64 @@
-"""The host of a node: passes events to the reducer one by one and carries out the effects."""
+"""The process on sockets: passes events to the state machine and carries out its effects."""
 
 import os
 import signal
 import sys
 import traceback
 from collections import deque
+from collections.abc import Callable
 
 import gevent
 from gevent.event import Event
 
 from pierglade.admission.connection_admission import ConnectionAdmission, ConnectionLimits
-from pierglade.proxy.admission_queue import Line
-from pierglade.proxy.discovery import Discovery
-from pierglade.proxy.downstream import ClientSocket, Door
-from pierglade.proxy.event_loop import Clock, Timer, Turns, in_steps
+from pierglade.proxy.admission_queue import AdmissionQueue
+from pierglade.proxy.discovery import DiscoveryClient, FixedEndpointList
+from pierglade.proxy.downstream import DownstreamHandler
+from pierglade.proxy.event_loop import Clock, EventLoopMonitor, Timer, in_steps
 from pierglade.proxy.http.body_stream import BufferBudget
+from pierglade.proxy.listener import Listener
 from pierglade.proxy.logging import Log
-from pierglade.proxy.management import CALLS, Management
+from pierglade.proxy.management import MAX_CONNECTIONS, ManagementServer
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state.machine import ProxyStateMachine
-from pierglade.proxy.takeover import AGAIN, Tenure
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.takeover import POLL_INTERVAL, ProcessLock
+from pierglade.proxy.upstream import UpstreamHandler
 from pierglade.reconfiguration import quota_changes as shares
 
-AFTER_FAULT = (
-    500  # tenths of a ms; what is due is looked after this much later if nobody can say when
-)
-SPACE_PART = (
-    0.3  # share of the memory for bodies on their way; two processes share it while one takes over
-)
-LATE = 500  # tenths of a ms; the slack that answers have, so a node this late is short of its core
+AFTER_FAULT = 500  # tenths of a ms; the next wakeup, where the state machine failed to say when
+SPACE_PART = 0.3  # of the memory, for streamed bodies; two processes share it during a takeover
+LAG_LOGGED = 500  # tenths of a ms; the slack of responses: with such a lag the CPU is short
 
 
-class Nobody:
-    """In the place of discovery where the list is fixed."""
+class ProxyServer:
+    """One node in this process: owns sockets, timer and greenlets.
 
-    def run(self):
-        """There is nothing to follow."""
+    Raises:
+        OSError: it cannot listen.
+        ValueError, KeyError, TypeError, AttributeError: the initial list cannot be used.
+    """
 
-    relist = ask = leave = run
-
-
-class Host:
     def __init__(self, place):
         self.clock = Clock()
-        self.space = BufferBudget(int(place.memory_mb * SPACE_PART) << 20)
+        self.budget = BufferBudget(int(place.memory_mb * SPACE_PART) << 20)
         self.log = (place.log or Log)(sys.stdout.fileno(), place.name)
-        self.door = Door(place.listen, self)
-        self.management = Management(place.management, self) if place.management else None
-        self.tenure = Tenure("%s:%d" % self.door.sock.getsockname())
-        self.alone = self.tenure.alone()
+        self.listener = Listener(place.listen, self)
+        self.management = ManagementServer(place.management, self) if place.management else None
+        self.process_lock = ProcessLock(self.listener.address())
+        self.alone = self.process_lock.is_sole_process()
         if self.alone:
-            self.door.listen()
+            self.listener.listen()
         self.done = Event()
         self.timer = Timer(self.clock, self._woke)
+        self._make_machine(place)
+        self._restore(place)
+        self._bind_effects()
+
+    def _make_machine(self, place):
         sockets = (
-            place.sockets - len(os.listdir("/proc/self/fd")) - (CALLS if self.management else 0)
+            place.sockets
+            - len(os.listdir("/proc/self/fd"))
+            - (MAX_CONNECTIONS if self.management else 0)
         )
         self.reducer = ProxyStateMachine(
             place.seed,
@@ -69,21 +72,26 @@
         self.reducer.gives_ids = place.gives_ids
         self.reducer.gate = ConnectionAdmission(place.caps) if place.caps is not None else None
         self.faults = self.rereads = 0
+
+    def _restore(self, place):
+        """Loads the initial endpoint list and the snapshot, and makes the discovery client."""
         self.learning = None
         if place.keeping is not None:
-            # loads what a node without a folder need not
+            # Imported only where snapshots are kept.
             from pierglade.proxy.snapshot_writer import Keeping, Learning
 
             self.learning = Learning(self, Keeping(*place.keeping), place.name)
         self.reducer.known(self.learning.list_or(place.known) if self.learning else place.known)
         if self.learning:
             self.learning.remember()
-        self.fixed = place.known if place.discovery is None else None  # a list that nobody tells of
-        # From the version that is known: forty whole lists at once keep a discovery busy for seconds.
+        self.fixed = place.known if place.discovery is None else None  # a list without discovery
+        # From the known version: forty whole lists at once keep a discovery busy for seconds.
         self.follow(place.discovery, self.reducer.index)
+
+    def _bind_effects(self):
         self.inbox, self.working = deque(), False
-        self.turns = Turns(self.clock)
-        self.line = Line(self.clock, self.turns)
+        self.loop_monitor = EventLoopMonitor(self.clock)
+        self.admission_queue = AdmissionQueue(self.clock, self.loop_monitor)
         self.carriers = {
             ev.ANSWER: lambda client, head, body, *how: client.io.answer(
                 head, body, client.last, *how
@@ -97,14 +105,17 @@
             ev.RELIST: lambda: self.discovery.relist(),
             ev.MOVE: self._move,
             ev.OPEN_DOOR: self._open_door,
-            ev.CLOSE_DOOR: self.door.close,
+            ev.CLOSE_DOOR: self.listener.close,
             ev.REPLY: lambda call, status, body, allow: call.reply(status, body, allow),
             ev.EXIT: self.done.set,
             ev.NOTE: lambda event, fields: self.note(event, **fields),
         }
 
     def run(self, place_again, early=()):
-        """Serves until it was told to stop and nothing is owed. `early`: signals of the start, not heeded."""
+        """Serves until stopped and no response is pending; returns the exit status.
+
+        `early`: signals that arrived during the start, handled now.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self._stop)
         gevent.signal_handler(signal.SIGHUP, self._reread, place_again)
@@ -114,13 +125,13 @@
         if self.learning:
             self.spawn(self.learning.run)
         if self.alone:
-            self.spawn(self.door.run)
+            self.spawn(self.listener.run)
         else:
             self.spawn(self._wait_until_alone)
         self.tell(ev.WOKE)
         if self.fixed is not None:
             self.tell(ev.HEARD, self.fixed)
-        self.note("started", listen="%s:%d" % self.door.sock.getsockname())
+        self.note("started", listen=self.listener.address())
         if signal.SIGHUP in early:
             self._reread(place_again)
         if {signal.SIGTERM, signal.SIGINT}.intersection(early):
@@ -133,30 +144,34 @@
         return 0
 
     def _stop(self):
-        self.tell(ev.STOP, self.tenure.followed())
+        self.tell(ev.STOP, self.process_lock.successor_is_running())
 
     def _open_door(self):
-        """Not before the list is good, where another process serves the address meanwhile."""
-        self.door.listen()
-        self.spawn(self.door.run)
+        """Starts to listen; during a takeover not before the endpoint list is current."""
+        self.listener.listen()
+        self.spawn(self.listener.run)
 
     def _wait_until_alone(self):
-        while not self.tenure.alone():
-            gevent.sleep(AGAIN)
+        while not self.process_lock.is_sole_process():
+            gevent.sleep(POLL_INTERVAL)
         self.tell(ev.ALONE)
 
-    def follow(self, address, index=None):
-        self.discovery = Discovery(address, self, index) if address is not None else Nobody()
-        self.discovery.waits = lambda: self.reducer.settings.polls_endpoints
+    def follow(self, address: str | None, index: int | None = None):
+        """Makes the discovery client; `address` None: the list is fixed."""
+        if address is None:
+            self.discovery = FixedEndpointList()
+        else:
+            self.discovery = DiscoveryClient(address, self, index)
+        self.discovery.is_polled = lambda: self.reducer.settings.polls_endpoints
 
     def _move(self, address):
-        """Discovery is elsewhere: a new follower, so that no version, line or link of the old passes over."""
-        self.discovery.leave()
+        """Discovery has moved: a new client, so that no state of the old one is carried over."""
+        self.discovery.stop()
         self.follow(address)
         self.spawn(self.discovery.run)
 
     def _reread(self, place_again):
-        """One reading at a time: told again meanwhile, the file is read once more, as it is then."""
+        """Reloads, one at a time: on a signal meanwhile the file is read once more afterwards."""
         self.rereads += 1
         if self.rereads > 1:
             return
@@ -166,7 +181,7 @@
             self.rereads = 0 if self.rereads == seen else 1
 
     def _read_once(self, place_again):
-        """A file that can't be used leaves everything as it is: half replaced, it must not end the node."""
+        """Reloads once; an unusable file (half written, say) leaves everything as it is."""
         try:
             place = in_steps(place_again())
         except ValueError as fault:
@@ -175,7 +190,7 @@
             tenants = place.settings.tenants
             told = in_steps(shares.steps(self.reducer.settings.tenants, tenants.shares))
             self.reducer.gives_ids = place.gives_ids
-            self._cap(place.caps)
+            self._set_limits(place.caps)
             self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, told)
             fixed = place.known if place.discovery is None else None
             if fixed is not None and fixed != self.fixed:
@@ -184,9 +199,10 @@
             if tenants is not self.reducer.settings.tenants:
                 in_steps(shares.let_go(tenants.shares))
 
-    def _cap(self, caps):
-        """Other caps hold from now on; who is in stays in. A gate that came later counts who comes from
-        then.
+    def _set_limits(self, caps):
+        """Applies other connection limits; open connections stay.
+
+        Without limits at the start, connections count from now on.
         """
         gate = self.reducer.gate
         if gate is not None:
@@ -194,50 +210,51 @@
         elif caps is not None:
             self.reducer.gate = ConnectionAdmission(caps)
 
-    def note(self, event, **fields):
+    def note(self, event: str, **fields):
+        """Logs an event."""
         self.log.line(self.clock.now(), event, **fields)
 
-    def spawn(self, run, seat=None):
-        gevent.spawn(self._guarded, run, seat)
+    def spawn(self, run: Callable, handler: DownstreamHandler | UpstreamHandler | None = None):
+        """Runs `run` in a greenlet; an exception ends only the connection of `handler`."""
+        gevent.spawn(self._guarded, run, handler)
 
-    def _guarded(self, run, seat):
-        """A fault in a greenlet ends what it read, never the node; what it held is answered."""
+    def _guarded(self, run, handler):
         while True:
             try:
                 return run()
             except Exception as fault:
                 self._fault(fault)
-            if isinstance(seat, ClientSocket):
-                return self.tell(ev.FAULTY, seat.client, 500)
-            if isinstance(seat, LinkSocket):
-                return self.tell(ev.LINK_ENDED, seat.link, ev.BROKE, True, "fault")
-            gevent.sleep(0.1)  # The door and discovery go on.
+            if isinstance(handler, DownstreamHandler):
+                return self.tell(ev.FAULTY, handler.client, 500)
+            if isinstance(handler, UpstreamHandler):
+                return self.tell(ev.LINK_ENDED, handler.link, ev.BROKE, True, "fault")
+            gevent.sleep(0.1)  # Listener and discovery client go on.
 
     def _fault(self, fault):
         self.faults += 1
         self.note("internal_error", error=repr(fault), traceback=traceback.format_exc(limit=-4))
 
-    def _woke(self, late):
-        if late > LATE:
-            self.note("event_loop_lag", lag_ms=late / 10)
+    def _woke(self, lag):
+        if lag > LAG_LOGGED:
+            self.note("event_loop_lag", lag_ms=lag / 10)
         self.tell(ev.WOKE)
 
-    def came(self):
-        """When what is read in this turn is likely to have come."""
-        return self.turns.came
+    def came(self) -> int:
+        """Returns when what is read in this turn of the loop is likely to have arrived."""
+        return self.loop_monitor.came
 
     def refuse(self, client, requests):
-        """The refusal of what a client sent, if the core is short and it needs no more than a glance."""
+        """Returns the prepared rejection of what a client sent, if load is shed; else None."""
         return self.reducer.glance(
-            self.clock.now(), client, requests, self.turns.came, self.turns.idle
+            self.clock.now(), client, requests, self.loop_monitor.came, self.loop_monitor.idle
         )
 
     def tell(self, kind, *what, came=ev.NEVER):
-        """One event after the other; what an effect brings about comes after the effects before it.
+        """Applies an event and carries out its effects; events that they raise come after them.
 
-        `came`: when it came, where that was before this turn.
+        `came`: when it arrived, if before this turn of the loop.
         """
-        self.inbox.append((kind, what, min(came, self.turns.came), self.turns.idle))
+        self.inbox.append((kind, what, min(came, self.loop_monitor.came), self.loop_monitor.idle))
         if self.working:
             return
         self.working = True
@@ -270,11 +287,11 @@
             self._fault(fault)
 
     def _end(self, connection):
-        """What is still due for it must not keep its socket and buffer."""
+        """Ends a connection; its record may live on, and must not keep socket and buffer."""
         if connection.io is not None:
             connection.io.end()
             connection.io = None
 
     def _connect(self, link):
-        link.io = LinkSocket(link, self.tell)
+        link.io = UpstreamHandler(link, self.tell)
         self.spawn(link.io.run, link.io)
--- a/pierglade/proxy/socket_io.py
+++ b/pierglade/proxy/socket_io.py
@@ -1,5 +1,6 @@
-"""What all connections do with a socket."""
+"""Socket operations that both sides share."""
 
+import contextlib
 import ctypes
 import socket
 import struct
@@ -20,15 +21,15 @@
 )
 
 
-def set_up(sock):
-    try:
+def set_up(sock: socket.socket):
+    """Sets the options of a new connection."""
+    # It may have been reset before it was accepted: the reader finds that out.
+    with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError:
-        pass  # It was reset before it was accepted: whoever reads it finds that out.
 
 
-def send_now(sock, head, body):
-    """Sends without waiting; what did not fit is returned, copied, as it must outlive its buffer."""
+def send_now(sock: socket.socket, head: bytes, body) -> bytes:
+    """Sends without blocking; returns a copy (it must outlive its buffer) of what did not fit."""
     try:
         sent = sock.sendmsg([head, body], (), socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -38,16 +39,21 @@
     return (head + bytes(body))[sent:]
 
 
-def until_writable(sock):
+def wait_writable(sock):
     """Waits until some more may be written; raises OSError where the socket is closed meanwhile.
 
-    By the socket's own watcher: one made for its number would outlive it, and wait for whoever has that next.
+    By the socket's own watcher: one made for its number would outlive it, and watch the next socket
+    of that number.
     """
     sock._wait(sock._write_event)
 
 
-def pass_on(sock, head, flow, chunked, passed):
-    """Writes a body as it comes, `passed` told of each piece; raises OSError where the connection ends."""
+def stream_body(sock, head: bytes, flow, chunked: bool, passed):
+    """Sends a BodyStream as it is read; calls `passed` after each piece.
+
+    Raises:
+        OSError: the connection has ended.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SENT_AHEAD)
     came = Event()
     flow.wakes.append(came.set)
@@ -63,22 +69,20 @@
         sock.sendall(b"0\r\n\r\n")
 
 
-def forget(sock):
-    """As it is closed, what was written and has not gone yet is thrown away."""
-    try:
+def discard_unsent(sock: socket.socket):
+    """Makes closing it discard what was written and is not sent yet."""
+    with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    except OSError:
-        pass
 
 
-def reset(sock):
-    """Ends the connection so that nobody takes it for the end of what was written."""
-    forget(sock)
+def reset(sock: socket.socket):
+    """Resets the connection, so that its end does not pass for the end of a message."""
+    discard_unsent(sock)
     sock.close()
 
 
-def waiting(sock):
-    """Whether something has come, an end included, that was not read yet."""
+def is_readable(sock: socket.socket) -> bool:
+    """Whether something, an end included, has arrived and was not read yet."""
     try:
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -88,12 +92,12 @@
     return True
 
 
-def ended(sock):
-    """Whether the other side has ended the connection, also where what it sent before is not read yet."""
+def peer_has_closed(sock: socket.socket) -> bool:
+    """Whether the peer has closed the connection, also behind bytes that were not read yet."""
     try:
         return sock._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in ENDED_STATES
     except OSError:
-        pass  # Where the system does not tell, an end behind something unread is not seen.
+        pass  # Not supported here: an end behind unread bytes is not seen.
     try:
         return not sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -102,23 +106,22 @@
         return True
 
 
-def hang_up(sock):
-    """Ends the connection at once: gevent closes the descriptor only on its loop's next turn."""
-    try:
+def hang_up(sock: socket.socket):
+    """Closes the connection at once: gevent closes the descriptor only on its loop's next turn."""
+    with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
-    except OSError:
-        pass
     sock.close()
 
 
-def listen(address, queue):
+def listen(address: str, queue: int) -> socket.socket:
+    """Returns a listening socket; raises OSError."""
     sock = bound(address)
     sock.listen(queue)
     return sock
 
 
-def bound(address, shared=False):
-    """A socket at this address; `shared`: a second process may listen beside it."""
+def bound(address: str, shared: bool = False) -> socket.socket:
+    """Returns a socket bound to host:port; `shared`: a second process may listen beside it."""
     name, _, port = address.rpartition(":")
     sock = waiting_socket.socket()
     try:
@@ -133,18 +136,16 @@
     return sock
 
 
-def share(sock):
-    """Where the system cannot, a second process finds the address taken, and says so."""
-    try:
+def share(sock: socket.socket):
+    """Lets a second process bind the address; where that is not supported, it finds it in use."""
+    with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    except OSError:
-        pass
 
 
-def steer_here(sock):
-    """New connections come to whoever listened last; whether the kernel does so.
+def steer_here(sock: socket.socket) -> bool:
+    """Directs new connections to the process that listened last; returns whether that worked.
 
-    Dealt out by chance, some would stand in the queue of a process that closes its door, and be reset.
+    Distributed at random, some would be queued at a process that stops listening, and be reset.
     """
     step = ctypes.create_string_buffer(struct.pack("HBBI", RETURN, 0, 0, NEWEST))
     try:
--- a/pierglade/proxy/takeover.py
+++ b/pierglade/proxy/takeover.py
@@ -1,7 +1,8 @@
-"""Two processes of one node, while a new version takes over: each knows by a lock whether there is another.
+"""Two processes of one node during a takeover: each learns from locks whether there is another.
 
-Who serves holds the first of two files in $TMPDIR locked to its end, however that comes. Who finds it locked
-is the one to follow, and holds the second until the first is free. The files say nothing and may stay.
+The serving process holds a lock on the first of two files in $TMPDIR to its end, however it ends.
+A process that finds it locked is the successor, and locks the second file until the first is free.
+The files are empty and may stay.
 """
 
 import fcntl
@@ -9,11 +10,13 @@
 import re
 
 FOLDER = "/tmp"  # where $TMPDIR is not set
-AGAIN = 0.2  # s; between looks whether the process before has ended
+POLL_INTERVAL = 0.2  # s; between checks whether the process before has ended
 
 
-class Tenure:
-    def __init__(self, address, folder=None):
+class ProcessLock:
+    """The locks of the process that serves `address`, in `folder` or $TMPDIR."""
+
+    def __init__(self, address: str, folder: str | None = None):
         folder = folder or os.environ.get("TMPDIR") or FOLDER
         stem = os.path.join(folder, "pierglade-" + re.sub(r"[^0-9.]", "-", address))
         self.files = []
@@ -27,10 +30,10 @@
                     )
                 )
         except OSError:
-            self.files = []  # Nowhere to say so: it serves as if it were alone.
+            self.files = []  # No place for the files: it serves as the sole process.
 
-    def alone(self):
-        """Whether no other process serves here; if one does, it can see that it is followed."""
+    def is_sole_process(self) -> bool:
+        """Whether no other process serves here; one that does can now see its successor."""
         if not self.files:
             return True
         serves, follows = self.files
@@ -40,8 +43,8 @@
         fcntl.flock(follows, fcntl.LOCK_UN)
         return True
 
-    def followed(self):
-        """Whether a process has come that takes over from this one."""
+    def successor_is_running(self) -> bool:
+        """Whether a process that takes over from this one is running."""
         if not self.files:
             return False
         if not _lock(self.files[1]):
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -1,4 +1,6 @@
-"""The backends' side: each connection has a greenlet that opens it and reads its answers until it ends."""
+"""An upstream connection on its socket: one greenlet connects and reads until it ends."""
+
+from collections.abc import Callable
 
 import gevent
 from gevent import socket
@@ -10,14 +12,16 @@
 from pierglade.proxy.state import events
 
 
-class LinkSocket:
-    def __init__(self, link, tell):
+class UpstreamHandler:
+    """The socket of one connection to a backend; reports events by `tell`."""
+
+    def __init__(self, link, tell: Callable):
         self.link, self.tell = link, tell
         self.sock = socket.socket()
         self.answers = ResponseReader()
-        self.kept = False  # it has stood idle, or brought an answer, since it came up
-        self.whole = False  # the last byte of the request that is out was handed to the kernel
-        self.flow = None  # the answer that comes, where it is too large to hold
+        self.kept = False  # it was idle, or brought a response, since it was connected
+        self.whole = False  # the last byte of the request in flight was handed to the kernel
+        self.flow = None  # the response that is read, where it is too large to hold
         self.read_on = Event()
 
     def run(self):
@@ -35,15 +39,16 @@
         except OSError as fault:
             return self._ended(events.REFUSED, f"refused: {fault.strerror or fault}")
         self.tell(events.UP, self.link)
-        # Passed over while it came up, it stands idle: written blind later, its end would count as a loss.
+        # Unused when connected, it is idle: written unchecked, its end would count as a failure.
         self.kept = self.link.state is events.IDLE
         self.read()
 
     def read(self):
+        """Reads responses until the connection ends, and reports how it ended."""
         try:
             while True:
                 if self.flow is not None and self.flow.full():
-                    # The client takes it more slowly than it comes; the backend has to wait for it.
+                    # The client takes it more slowly than it arrives; the backend has to wait.
                     self.read_on.clear()
                     self.read_on.wait()
                     continue
@@ -53,7 +58,7 @@
                 self._take()
                 if self.answers.begun():
                     if self.link.state is events.IDLE:
-                        # The next answer could not be told from bytes that nobody asked for.
+                        # Unsolicited bytes: they would be taken for the next response.
                         return self._ended(events.BROKE, "unasked bytes")
                     self.tell(events.REPLYING, self.link)
             if self.answers.ended():
@@ -82,15 +87,15 @@
                 self.flow.add(self.answers.piece())
                 self.tell(events.REPLIED, self.link, message)
                 if self.flow is None or not self.answers.over:
-                    return  # Nobody wants it, or there is more to come.
+                    return  # It was aborted, or there is more to read.
                 self._flow_is_whole(message)
             else:
                 self._replied(message)
             self.answers.release()
 
     def _replied(self, message):
-        # An answer that comes before its request is written whole leaves the rest in the way.
-        # What comes behind an answer, a second copy say, would answer the link's next trip.
+        # After a response that comes before its request is written whole, the rest would follow.
+        # Bytes behind a response, a duplicate say, would be taken for the next attempt's.
         message.keep = message.keep and self.whole and not self.answers.more()
         self.kept, self.whole = True, False
         self.tell(events.REPLIED, self.link, message)
@@ -104,21 +109,21 @@
         self.tell(events.REPLY_OVER, self.link, keep)
 
     def _take_last(self):
-        """The connection's end is that of the answer."""
+        """Takes a response that ends with the connection."""
         if self.flow is not None:
             self._flow_is_whole(self.answers.message)
         else:
             self._replied(self.answers.message)
 
     def _ended(self, how, reason):
-        """What ended it is told with whether the request that was out was written whole."""
+        """Reports the end, and whether the request in flight was written whole."""
         self._end_flow()
         self.tell(events.LINK_ENDED, self.link, how, self.whole, reason)
 
     def _unwanted(self):
-        """Whether nobody waits any more for what is to be written; looked at as late as can be.
+        """Whether no client waits any more for what is to be written; checked as late as possible.
 
-        Wherever the request has waited, and whichever of its client's end and our turn was read first.
+        It covers every place where the request may have waited before.
         """
         if self.link.probing:
             return False
@@ -126,11 +131,12 @@
         return (
             attempt is None
             or (client := attempt.request.host_context.io) is None
-            or sending.ended(client.sock)
+            or sending.peer_has_closed(client.sock)
         )
 
-    def write(self, head, body):
-        if self.kept and sending.waiting(self.sock):
+    def write(self, head: bytes, body):
+        """Sends a request; `body`: bytes or a BodyStream."""
+        if self.kept and sending.is_readable(self.sock):
             self.tell(events.LINK_ENDED, self.link, events.STALE, False, "readable while idle")
             return
         if self._unwanted():
@@ -153,21 +159,21 @@
         try:
             while rest:
                 if self._unwanted():
-                    # The backend begins with the last byte: without it nothing runs that nobody waits for.
+                    # A backend executes only with the last byte: nothing is executed in vain.
                     return self.tell(
                         events.LINK_ENDED, self.link, events.CUT, False, "its client left"
                     )
                 try:
                     rest = rest[self.sock._sock.send(rest, socket.MSG_DONTWAIT) :]
                 except BlockingIOError:
-                    sending.until_writable(self.sock)
+                    sending.wait_writable(self.sock)
             self.whole = True
         except OSError as fault:
-            # Part of the last piece may have gone: counted as written, it is never run twice.
+            # Part of the last piece may be sent: it counts as written, never to be executed twice.
             self.tell(events.LINK_ENDED, self.link, events.BROKE, True, f"broke: {fault.strerror}")
 
     def _write_flow(self, head, flow):
-        """A body that was gathered stays, for a further trip; another is written as it comes."""
+        """Sends a body: one that is buffered whole is kept for a retry, another is streamed."""
         try:
             if flow.whole and not flow.passing:
                 self.sock.sendall(head)
@@ -178,13 +184,13 @@
                         )
                     self.sock.sendall(piece)
             else:
-                sending.pass_on(self.sock, head, flow, flow.length is None, lambda: None)
+                sending.stream_body(self.sock, head, flow, flow.length is None, lambda: None)
             self.whole = not flow.broken
             if flow.broken and self.link.attempt is not None:
-                # Where trips may not be called off nobody else would end it: its body is never whole.
+                # Without cancellation nothing else would end it: its body is never whole.
                 self.tell(events.LINK_ENDED, self.link, events.CUT, False, "body broke off")
         except OSError as fault:
-            # As above, where the last piece was on its way; before it, the backend has not begun.
+            # As above, where the last piece was being sent; before it, the backend has not begun.
             self.tell(
                 events.LINK_ENDED,
                 self.link,
@@ -199,9 +205,10 @@
             self.flow = None
 
     def end(self):
+        """Ends the connection at once."""
         self._end_flow()
         self.read_on.set()
         if self.link.cut:
-            # What the kernel holds of a large request must not go on to a backend that nobody waits for.
-            sending.forget(self.sock)
+            # What the kernel still holds of a large request must not be sent: no client waits.
+            sending.discard_unsent(self.sock)
         sending.hang_up(self.sock)
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -15,9 +15,9 @@
 import msgspec
 from gevent.fileobject import FileObjectPosix
 
-from pierglade.__main__ import GARBAGE, Unusable, place_from, steps_again
+from pierglade.__main__ import GARBAGE, UnusableConfigError, config_from_environ, reload_steps
 from pierglade.model.endpoint import EndpointState
-from pierglade.proxy.discovery import Discovery
+from pierglade.proxy.discovery import DiscoveryClient
 from pierglade.proxy.event_loop import Clock, Timer, in_steps
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state.machine import ProxyStateMachine
@@ -47,8 +47,8 @@
         self.follow(FIRST)
 
     def follow(self, index):
-        self.discovery = Discovery(self.address, self, index)
-        self.discovery.waits = lambda: False
+        self.discovery = DiscoveryClient(self.address, self, index)
+        self.discovery.is_polled = lambda: False
 
     def start(self):
         gevent.spawn(self._run, self.discovery)
@@ -63,7 +63,7 @@
                 gevent.sleep(0.1)
 
     def down(self):
-        self.discovery.leave()
+        self.discovery.stop()
         self.downs.append([monotonic(), float("inf")])
 
     def up(self):
@@ -138,7 +138,7 @@
         super().__init__(number, discovery)
 
     def begin(self):
-        self.place, self.version = place_from(os.environ), 0
+        self.place, self.version = config_from_environ(os.environ), 0
         place = self.place
         self.timer = Timer(self.clock, lambda late: self.tell(ev.WOKE))
         self.reducer = ProxyStateMachine(
@@ -166,7 +166,7 @@
     def read_again(self):
         """What a host does at SIGHUP (`Host._reread`); the one place here that knows how."""
         began = thread_time()
-        place = in_steps(steps_again(self.place))
+        place = in_steps(reload_steps(self.place))
         difference = in_steps(
             shares.steps(self.reducer.settings.tenants, place.settings.tenants.shares)
         )
@@ -268,7 +268,7 @@
     commands.readline()  # told to go on, once it was seen how much a process takes with no node in it
     try:
         process = Process(spec, at_first)
-    except Unusable as fault:
+    except UnusableConfigError as fault:
         child.fail(str(fault))
     gc.freeze()
     gc.set_threshold(GARBAGE, 20, 20)
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -100,8 +100,8 @@
         )
         self.desk.reducer.index = 7
         self.start = self.desk.now
-        self.watch = discovery.Discovery("127.0.0.1:1", self, index)
-        self.watch.waits = lambda: asked
+        self.watch = discovery.DiscoveryClient("127.0.0.1:1", self, index)
+        self.watch.is_polled = lambda: asked
         self.watch.asked = self
         self.asked = False
 
@@ -355,7 +355,7 @@
         """On a kept connection; request and end come while the loop does not turn."""
         sock.sendall(http_request("look", "warm"))
         sock.setblocking(False)
-        until(lambda: sending.waiting(mock.Mock(_sock=sock)))
+        until(lambda: sending.is_readable(mock.Mock(_sock=sock)))
         sock.recv(1000)
         until(lambda: house.host.reducer.clients[ev.IDLE])
         sock.setblocking(True)
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -19,17 +19,17 @@
 import gevent
 from gevent.event import Event
 
-from pierglade.__main__ import place_of
+from pierglade.__main__ import config_from_document
 from pierglade.balancer.balancer import ASK_GAP, ASK_SOON, Balancer
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http import reader
-from pierglade.proxy.server import Host
+from pierglade.proxy.server import ProxyServer
 from pierglade.proxy.state import downstream as state_clients
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state import upstream as links
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.upstream import UpstreamHandler
 from tests.proxy.state.test_machine import warm_desk
 from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
 from tests.support.scene import MS, Desk, TraceTest, balancer_settings, entry, message
@@ -114,10 +114,10 @@
         # A socket of ours in the place of standard output: what the log says is not looked at here.
         log = mock.Mock(return_value=mock.Mock())
         with mock.patch.dict(os.environ, TMPDIR="/nowhere"):
-            place = place_of(told, "config", {}, fixed=True)
+            place = config_from_document(told, "config", {}, fixed=True)
             place.log = log
-            self.host = Host(place)
-        self.host.spawn(self.host.door.run)
+            self.host = ProxyServer(place)
+        self.host.spawn(self.host.listener.run)
         self.first = None
         self.gate = Event()
         self.gate.set()
@@ -136,7 +136,7 @@
         self.host.tell(ev.HEARD, self.known)
 
     def client(self):
-        return socket.create_connection(self.host.door.sock.getsockname())
+        return socket.create_connection(self.host.listener.sock.getsockname())
 
     def seen(self):
         return [url for backend in self.backends for url in backend.seen]
@@ -151,7 +151,7 @@
             with self.client() as sock:
                 sock.sendall(http_request("look", f"warm{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
+                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
         until(lambda: not any(reducer.clients.values()))
         until(
             lambda: (
@@ -179,14 +179,14 @@
             with self.client() as sock:
                 sock.sendall(http_request("look", f"after{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
+                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
         until(lambda: len(self.seen()) >= before + later and not reducer.carried)
         return [url for url in self.seen() if "after" not in url and "warm" not in url]
 
     def close(self):
         self.patch.stop()
-        self.host.door.open = False
-        self.host.door.sock.close()
+        self.host.listener.open = False
+        self.host.listener.sock.close()
         for backend in self.backends:
             backend.running.kill()
             backend.sock.close()
@@ -245,10 +245,10 @@
 
     def line(self, house, sock, request_class):
         """In the node's own line."""
-        go, line = Event(), house.host.line
+        go, line = Event(), house.host.admission_queue
         line.full, line.wait = lambda: True, lambda *what: go.wait()
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: any(client.io.come for client in house.host.reducer.clients[ev.FRESH]))
+        until(lambda: any(client.io.received for client in house.host.reducer.clients[ev.FRESH]))
         yield
         go.set()
 
@@ -392,7 +392,7 @@
             ours, theirs = socket.socketpair()
             link = mock.Mock(probing=True, state=ev.BUSY, cut=True)
             told = []
-            seat = LinkSocket(link, lambda *what, told=told: told.append(what))
+            seat = UpstreamHandler(link, lambda *what, told=told: told.append(what))
             seat.sock.close()
             seat.sock = gevent.socket.socket(fileno=ours.detach())
             seat.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -484,7 +484,7 @@
             )  # and the loop does not turn before it is written
             house.host.tell(ev.ASKED, client, message(http_request("pay", "once")))
             three.setblocking(False)
-            until(lambda: sending.waiting(mock.Mock(_sock=three)))
+            until(lambda: sending.is_readable(mock.Mock(_sock=three)))
             status, times = three.recv(100).split()[1].decode(), backend.seen.count("/pay/once")
             lines = [f"answered {status}, seen {times} times"]
             for sock in (one, two, three):
@@ -613,11 +613,11 @@
             "import os, signal, sys\n"
             "from pierglade import __main__ as m\n"
             "def first():\n"
-            "    place = m.place_from(os.environ)\n"
+            "    place = m.config_from_environ(os.environ)\n"
             "    os.kill(os.getpid(), signal.SIGHUP)\n"
             "    os.kill(os.getpid(), signal.SIGTERM)\n"
             "    return place\n"
-            "sys.exit(m.run(first, m.place_again))\n"
+            "sys.exit(m.run(first, m.reloaded_config))\n"
         )
         told = {
             "name": "n1",
@@ -649,7 +649,7 @@
     def test_left_while_it_connects(self):
         """A move, a relist: what is open is closed under the one that waits, and nothing of it is told."""
         lines = []
-        for what in ("leave", "relist"):
+        for what in ("stop", "relist"):
             told, gate, peer = [], Event(), Peer(lambda message: answer(200, b'{"index":3}'))
             connect, tries = gevent.socket.socket.connect, []
 
@@ -662,14 +662,14 @@
                 told.append(str(kind))
 
             with mock.patch.object(gevent.socket.socket, "connect", held):
-                watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+                watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
                 running = gevent.spawn(watch.run)
                 until(lambda tries=tries: tries)
                 getattr(watch, what)()
                 gate.set()
                 until(
                     lambda watch=watch, running=running, told=told: (
-                        running.dead if watch.left else "heard" in told
+                        running.dead if watch.stopped else "heard" in told
                     )
                 )
                 running.kill()
@@ -691,8 +691,8 @@
             return answer(200, b'{"index":3}') if b"follow" not in message.url else None
 
         peer = Peer(serve)
-        with mock.patch.object(discovery, "ANSWER_IN", 0.5):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        with mock.patch.object(discovery, "RESPONSE_TIMEOUT", 0.5):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
             running = gevent.spawn(watch.run)
             until(lambda: peer.seen)
             ready.set()
@@ -715,9 +715,9 @@
             watch.ask()
 
         peer = Peer(lambda message: CHUNKED + b"1\r\n\n\r\n" if len(peer.seen) == 1 else None)
-        with mock.patch.multiple(discovery, SILENT=0.05, AGAIN=0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell), 7)
-            watch.waits = lambda: True
+        with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell), 7)
+            watch.is_polled = lambda: True
             running = gevent.spawn(watch.run)
             lost.wait(20)
             running.kill()
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -10,7 +10,7 @@
 from pierglade.proxy.http import body_stream as flow
 from pierglade.proxy.http import reader
 from pierglade.proxy.state import events as ev
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.upstream import UpstreamHandler
 from tests.proxy import test_sockets as test_net
 from tests.support.scene import Desk, TraceTest, message
 
@@ -112,7 +112,7 @@
         lines, answered = [], mock.Mock(attempt=None)
         for link in (mock.Mock(), answered):
             ours, theirs = socket.socketpair()
-            seat = LinkSocket(link, lambda kind, _, *what: lines.append(f"{kind} {what}"))
+            seat = UpstreamHandler(link, lambda kind, _, *what: lines.append(f"{kind} {what}"))
             seat.sock.close()
             seat.sock = gevent.socket.socket(fileno=ours.detach())
             body = flow.BodyStream(500)
--- a/tests/proxy/test_operations.py
+++ b/tests/proxy/test_operations.py
@@ -208,7 +208,7 @@
 
     def test_calls_beside_half_ones(self):
         """Who says half a call holds up nobody, however many there are; the oldest give way."""
-        half = [self.connect() for _ in range(management.CALLS * 3)]
+        half = [self.connect() for _ in range(management.MAX_CONNECTIONS * 3)]
         for sock in half:
             sock.sendall(b"GET /sta")
         lines = [
@@ -365,16 +365,21 @@
 class Locks(unittest.TestCase):
     def test_who_serves_and_who_follows(self):
         with tempfile.TemporaryDirectory() as folder:
-            old, new = (handover.Tenure("127.0.0.1:1", folder) for _ in range(2))
+            old, new = (handover.ProcessLock("127.0.0.1:1", folder) for _ in range(2))
             self.assertEqual(
-                [old.alone(), old.followed(), new.alone(), old.followed()],
+                [
+                    old.is_sole_process(),
+                    old.successor_is_running(),
+                    new.is_sole_process(),
+                    old.successor_is_running(),
+                ],
                 [True, False, False, True],
             )
             for file in old.files:
                 os.close(file)  # it has ended, however
-            self.assertEqual([new.alone(), new.followed()], [True, False])
-            other = handover.Tenure("127.0.0.1:1", os.path.join(folder, "none"))
-            self.assertEqual([other.alone(), other.followed()], [True, False])
+            self.assertEqual([new.is_sole_process(), new.successor_is_running()], [True, False])
+            other = handover.ProcessLock("127.0.0.1:1", os.path.join(folder, "none"))
+            self.assertEqual([other.is_sole_process(), other.successor_is_running()], [True, False])
 
 
 class Broken(TraceTest):
@@ -412,8 +417,8 @@
                 with open(path, "w") as file:
                     file.write(text if isinstance(text, str) else json.dumps(text))
                 try:
-                    start.place_again(first)
-                except start.Unusable as fault:
+                    start.reloaded_config(first)
+                except start.UnusableConfigError as fault:
                     return str(fault).replace(path, "config")
                 return "taken"
 
@@ -424,7 +429,7 @@
                 os.environ,
                 {"BALANCER_CONFIG": path, "BALANCER_LISTEN": "127.0.0.1:0", "BALANCER_NAME": "n"},
             ):
-                first = start.place_from(os.environ)
+                first = start.config_from_environ(os.environ)
                 cut = {told(whole[:at]) == "taken" for at in range(len(whole))}
                 lines = [f"cut at each of its places, taken {cut}"]
                 for place in (
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -19,14 +19,14 @@
 from pierglade import __main__ as start
 from pierglade.proxy import discovery
 from pierglade.proxy import downstream as clients
-from pierglade.proxy.downstream import ClientSocket
-from pierglade.proxy.event_loop import Clock, Timer, Turns
+from pierglade.proxy.downstream import DownstreamHandler
+from pierglade.proxy.event_loop import Clock, EventLoopMonitor, Timer
 from pierglade.proxy.http import message as http
 from pierglade.proxy.http import reader
 from pierglade.proxy.http.body_stream import BufferBudget
 from pierglade.proxy.logging import Log
 from pierglade.proxy.state import events as ev
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.upstream import UpstreamHandler
 from tests.support.scene import TraceTest, entry, message
 
 HOST = b"Host: h\r\n"
@@ -183,7 +183,7 @@
         )
 
     def test_watch(self):
-        watch, lines = discovery.Watch(), []
+        watch, lines = discovery.WatchStream(), []
         data = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b'9\r\n{"a":1}\n{\r\n1\r\n\n\r\n3\r\n\n}\n\r\n0\r\n\r\n'
@@ -191,9 +191,11 @@
         for n in range(len(data)):
             lines += watch.feed(data[n : n + 1])
         self.assertEqual((lines, watch.over), ([b'{"a":1}', b"{\n\n}"], True))
-        for status, fault in ((503, discovery.Lost), (410, ValueError)):
+        for status, fault in ((503, discovery.DiscoveryUnavailableError), (410, ValueError)):
             with self.assertRaises(fault):
-                discovery.Watch().feed(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % status)
+                discovery.WatchStream().feed(
+                    b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % status
+                )
 
     def test_log_is_never_waited_for(self):
         """A pipe that nobody reads must not stop the node; what was lost is counted once it is read again."""
@@ -224,7 +226,7 @@
 
     def test_what_waited_while_the_loop_was_busy(self):
         """Seen only when the loop comes round, it has come in the course of the turn before."""
-        turns = Turns(Clock())
+        turns = EventLoopMonitor(Clock())
         for _ in range(3):
             gevent.sleep(0.002)
         idle = turns.clock.now() - turns.came
@@ -243,7 +245,7 @@
         timer = Timer(mock.Mock(now=lambda: times[0]), called.append)
         timer.set(1010)
         timer.set(1030)
-        while timer.rings != 1030:  # It rang for the first moment.
+        while timer.fires_at != 1030:  # It rang for the first moment.
             gevent.sleep(0.001)
         times[0] = 1031
         while not called:
@@ -294,12 +296,14 @@
                 with open(path, "w") as file:
                     file.write(text if isinstance(text, str) else json.dumps(text))
                 try:
-                    place = start.place_from({"BALANCER_CONFIG": path, "BALANCER_NAME": "n3"})
+                    place = start.config_from_environ(
+                        {"BALANCER_CONFIG": path, "BALANCER_NAME": "n3"}
+                    )
                     lines.append(
                         f"{place.name} {place.listen} {place.sockets} {place.settings.drain_grace} "
                         f"{place.settings.load_report_source}"
                     )
-                except start.Unusable as fault:
+                except start.UnusableConfigError as fault:
                     lines.append(str(fault).replace(path, "config"))
         self.check("net_unusable", lines)
 
@@ -365,8 +369,8 @@
                 ends.set()
 
         peer = Peer(serve)
-        with mock.patch.multiple(discovery, SILENT=0.05, AGAIN=0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
             running = gevent.spawn(watch.run)
             ends.wait()
             running.kill()
@@ -383,9 +387,9 @@
             lost.set()
 
         peer = Peer(lambda message: None)
-        with mock.patch.object(discovery, "AGAIN", 0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
-            watch.waits = lambda: True
+        with mock.patch.object(discovery, "RETRY_INTERVAL", 0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            watch.is_polled = lambda: True
             running = gevent.spawn(watch.run)
             for _ in range(3):
                 lost.wait()
@@ -407,8 +411,8 @@
             return answer(next(refused, None) or done.set() or 503)
 
         peer = Peer(serve)
-        with mock.patch.object(discovery, "AGAIN", 0):
-            running = gevent.spawn(discovery.Discovery(peer.address, mock.Mock()).run)
+        with mock.patch.object(discovery, "RETRY_INTERVAL", 0):
+            running = gevent.spawn(discovery.DiscoveryClient(peer.address, mock.Mock()).run)
             done.wait()
             running.kill()
         # Only what refuses the version itself makes it ask for the whole list.
@@ -420,10 +424,10 @@
 
         def tell(kind, what):
             told.append(f"{kind} {what}")
-            watch.leave()
+            watch.stop()
 
         peer = Peer(lambda message: CHUNKED + b'c\r\n{"index":9}\n\r\n' * 2)
-        watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
         watch.index = 1
         watch.run()
         self.assertEqual(told, ["heard {'index': 9}"])
@@ -434,10 +438,10 @@
     return mock.Mock(
         tell=tell,
         came=came,
-        space=BufferBudget(1 << 20),
+        budget=BufferBudget(1 << 20),
         refuse=lambda *what: None,
         reducer=mock.Mock(gate=None, press=mock.Mock(threshold=0.0)),
-        line=mock.Mock(full=lambda: False),
+        admission_queue=mock.Mock(full=lambda: False),
     )
 
 
@@ -448,7 +452,7 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        seat = ClientSocket(
+        seat = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()),
             host_of(lambda *what, came=0: told.append(" ".join(map(str, what[::2]))), lambda: 0),
             "",
@@ -464,7 +468,9 @@
                 gevent.sleep(0)
         theirs.close()
         seat.sock.close()
-        told.append(f"little more is read than may be {seat.thrown < clients.THROWN_MOST + 65537}")
+        told.append(
+            f"little more is read than may be {seat.discarded < clients.DISCARD_MOST + 65537}"
+        )
         self.check("net_faulty", told)
 
 
@@ -487,7 +493,7 @@
                 lines.append(f"{kind} {what}")
 
         asked = Event()
-        seat = ClientSocket(
+        seat = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()), host_of(tell, lambda: next(moments)), ""
         )
         reading = gevent.spawn(seat.run)
@@ -495,9 +501,9 @@
         theirs.sendall(post % 1 + post % 2 + (post % 3)[:-1])
         asked.wait()
         for part in ((post % 3)[-1:], b"GET /4 HTTP/1.1\r\n\r\nGET", b" /5 HTTP/1.1\r\n\r\n"):
-            read = seat.come
+            read = seat.received
             theirs.sendall(part)
-            while seat.come == read:
+            while seat.received == read:
                 gevent.sleep(0)
         for _ in range(5):
             asked.clear()
@@ -516,7 +522,7 @@
         lines = []
         for behind in (b"", answer(200, b"copy"), b"\x00noise"):
             ours, theirs = socket.socketpair()
-            link = LinkSocket(
+            link = UpstreamHandler(
                 mock.Mock(state=ev.BUSY),
                 lambda kind, _, *what: lines.append(
                     f"{kind} {[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in what]}"
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -12,7 +12,7 @@
 import gevent
 
 from pierglade import __main__ as start
-from pierglade.proxy.discovery import Discovery, Lost
+from pierglade.proxy.discovery import DiscoveryClient, DiscoveryUnavailableError
 from pierglade.proxy.state import events as ev
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.reconfiguration import quota_changes as shares
@@ -448,7 +448,7 @@
         """Nothing of a version is kept over a restart: the file is the state."""
         self.file(t7=4)
         with mock.patch.dict(os.environ, {"BALANCER_CONFIG": self.path}):
-            place = start.place_from(os.environ)
+            place = start.config_from_environ(os.environ)
         self.assertEqual(
             (place.settings.tenants.shares["tenant-7"], len(place.settings.tenants)),
             (4.0, self.COUNT),
@@ -465,12 +465,12 @@
             "endpoints": [{"name": f"b{n}"} for n in range(9000)],
         }
         heard = []
-        follower = Discovery(
+        follower = DiscoveryClient(
             "127.0.0.1:1", mock.Mock(tell=lambda kind, document: heard.append(document))
         )
         follower._tell(json.dumps(whole).encode())
         self.assertEqual(heard, [whole])
-        gevent.spawn(follower.leave)  # runs as soon as a step is over
-        with self.assertRaises(Lost):
+        gevent.spawn(follower.stop)  # runs as soon as a step is over
+        with self.assertRaises(DiscoveryUnavailableError):
             follower._tell(json.dumps(whole).encode())
         self.assertEqual(heard, [whole])
