--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -204,7 +204,7 @@
     """Through the reducer and the file that SIGHUP reads again."""
     import msgspec
 
-    from pierglade.__main__ import GARBAGE, reloaded_config, config_from_environ
+    from pierglade.__main__ import GARBAGE, config_from_environ, reloaded_config
     from pierglade.proxy.state import events as ev
     from pierglade.proxy.state.machine import ProxyStateMachine
 
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -5,7 +5,8 @@
 import sys
 import traceback
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
 
 import gevent
 from gevent.event import Event
@@ -25,9 +26,15 @@
 from pierglade.proxy.upstream import UpstreamHandler
 from pierglade.reconfiguration import quota_changes as shares
 
+if TYPE_CHECKING:
+    from pierglade.__main__ import NodeConfig
+
 AFTER_FAULT = 500  # tenths of a ms; the next wakeup, where the state machine failed to say when
-SPACE_PART = 0.3  # of the memory, for streamed bodies; two processes share it during a takeover
-LAG_LOGGED = 500  # tenths of a ms; the slack of responses: with such a lag the CPU is short
+# of the memory, for streamed bodies; two processes share it during a takeover
+STREAMING_SHARE = 0.3
+
+# tenths of a ms; the slack of responses: with such a lag the CPU is short
+LAG_LOGGED = 500
 
 
 class ProxyServer:
@@ -38,55 +45,55 @@
         ValueError, KeyError, TypeError, AttributeError: the initial list cannot be used.
     """
 
-    def __init__(self, place):
+    def __init__(self, config: "NodeConfig"):
         self.clock = Clock()
-        self.budget = BufferBudget(int(place.memory_mb * SPACE_PART) << 20)
-        self.log = (place.log or Log)(sys.stdout.fileno(), place.name)
-        self.listener = Listener(place.listen, self)
-        self.management = ManagementServer(place.management, self) if place.management else None
+        self.budget = BufferBudget(int(config.memory_mb * STREAMING_SHARE) << 20)
+        self.log = (config.log or Log)(sys.stdout.fileno(), config.name)
+        self.listener = Listener(config.listen, self)
+        self.management = ManagementServer(config.management, self) if config.management else None
         self.process_lock = ProcessLock(self.listener.address())
         self.alone = self.process_lock.is_sole_process()
         if self.alone:
             self.listener.listen()
         self.done = Event()
         self.timer = Timer(self.clock, self._woke)
-        self._make_machine(place)
-        self._restore(place)
+        self._make_machine(config)
+        self._restore(config)
         self._bind_effects()
 
-    def _make_machine(self, place):
+    def _make_machine(self, config):
         sockets = (
-            place.sockets
+            config.sockets
             - len(os.listdir("/proc/self/fd"))
             - (MAX_CONNECTIONS if self.management else 0)
         )
         self.reducer = ProxyStateMachine(
-            place.seed,
-            place.settings,
+            config.seed,
+            config.settings,
             self.clock.now(),
             sockets,
-            place.discovery,
-            place.told,
+            config.discovery,
+            config.told,
             self.alone,
         )
-        self.reducer.gives_ids = place.gives_ids
-        self.reducer.gate = ConnectionAdmission(place.caps) if place.caps is not None else None
+        self.reducer.gives_ids = config.gives_ids
+        self.reducer.gate = ConnectionAdmission(config.caps) if config.caps is not None else None
         self.faults = self.rereads = 0
 
-    def _restore(self, place):
+    def _restore(self, config):
         """Loads the initial endpoint list and the snapshot, and makes the discovery client."""
         self.learning = None
-        if place.keeping is not None:
+        if config.keeping is not None:
             # Imported only where snapshots are kept.
             from pierglade.proxy.snapshot_writer import Keeping, Learning
 
-            self.learning = Learning(self, Keeping(*place.keeping), place.name)
-        self.reducer.known(self.learning.list_or(place.known) if self.learning else place.known)
+            self.learning = Learning(self, Keeping(*config.keeping), config.name)
+        self.reducer.known(self.learning.list_or(config.known) if self.learning else config.known)
         if self.learning:
             self.learning.remember()
-        self.fixed = place.known if place.discovery is None else None  # a list without discovery
+        self.fixed = config.known if config.discovery is None else None  # a list without discovery
         # From the known version: forty whole lists at once keep a discovery busy for seconds.
-        self.follow(place.discovery, self.reducer.index)
+        self.follow(config.discovery, self.reducer.index)
 
     def _bind_effects(self):
         self.inbox, self.working = deque(), False
@@ -111,14 +118,15 @@
             ev.NOTE: lambda event, fields: self.note(event, **fields),
         }
 
-    def run(self, place_again, early=()):
+    def run(self, reload_config: Callable[[], object], early: Iterable[int] = ()) -> int:
         """Serves until stopped and no response is pending; returns the exit status.
 
-        `early`: signals that arrived during the start, handled now.
+        `reload_config`: returns the new NodeConfig at SIGHUP, or a generator that does; `early`:
+        signals that arrived during the start, handled now.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self._stop)
-        gevent.signal_handler(signal.SIGHUP, self._reread, place_again)
+        gevent.signal_handler(signal.SIGHUP, self._reread, reload_config)
         self.spawn(self.discovery.run)
         if self.management:
             self.spawn(self.management.run)
@@ -133,7 +141,7 @@
             self.tell(ev.HEARD, self.fixed)
         self.note("started", listen=self.listener.address())
         if signal.SIGHUP in early:
-            self._reread(place_again)
+            self._reread(reload_config)
         if {signal.SIGTERM, signal.SIGINT}.intersection(early):
             self._stop()
         self.done.wait()
@@ -170,20 +178,20 @@
         self.follow(address)
         self.spawn(self.discovery.run)
 
-    def _reread(self, place_again):
+    def _reread(self, reload_config):
         """Reloads, one at a time: on a signal meanwhile the file is read once more afterwards."""
         self.rereads += 1
         if self.rereads > 1:
             return
         while self.rereads:
             seen = self.rereads
-            self._read_once(place_again)
+            self._read_once(reload_config)
             self.rereads = 0 if self.rereads == seen else 1
 
-    def _read_once(self, place_again):
+    def _read_once(self, reload_config):
         """Reloads once; an unusable file (half written, say) leaves everything as it is."""
         try:
-            place = in_steps(place_again())
+            place = in_steps(reload_config())
         except ValueError as fault:
             self.note("config_rejected", error=str(fault))
         else:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission without I/O: who is let in, who is served next, what is refused while the core is short."""
+"""Admission without I/O: who may connect, who is served next, what is shed while CPU is short."""
 
 import itertools
 import json
@@ -12,9 +12,7 @@
 import time
 from collections import Counter
 
-from pierglade.admission import connection_admission as gate
-from pierglade.admission import fair_queue as fair
-from pierglade.admission import load_shedder as press
+from pierglade.admission import connection_admission, fair_queue, load_shedder
 from pierglade.proxy.http import reader
 from tests.proxy.test_sockets import Peer, answer
 from tests.support.scene import Desk, TraceTest
@@ -24,19 +22,19 @@
 IDS = itertools.count()
 
 
-class Gates(TraceTest):
-    def test_caps_reserve_and_a_known_one_that_turns_bad(self):
-        caps = gate.ConnectionLimits(
+class ConnectionAdmissionTest(TraceTest):
+    def test_limits_reserve_and_a_known_address_that_is_blocked(self):
+        caps = connection_admission.ConnectionLimits(
             per_address=3,
             per_prefix=5,
             rate_per_address=4,
             known=["10.0.0.0/8", "2001:db8::/32"],
             reserve=0.25,
         )
-        door, lines = gate.ConnectionAdmission(caps), []
+        admission, lines = connection_admission.ConnectionAdmission(caps), []
 
         def come(now, address, times, budget=16):
-            got = [door.opened(now, address, budget) or "in" for _ in range(times)]
+            got = [admission.opened(now, address, budget) or "in" for _ in range(times)]
             lines.append(f"{now / S:g} s {address}: {' '.join(got)}")
 
         come(0, "192.0.2.1", 4)
@@ -48,49 +46,56 @@
         come(0, "10.1.1.1", 6)
         come(0, "2001:db8::1", 2)
         for _ in range(3):
-            door.closed(S, "198.51.100.1")
+            admission.closed(S, "198.51.100.1")
         come(S, "198.51.100.1", 4)  # its rate allowed eight at once, and four more have come since
         for _ in range(10):
-            door.faulted(2 * S, "10.1.1.1")
+            admission.faulted(2 * S, "10.1.1.1")
         come(2 * S, "10.1.1.1", 1)  # a stranger now: over a stranger's cap
         come(8 * S, "10.1.1.1", 1)
         lines += [
-            f"open to strangers {door.strangers}",
-            str(door.take_rejections()),
-            str(door.top(8 * S, 3)),
+            f"open to strangers {admission.strangers}",
+            str(admission.take_rejections()),
+            str(admission.top(8 * S, 3)),
         ]
-        door.set_limits(gate.ConnectionLimits(per_address=9, known=["192.0.2.0/24"]))
+        admission.set_limits(
+            connection_admission.ConnectionLimits(per_address=9, known=["192.0.2.0/24"])
+        )
         come(9 * S, "192.0.2.1", 9)  # an honest one behind a NAT, lifted by its operator
-        lines.append(f"open to strangers {door.strangers}")
-        for address, row in list(door.rows.items()):
-            for _ in range(0 if address.endswith(gate.PREFIXES) else row.open):
-                door.closed(9 * S, address.partition("/")[0])
-        lines.append(f"all closed: rows {len(door.rows)}, strangers {door.strangers}")
+        lines.append(f"open to strangers {admission.strangers}")
+        for address, row in list(admission.rows.items()):
+            for _ in range(0 if address.endswith(connection_admission.PREFIXES) else row.open):
+                admission.closed(9 * S, address.partition("/")[0])
+        lines.append(f"all closed: rows {len(admission.rows)}, strangers {admission.strangers}")
         self.check("admission_gate", lines)
 
-    def test_a_penalty_doubles_and_fades_and_fresh_addresses_wash_none_out(self):
-        door, lines = gate.ConnectionAdmission(gate.ConnectionLimits(per_address=1)), []
+    def test_penalties_double_and_decay_and_fresh_addresses_evict_none(self):
+        admission, lines = (
+            connection_admission.ConnectionAdmission(
+                connection_admission.ConnectionLimits(per_address=1)
+            ),
+            [],
+        )
         now = 0
         for again in (0, 6 * S, 12 * S, 1000 * S):
             now += again
             for _ in range(11):
-                door.faulted(now, "192.0.2.1")
-            lines.append(f"{now / S:g} s: shut out for {door.top(now)[0]['shut_out_s']:g} s")
+                admission.faulted(now, "192.0.2.1")
+            lines.append(f"{now / S:g} s: shut out for {admission.top(now)[0]['shut_out_s']:g} s")
         for number in range(60000):
             address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
-            door.opened(now, address, 100)
-            door.closed(now, address)
+            admission.opened(now, address, 100)
+            admission.closed(now, address)
         lines.append(
-            f"after 60000 others: {door.opened(now, '192.0.2.1', 100)}; rows {len(door.rows)} "
-            f"{len(door.resting)} {len(door.penalised)}"
+            f"after 60000 others: {admission.opened(now, '192.0.2.1', 100)}; rows {len(admission.rows)} "
+            f"{len(admission.resting)} {len(admission.penalised)}"
         )
         self.check("admission_penalty", lines)
 
 
-class Turns(TraceTest):
-    def test_one_that_sends_much_delays_its_own(self):
+class FairQueueTest(TraceTest):
+    def test_an_address_that_sends_much_delays_only_its_own(self):
         """A flood of 40 and one of large requests beside two of one each; then, late, the newest go first."""
-        line, lines = fair.FairQueue(), []
+        line, lines = fair_queue.FairQueue(), []
         for number in range(40):
             line.put(0, "flood", 100, f"f{number}")
         for number in range(3):
@@ -106,13 +111,15 @@
 
 
 class Core:
-    """A core that answers in 0.5 ms, refuses in 0.05 ms, or at once after parsing in 0.35 ms without a bar.
+    """A core that answers in 0.5 ms, refuses in 0.05 ms, or at once after parsing in 0.35 ms without a shedder.
 
     Clients come back twice, 100 ms after a refusal. A loop's turn takes what has come.
     """
 
-    def __init__(self, with_bar):
-        self.bar = press.LoadShedder([1.0, 3.0], random.Random(1).random) if with_bar else None
+    def __init__(self, sheds):
+        self.shedder = (
+            load_shedder.LoadShedder([1.0, 3.0], random.Random(1).random) if sheds else None
+        )
         self.now = 0.0
         self.due, self.chance = [], random.Random(2)
 
@@ -130,14 +137,14 @@
             if at > self.now:
                 self.now = at
             waited = self.now - at
-            if self.bar:
-                turned = self.bar.rejects(int(dear), tries > 0)
+            if self.shedder:
+                turned = self.shedder.rejects(int(dear), tries > 0)
                 if not turned:
-                    self.bar.note_wait(self.now, waited / 2500)
+                    self.shedder.note_wait(self.now, waited / 2500)
             else:
                 turned = waited > 2500
             if turned:
-                self.now += 0.5 if self.bar else 3.5
+                self.now += 0.5 if self.shedder else 3.5
                 refused += 1
                 if tries < 2:
                     heappush(self.due, (self.now + 1000, order, tries + 1, first, dear))
@@ -153,9 +160,9 @@
     def test_load_steps(self):
         """Stable at each step, dear and first ones before others, and back within a second; without it not."""
         lines = []
-        for with_bar in (True, False):
-            core = Core(with_bar)
-            lines.append("with the bar" if with_bar else "without")
+        for sheds in (True, False):
+            core = Core(sheds)
+            lines.append("with the bar" if sheds else "without")
             for rate in (1000, 1000, 5000, 5000, 5000, 3000, 3000, 1000, 1000, 1000):
                 good, priority_weight, refused = core.second(rate)
                 lines.append(
@@ -165,23 +172,23 @@
 
     def test_clients_that_keep_the_core_just_busy_are_no_overload(self):
         """32 clients that ask again at once: the core never rests, and each waits for 16 ms of 250."""
-        bar = press.LoadShedder([1.0], random.Random(1).random)
+        shedder = load_shedder.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 50000, 5):
-            bar.note_wait(now, 0.064 + 0.02 * (now % 3))
-        self.check("admission_busy", [f"bar {bar.threshold}"])
+            shedder.note_wait(now, 0.064 + 0.02 * (now % 3))
+        self.check("admission_busy", [f"bar {shedder.threshold}"])
 
     def test_a_pause_of_its_own_is_no_overload(self):
         """Half a second without the core, then what came meanwhile: the bar is down again at once."""
-        bar = press.LoadShedder([1.0], random.Random(1).random)
+        shedder = load_shedder.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 5000, 10):
-            bar.note_wait(now, 0.001)
+            shedder.note_wait(now, 0.001)
         highest = 0.0
         for each in range(100):
-            bar.note_wait(10000 + 4 * each, (5000 - 50 * each) / 2500)
-            highest = max(highest, bar.threshold)
+            shedder.note_wait(10000 + 4 * each, (5000 - 50 * each) / 2500)
+            highest = max(highest, shedder.threshold)
         for now in range(10400, 14400, 10):
-            bar.note_wait(now, 0.001)
-        self.check("admission_pause", [f"at most {highest:.2f}, then {bar.threshold:.2f}"])
+            shedder.note_wait(now, 0.001)
+        self.check("admission_pause", [f"at most {highest:.2f}, then {shedder.threshold:.2f}"])
 
 
 class Glances(TraceTest):
@@ -191,9 +198,9 @@
         """All is to be refused; what the rules need looked at is not refused unseen."""
         desk, lines = Desk(["b0"]), []
         desk.ask("busy", trace="out")
-        bar = desk.reducer.press
-        bar.threshold = 0.99
-        bar.rejects = lambda *what: True
+        shedder = desk.reducer.press
+        shedder.threshold = 0.99
+        shedder.rejects = lambda *what: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
         for what, head in (
             ("harmless", get),
@@ -218,16 +225,18 @@
         ):
             name = what.replace(" ", "-")
             data = (head.replace("{id}", name) + "\r\n").encode()
-            inbox = reader.RequestReader()
-            inbox.writable()[: len(data)] = data
-            inbox.filled(len(data))
+            incoming = reader.RequestReader()
+            incoming.writable()[: len(data)] = data
+            incoming.filled(len(data))
             desk.open(name)
-            refusal = desk.reducer.glance(desk.now, desk.clients[name], inbox, desk.now, desk.now)
+            refusal = desk.reducer.glance(
+                desk.now, desk.clients[name], incoming, desk.now, desk.now
+            )
             lines.append(f"{what}: {'refused' if refusal else 'ordinary'}")
         lines.append(refusal.decode() if refusal else str(desk.reducer.refusals))
         owed = desk.clients["busy"]
         lines.append(
-            f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, inbox, desk.now, desk.now)}"
+            f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, incoming, desk.now, desk.now)}"
         )
         self.check("admission_glance", lines)
 
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -68,11 +68,11 @@
             gevent.spawn(self.serve, self.socks[-1])
 
     def serve(self, sock):
-        inbox = reader.RequestReader()
+        incoming = reader.RequestReader()
         try:
-            while count := sock.recv_into(inbox.writable()):
-                inbox.filled(count)
-                while (message := inbox.next()) is not None:
+            while count := sock.recv_into(incoming.writable()):
+                incoming.filled(count)
+                while (message := incoming.next()) is not None:
                     self.seen.append(message.url.decode())
                     reply = self.reply(message)
                     if isinstance(reply, Event):
@@ -81,7 +81,7 @@
                     if reply is None:
                         return
                     sock.sendall(reply)
-                    inbox.release()
+                    incoming.release()
         except OSError:
             pass
         finally:
@@ -371,7 +371,7 @@
         self.check("crossings_left", lines)
 
     def test_a_reader_that_ends_before_the_next_one_sent_ahead_is_taken(self):
-        """The answer frees the inbox, the reader drops it in the same turn: nothing is left to take."""
+        """The answer frees the message reader, the reading greenlet drops it in the same turn: nothing is left to take."""
         house = House()
         try:
             sock = house.client()
@@ -392,23 +392,23 @@
             ours, theirs = socket.socketpair()
             link = mock.Mock(probing=True, state=ev.BUSY, cut=True)
             told = []
-            seat = UpstreamHandler(link, lambda *what, told=told: told.append(what))
-            seat.sock.close()
-            seat.sock = gevent.socket.socket(fileno=ours.detach())
-            seat.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            seat.write(b"x" * 100000, b"")
+            handler = UpstreamHandler(link, lambda *what, told=told: told.append(what))
+            handler.sock.close()
+            handler.sock = gevent.socket.socket(fileno=ours.detach())
+            handler.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            handler.write(b"x" * 100000, b"")
             writing = [
                 each
                 for each in gc.get_objects()
                 if isinstance(each, gevent.Greenlet)
-                and getattr(each, "_run", None) == seat._write_rest
+                and getattr(each, "_run", None) == handler._write_rest
             ]
             for _ in range(turns):
                 gevent.sleep(0)
-            seat.end()
+            handler.end()
             until(lambda writing=writing: all(each.dead for each in writing))
             theirs.close()
-            self.assertEqual((len(writing), self.raised, seat.whole), (1, [], False))
+            self.assertEqual((len(writing), self.raised, handler.whole), (1, [], False))
 
     def test_a_request_half_written(self):
         """Its backend reads nothing for a while: what is left of the request does not follow its client."""
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -41,26 +41,26 @@
 }
 
 
-def read(inbox, data, step):
-    """What comes out of an inbox that is fed so many bytes at once, with the reader a read ahead."""
-    lines, room, flowing = [], inbox.writable(), None
+def read(incoming, data, step):
+    """What comes out of a reader that is fed so many bytes at once, with the reader a read ahead."""
+    lines, room, flowing = [], incoming.writable(), None
 
     def take():
         """Whether there is a message, the whole of it if it is one that flows."""
         nonlocal flowing
-        message, body = flowing or (inbox.next(), b"")
+        message, body = flowing or (incoming.next(), b"")
         if message is None:
             return False
-        body = body + inbox.piece() if inbox.flows else body
-        flowing = (message, body) if inbox.flows and not inbox.over else None
+        body = body + incoming.piece() if incoming.flows else body
+        flowing = (message, body) if incoming.flows and not incoming.over else None
         if flowing:
             return False
         body = body or message.body
         lines.append(
             f"{message.method.decode()}{message.status or ''} {message.url.decode()} "
-            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * inbox.flows}"
+            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * incoming.flows}"
         )
-        inbox.release()
+        incoming.release()
         return True
 
     try:
@@ -69,12 +69,12 @@
             count = min(step, len(room), len(data) - at)
             room[:count] = data[at : at + count]
             at += count
-            inbox.filled(count)
+            incoming.filled(count)
             while take():
                 pass
-            room = inbox.writable()
-        if inbox.ended():
-            flowing = flowing or (inbox.message, b"")
+            room = incoming.writable()
+        if incoming.ended():
+            flowing = flowing or (incoming.message, b"")
             take()
     except reader.ProtocolError as fault:
         lines.append(f"{fault.status} {fault}")
@@ -138,37 +138,37 @@
 
     def test_messages(self):
         lines = []
-        for inbox, cases in (
+        for incoming, cases in (
             (reader.RequestReader, self.REQUESTS),
             (reader.ResponseReader, self.ANSWERS),
         ):
             for data in cases:
-                whole = read(inbox(), data, len(data))
+                whole = read(incoming(), data, len(data))
                 lines += [f"{data[:60]} of {len(data)}", *(f"    {line}" for line in whole)]
                 for step in (1, 7, 4096) if len(data) < 70000 else (77, 4096):
-                    self.assertEqual(whole, read(inbox(), data, step), data[:60])
+                    self.assertEqual(whole, read(incoming(), data, step), data[:60])
         self.check("net_messages", lines)
 
     def test_the_next_request_is_read_into_the_room_given_before(self):
         """The reader waits with a view taken before the message in hand was let go."""
-        inbox = reader.RequestReader()
+        incoming = reader.RequestReader()
         first, second = b"GET /a HTTP/1.1\r\n\r\n", b"GET /b HTTP/1.1\r\n\r\n"
-        inbox.writable()[: len(first)] = first
-        inbox.filled(len(first))
-        taken, room = inbox.next(), inbox.writable()
+        incoming.writable()[: len(first)] = first
+        incoming.filled(len(first))
+        taken, room = incoming.next(), incoming.writable()
         self.assertEqual(taken.url, b"/a")
-        inbox.release()
+        incoming.release()
         room[: len(second)] = second
-        inbox.filled(len(second))
-        self.assertEqual(inbox.next().url, b"/b")
+        incoming.filled(len(second))
+        self.assertEqual(incoming.next().url, b"/b")
 
-    def test_an_inbox_that_is_dropped_is_gone(self):
+    def test_a_reader_that_is_dropped_is_collected_at_once(self):
         """Not at the next collection: under ever new connections their buffers would add up until then."""
         for kind in (reader.RequestReader, reader.ResponseReader):
-            inbox = kind()
-            gone = weakref.ref(inbox)
-            inbox.drop()
-            del inbox
+            incoming = kind()
+            gone = weakref.ref(incoming)
+            incoming.drop()
+            del incoming
             self.assertIsNone(gone())
 
     def test_what_is_passed_on(self):
@@ -327,22 +327,22 @@
             threading.Thread(target=self.serve, args=self.sock.accept()[:1], daemon=True).start()
 
     def serve(self, sock):
-        inbox = reader.RequestReader()
+        incoming = reader.RequestReader()
         with sock:
-            while count := sock.recv_into(inbox.writable()):
-                inbox.filled(count)
-                while (message := inbox.next()) is not None:
-                    if inbox.flows:
-                        message.flow = len(inbox.piece())  # only how much it was is kept
-                        while not inbox.over and (count := sock.recv_into(inbox.writable())):
-                            inbox.filled(count)
-                            message.flow += len(inbox.piece())
+            while count := sock.recv_into(incoming.writable()):
+                incoming.filled(count)
+                while (message := incoming.next()) is not None:
+                    if incoming.flows:
+                        message.flow = len(incoming.piece())  # only how much it was is kept
+                        while not incoming.over and (count := sock.recv_into(incoming.writable())):
+                            incoming.filled(count)
+                            message.flow += len(incoming.piece())
                     self.seen.append(message.url.decode())
                     reply = self.answer(message)
                     if reply is None:
                         return
                     sock.sendall(reply)
-                    inbox.release()
+                    incoming.release()
 
 
 def answer(status, body=b""):
@@ -452,12 +452,12 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        seat = DownstreamHandler(
+        handler = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()),
             host_of(lambda *what, came=0: told.append(" ".join(map(str, what[::2]))), lambda: 0),
             "",
         )
-        reading = gevent.spawn(seat.run)
+        reading = gevent.spawn(handler.run)
         theirs.sendall(b"no HTTP\r\n")
         theirs.setblocking(False)
         good = b"GET / HTTP/1.1\r\n%s\r\n" % HOST * 2000
@@ -467,9 +467,9 @@
             except BlockingIOError:
                 gevent.sleep(0)
         theirs.close()
-        seat.sock.close()
+        handler.sock.close()
         told.append(
-            f"little more is read than may be {seat.discarded < clients.DISCARD_MOST + 65537}"
+            f"little more is read than may be {handler.discarded < clients.DISCARD_MOST + 65537}"
         )
         self.check("net_faulty", told)
 
@@ -493,23 +493,23 @@
                 lines.append(f"{kind} {what}")
 
         asked = Event()
-        seat = DownstreamHandler(
+        handler = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()), host_of(tell, lambda: next(moments)), ""
         )
-        reading = gevent.spawn(seat.run)
+        reading = gevent.spawn(handler.run)
         post = b"POST /%d HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
         theirs.sendall(post % 1 + post % 2 + (post % 3)[:-1])
         asked.wait()
         for part in ((post % 3)[-1:], b"GET /4 HTTP/1.1\r\n\r\nGET", b" /5 HTTP/1.1\r\n\r\n"):
-            read = seat.received
+            read = handler.received
             theirs.sendall(part)
-            while seat.received == read:
+            while handler.received == read:
                 gevent.sleep(0)
         for _ in range(5):
             asked.clear()
             lines.append("answered")
-            seat.answer(b"HTTP/1.1 200 OK\r\n\r\n", b"", False)
-            seat.let_go("idle")
+            handler.answer(b"HTTP/1.1 200 OK\r\n\r\n", b"", False)
+            handler.let_go("idle")
             asked.wait(0.05)
         reading.join()
         theirs.close()
@@ -599,19 +599,19 @@
 
     def ask(self, *requests):
         """Sends the requests on one connection; the answers, and whether it then ends."""
-        inbox, lines = reader.ResponseReader(), []
+        incoming, lines = reader.ResponseReader(), []
         with socket.create_connection(self.place, 20) as sock:
             for data in requests:
                 sock.sendall(data)
-                while (message := inbox.next()) is None:
-                    if not (count := sock.recv_into(inbox.writable())):
+                while (message := incoming.next()) is None:
+                    if not (count := sock.recv_into(incoming.writable())):
                         return lines + ["ended"]
-                    inbox.filled(count)
+                    incoming.filled(count)
                 lines.append(
                     f"{data[:20]} {message.status} {len(message.body)} {bytes(message.body[:10])}"
                     + ("" if message.keep else " close")
                 )
-                inbox.release()
+                incoming.release()
         return lines
 
     def test_a_new_configuration_moves_discovery(self):
