--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -241,9 +241,12 @@
     lines = [
         "# The node's log",
         "",
-        "Made from `pierglade/config/logged.py` by `python -m pierglade.config.logged`; a test holds it",
-        "to that. A line is a JSON object: `at_ms` (Unix time), `node`, `event` and the fields below;",
-        "on a terminal `pierglade serve` writes readable lines. `[log]` in the operator's file sets",
+        "Made from `pierglade/config/logged.py` by `python -m "
+        "pierglade.config.logged`; a test holds it",
+        "to that. A line is a JSON object: `at_ms` (Unix time), `node`, "
+        "`event` and the fields below;",
+        "on a terminal `pierglade serve` writes readable lines. `[log]` in the "
+        "operator's file sets",
         "`level` (what is below it is not written), `sampling` (the share written of what is below",
         "warning) and `form`.",
         "",
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -51,7 +51,7 @@
         self.flow = None  # the body that is read, where it is too large to hold
         self.passing = False  # a response is being streamed to it, and not whole
         self.held = 0  # bytes of the budget that it holds
-        self.asked = False  # the state machine knows of the request
+        self.announced = False  # the state machine knows of the request
         self.client = None  # the DownstreamConnection, set by the state machine
         self.came = host.came  # returns when what is read now is likely to have arrived
         self.received = 0  # bytes read
@@ -67,7 +67,7 @@
         reason = "client closed"
         try:
             while True:
-                if self.flow is not None and self.flow.full() and self.asked and not self.last:
+                if self.flow is not None and self.flow.full() and self.announced and not self.last:
                     # The upstream side takes the body more slowly than the client sends it.
                     self.read_on.clear()
                     self.read_on.wait()
@@ -163,7 +163,7 @@
             self.tell(events.FAULTY, self.client, 503)
             return
         self.held = WINDOW_COST
-        self.message, self.asked = message, False
+        self.message, self.announced = message, False
         message.flow = self.flow = BodyStream(
             self.requests.length if self.requests.pieces is None else None, self.read_on.set
         )
@@ -177,10 +177,10 @@
         flow.add(requests.piece())
         if requests.over:
             flow.finish()
-        if self.asked:
+        if self.announced:
             self.tell(events.BODY, self.client)
         elif requests.over or not self._buffers_whole():
-            self.asked = True
+            self.announced = True
             self.tell(events.ASKED, self.client, self.message)
         else:
             self.tell(events.BEGUN, self.client, flow.size)
