--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -19,17 +19,17 @@
 import gevent
 from gevent.event import Event
 
-from pierglade.__main__ import place_of
+from pierglade.__main__ import config_from_document
 from pierglade.balancer.balancer import ASK_GAP, ASK_SOON, Balancer
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
-from pierglade.proxy.http import message as http
-from pierglade.proxy.server import Host
+from pierglade.proxy.http import reader
+from pierglade.proxy.server import ProxyServer
 from pierglade.proxy.state import downstream as state_clients
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state import upstream as links
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.upstream import UpstreamHandler
 from tests.proxy.state.test_machine import warm_desk
 from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
 from tests.support.scene import MS, Desk, TraceTest, balancer_settings, entry, message
@@ -68,11 +68,11 @@
             gevent.spawn(self.serve, self.socks[-1])
 
     def serve(self, sock):
-        inbox = http.Requests()
+        incoming = reader.RequestReader()
         try:
-            while count := sock.recv_into(inbox.room()):
-                inbox.filled(count)
-                while (message := inbox.next()) is not None:
+            while count := sock.recv_into(incoming.writable()):
+                incoming.filled(count)
+                while (message := incoming.next()) is not None:
                     self.seen.append(message.url.decode())
                     reply = self.reply(message)
                     if isinstance(reply, Event):
@@ -81,7 +81,7 @@
                     if reply is None:
                         return
                     sock.sendall(reply)
-                    inbox.release()
+                    incoming.release()
         except OSError:
             pass
         finally:
@@ -114,10 +114,10 @@
         # A socket of ours in the place of standard output: what the log says is not looked at here.
         log = mock.Mock(return_value=mock.Mock())
         with mock.patch.dict(os.environ, TMPDIR="/nowhere"):
-            place = place_of(told, "config", {}, fixed=True)
+            place = config_from_document(told, "config", {}, fixed=True)
             place.log = log
-            self.host = Host(place)
-        self.host.spawn(self.host.door.run)
+            self.host = ProxyServer(place)
+        self.host.spawn(self.host.listener.run)
         self.first = None
         self.gate = Event()
         self.gate.set()
@@ -136,7 +136,7 @@
         self.host.tell(ev.HEARD, self.known)
 
     def client(self):
-        return socket.create_connection(self.host.door.sock.getsockname())
+        return socket.create_connection(self.host.listener.sock.getsockname())
 
     def seen(self):
         return [url for backend in self.backends for url in backend.seen]
@@ -151,7 +151,7 @@
             with self.client() as sock:
                 sock.sendall(http_request("look", f"warm{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
+                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
         until(lambda: not any(reducer.clients.values()))
         until(
             lambda: (
@@ -179,14 +179,14 @@
             with self.client() as sock:
                 sock.sendall(http_request("look", f"after{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
+                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
         until(lambda: len(self.seen()) >= before + later and not reducer.carried)
         return [url for url in self.seen() if "after" not in url and "warm" not in url]
 
     def close(self):
         self.patch.stop()
-        self.host.door.open = False
-        self.host.door.sock.close()
+        self.host.listener.open = False
+        self.host.listener.sock.close()
         for backend in self.backends:
             backend.running.kill()
             backend.sock.close()
@@ -245,10 +245,10 @@
 
     def line(self, house, sock, request_class):
         """In the node's own line."""
-        go, line = Event(), house.host.line
+        go, line = Event(), house.host.admission_queue
         line.full, line.wait = lambda: True, lambda *what: go.wait()
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: any(client.io.come for client in house.host.reducer.clients[ev.FRESH]))
+        until(lambda: any(client.io.received for client in house.host.reducer.clients[ev.FRESH]))
         yield
         go.set()
 
@@ -266,7 +266,7 @@
         """Behind one in hand, whose answer comes as the client leaves."""
         link = self.first(house, sock, request_class, http_request(request_class, "1"))
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
 
     def far_ahead(self, house, sock, request_class):
         """Behind one in hand and before more than the buffer holds."""
@@ -277,7 +277,7 @@
             b"".join(http_request(request_class, str(n)) for n in range(1, 90)),
         )
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
 
     def decisions(self, house, sock, request_class):
         """Held by the decisions: they decide as the client leaves."""
@@ -371,13 +371,13 @@
         self.check("crossings_left", lines)
 
     def test_a_reader_that_ends_before_the_next_one_sent_ahead_is_taken(self):
-        """The answer frees the inbox, the reader drops it in the same turn: nothing is left to take."""
+        """The answer frees the message reader, the reading greenlet drops it in the same turn: nothing is left to take."""
         house = House()
         try:
             sock = house.client()
             link = self.first(house, sock, "look", http_request("look", "1"))
             client = link.attempt.request.host_context
-            house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+            house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), reader.ResponseReader))
             client.io.requests.drop()
             gevent.sleep(0)
             gevent.sleep(0)
@@ -392,23 +392,23 @@
             ours, theirs = socket.socketpair()
             link = mock.Mock(probing=True, state=ev.BUSY, cut=True)
             told = []
-            seat = LinkSocket(link, lambda *what, told=told: told.append(what))
-            seat.sock.close()
-            seat.sock = gevent.socket.socket(fileno=ours.detach())
-            seat.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            seat.write(b"x" * 100000, b"")
+            handler = UpstreamHandler(link, lambda *what, told=told: told.append(what))
+            handler.sock.close()
+            handler.sock = gevent.socket.socket(fileno=ours.detach())
+            handler.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            handler.write(b"x" * 100000, b"")
             writing = [
                 each
                 for each in gc.get_objects()
                 if isinstance(each, gevent.Greenlet)
-                and getattr(each, "_run", None) == seat._write_rest
+                and getattr(each, "_run", None) == handler._write_rest
             ]
             for _ in range(turns):
                 gevent.sleep(0)
-            seat.end()
+            handler.end()
             until(lambda writing=writing: all(each.dead for each in writing))
             theirs.close()
-            self.assertEqual((len(writing), self.raised, seat.whole), (1, [], False))
+            self.assertEqual((len(writing), self.raised, handler.whole), (1, [], False))
 
     def test_a_request_half_written(self):
         """Its backend reads nothing for a while: what is left of the request does not follow its client."""
@@ -484,7 +484,7 @@
             )  # and the loop does not turn before it is written
             house.host.tell(ev.ASKED, client, message(http_request("pay", "once")))
             three.setblocking(False)
-            until(lambda: sending.waiting(mock.Mock(_sock=three)))
+            until(lambda: sending.is_readable(mock.Mock(_sock=three)))
             status, times = three.recv(100).split()[1].decode(), backend.seen.count("/pay/once")
             lines = [f"answered {status}, seen {times} times"]
             for sock in (one, two, three):
@@ -520,7 +520,8 @@
 
     def test_settings_that_change_while_a_link_comes_up(self):
         """Gone binds under the settings that took it, and not under the new ones: it is left alone. Where the
-        list was asked for, who waits for the word to ask again is not left waiting."""
+        list was asked for, who waits for the word to ask again is not left waiting.
+        """
         desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
         desk.ask("c0", "/pay")
         desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(removal_binds=False))
@@ -568,7 +569,8 @@
 class Stopping(TraceTest):
     def test_the_end_comes_with_the_settings_own_limits(self):
         """Limits of 0.6 s: the process may be killed at 1.3 s. One with no limit near it on a link that comes
-        up later, one half read, one that asks when the end is near: each is answered, nothing goes out."""
+        up later, one half read, one that asks when the end is near: each is answered, nothing goes out.
+        """
         rows = [
             RequestClass(0, "look", Idempotency.SAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
             RequestClass(1, "pay", Idempotency.UNSAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
@@ -611,11 +613,11 @@
             "import os, signal, sys\n"
             "from pierglade import __main__ as m\n"
             "def first():\n"
-            "    place = m.place_from(os.environ)\n"
+            "    place = m.config_from_environ(os.environ)\n"
             "    os.kill(os.getpid(), signal.SIGHUP)\n"
             "    os.kill(os.getpid(), signal.SIGTERM)\n"
             "    return place\n"
-            "sys.exit(m.run(first, m.place_again))\n"
+            "sys.exit(m.run(first, m.reloaded_config))\n"
         )
         told = {
             "name": "n1",
@@ -647,7 +649,7 @@
     def test_left_while_it_connects(self):
         """A move, a relist: what is open is closed under the one that waits, and nothing of it is told."""
         lines = []
-        for what in ("leave", "relist"):
+        for what in ("stop", "relist"):
             told, gate, peer = [], Event(), Peer(lambda message: answer(200, b'{"index":3}'))
             connect, tries = gevent.socket.socket.connect, []
 
@@ -660,14 +662,14 @@
                 told.append(str(kind))
 
             with mock.patch.object(gevent.socket.socket, "connect", held):
-                watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+                watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
                 running = gevent.spawn(watch.run)
                 until(lambda tries=tries: tries)
                 getattr(watch, what)()
                 gate.set()
                 until(
                     lambda watch=watch, running=running, told=told: (
-                        running.dead if watch.left else "heard" in told
+                        running.dead if watch.stopped else "heard" in told
                     )
                 )
                 running.kill()
@@ -689,8 +691,8 @@
             return answer(200, b'{"index":3}') if b"follow" not in message.url else None
 
         peer = Peer(serve)
-        with mock.patch.object(discovery, "ANSWER_IN", 0.5):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        with mock.patch.object(discovery, "RESPONSE_TIMEOUT", 0.5):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
             running = gevent.spawn(watch.run)
             until(lambda: peer.seen)
             ready.set()
@@ -713,9 +715,9 @@
             watch.ask()
 
         peer = Peer(lambda message: CHUNKED + b"1\r\n\n\r\n" if len(peer.seen) == 1 else None)
-        with mock.patch.multiple(discovery, SILENT=0.05, AGAIN=0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell), 7)
-            watch.waits = lambda: True
+        with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell), 7)
+            watch.is_polled = lambda: True
             running = gevent.spawn(watch.run)
             lost.wait(20)
             running.kill()
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -19,13 +19,14 @@
 from pierglade import __main__ as start
 from pierglade.proxy import discovery
 from pierglade.proxy import downstream as clients
-from pierglade.proxy.downstream import ClientSocket
-from pierglade.proxy.event_loop import Clock, Timer, Turns
+from pierglade.proxy.downstream import DownstreamHandler
+from pierglade.proxy.event_loop import Clock, EventLoopMonitor, Timer
 from pierglade.proxy.http import message as http
-from pierglade.proxy.http.body_stream import Space
+from pierglade.proxy.http import reader
+from pierglade.proxy.http.body_stream import BufferBudget
 from pierglade.proxy.logging import Log
 from pierglade.proxy.state import events as ev
-from pierglade.proxy.upstream import LinkSocket
+from pierglade.proxy.upstream import UpstreamHandler
 from tests.support.scene import TraceTest, entry, message
 
 HOST = b"Host: h\r\n"
@@ -40,26 +41,26 @@
 }
 
 
-def read(inbox, data, step):
-    """What comes out of an inbox that is fed so many bytes at once, with the reader a read ahead."""
-    lines, room, flowing = [], inbox.room(), None
+def read(incoming, data, step):
+    """What comes out of a reader that is fed so many bytes at once, with the reader a read ahead."""
+    lines, room, flowing = [], incoming.writable(), None
 
     def take():
         """Whether there is a message, the whole of it if it is one that flows."""
         nonlocal flowing
-        message, body = flowing or (inbox.next(), b"")
+        message, body = flowing or (incoming.next(), b"")
         if message is None:
             return False
-        body = body + inbox.piece() if inbox.flows else body
-        flowing = (message, body) if inbox.flows and not inbox.over else None
+        body = body + incoming.piece() if incoming.flows else body
+        flowing = (message, body) if incoming.flows and not incoming.over else None
         if flowing:
             return False
         body = body or message.body
         lines.append(
             f"{message.method.decode()}{message.status or ''} {message.url.decode()} "
-            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * inbox.flows}"
+            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' flows' * incoming.flows}"
         )
-        inbox.release()
+        incoming.release()
         return True
 
     try:
@@ -68,14 +69,14 @@
             count = min(step, len(room), len(data) - at)
             room[:count] = data[at : at + count]
             at += count
-            inbox.filled(count)
+            incoming.filled(count)
             while take():
                 pass
-            room = inbox.room()
-        if inbox.ended():
-            flowing = flowing or (inbox.message, b"")
+            room = incoming.writable()
+        if incoming.ended():
+            flowing = flowing or (incoming.message, b"")
             take()
-    except http.Malformed as fault:
+    except reader.ProtocolError as fault:
         lines.append(f"{fault.status} {fault}")
     return lines
 
@@ -137,34 +138,37 @@
 
     def test_messages(self):
         lines = []
-        for inbox, cases in ((http.Requests, self.REQUESTS), (http.Answers, self.ANSWERS)):
+        for incoming, cases in (
+            (reader.RequestReader, self.REQUESTS),
+            (reader.ResponseReader, self.ANSWERS),
+        ):
             for data in cases:
-                whole = read(inbox(), data, len(data))
+                whole = read(incoming(), data, len(data))
                 lines += [f"{data[:60]} of {len(data)}", *(f"    {line}" for line in whole)]
                 for step in (1, 7, 4096) if len(data) < 70000 else (77, 4096):
-                    self.assertEqual(whole, read(inbox(), data, step), data[:60])
+                    self.assertEqual(whole, read(incoming(), data, step), data[:60])
         self.check("net_messages", lines)
 
     def test_the_next_request_is_read_into_the_room_given_before(self):
         """The reader waits with a view taken before the message in hand was let go."""
-        inbox = http.Requests()
+        incoming = reader.RequestReader()
         first, second = b"GET /a HTTP/1.1\r\n\r\n", b"GET /b HTTP/1.1\r\n\r\n"
-        inbox.room()[: len(first)] = first
-        inbox.filled(len(first))
-        taken, room = inbox.next(), inbox.room()
+        incoming.writable()[: len(first)] = first
+        incoming.filled(len(first))
+        taken, room = incoming.next(), incoming.writable()
         self.assertEqual(taken.url, b"/a")
-        inbox.release()
+        incoming.release()
         room[: len(second)] = second
-        inbox.filled(len(second))
-        self.assertEqual(inbox.next().url, b"/b")
+        incoming.filled(len(second))
+        self.assertEqual(incoming.next().url, b"/b")
 
-    def test_an_inbox_that_is_dropped_is_gone(self):
+    def test_a_reader_that_is_dropped_is_collected_at_once(self):
         """Not at the next collection: under ever new connections their buffers would add up until then."""
-        for kind in (http.Requests, http.Answers):
-            inbox = kind()
-            gone = weakref.ref(inbox)
-            inbox.drop()
-            del inbox
+        for kind in (reader.RequestReader, reader.ResponseReader):
+            incoming = kind()
+            gone = weakref.ref(incoming)
+            incoming.drop()
+            del incoming
             self.assertIsNone(gone())
 
     def test_what_is_passed_on(self):
@@ -179,7 +183,7 @@
         )
 
     def test_watch(self):
-        watch, lines = discovery.Watch(), []
+        watch, lines = discovery.WatchStream(), []
         data = (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             b'9\r\n{"a":1}\n{\r\n1\r\n\n\r\n3\r\n\n}\n\r\n0\r\n\r\n'
@@ -187,9 +191,11 @@
         for n in range(len(data)):
             lines += watch.feed(data[n : n + 1])
         self.assertEqual((lines, watch.over), ([b'{"a":1}', b"{\n\n}"], True))
-        for status, fault in ((503, discovery.Lost), (410, ValueError)):
+        for status, fault in ((503, discovery.DiscoveryUnavailableError), (410, ValueError)):
             with self.assertRaises(fault):
-                discovery.Watch().feed(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % status)
+                discovery.WatchStream().feed(
+                    b"HTTP/1.1 %d No\r\nContent-Length: 0\r\n\r\n" % status
+                )
 
     def test_log_is_never_waited_for(self):
         """A pipe that nobody reads must not stop the node; what was lost is counted once it is read again."""
@@ -220,7 +226,7 @@
 
     def test_what_waited_while_the_loop_was_busy(self):
         """Seen only when the loop comes round, it has come in the course of the turn before."""
-        turns = Turns(Clock())
+        turns = EventLoopMonitor(Clock())
         for _ in range(3):
             gevent.sleep(0.002)
         idle = turns.clock.now() - turns.came
@@ -239,7 +245,7 @@
         timer = Timer(mock.Mock(now=lambda: times[0]), called.append)
         timer.set(1010)
         timer.set(1030)
-        while timer.rings != 1030:  # It rang for the first moment.
+        while timer.fires_at != 1030:  # It rang for the first moment.
             gevent.sleep(0.001)
         times[0] = 1031
         while not called:
@@ -290,12 +296,14 @@
                 with open(path, "w") as file:
                     file.write(text if isinstance(text, str) else json.dumps(text))
                 try:
-                    place = start.place_from({"BALANCER_CONFIG": path, "BALANCER_NAME": "n3"})
+                    place = start.config_from_environ(
+                        {"BALANCER_CONFIG": path, "BALANCER_NAME": "n3"}
+                    )
                     lines.append(
                         f"{place.name} {place.listen} {place.sockets} {place.settings.drain_grace} "
                         f"{place.settings.load_report_source}"
                     )
-                except start.Unusable as fault:
+                except start.UnusableConfigError as fault:
                     lines.append(str(fault).replace(path, "config"))
         self.check("net_unusable", lines)
 
@@ -319,22 +327,22 @@
             threading.Thread(target=self.serve, args=self.sock.accept()[:1], daemon=True).start()
 
     def serve(self, sock):
-        inbox = http.Requests()
+        incoming = reader.RequestReader()
         with sock:
-            while count := sock.recv_into(inbox.room()):
-                inbox.filled(count)
-                while (message := inbox.next()) is not None:
-                    if inbox.flows:
-                        message.flow = len(inbox.piece())  # only how much it was is kept
-                        while not inbox.over and (count := sock.recv_into(inbox.room())):
-                            inbox.filled(count)
-                            message.flow += len(inbox.piece())
+            while count := sock.recv_into(incoming.writable()):
+                incoming.filled(count)
+                while (message := incoming.next()) is not None:
+                    if incoming.flows:
+                        message.flow = len(incoming.piece())  # only how much it was is kept
+                        while not incoming.over and (count := sock.recv_into(incoming.writable())):
+                            incoming.filled(count)
+                            message.flow += len(incoming.piece())
                     self.seen.append(message.url.decode())
                     reply = self.answer(message)
                     if reply is None:
                         return
                     sock.sendall(reply)
-                    inbox.release()
+                    incoming.release()
 
 
 def answer(status, body=b""):
@@ -361,8 +369,8 @@
                 ends.set()
 
         peer = Peer(serve)
-        with mock.patch.multiple(discovery, SILENT=0.05, AGAIN=0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
             running = gevent.spawn(watch.run)
             ends.wait()
             running.kill()
@@ -379,9 +387,9 @@
             lost.set()
 
         peer = Peer(lambda message: None)
-        with mock.patch.object(discovery, "AGAIN", 0):
-            watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
-            watch.waits = lambda: True
+        with mock.patch.object(discovery, "RETRY_INTERVAL", 0):
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            watch.is_polled = lambda: True
             running = gevent.spawn(watch.run)
             for _ in range(3):
                 lost.wait()
@@ -403,8 +411,8 @@
             return answer(next(refused, None) or done.set() or 503)
 
         peer = Peer(serve)
-        with mock.patch.object(discovery, "AGAIN", 0):
-            running = gevent.spawn(discovery.Discovery(peer.address, mock.Mock()).run)
+        with mock.patch.object(discovery, "RETRY_INTERVAL", 0):
+            running = gevent.spawn(discovery.DiscoveryClient(peer.address, mock.Mock()).run)
             done.wait()
             running.kill()
         # Only what refuses the version itself makes it ask for the whole list.
@@ -416,10 +424,10 @@
 
         def tell(kind, what):
             told.append(f"{kind} {what}")
-            watch.leave()
+            watch.stop()
 
         peer = Peer(lambda message: CHUNKED + b'c\r\n{"index":9}\n\r\n' * 2)
-        watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
+        watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
         watch.index = 1
         watch.run()
         self.assertEqual(told, ["heard {'index': 9}"])
@@ -430,10 +438,10 @@
     return mock.Mock(
         tell=tell,
         came=came,
-        space=Space(1 << 20),
+        budget=BufferBudget(1 << 20),
         refuse=lambda *what: None,
-        reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
-        line=mock.Mock(full=lambda: False),
+        reducer=mock.Mock(gate=None, press=mock.Mock(threshold=0.0)),
+        admission_queue=mock.Mock(full=lambda: False),
     )
 
 
@@ -444,12 +452,12 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
-        seat = ClientSocket(
+        handler = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()),
             host_of(lambda *what, came=0: told.append(" ".join(map(str, what[::2]))), lambda: 0),
             "",
         )
-        reading = gevent.spawn(seat.run)
+        reading = gevent.spawn(handler.run)
         theirs.sendall(b"no HTTP\r\n")
         theirs.setblocking(False)
         good = b"GET / HTTP/1.1\r\n%s\r\n" % HOST * 2000
@@ -459,8 +467,10 @@
             except BlockingIOError:
                 gevent.sleep(0)
         theirs.close()
-        seat.sock.close()
-        told.append(f"little more is read than may be {seat.thrown < clients.THROWN_MOST + 65537}")
+        handler.sock.close()
+        told.append(
+            f"little more is read than may be {handler.discarded < clients.DISCARD_MOST + 65537}"
+        )
         self.check("net_faulty", told)
 
 
@@ -483,23 +493,23 @@
                 lines.append(f"{kind} {what}")
 
         asked = Event()
-        seat = ClientSocket(
+        handler = DownstreamHandler(
             gevent.socket.socket(fileno=ours.detach()), host_of(tell, lambda: next(moments)), ""
         )
-        reading = gevent.spawn(seat.run)
+        reading = gevent.spawn(handler.run)
         post = b"POST /%d HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
         theirs.sendall(post % 1 + post % 2 + (post % 3)[:-1])
         asked.wait()
         for part in ((post % 3)[-1:], b"GET /4 HTTP/1.1\r\n\r\nGET", b" /5 HTTP/1.1\r\n\r\n"):
-            read = seat.come
+            read = handler.received
             theirs.sendall(part)
-            while seat.come == read:
+            while handler.received == read:
                 gevent.sleep(0)
         for _ in range(5):
             asked.clear()
             lines.append("answered")
-            seat.answer(b"HTTP/1.1 200 OK\r\n\r\n", b"", False)
-            seat.let_go("idle")
+            handler.answer(b"HTTP/1.1 200 OK\r\n\r\n", b"", False)
+            handler.let_go("idle")
             asked.wait(0.05)
         reading.join()
         theirs.close()
@@ -512,7 +522,7 @@
         lines = []
         for behind in (b"", answer(200, b"copy"), b"\x00noise"):
             ours, theirs = socket.socketpair()
-            link = LinkSocket(
+            link = UpstreamHandler(
                 mock.Mock(state=ev.BUSY),
                 lambda kind, _, *what: lines.append(
                     f"{kind} {[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in what]}"
@@ -589,19 +599,19 @@
 
     def ask(self, *requests):
         """Sends the requests on one connection; the answers, and whether it then ends."""
-        inbox, lines = http.Answers(), []
+        incoming, lines = reader.ResponseReader(), []
         with socket.create_connection(self.place, 20) as sock:
             for data in requests:
                 sock.sendall(data)
-                while (message := inbox.next()) is None:
-                    if not (count := sock.recv_into(inbox.room())):
+                while (message := incoming.next()) is None:
+                    if not (count := sock.recv_into(incoming.writable())):
                         return lines + ["ended"]
-                    inbox.filled(count)
+                    incoming.filled(count)
                 lines.append(
                     f"{data[:20]} {message.status} {len(message.body)} {bytes(message.body[:10])}"
                     + ("" if message.keep else " close")
                 )
-                inbox.release()
+                incoming.release()
         return lines
 
     def test_a_new_configuration_moves_discovery(self):
