--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -10,7 +10,7 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.event_loop import PER_SECOND, in_steps
 from pierglade.proxy.http.message import Answers, Malformed, request_head
-from pierglade.proxy.state import events
+from pierglade.proxy.state.events import DiscoveryLost, EndpointsUpdated
 from pierglade.reconfiguration import document_reader as reading
 
 LIST_PATH = b"/registry/instances"
@@ -118,7 +118,7 @@
                     self.index = None  # What could not be read may have been a change.
                 if not self.left:
                     self.host.tell(
-                        events.NO_WORD, f"{type(fault).__name__}: {fault}", self._waited()
+                        DiscoveryLost(f"{type(fault).__name__}: {fault}", self._waited())
                     )
             finally:
                 self._close()
@@ -175,7 +175,7 @@
             # Read before the move, told after it, it would stand in the list of the new place.
             raise Lost("moved")
         self.index = document.get("index") if isinstance(document, dict) else None
-        self.host.tell(events.HEARD, document)
+        self.host.tell(EndpointsUpdated(document))
         if self.index is None:
             raise Lost("the list does not fit")
 
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -9,7 +9,17 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http.body_stream import GATHER_MOST, GATHER_PART, WINDOW, WINDOW_COST, Flow
 from pierglade.proxy.http.message import GO_ON, Malformed, Requests
-from pierglade.proxy.state import events
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.events import (
+    BodyReceived,
+    ClientDisconnected,
+    ConnectionOpened,
+    MalformedRequest,
+    RequestReceived,
+    RequestStarted,
+    ResponseProgressed,
+    ResponseSent,
+)
 
 BACKLOG = 4096  # connections; whatever the kernel's queue holds counts as taken
 ACCEPTS = 64  # connections taken in a turn, where descriptors are not short
@@ -52,7 +62,7 @@
         )  # (bytes read by then, when) while a request waited behind the one in hand
         sending.set_up(sock)
         self.known = self.gate is not None and self.gate.knows(self.now(), address)
-        self.tell(events.OPENED, self, self.known)
+        self.tell(ConnectionOpened(self, self.known))
 
     def run(self):
         reason = "client closed"
@@ -77,7 +87,7 @@
                     self.come += count
                     if self.host.reducer.press.bar and self._refused():
                         continue
-                    came = events.NEVER
+                    came = NEVER
                     if self.line.full():
                         came = self.came()
                         self.line.wait(self.address, count, self.known)
@@ -97,7 +107,7 @@
         finally:
             self.requests.drop()
             self._end_flow()
-        self.tell(events.CLIENT_ENDED, self.client, reason)
+        self.tell(ClientDisconnected(self.client, reason))
 
     def _refused(self):
         """Whether what came was refused at a glance: the refusal is written, or its client reads nothing."""
@@ -111,7 +121,7 @@
             raise BrokenPipeError(0, "takes no refusal")
         return True
 
-    def _take(self, came=events.NEVER):
+    def _take(self, came=NEVER):
         """`came`: when it came, where that was before this turn."""
         try:
             if self.flow is not None:
@@ -121,17 +131,17 @@
             # Where the fault ends nobody can tell: nothing behind it is read as a request.
             self.last = True
             self._end_flow()
-            self.tell(events.FAULTY, self.client, fault.status, str(fault))
+            self.tell(MalformedRequest(self.client, fault.status, str(fault)))
             return
         if message is not None and self.requests.flows:
             self._begin_flow(message)
         elif message is not None:
             if self.ahead:
-                self.tell(events.ASKED, self.client, message, came=self._came_ahead())
+                self.tell(RequestReceived(self.client, message), came=self._came_ahead())
             else:
-                self.tell(events.ASKED, self.client, message, came=came)
+                self.tell(RequestReceived(self.client, message), came=came)
         elif self.requests.begun():
-            self.tell(events.BEGUN, self.client, self.requests.come())
+            self.tell(RequestStarted(self.client, self.requests.come()))
             if self.requests.expects_go_on():
                 sending.send_now(self.sock, GO_ON, b"")
 
@@ -141,7 +151,7 @@
         if not self.space.take(WINDOW_COST):
             # Before its body is read: together they are far more than the node may hold.
             self.last, self.thrown_most = True, REST_MOST
-            self.tell(events.FAULTY, self.client, 503)
+            self.tell(MalformedRequest(self.client, 503))
             return
         self.held = WINDOW_COST
         self.message, self.asked = message, False
@@ -159,12 +169,12 @@
         if requests.over:
             flow.finish()
         if self.asked:
-            self.tell(events.BODY, self.client)
+            self.tell(BodyReceived(self.client))
         elif requests.over or not self._gathers():
             self.asked = True
-            self.tell(events.ASKED, self.client, self.message)
+            self.tell(RequestReceived(self.client, self.message))
         else:
-            self.tell(events.BEGUN, self.client, flow.size)
+            self.tell(RequestStarted(self.client, flow.size))
         if requests.over:
             self.flow = None
 
@@ -202,7 +212,7 @@
             rest = sending.send_now(self.sock, head, body)
         except OSError as fault:
             # The reader may be waiting for this answer, and not see it before the time for slow readers.
-            return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
+            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
         if rest:
             gevent.spawn(self._write_rest, rest, last)
         else:
@@ -212,26 +222,26 @@
         try:
             self.sock.sendall(rest)
         except OSError as fault:
-            return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
+            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
         self._written(last)
 
     def _pass_on(self, head, flow, last, chunked):
         """An answer as it comes. One that breaks off must not look whole."""
         try:
             sending.pass_on(
-                self.sock, head, flow, chunked, lambda: self.tell(events.TAKES, self.client)
+                self.sock, head, flow, chunked, lambda: self.tell(ResponseProgressed(self.client))
             )
         except OSError:
             flow.break_off()
         if flow.broken:
             sending.reset(self.sock)
-            self.tell(events.CLIENT_ENDED, self.client, "answer broke off")
+            self.tell(ClientDisconnected(self.client, "answer broke off"))
         else:
             self._written(last)
 
     def _written(self, last):
         self.passing = False
-        self.tell(events.ANSWERED, self.client)
+        self.tell(ResponseSent(self.client))
         if last:
             # Closed at once with something unread, the connection would be reset and the answer lost.
             if not self.last and self.requests.flows and not self.requests.over:
@@ -269,7 +279,7 @@
         upto = self.come - (self.requests.end - self.requests.at)
         while self.ahead and self.ahead[0][0] < upto:
             self.ahead.popleft()
-        came = self.ahead[0][1] if self.ahead else events.NEVER
+        came = self.ahead[0][1] if self.ahead else NEVER
         if not self.requests.more():
             self.ahead.clear()
         return came
@@ -279,7 +289,7 @@
         if not self.requests.begun() and not sending.waiting(self.sock):
             # At once: a request that comes between the look and the end would be lost.
             sending.hang_up(self.sock)
-            self.tell(events.CLIENT_ENDED, self.client, reason)
+            self.tell(ClientDisconnected(self.client, reason))
 
     def end(self):
         self._free()
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -7,7 +7,7 @@
 
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http.message import Malformed, Requests, answer_head
-from pierglade.proxy.state import events
+from pierglade.proxy.state.events import ManagementCall
 
 CALLS = 8  # connections at once; each holds a descriptor, and staff call one by one
 QUEUE = 64  # connections that the kernel holds until then
@@ -80,7 +80,7 @@
         try:
             with gevent.Timeout(WHOLE_IN, False):
                 if call.read():
-                    self.host.tell(events.CALLED, call)
+                    self.host.tell(ManagementCall(call))
             with gevent.Timeout(UNHEARD, False):
                 while call.sock.recv(4096):
                     pass
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -17,7 +17,33 @@
 from pierglade.proxy.http.body_stream import Space
 from pierglade.proxy.logging import Log
 from pierglade.proxy.management import CALLS, Management
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.effects import (
+    AbortConnection,
+    CloseListener,
+    CloseUpstream,
+    CloseWhenRead,
+    Connect,
+    Exit,
+    FollowDiscovery,
+    LogEvent,
+    OpenListener,
+    PollDiscovery,
+    ReplyToManagement,
+    ResyncEndpoints,
+    SendRequest,
+    SendResponse,
+)
+from pierglade.proxy.state.events import (
+    ConfigurationLoaded,
+    EndpointsUpdated,
+    MalformedRequest,
+    SoleProcess,
+    StopRequested,
+    TimerFired,
+    UpstreamClosed,
+)
 from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.proxy.takeover import AGAIN, Tenure
 from pierglade.proxy.upstream import LinkSocket
@@ -85,22 +111,22 @@
         self.turns = Turns(self.clock)
         self.line = Line(self.clock, self.turns)
         self.carriers = {
-            ev.ANSWER: lambda client, head, body, *how: client.io.answer(
-                head, body, client.last, *how
+            SendResponse: lambda client, head, body, chunked: client.io.answer(
+                head, body, client.last, chunked
             ),
-            ev.LET_GO: lambda client, reason: client.io.let_go(reason),
-            ev.END_CLIENT: self._end,
-            ev.CONNECT: self._connect,
-            ev.WRITE: lambda link, head, body: link.io.write(head, body),
-            ev.END_LINK: self._end,
-            ev.ASK: lambda: self.discovery.ask(),
-            ev.RELIST: lambda: self.discovery.relist(),
-            ev.MOVE: self._move,
-            ev.OPEN_DOOR: self._open_door,
-            ev.CLOSE_DOOR: self.door.close,
-            ev.REPLY: lambda call, status, body, allow: call.reply(status, body, allow),
-            ev.EXIT: self.done.set,
-            ev.NOTE: lambda event, fields: self.note(event, **fields),
+            CloseWhenRead: lambda client, reason: client.io.let_go(reason),
+            AbortConnection: self._end,
+            Connect: self._connect,
+            SendRequest: lambda link, head, body: link.io.write(head, body),
+            CloseUpstream: self._end,
+            PollDiscovery: lambda: self.discovery.ask(),
+            ResyncEndpoints: lambda: self.discovery.relist(),
+            FollowDiscovery: self._move,
+            OpenListener: self._open_door,
+            CloseListener: self.door.close,
+            ReplyToManagement: lambda call, status, body, allow: call.reply(status, body, allow),
+            Exit: self.done.set,
+            LogEvent: lambda event, fields: self.note(event, **fields),
         }
 
     def run(self, place_again, early=()):
@@ -117,9 +143,9 @@
             self.spawn(self.door.run)
         else:
             self.spawn(self._wait_until_alone)
-        self.tell(ev.WOKE)
+        self.tell(TimerFired())
         if self.fixed is not None:
-            self.tell(ev.HEARD, self.fixed)
+            self.tell(EndpointsUpdated(self.fixed))
         self.note("started", listen="%s:%d" % self.door.sock.getsockname())
         if signal.SIGHUP in early:
             self._reread(place_again)
@@ -133,7 +159,7 @@
         return 0
 
     def _stop(self):
-        self.tell(ev.STOP, self.tenure.followed())
+        self.tell(StopRequested(self.tenure.followed()))
 
     def _open_door(self):
         """Not before the list is good, where another process serves the address meanwhile."""
@@ -143,7 +169,7 @@
     def _wait_until_alone(self):
         while not self.tenure.alone():
             gevent.sleep(AGAIN)
-        self.tell(ev.ALONE)
+        self.tell(SoleProcess())
 
     def follow(self, address, index=None):
         self.discovery = Discovery(address, self, index) if address is not None else Nobody()
@@ -176,10 +202,10 @@
             told = in_steps(shares.steps(self.reducer.settings.tenants, tenants.shares))
             self.reducer.gives_ids = place.gives_ids
             self._cap(place.caps)
-            self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, told)
+            self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, told))
             fixed = place.known if place.discovery is None else None
             if fixed is not None and fixed != self.fixed:
-                self.tell(ev.HEARD, fixed)
+                self.tell(EndpointsUpdated(fixed))
             self.fixed = fixed
             if tenants is not self.reducer.settings.tenants:
                 in_steps(shares.let_go(tenants.shares))
@@ -207,9 +233,9 @@
             except Exception as fault:
                 self._fault(fault)
             if isinstance(seat, ClientSocket):
-                return self.tell(ev.FAULTY, seat.client, 500)
+                return self.tell(MalformedRequest(seat.client, 500))
             if isinstance(seat, LinkSocket):
-                return self.tell(ev.LINK_ENDED, seat.link, ev.BROKE, True, "fault")
+                return self.tell(UpstreamClosed(seat.link, CloseCause.RESET, True, "fault"))
             gevent.sleep(0.1)  # The door and discovery go on.
 
     def _fault(self, fault):
@@ -219,7 +245,7 @@
     def _woke(self, late):
         if late > LATE:
             self.note("event_loop_lag", lag_ms=late / 10)
-        self.tell(ev.WOKE)
+        self.tell(TimerFired())
 
     def came(self):
         """When what is read in this turn is likely to have come."""
@@ -231,27 +257,25 @@
             self.clock.now(), client, requests, self.turns.came, self.turns.idle
         )
 
-    def tell(self, kind, *what, came=ev.NEVER):
+    def tell(self, event, came=NEVER):
         """One event after the other; what an effect brings about comes after the effects before it.
 
         `came`: when it came, where that was before this turn.
         """
-        self.inbox.append((kind, what, min(came, self.turns.came), self.turns.idle))
+        self.inbox.append((event, min(came, self.turns.came), self.turns.idle))
         if self.working:
             return
         self.working = True
         try:
             while self.inbox:
-                kind, what, came, idle = self.inbox.popleft()
+                event, came, idle = self.inbox.popleft()
                 try:
-                    effects = self.reducer.apply(
-                        self.clock.now(), kind, *what, came=came, idle=idle
-                    )
+                    effects = self.reducer.apply(self.clock.now(), event, came=came, idle=idle)
                 except Exception as fault:
                     self._fault(fault)
-                    effects = self.reducer.salvage(what[0] if what else None)
+                    effects = self.reducer.salvage(getattr(event, "connection", None))
                 for effect in effects:
-                    self._carry_out(*effect)
+                    self._carry_out(effect)
         finally:
             self.working = False
         now = self.clock.now()
@@ -262,9 +286,9 @@
             wake = now + AFTER_FAULT
         self.timer.set(wake)
 
-    def _carry_out(self, kind, *what):
+    def _carry_out(self, effect):
         try:
-            self.carriers[kind](*what)
+            self.carriers[type(effect)](*effect)
         except Exception as fault:
             self._fault(fault)
 
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -3,24 +3,9 @@
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, Request
 from pierglade.proxy.http import message as http
-from pierglade.proxy.state.events import (
-    ANSWER,
-    END_CLIENT,
-    ENDED,
-    FRESH,
-    IDLE,
-    LET_GO,
-    LINGERING,
-    LIVE_PATH,
-    MARGIN,
-    OWED,
-    READING,
-    READY_PATH,
-    SPARE,
-    TOLD_AFTER,
-    WRITING,
-    Client,
-)
+from pierglade.proxy.state.connections import ConnectionState, DownstreamConnection
+from pierglade.proxy.state.constants import LIVE_PATH, LOG_INTERVAL, MARGIN, READY_PATH, SPARE
+from pierglade.proxy.state.effects import AbortConnection, CloseWhenRead, SendResponse
 from pierglade.settings.platform import down
 
 # Constants. Times are tenths of a millisecond.
@@ -52,41 +37,41 @@
 
 
 class Clients:
-    """Mixed into the Reducer, which holds what is used here."""
+    """Mixed into the ProxyStateMachine, which holds what is used here."""
 
     def _opened(self, io, known=False):
-        client = io.client = Client(io)
+        client = io.client = DownstreamConnection(io)
         client.known = known
         self.open += 1
-        self._is(client, FRESH, self.clients)
+        self._is(client, ConnectionState.NEW, self.clients)
         client.since = self.now
         self._connection_due(client, self.now + FIRST_ASK, self._idle_too_long)
         if not self._make_room(client):
             # Nothing idle is left to yield: whoever came last is served, and let go with the answer.
             client.last = True
             if not self.crowded:
-                self._at(self.now + TOLD_AFTER, self._tell_crowded, None)
+                self._at(self.now + LOG_INTERVAL, self._tell_crowded, None)
             self.crowded += 1
         self._keep_share(client)
 
     def _rest(self, client):
-        self._is(client, IDLE, self.clients)
+        self._is(client, ConnectionState.IDLE, self.clients)
         client.since = self.now
         self._connection_due(client, self.now + CLIENT_IDLE, self._idle_too_long)
 
     def _idle_too_long(self, client):
-        self._do(LET_GO, client, "silent" if client.state is FRESH else "idle")
+        self._do(CloseWhenRead(client, "silent" if client.state is ConnectionState.NEW else "idle"))
 
     def _begun(self, client, come=None):
         """Some of a message has come; `come`: bytes behind its head, None until that is whole."""
-        if client.state in (FRESH, IDLE):
+        if client.state in (ConnectionState.NEW, ConnectionState.IDLE):
             # The first message has until then from the connecting on, or silence and a trickle would add up.
             client.headed = 0
-            until = (client.since if client.state is FRESH else self.now) + SLOW_HEAD
-            self._is(client, READING, self.clients)
+            until = (client.since if client.state is ConnectionState.NEW else self.now) + SLOW_HEAD
+            self._is(client, ConnectionState.READING_REQUEST, self.clients)
             self._connection_due(client, until, self._sends_too_slowly)
             self._stays(client)
-        if come is not None and client.state is READING:
+        if come is not None and client.state is ConnectionState.READING_REQUEST:
             # Told from a flood of half requests by what comes, not by how long it takes.
             client.headed = client.headed or self.now
             self._connection_due(
@@ -122,7 +107,11 @@
     def _body(self, client):
         """More of it has come. With the last byte the invocation's time begins."""
         request = client.request
-        if request is None or client.state is not OWED or not client.message.flow.whole:
+        if (
+            request is None
+            or client.state is not ConnectionState.AWAITING_RESPONSE
+            or not client.message.flow.whole
+        ):
             return
         waited = self.now - request.arrived_at
         request.arrived_at += waited
@@ -140,12 +129,20 @@
 
     def _faulty(self, client, status, why=""):
         """What came is no message that we take."""
-        if client.state in (FRESH, IDLE, READING):
+        if client.state in (
+            ConnectionState.NEW,
+            ConnectionState.IDLE,
+            ConnectionState.READING_REQUEST,
+        ):
             self._refuse(client, status, why, last=True)
         client.last = True
 
     def _asked(self, client, message):
-        if client.state not in (FRESH, IDLE, READING):
+        if client.state not in (
+            ConnectionState.NEW,
+            ConnectionState.IDLE,
+            ConnectionState.READING_REQUEST,
+        ):
             return
         self._stays(client)
         client.message = message
@@ -234,7 +231,7 @@
             _hint(fields.get(b"x-props")),
             owner=self.node,
         )
-        self._is(client, OWED, self.clients)
+        self._is(client, ConnectionState.AWAITING_RESPONSE, self.clients)
         client.request, client.id = request, name
         self.ids[name] = client
         if message.flow is None or message.flow.whole:
@@ -256,7 +253,12 @@
 
         No event: nothing is decided, due or noted but the count, so that it costs a tenth of an answer.
         """
-        if not self.press.bar or client.state not in (FRESH, IDLE) or client.yields or client.last:
+        if (
+            not self.press.bar
+            or client.state not in (ConnectionState.NEW, ConnectionState.IDLE)
+            or client.yields
+            or client.last
+        ):
             return None
         seen = requests.glance()
         if seen is None:
@@ -304,7 +306,7 @@
 
     def _bounced_unseen(self):
         if not self.pressed:
-            self._at(self.now + TOLD_AFTER, self._tell_pressed, None)
+            self._at(self.now + LOG_INTERVAL, self._tell_pressed, None)
         self.pressed += 1
 
     def _stay_away(self):
@@ -333,8 +335,8 @@
         self._note(
             "descriptors_exhausted",
             clients=self.crowded,
-            upstream={s: len(some) for s, some in self.links.items()},
-            downstream={s: len(some) for s, some in self.clients.items()},
+            upstream={s.value: len(some) for s, some in self.links.items()},
+            downstream={s.value: len(some) for s, some in self.clients.items()},
         )
         self.crowded = 0
 
@@ -383,12 +385,12 @@
         head = http.answer_head(status, headers, length, client.last, chunked)
         if message is not None and message.method == b"HEAD":
             body, source = b"", None
-        self._is(client, WRITING, self.clients)
+        self._is(client, ConnectionState.WRITING_RESPONSE, self.clients)
         self._closed(client)
         if source is not None:
             client.source, source.reader, source.flow = source, client, body
         self._connection_due(client, self.now + SLOW_READER, self._reads_too_slowly)
-        self._do(ANSWER, client, head, body, *([chunked] if source is not None else []))
+        self._do(SendResponse(client, head, body, chunked if source is not None else None))
 
     def _reads_too_slowly(self, client):
         if client.source is not None and not client.source.flow.waiting:
@@ -399,15 +401,15 @@
 
     def _takes(self, client):
         """Some more of its answer was written to it."""
-        if client.state is WRITING:
+        if client.state is ConnectionState.WRITING_RESPONSE:
             self._connection_due(client, self.now + SLOW_READER, self._reads_too_slowly)
 
     def _answered(self, client):
         """The answer's last byte is written."""
-        if client.state is not WRITING:
+        if client.state is not ConnectionState.WRITING_RESPONSE:
             return
         if client.last:
-            self._is(client, LINGERING, self.clients)
+            self._is(client, ConnectionState.LINGERING, self.clients)
             self._connection_due(client, self.now + LINGER, self._lingered)
         else:
             self._rest(client)
@@ -417,22 +419,24 @@
 
     def _client_ended(self, client, reason):
         """The client closed, or its connection broke: what it asked for is abandoned."""
-        if client.state is ENDED:
+        if client.state is ConnectionState.CLOSED:
             return
         if client.request is not None:
             client.request.owner.client_disconnected(self.now, client.request)
-        self._end_client(client, "answered last" if client.state is LINGERING else reason)
+        self._end_client(
+            client, "answered last" if client.state is ConnectionState.LINGERING else reason
+        )
 
     def _end_client(self, client, reason):
         del self.clients[client.state][client]
         self.open -= 1
         self._stays(client)
         self._note("downstream_closed", reason=reason, state=client.state)
-        client.state = ENDED
+        client.state = ConnectionState.CLOSED
         self._closed(client)
         if client.source is not None:
             self._end_link(client.source, "client gone")
-        self._do(END_CLIENT, client)
+        self._do(AbortConnection(client))
 
     # Room for sockets.
 
@@ -441,7 +445,7 @@
         if self.gate.opened(now, address, self.sockets) is None:
             return True
         if not self.turned_away:
-            self._at(now + TOLD_AFTER, self._tell_turned_away, None)
+            self._at(now + LOG_INTERVAL, self._tell_turned_away, None)
         self.turned_away += 1
         return False
 
@@ -458,22 +462,23 @@
         """What is least needed yields to the newcomer. Whether there is room."""
         while self.open - self.yielding > self.sockets:
             # Those that were answered for good; those that were opened and say nothing, who may be hundreds.
-            if (client := self._first(LINGERING, newcomer)) is not None:
+            if (client := self._first(ConnectionState.LINGERING, newcomer)) is not None:
                 self._end_client(client, "yielded")
-            elif (client := self._first(FRESH, newcomer, YIELD_FRESH)) is not None:
+            elif (client := self._first(ConnectionState.NEW, newcomer, YIELD_FRESH)) is not None:
                 self._let_yield(client)
-            elif (link := next(iter(self.links[IDLE]), None)) is not None:
+            elif (link := next(iter(self.links[ConnectionState.IDLE]), None)) is not None:
                 self._end_link(link, "yielded")
-            elif (client := self._first(IDLE, newcomer, YIELD_AFTER)) is not None:
+            elif (client := self._first(ConnectionState.IDLE, newcomer, YIELD_AFTER)) is not None:
                 self._let_yield(client)
             elif newcomer is None and (
-                client := self._first(FRESH, None) or self._first(IDLE, None)
+                client := self._first(ConnectionState.NEW, None)
+                or self._first(ConnectionState.IDLE, None)
             ):
                 # For a link: without it a request in hand is refused for the sake of who has not asked yet.
                 self._let_yield(client)
             else:
                 # Slow senders must not keep the others out: the first of them is told to come back.
-                slow = next(iter(self.clients[READING]), None)
+                slow = next(iter(self.clients[ConnectionState.READING_REQUEST]), None)
                 if slow is not None:
                     self._refuse(slow, 503, last=True)
                 return False
@@ -483,8 +488,8 @@
         """Clients that hold on to what they do not use must not keep the others from connecting."""
         most = CLIENT_PART * self.sockets
         while sum(map(len, self.clients.values())) - self.yielding > most:
-            client = self._first(FRESH, newcomer, YIELD_FRESH) or self._first(
-                IDLE, newcomer, YIELD_AFTER
+            client = self._first(ConnectionState.NEW, newcomer, YIELD_FRESH) or self._first(
+                ConnectionState.IDLE, newcomer, YIELD_AFTER
             )
             if client is None:
                 return
@@ -504,7 +509,7 @@
     def _let_yield(self, client):
         # Not ended outright: a request that the kernel holds for it is taken, and would be lost.
         client.yields, self.yielding = True, self.yielding + 1
-        self._do(LET_GO, client, "yielded")
+        self._do(CloseWhenRead(client, "yielded"))
 
     def _stays(self, client):
         """Asked to make room, it had something unread: it is served, and let go with its answer."""
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -4,7 +4,13 @@
 from sys import intern
 
 from pierglade.model.endpoint import Endpoint, EndpointState
-from pierglade.proxy.state.events import ASK, MOVE, OPEN_DOOR, OWED, RELIST, Backend
+from pierglade.proxy.state.connections import ConnectionState, EndpointRecord
+from pierglade.proxy.state.effects import (
+    FollowDiscovery,
+    OpenListener,
+    PollDiscovery,
+    ResyncEndpoints,
+)
 from pierglade.reconfiguration.quota_changes import fits_in_place
 from pierglade.snapshot.handover import take_over
 
@@ -21,7 +27,7 @@
 
 
 class Listing:
-    """Mixed into the Reducer, which holds what is used here."""
+    """Mixed into the ProxyStateMachine, which holds what is used here."""
 
     def known(self, document):
         """The list that the node was started with, which may be old."""
@@ -38,7 +44,7 @@
         self.ready = True
         if not self.door_open and self.stopped is None:
             self.door_open = True
-            self._do(OPEN_DOOR)
+            self._do(OpenListener())
 
     def _heard(self, document):
         """A message of discovery."""
@@ -52,7 +58,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             # Never act on half a message: ask for the whole list.
             self._note("endpoints_rejected", error=f"{type(fault).__name__}: {fault}")
-            self._do(RELIST)
+            self._do(ResyncEndpoints())
             self.index = None
             return
         self.index, self.no_word = index, None
@@ -77,7 +83,9 @@
         if terms is not None and told.get("settings") == self.raw_settings and difference:
             if self._takes_in_place(difference, terms):
                 self._note(
-                    "settings_applied", pending=len(self.clients[OWED]), quotas=len(difference)
+                    "settings_applied",
+                    pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
+                    quotas=len(difference),
                 )
             else:
                 self.raw_settings = None  # All is taken anew below.
@@ -91,8 +99,12 @@
             if press.classes == self.press.classes:
                 self.press = press  # Or all that is refused at the door would be let in at once.
             if self.older[-1].settings.polls_endpoints:
-                self._do(ASK)  # Who waits for the word of the earlier settings may wait for long.
-            self._note("settings_applied", pending=len(self.clients[OWED]))
+                self._do(
+                    PollDiscovery()
+                )  # Who waits for the word of the earlier settings may wait for long.
+            self._note(
+                "settings_applied", pending=len(self.clients[ConnectionState.AWAITING_RESPONSE])
+            )
         changed = {key for key in FIXED if told.get(key) != self.told.get(key)}
         self._note(
             "config_reloaded",
@@ -103,7 +115,7 @@
         if discovery != self.discovery:
             self.discovery = discovery
             self.index = self.no_word = None  # Versions are the old place's own.
-            self._do(MOVE, discovery)
+            self._do(FollowDiscovery(discovery))
 
     def _takes_in_place(self, difference, terms):
         """Whether other shares were taken as a difference from those in force."""
@@ -127,7 +139,9 @@
         for entry, address in entries:
             backend = self.backends.get(entry.name)
             if backend is None:
-                backend = self.backends[entry.name] = Backend(entry.name, address, entry.started_at)
+                backend = self.backends[entry.name] = EndpointRecord(
+                    entry.name, address, entry.started_at
+                )
                 changed.append((entry.name, entry.state.value))
             elif address is not None and (
                 address != backend.address or entry.started_at > backend.started
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -3,23 +3,19 @@
 import orjson
 
 from pierglade.model.endpoint import EjectionReason, EndpointState
-from pierglade.proxy.state.events import (
+from pierglade.proxy.state.connections import (
+    ConnectionState,
+    DownstreamConnection,
+    UpstreamConnection,
+)
+from pierglade.proxy.state.constants import (
     ACTIVE_CALL,
     ADMISSION_CALL,
     BACKENDS_CALL,
-    CLOSE_DOOR,
-    ENDED,
-    FRESH,
-    IDLE,
-    LET_GO,
-    OWED,
-    READING,
-    REPLY,
     STANDBY_CALL,
     STATUS_CALL,
-    Client,
-    Link,
 )
+from pierglade.proxy.state.effects import CloseListener, CloseWhenRead, ReplyToManagement
 
 # Constants. Times are tenths of a millisecond.
 DOOR_OPEN = 7000  # 0.7 s; new connections are taken so long after the stop: the front needs 0.4 s
@@ -52,19 +48,23 @@
 
 
 class Stopping:
-    """Mixed into the Reducer, which holds what is used here."""
+    """Mixed into the ProxyStateMachine, which holds what is used here."""
 
     def _called(self, call):
         """One call of the operators: `call` is the host's, with its method and path."""
         method = CALLS.get(call.path)
         if method is None:
-            return self._do(REPLY, call, 404, b"no such call\n", None)
+            return self._do(ReplyToManagement(call, 404, b"no such call\n", None))
         if call.method != method:
-            return self._do(REPLY, call, 405, b"another method\n", method)
+            return self._do(ReplyToManagement(call, 405, b"another method\n", method))
         if call.path == BACKENDS_CALL:
-            return self._do(REPLY, call, 200, orjson.dumps(self._what_is_known()) + b"\n", None)
+            return self._do(
+                ReplyToManagement(call, 200, orjson.dumps(self._what_is_known()) + b"\n", None)
+            )
         if call.path == ADMISSION_CALL:
-            return self._do(REPLY, call, 200, orjson.dumps(self._who_is_let_in()) + b"\n", None)
+            return self._do(
+                ReplyToManagement(call, 200, orjson.dumps(self._who_is_let_in()) + b"\n", None)
+            )
         if call.path == STATUS_CALL:
             good = self.ready and self.door_open and self.stopped is None
             word = (
@@ -80,7 +80,7 @@
             if good:
                 self._stand(by=call.path == STANDBY_CALL)
             word = b"stopping" if not good else b"standby" if self.standby else b"active"
-        self._do(REPLY, call, 200 if good else 503, word + b"\n", None)
+        self._do(ReplyToManagement(call, 200 if good else 503, word + b"\n", None))
 
     def _who_is_let_in(self):
         """Plain data: what share is refused as the core is short, and who was turned away at the door."""
@@ -132,7 +132,10 @@
         if by == self.standby:
             return
         self.standby = by
-        self._note("standby" if by else "active", pending=len(self.clients[OWED]))
+        self._note(
+            "standby" if by else "active",
+            pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
+        )
         if by:
             self._end_idle_clients()
 
@@ -150,11 +153,15 @@
         if self.stopped is not None:
             return
         self.stopped = self.now
-        self._note("stopping", pending=len(self.clients[OWED]), successor_running=followed)
+        self._note(
+            "stopping",
+            pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
+            successor_running=followed,
+        )
         if followed:
             self.sockets = min(self.sockets, self.whole_budget // 2)
-            while self.open > self.sockets and self.links[IDLE]:
-                self._end_link(next(iter(self.links[IDLE])), "yielded")
+            while self.open > self.sockets and self.links[ConnectionState.IDLE]:
+                self._end_link(next(iter(self.links[ConnectionState.IDLE])), "yielded")
         self._end_idle_clients()
         # Where no limit is long the end comes soon: by a fixed time, what has none of its own came too late.
         longest = min(LONGEST, max(o.request_timeout for o in self.settings.request_classes))
@@ -163,11 +170,11 @@
         self._at(self.now + owed, self._answer_all, None)
 
     def _end_idle_clients(self):
-        for client in (*self.clients[FRESH], *self.clients[IDLE]):
-            self._do(LET_GO, client, "stopping")
+        for client in (*self.clients[ConnectionState.NEW], *self.clients[ConnectionState.IDLE]):
+            self._do(CloseWhenRead(client, "stopping"))
 
     def _close_door(self, _):
-        self._do(CLOSE_DOOR)
+        self._do(CloseListener())
         self._at(self.now + LAST_CALL, self._leave, None)
 
     def _leave(self, _):
@@ -178,24 +185,29 @@
     def _answer_all(self, _):
         """The process may be ended soon: what is still owed is given up on, what still comes is bounced."""
         self.closing = True
-        for client in list(self.clients[OWED]):
+        for client in list(self.clients[ConnectionState.AWAITING_RESPONSE]):
             request = client.request
             request.owner.client_disconnected(self.now, request)
             self._final(request, may_retry=False)
-        for client in list(self.clients[READING]):
+        for client in list(self.clients[ConnectionState.READING_REQUEST]):
             # Its last byte may be there unread: ended without a word it would be lost.
             self._bounce(client, self.node)
         self._end_idle_clients()
 
     def salvage(self, subject):
         """After a fault of ours in `apply`: what the event was about is answered and ended all the same."""
-        if isinstance(subject, Link) and subject.state is not ENDED:
+        if isinstance(subject, UpstreamConnection) and subject.state is not ConnectionState.CLOSED:
             attempt, subject.attempt = subject.attempt, None
             self._end_link(subject, "fault")
             if attempt is not None:
                 self.carried.pop(attempt, None)
                 subject = attempt.request.host_context
-        if isinstance(subject, Client) and subject.state in (FRESH, IDLE, READING, OWED):
+        if isinstance(subject, DownstreamConnection) and subject.state in (
+            ConnectionState.NEW,
+            ConnectionState.IDLE,
+            ConnectionState.READING_REQUEST,
+            ConnectionState.AWAITING_RESPONSE,
+        ):
             if subject.request is not None:
                 subject.request.completed = True
                 for attempt in subject.request.attempts:
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -1,9 +1,8 @@
 """All state of a node on sockets. No I/O, no greenlet, no clock: one event and its moment in, effects out.
 
-The host calls `apply(now, kind, *what)` for each event, carries out the effects in their order, and calls
-again with WOKE no later than `wake(now)`. An effect is a tuple of its kind and what it concerns.
-Client and Link are the two kinds of connection; `io` is what the host reads and writes one with, and is never
-looked into here.
+The host calls `apply(now, event)` for each event, carries out the effects in their order, and calls again
+with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` have one type a kind; a
+connection's `io` is what the host reads and writes it with, and is never looked into here.
 """
 
 import random
@@ -14,45 +13,34 @@
 from pierglade.admission.load_shedder import Press
 from pierglade.balancer.balancer import Balancer
 from pierglade.model.request import Idempotency
+from pierglade.proxy.state.connections import ConnectionState
+from pierglade.proxy.state.constants import LOG_INTERVAL, NEVER, SPARE
 from pierglade.proxy.state.downstream import Clients
+from pierglade.proxy.state.effects import Exit, LogEvent
 from pierglade.proxy.state.endpoints import Listing
 from pierglade.proxy.state.events import (
-    ALONE,
-    ANSWERED,
-    ASKED,
-    BEGUN,
-    BODY,
-    BUSY,
-    CALLED,
-    CLIENT_ENDED,
-    CONFIGURED,
-    CONNECTING,
-    ENDED,
-    EXIT,
-    FAULTY,
-    FRESH,
-    HEARD,
-    IDLE,
-    LEFT,
-    LINGERING,
-    LINK_ENDED,
-    NEVER,
-    NO_WORD,
-    NOTE,
-    OPENED,
-    OWED,
-    READING,
-    REPLIED,
-    REPLY_OVER,
-    REPLYING,
-    SPARE,
-    STOP,
-    TAKES,
-    TOLD_AFTER,
     UNDECIDED,
-    UP,
-    WOKE,
-    WRITING,
+    BodyReceived,
+    ClientDisconnected,
+    ConfigurationLoaded,
+    ConnectionOpened,
+    DiscoveryLost,
+    EndpointsUpdated,
+    MalformedRequest,
+    ManagementCall,
+    RequestNotSent,
+    RequestReceived,
+    RequestStarted,
+    ResponseCompleted,
+    ResponsePartReceived,
+    ResponseProgressed,
+    ResponseReceived,
+    ResponseSent,
+    SoleProcess,
+    StopRequested,
+    TimerFired,
+    UpstreamClosed,
+    UpstreamConnected,
 )
 from pierglade.proxy.state.lifecycle import Stopping
 from pierglade.proxy.state.snapshot import Memory
@@ -88,9 +76,20 @@
         self.door_open = alone  # else with the first good list; until then the other process serves
         # By what they are doing, in the order in which they came to it: who is to yield is the first of one.
         self.clients = {
-            state: OrderedDict() for state in (FRESH, IDLE, READING, OWED, WRITING, LINGERING)
+            state: OrderedDict()
+            for state in (
+                ConnectionState.NEW,
+                ConnectionState.IDLE,
+                ConnectionState.READING_REQUEST,
+                ConnectionState.AWAITING_RESPONSE,
+                ConnectionState.WRITING_RESPONSE,
+                ConnectionState.LINGERING,
+            )
+        }
+        self.links = {
+            state: OrderedDict()
+            for state in (ConnectionState.CONNECTING, ConnectionState.IDLE, ConnectionState.BUSY)
         }
-        self.links = {state: OrderedDict() for state in (CONNECTING, IDLE, BUSY)}
         self.open = 0  # connections, of both kinds
         self.ids = {}  # of open invocations and of those just answered, to their client
         self.spent = deque()  # (until when it is kept, id) of the latter
@@ -118,27 +117,27 @@
         self.pressed = self.crowded = self.turned_away = 0
         self.counts = Counter()  # what was done since the last line of counts
         self.handlers = {
-            OPENED: self._opened,
-            BEGUN: self._begun,
-            ASKED: self._asked,
-            BODY: self._body,
-            TAKES: self._takes,
-            REPLY_OVER: self._reply_over,
-            FAULTY: self._faulty,
-            ANSWERED: self._answered,
-            CLIENT_ENDED: self._client_ended,
-            UP: self._up,
-            LEFT: self._left,
-            REPLYING: self._replying,
-            REPLIED: self._replied,
-            LINK_ENDED: self._link_ended,
-            HEARD: self._heard,
-            NO_WORD: self._no_word,
-            CONFIGURED: self._configured,
-            CALLED: self._called,
-            ALONE: self._alone,
-            STOP: self._stop,
-            WOKE: self._woke,
+            ConnectionOpened: self._opened,
+            RequestStarted: self._begun,
+            RequestReceived: self._asked,
+            BodyReceived: self._body,
+            ResponseProgressed: self._takes,
+            ResponseCompleted: self._reply_over,
+            MalformedRequest: self._faulty,
+            ResponseSent: self._answered,
+            ClientDisconnected: self._client_ended,
+            UpstreamConnected: self._up,
+            RequestNotSent: self._left,
+            ResponsePartReceived: self._replying,
+            ResponseReceived: self._replied,
+            UpstreamClosed: self._link_ended,
+            EndpointsUpdated: self._heard,
+            DiscoveryLost: self._no_word,
+            ConfigurationLoaded: self._configured,
+            ManagementCall: self._called,
+            SoleProcess: self._alone,
+            StopRequested: self._stop,
+            TimerFired: self._woke,
         }
 
     def _serve_under(self, terms, now):
@@ -157,17 +156,21 @@
         self.refusals = {}  # prepared, by how long clients are told to stay away
         self.forget = FORGET * max(o.request_timeout for o in terms.request_classes)
 
-    def apply(self, now, kind, *what, came=NEVER, idle=NEVER):
-        """`came`: when what this is about may have come, if that was before the host got round to it; `idle`:
-        when the host last had nothing to do."""
+    def apply(self, now, event, came=NEVER, idle=NEVER):
+        """Takes one event and returns the effects that it brings about, in their order.
+
+        `came`: when what the event reports may have come, if that was before the host could handle it;
+        `idle`: when the host last had nothing to do.
+        """
         self.now, self.effects = max(now, self.now), []
         self.came, self.idle = min(came, self.now), idle
-        self.handlers[kind](*what)
+        kind = type(event)
+        self.handlers[kind](*event)
         if self._look_after_due() or kind not in UNDECIDED:
             self._pull()
         if self.leaving and not self.exiting and not any(self.clients.values()):
             self.exiting = True
-            self._do(EXIT)
+            self._do(Exit())
         return self.effects
 
     def next_wakeup(self, now):
@@ -178,11 +181,11 @@
             wakes.append(self.due[0][0])
         return min(wakes, default=None)
 
-    def _do(self, kind, *what):
-        self.effects.append((kind, *what))
+    def _do(self, effect):
+        self.effects.append(effect)
 
     def _note(self, event, **fields):
-        self.effects.append((NOTE, event, fields))
+        self.effects.append(LogEvent(event, fields))
 
     # What is due.
 
@@ -212,7 +215,7 @@
         if connection.queued != moment:
             return  # An earlier one has taken its place; followed up, both would live on for ever.
         connection.queued = None
-        if connection.due is None or connection.state is ENDED:
+        if connection.due is None or connection.state is ConnectionState.CLOSED:
             return
         if connection.due[0] > self.now:
             return self._queue(connection)
@@ -233,7 +236,7 @@
 
     def _count(self, what):
         if not self.counts:
-            self._at(self.now + TOLD_AFTER, self._tell_counts, None)
+            self._at(self.now + LOG_INTERVAL, self._tell_counts, None)
         self.counts[what] += 1
 
     def _tell_counts(self, _):
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -9,7 +9,7 @@
 
 
 class Memory:
-    """Mixed into the Reducer, which holds what is used here."""
+    """Mixed into the ProxyStateMachine, which holds what is used here."""
 
     def kept(self, keys, row_keys):
         """(offerings, backends, work done at all of them, the list's entries), by names, copied.
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -11,26 +11,9 @@
 from pierglade.model.endpoint import LoadReportSource
 from pierglade.model.outcome import Outcome
 from pierglade.proxy.http import message as http
-from pierglade.proxy.state.events import (
-    ASK,
-    BUSY,
-    CONNECT,
-    CONNECTING,
-    CUT,
-    END_LINK,
-    ENDED,
-    GARBLED,
-    IDLE,
-    LIVE_PATH,
-    MARGIN,
-    NEVER,
-    OWED,
-    REFUSED,
-    STALE,
-    STATS_PATH,
-    WRITE,
-    Link,
-)
+from pierglade.proxy.state.connections import CloseCause, ConnectionState, UpstreamConnection
+from pierglade.proxy.state.constants import LIVE_PATH, MARGIN, NEVER, STATS_PATH
+from pierglade.proxy.state.effects import CloseUpstream, Connect, PollDiscovery, SendRequest
 from pierglade.settings.platform import load_told
 
 # Constants. Times are tenths of a millisecond.
@@ -48,14 +31,17 @@
 
 
 class Links:
-    """Mixed into the Reducer, which holds what is used here."""
+    """Mixed into the ProxyStateMachine, which holds what is used here."""
 
     def _pull(self):
         """Carries out the decisions until there is none."""
         for node in list(self.older):
             self._pull_from(node)
             if not (
-                any(client.request.owner is node for client in self.clients[OWED])
+                any(
+                    client.request.owner is node
+                    for client in self.clients[ConnectionState.AWAITING_RESPONSE]
+                )
                 or any(attempt.request.owner is node for attempt in self.carried)
             ):
                 self.older.remove(node)
@@ -82,7 +68,7 @@
                     self._probe(node.endpoint_name(backend))
                 case PollEndpoints():
                     self._count("endpoint_polls")
-                    self._do(ASK)
+                    self._do(PollDiscovery())
                 case RejectRequest(request) | FailRequest(request):
                     # Overdue in the turn in which this was decided, it has its answer, and must not get
                     # another.
@@ -142,7 +128,7 @@
         )
         if link is not None:
             backend.idle.remove(link)
-            self._is(link, BUSY, self.links)
+            self._is(link, ConnectionState.BUSY, self.links)
             self.carried[attempt], link.attempt = link, attempt
             self._watch(link)
             self._write(link)
@@ -154,24 +140,24 @@
         self._watch(link)
 
     def _open(self, backend):
-        link = Link(backend)
+        link = UpstreamConnection(backend)
         self.open += 1
         if not self._make_room(None):
             self.open -= 1
             return None
         backend.links += 1
         backend.coming_up += 1
-        self._is(link, CONNECTING, self.links)
+        self._is(link, ConnectionState.CONNECTING, self.links)
         link.since = self.now
         self._count("connections_opened")
         self._watch(link)
-        self._do(CONNECT, link)
+        self._do(Connect(link))
         return link
 
     def _watch(self, link):
         """Sees to it that what the link waits for comes in time."""
         moment = link.replying or NEVER
-        if link.state is CONNECTING:
+        if link.state is ConnectionState.CONNECTING:
             moment = link.since + self.settings.connect_timeout
         if link.attempt is not None:
             # Times out ahead of the client's limit.
@@ -182,41 +168,41 @@
 
     def _is_late(self, link):
         attempt = link.attempt
-        if link.state is CONNECTING:
-            self._link_ended(link, REFUSED, False, "connect time-out")
+        if link.state is ConnectionState.CONNECTING:
+            self._link_ended(link, CloseCause.CONNECT_FAILED, False, "connect time-out")
         elif attempt is not None and self.now >= attempt.timeout_at - MARGIN:
             self._drop(attempt, "timed out")
             self._return(attempt, Outcome.TIMEOUT)
         else:
             self._link_ended(
                 link,
-                *(GARBLED, True, "endless answer")
+                *(CloseCause.MALFORMED_RESPONSE, True, "endless answer")
                 if link.replying
-                else (REFUSED, False, "probe time-out"),
+                else (CloseCause.CONNECT_FAILED, False, "probe time-out"),
             )
 
     def _up(self, link):
         """The connection has come up."""
-        if link.state is not CONNECTING:
+        if link.state is not ConnectionState.CONNECTING:
             return
         link.backend.coming_up -= 1
-        self._is(link, BUSY, self.links)
+        self._is(link, ConnectionState.BUSY, self.links)
         self._watch(link)
         if link.attempt is None and not link.probing:
             # Its trip went out on another that was free first.
             return self._is_free(link, True)
         if link.probing and self._binds(link.backend):
-            self._link_ended(link, REFUSED, False, "drained")
+            self._link_ended(link, CloseCause.CONNECT_FAILED, False, "drained")
         elif link.probing:
             path = STATS_PATH if self._heeds(LoadReportSource.HEALTH_CHECKS) else LIVE_PATH
             head = http.request_head(b"GET", path, [(b"Host", link.address.encode())], 0)
-            self._do(WRITE, link, head, b"")
+            self._do(SendRequest(link, head, b""))
         else:
             self._write(link)
 
     def _write_later(self, told):
         link, attempt = told
-        if link.attempt is attempt and link.state is BUSY:
+        if link.attempt is attempt and link.state is ConnectionState.BUSY:
             self._write(link)
 
     def _write(self, link):
@@ -249,7 +235,7 @@
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, left // 10)))
         method = b"GET" if message.method == b"HEAD" else message.method
         head = http.request_head(method, http.target(message.url), headers, length)
-        self._do(WRITE, link, head, body)
+        self._do(SendRequest(link, head, body))
 
     def _withdraw(self, link, outcome):
         """Not a byte of its trip is written: the link is free for another. No outcome: the trip goes on."""
@@ -262,7 +248,7 @@
 
     def _left(self, link):
         """What was to be written on the link was not: the end of its client was there to be read."""
-        if link.state is BUSY and link.attempt is not None:
+        if link.state is ConnectionState.BUSY and link.attempt is not None:
             self._client_ended(link.attempt.request.host_context, "client closed")
             self._withdraw(link, Outcome.NOT_SENT)
 
@@ -270,7 +256,7 @@
         """A piece of an answer has come, and it is not whole. Its size is bounded by whoever reads it."""
         if link.flow is not None:
             self._connection_due(link, self.now + FLOW_GOES_ON, self._flow_stands)
-        elif link.state is BUSY:
+        elif link.state is ConnectionState.BUSY:
             link.replying = self.now + REPLY_GOES_ON
             self._watch(link)
 
@@ -282,10 +268,10 @@
     def _replied(self, link, message):
         """A whole answer has come on the link."""
         link.replying = 0
-        if link.state is IDLE:
+        if link.state is ConnectionState.IDLE:
             # Nobody asked: kept, the link would give the next trip an answer that is not its own.
             return self._end_link(link, "unasked answer")
-        if link.state is not BUSY:
+        if link.state is not ConnectionState.BUSY:
             return
         if link.probing:
             if message.status == 200 and self._heeds(LoadReportSource.HEALTH_CHECKS):
@@ -341,7 +327,7 @@
 
     def _reply_over(self, link, keep):
         """An answer that was passed on as it came is whole."""
-        if link.flow is None or link.state is ENDED:
+        if link.flow is None or link.state is ConnectionState.CLOSED:
             return
         if link.reader is not None:
             link.reader.source = None
@@ -356,7 +342,7 @@
         elif self._binds(backend) or backend.address != link.address:
             self._end_link(link, "drained")
         else:
-            self._is(link, IDLE, self.links)
+            self._is(link, ConnectionState.IDLE, self.links)
             backend.idle.append(link)
             link.since = self.now
             if backend.coming_up:
@@ -369,9 +355,9 @@
 
     def _offer(self, link):
         """A link is free while trips wait for others to come up: the oldest of them goes out on it."""
-        if link.state is not IDLE:
+        if link.state is not ConnectionState.IDLE:
             return
-        for other in self.links[CONNECTING]:
+        for other in self.links[ConnectionState.CONNECTING]:
             if (
                 other.backend is link.backend
                 and other.attempt is not None
@@ -380,7 +366,7 @@
                 attempt, other.attempt = other.attempt, None
                 self.carried[attempt], link.attempt = link, attempt
                 link.backend.idle.remove(link)
-                self._is(link, BUSY, self.links)
+                self._is(link, ConnectionState.BUSY, self.links)
                 self._watch(link)
                 self._watch(other)
                 self._count("connections_skipped")
@@ -392,28 +378,28 @@
 
     def _link_ended(self, link, how, whole, reason):
         """A link has ended by itself; `whole` tells whether the last byte of a request was written."""
-        if link.state is ENDED:
+        if link.state is ConnectionState.CLOSED:
             return
         attempt, link.attempt = link.attempt, None
-        if link.state is CONNECTING:
+        if link.state is ConnectionState.CONNECTING:
             self._count("connections_refused")
         if link.probing:
             self._probed(link, False)
         self._end_link(link, reason)
         if attempt is None:
             return
-        if how is STALE:
+        if how is CloseCause.STALE:
             # A kept connection was found closed before a byte was written: the trip has not begun.
             return self._carry(attempt)
-        if how in (GARBLED, CUT):
+        if how in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
             # Ended by us: the backend may go on with its answer, and has it out until our end is there.
             attempt.request.host_context.dropped = self.now
         # Cut: its own client left in the middle of the body, which says nothing of the backend.
         outcome = (
             Outcome.SERVER_ERROR
-            if how is GARBLED
+            if how is CloseCause.MALFORMED_RESPONSE
             else Outcome.NOT_SENT
-            if how is CUT
+            if how is CloseCause.CLIENT_GONE
             else Outcome.CONNECTION_RESET
             if whole
             else Outcome.CONNECT_FAILED
@@ -428,17 +414,17 @@
         backend = link.backend
         self.open -= 1
         backend.links -= 1
-        backend.coming_up -= link.state is CONNECTING
-        if link.state is IDLE:
+        backend.coming_up -= link.state is ConnectionState.CONNECTING
+        if link.state is ConnectionState.IDLE:
             backend.idle.remove(link)
         if backend.probed_on is link:
             backend.probed_on = None
         self._note("upstream_closed", reason=reason, backend=link.backend.name, state=link.state)
-        link.cut, link.state = link.state is BUSY, ENDED
+        link.cut, link.state = link.state is ConnectionState.BUSY, ConnectionState.CLOSED
         if link.reader is not None:
             link.reader.source = None
             link.flow = link.reader = None
-        self._do(END_LINK, link)
+        self._do(CloseUpstream(link))
 
     # Reports and probes.
 
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -7,7 +7,15 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http.body_stream import Flow
 from pierglade.proxy.http.message import Answers, Malformed
-from pierglade.proxy.state import events
+from pierglade.proxy.state.connections import CloseCause, ConnectionState
+from pierglade.proxy.state.events import (
+    RequestNotSent,
+    ResponseCompleted,
+    ResponsePartReceived,
+    ResponseReceived,
+    UpstreamClosed,
+    UpstreamConnected,
+)
 
 
 class LinkSocket:
@@ -33,10 +41,10 @@
             self.sock.connect((host, int(port)))
             sending.set_up(self.sock)
         except OSError as fault:
-            return self._ended(events.REFUSED, f"refused: {fault.strerror or fault}")
-        self.tell(events.UP, self.link)
+            return self._ended(CloseCause.CONNECT_FAILED, f"refused: {fault.strerror or fault}")
+        self.tell(UpstreamConnected(self.link))
         # Passed over while it came up, it stands idle: written blind later, its end would count as a loss.
-        self.kept = self.link.state is events.IDLE
+        self.kept = self.link.state is ConnectionState.IDLE
         self.read()
 
     def read(self):
@@ -52,23 +60,23 @@
                 self.answers.filled(count)
                 self._take()
                 if self.answers.begun():
-                    if self.link.state is events.IDLE:
+                    if self.link.state is ConnectionState.IDLE:
                         # The next answer could not be told from bytes that nobody asked for.
-                        return self._ended(events.BROKE, "unasked bytes")
-                    self.tell(events.REPLYING, self.link)
+                        return self._ended(CloseCause.RESET, "unasked bytes")
+                    self.tell(ResponsePartReceived(self.link))
             if self.answers.ended():
                 self._take_last()
         except Malformed as fault:
-            return self._ended(events.GARBLED, f"malformed answer: {fault}")
+            return self._ended(CloseCause.MALFORMED_RESPONSE, f"malformed answer: {fault}")
         except OSError as fault:
-            return self._ended(events.BROKE, f"broke: {fault.strerror or fault}")
-        self._ended(events.BROKE, "closed by the backend")
+            return self._ended(CloseCause.RESET, f"broke: {fault.strerror or fault}")
+        self._ended(CloseCause.RESET, "closed by the backend")
 
     def _take(self):
         while True:
             if self.flow is not None:
                 self.flow.add(self.answers.piece())
-                self.tell(events.REPLYING, self.link)
+                self.tell(ResponsePartReceived(self.link))
                 if not self.answers.over:
                     return
                 self._flow_is_whole(self.answers.message)
@@ -80,7 +88,7 @@
                     self.answers.length if counted else None, self.read_on.set
                 )
                 self.flow.add(self.answers.piece())
-                self.tell(events.REPLIED, self.link, message)
+                self.tell(ResponseReceived(self.link, message))
                 if self.flow is None or not self.answers.over:
                     return  # Nobody wants it, or there is more to come.
                 self._flow_is_whole(message)
@@ -93,7 +101,7 @@
         # What comes behind an answer, a second copy say, would answer the link's next trip.
         message.keep = message.keep and self.whole and not self.answers.more()
         self.kept, self.whole = True, False
-        self.tell(events.REPLIED, self.link, message)
+        self.tell(ResponseReceived(self.link, message))
 
     def _flow_is_whole(self, message):
         flow, self.flow = self.flow, None
@@ -101,7 +109,7 @@
             flow.finish()
         keep = message.keep and self.whole and not self.answers.more()
         self.kept, self.whole = True, False
-        self.tell(events.REPLY_OVER, self.link, keep)
+        self.tell(ResponseCompleted(self.link, keep))
 
     def _take_last(self):
         """The connection's end is that of the answer."""
@@ -113,7 +121,7 @@
     def _ended(self, how, reason):
         """What ended it is told with whether the request that was out was written whole."""
         self._end_flow()
-        self.tell(events.LINK_ENDED, self.link, how, self.whole, reason)
+        self.tell(UpstreamClosed(self.link, how, self.whole, reason))
 
     def _unwanted(self):
         """Whether nobody waits any more for what is to be written; looked at as late as can be.
@@ -131,10 +139,10 @@
 
     def write(self, head, body):
         if self.kept and sending.waiting(self.sock):
-            self.tell(events.LINK_ENDED, self.link, events.STALE, False, "readable while idle")
+            self.tell(UpstreamClosed(self.link, CloseCause.STALE, False, "readable while idle"))
             return
         if self._unwanted():
-            self.tell(events.LEFT, self.link)
+            self.tell(RequestNotSent(self.link))
             return
         if isinstance(body, Flow):
             gevent.spawn(self._write_flow, head, body)
@@ -142,7 +150,9 @@
         try:
             rest = sending.send_now(self.sock, head, body)
         except OSError as fault:
-            self.tell(events.LINK_ENDED, self.link, events.BROKE, False, f"broke: {fault.strerror}")
+            self.tell(
+                UpstreamClosed(self.link, CloseCause.RESET, False, f"broke: {fault.strerror}")
+            )
             return
         if rest:
             gevent.spawn(self._write_rest, rest)
@@ -155,7 +165,7 @@
                 if self._unwanted():
                     # The backend begins with the last byte: without it nothing runs that nobody waits for.
                     return self.tell(
-                        events.LINK_ENDED, self.link, events.CUT, False, "its client left"
+                        UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "its client left")
                     )
                 try:
                     rest = rest[self.sock._sock.send(rest, socket.MSG_DONTWAIT) :]
@@ -164,7 +174,7 @@
             self.whole = True
         except OSError as fault:
             # Part of the last piece may have gone: counted as written, it is never run twice.
-            self.tell(events.LINK_ENDED, self.link, events.BROKE, True, f"broke: {fault.strerror}")
+            self.tell(UpstreamClosed(self.link, CloseCause.RESET, True, f"broke: {fault.strerror}"))
 
     def _write_flow(self, head, flow):
         """A body that was gathered stays, for a further trip; another is written as it comes."""
@@ -174,7 +184,9 @@
                 for piece in list(flow.pieces):
                     if self._unwanted():
                         return self.tell(
-                            events.LINK_ENDED, self.link, events.CUT, False, "its client left"
+                            UpstreamClosed(
+                                self.link, CloseCause.CLIENT_GONE, False, "its client left"
+                            )
                         )
                     self.sock.sendall(piece)
             else:
@@ -182,15 +194,18 @@
             self.whole = not flow.broken
             if flow.broken and self.link.attempt is not None:
                 # Where trips may not be called off nobody else would end it: its body is never whole.
-                self.tell(events.LINK_ENDED, self.link, events.CUT, False, "body broke off")
+                self.tell(
+                    UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "body broke off")
+                )
         except OSError as fault:
             # As above, where the last piece was on its way; before it, the backend has not begun.
             self.tell(
-                events.LINK_ENDED,
-                self.link,
-                events.BROKE,
-                flow.whole and not flow.waiting,
-                f"broke: {fault.strerror}",
+                UpstreamClosed(
+                    self.link,
+                    CloseCause.RESET,
+                    flow.whole and not flow.waiting,
+                    f"broke: {fault.strerror}",
+                ),
             )
 
     def _end_flow(self):
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -19,7 +19,13 @@
 from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.discovery import Discovery
 from pierglade.proxy.event_loop import Clock, Timer, in_steps
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.effects import LogEvent, PollDiscovery, ResyncEndpoints
+from pierglade.proxy.state.events import (
+    ConfigurationLoaded,
+    DiscoveryLost,
+    EndpointsUpdated,
+    TimerFired,
+)
 from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.reconfiguration import quota_changes as shares
 from pierglade.scale import child
@@ -74,16 +80,16 @@
         self.follow(FIRST)
         self.start()
 
-    def tell(self, kind, *what):
-        if kind == ev.NO_WORD:
+    def tell(self, event):
+        if isinstance(event, DiscoveryLost):
             self.lost += 1
-        elif kind == ev.HEARD:
-            document = what[0]
+        elif isinstance(event, EndpointsUpdated):
+            document = event.document
             index, told = document["index"], document["endpoints"]
             if told and not document["snapshot"] and self.index is not None and index <= self.index:
                 self.twice += 1
-        self.take(kind, *what)
-        if kind == ev.HEARD and self.index is not None:
+        self.take(event)
+        if isinstance(event, EndpointsUpdated) and self.index is not None:
             self.stamps.append((self.index, monotonic()))
 
     def delay(self, index, at):
@@ -104,10 +110,10 @@
     def begin(self):
         self.other = {}
 
-    def take(self, kind, *what):
-        if kind != ev.HEARD:
+    def take(self, event):
+        if not isinstance(event, EndpointsUpdated):
             return
-        document = what[0]
+        document = event.document
         if document["snapshot"]:
             self.other = {}
             if len(document["endpoints"]) < len(self.at_first):
@@ -140,26 +146,26 @@
     def begin(self):
         self.place, self.version = place_from(os.environ), 0
         place = self.place
-        self.timer = Timer(self.clock, lambda late: self.tell(ev.WOKE))
+        self.timer = Timer(self.clock, lambda late: self.tell(TimerFired()))
         self.reducer = ProxyStateMachine(
             place.seed, place.settings, self.clock.now(), place.sockets, place.discovery, place.told
         )
         self.reducer.known(place.known)
         place.known = {}  # as a node does: the reducer has what it needs of it
 
-    def take(self, kind, *what):
+    def take(self, event):
         began = thread_time()
-        effects = self.reducer.apply(self.clock.now(), kind, *what)
+        effects = self.reducer.apply(self.clock.now(), event)
         took = thread_time() - began
         self.index = self.reducer.index
-        if kind == ev.HEARD:
+        if isinstance(event, EndpointsUpdated):
             self.list_s.append(took)
-        for effect, *rest in effects:
-            if effect == ev.RELIST:
+        for effect in effects:
+            if isinstance(effect, ResyncEndpoints):
                 self.discovery.relist()
-            elif effect == ev.ASK:
+            elif isinstance(effect, PollDiscovery):
                 self.discovery.ask()
-            elif effect == ev.NOTE and rest[0] == LOADED:
+            elif isinstance(effect, LogEvent) and effect.event == LOADED:
                 self.settings_at.append((self.version, monotonic()))
         self.timer.set(self.reducer.next_wakeup(self.clock.now()))
 
@@ -171,7 +177,7 @@
             shares.steps(self.reducer.settings.tenants, place.settings.tenants.shares)
         )
         self.version = place.told["version"]
-        self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, difference)
+        self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, difference))
         self.settings_s.append(thread_time() - began)
 
     def wrong(self, changed):
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -6,7 +6,7 @@
 from pierglade.model.endpoint import EndpointState, LoadReport, LoadReportSource
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.events import EndpointsUpdated
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import MS, Desk, Scene, TraceTest, entry, listed
 
@@ -186,13 +186,15 @@
             desk = Desk(["b0"], removal_binds=binds)
             for status in ("DELETED", "DRAINING", "DELETED"):
                 desk.tell(
-                    ev.HEARD, {"index": 2, "snapshot": False, "endpoints": [entry("b0", status)]}
+                    EndpointsUpdated(
+                        {"index": 2, "snapshot": False, "endpoints": [entry("b0", status)]}
+                    )
                 )
                 desk.after(200)
                 backend = desk.reducer.backends["b0"]
                 left_alone = desk.reducer._binds(backend)
                 lines.append(f"gone binds {binds}, {status}: left alone {left_alone}")
             desk.after(60000)
-            desk.tell(ev.HEARD, {"index": 3, "snapshot": False, "endpoints": []})
+            desk.tell(EndpointsUpdated({"index": 3, "snapshot": False, "endpoints": []}))
             lines.append(f"after a minute known: {list(desk.reducer.backends)}")
         self.check("untrue_link", lines)
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -7,7 +7,21 @@
 from pierglade.model.endpoint import LoadReportSource
 from pierglade.proxy.http import message as http
 from pierglade.proxy.http.body_stream import Flow
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.constants import SPARE
+from pierglade.proxy.state.events import (
+    ClientDisconnected,
+    ConfigurationLoaded,
+    DiscoveryLost,
+    EndpointsUpdated,
+    RequestReceived,
+    RequestStarted,
+    ResponsePartReceived,
+    ResponseReceived,
+    StopRequested,
+    TimerFired,
+    UpstreamConnected,
+)
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import Desk, TraceTest, balancer_settings, entry, message
 
@@ -36,7 +50,7 @@
         decide = node.next_decision
         node.next_decision = lambda now: owed.pop() if owed else decide(now)
         desk.after(20)
-        desk.tell(ev.WOKE)
+        desk.tell(TimerFired())
         desk.after(3)
         desk.say(f"cut in the middle {link.cut}")
         self.check("apart", desk.lines)
@@ -65,7 +79,7 @@
         desk.taken("c0")
         desk.after(10)
         desk.ask("c0", "/pay", body="five")
-        desk.lose(ev.STALE, whole=False)
+        desk.lose(CloseCause.STALE, whole=False)
         desk.up()
         self.check("node_stale", desk.lines)
 
@@ -73,16 +87,16 @@
         """A break after the last byte, and a 503 that does not say otherwise, end a one-shot for good."""
         lines = []
         for path, how, *end in (
-            ("/pay", "lose", ev.BROKE, True),
-            ("/pay", "lose", ev.BROKE, False),
+            ("/pay", "lose", CloseCause.RESET, True),
+            ("/pay", "lose", CloseCause.RESET, False),
             ("/pay", "reply", 400),
             ("/look", "reply", 429),
             ("/pay", "reply", 429),
             ("/pay", "reply", 503),
             ("/pay", "reply", 504, "X-Never-Ran: 1\r\n"),
-            ("/pay", "lose", ev.GARBLED, True),
+            ("/pay", "lose", CloseCause.MALFORMED_RESPONSE, True),
             ("/look", "reply", 503),
-            ("/hold", "lose", ev.BROKE, True),
+            ("/hold", "lose", CloseCause.RESET, True),
         ):
             desk = Desk(["b0", "b1"])
             desk.ask("c0", path)
@@ -108,14 +122,16 @@
             desk.now += 2000
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {waited}\r\n\r\n"
             desk.tell(
-                ev.ASKED, desk.clients["c0"], message(head.encode()), came=desk.now - waited * 10
+                RequestReceived(desk.clients["c0"], message(head.encode())),
+                came=desk.now - waited * 10,
             )
             if waited == 50:
                 desk.up()
                 desk.now += 1000
                 answer = b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n"
                 desk.tell(
-                    ev.REPLIED, desk.links[0], message(answer, http.Answers), came=desk.now - 800
+                    ResponseReceived(desk.links[0], message(answer, http.Answers)),
+                    came=desk.now - 800,
                 )
                 desk.taken("c0")
         typical = desk.reducer.node.table[0].typical
@@ -131,9 +147,7 @@
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {n}\r\n\r\n"
             desk.say(f"idle {idle} ms ago, waited {waited} ms")
             desk.tell(
-                ev.ASKED,
-                desk.clients[f"c{n}"],
-                message(head.encode()),
+                RequestReceived(desk.clients[f"c{n}"], message(head.encode())),
                 came=desk.now - waited * 10,
                 idle=desk.now - idle * 10,
             )
@@ -149,14 +163,14 @@
         desk.ask("c0", "/pay", left=700)
         desk.up()
         desk.now += 7000
-        desk.lose(ev.BROKE)
+        desk.lose(CloseCause.RESET)
         self.check("node_overdue", desk.lines)
 
     def test_client_gone(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/pay")
         desk.up()
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
+        desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
         desk.reply()
         self.check("node_client_gone", desk.lines)
 
@@ -176,8 +190,9 @@
         try:
             desk.ask("c1")
         except ZeroDivisionError:
-            kind, client, head, _ = desk.reducer.salvage(desk.clients["c1"])[-1]
-            desk.say(f"fault: {kind} {client.io.name} {head.split()[1].decode()}")
+            effect = desk.reducer.salvage(desk.clients["c1"])[-1]
+            name, status = effect.connection.io.name, effect.head.split()[1].decode()
+            desk.say(f"fault: {type(effect).__name__} {name} {status}")
         desk.reducer.node.next_decision = decide
         desk.after(998)
         self.check("node_fault", desk.lines)
@@ -224,8 +239,8 @@
             "changes older than what is known, then half a message: the whole list is asked for"
         )
         desk.hear([entry("b1", "DELETED")], 4, whole=False)
-        desk.tell(ev.HEARD, {"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]})
-        desk.tell(ev.HEARD, [])
+        desk.tell(EndpointsUpdated({"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]}))
+        desk.tell(EndpointsUpdated([]))
         desk.hear(["b0"], 7)
         desk.hear([entry("b0", address="127.0.0.1:9999", since_ms=900)], 8, whole=False)
         self.check("node_list", desk.lines)
@@ -256,16 +271,16 @@
         desk = Desk(["b0", "b1"])
         for name in ("c0", "c1"):
             desk.ask(name)
-            desk.lose(ev.REFUSED, whole=False, link=0) if name == "c0" else None
+            desk.lose(CloseCause.CONNECT_FAILED, whole=False, link=0) if name == "c0" else None
         desk.after(200)
         desk.up()
         desk.reply()
-        self.check("node_probe", [line for line in desk.lines if "note" not in line])
+        self.check("node_probe", [line for line in desk.lines if " log " not in line])
 
     def test_probe_without_an_answer(self):
         desk = Desk(["b0", "b1"])
         desk.ask("c0")
-        desk.lose(ev.REFUSED, whole=False)
+        desk.lose(CloseCause.CONNECT_FAILED, whole=False)
         desk.after(200)
         desk.up()
         desk.after(210)
@@ -287,7 +302,7 @@
         desk.ask("c0")
         desk.up()
         for _ in range(3):
-            desk.tell(ev.REPLYING, desk.links[0])
+            desk.tell(ResponsePartReceived(desk.links[0]))
             desk.after(90)
         desk.after(11)
         self.check("node_endless", desk.lines)
@@ -316,8 +331,8 @@
         """Discovery elsewhere: nothing is forgotten until its whole list is there, whatever its version."""
         desk = Desk(["b0", "b1"])
         told = {"discovery": "127.0.0.1:1", "limits": {"sockets": 9}, "seed": "other"}
-        desk.tell(ev.CONFIGURED, "127.0.0.1:1", told)
-        desk.tell(ev.CONFIGURED, "127.0.0.1:1", told)
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
         desk.ask("c0", "/health/ready", "GET")
         desk.hear([entry("b1", "DELETED")], 0, whole=False)
         desk.hear(["b0"], 0)
@@ -337,7 +352,7 @@
         )
         desk.ask("c0", "/pay")
         desk.up()
-        desk.tell(ev.CONFIGURED, "", after, balancer_settings(**shared))
+        desk.tell(ConfigurationLoaded("", after, balancer_settings(**shared)))
         desk.say("the turn goes on where it was, at b1, then b0")
         desk.ask("c4")
         desk.up()
@@ -350,7 +365,7 @@
         desk.reply()
         desk.say("the way back is the same step")
         desk.ask("c2")
-        desk.tell(ev.CONFIGURED, "", before, balancer_settings())
+        desk.tell(ConfigurationLoaded("", before, balancer_settings()))
         desk.up()
         desk.reply()
         desk.after(200)
@@ -394,11 +409,11 @@
             desk.ask("c0")
             attempt = next(iter(desk.reducer.carried))
             link = desk.reducer.carried[attempt]
-            desk.tell(ev.UP, link)
+            desk.tell(UpstreamConnected(link))
             desk.tell(
-                ev.REPLIED,
-                link,
-                message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", http.Answers),
+                ResponseReceived(
+                    link, message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", http.Answers)
+                ),
             )
             desk.taken("c0")
             desk.after(10)
@@ -406,7 +421,7 @@
                 break
         desk.up()
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
-        desk.tell(ev.REPLIED, desk.links[-1], message(answer, http.Answers))
+        desk.tell(ResponseReceived(desk.links[-1], message(answer, http.Answers)))
         desk.say(f"pace {desk.reducer.node.told_pace}, queue {desk.reducer.node.told_queue}")
         self.check("node_stats", desk.lines)
 
@@ -415,10 +430,10 @@
         desk = Desk(["b0", "b1"], polls_endpoints=True)
         desk.after(10)
         for _ in range(5):
-            desk.tell(ev.NO_WORD, "down")
+            desk.tell(DiscoveryLost("down"))
             desk.after(8000)
         desk.hear(["b0", "b1"], 3)
-        desk.tell(ev.NO_WORD, "down")
+        desk.tell(DiscoveryLost("down"))
         desk.after(8000)
         self.check("node_asks", desk.lines)
 
@@ -463,9 +478,9 @@
             desk.open(f"c{n}")
             desk.lines = []
             desk.tell(
-                ev.ASKED,
-                desk.clients[f"c{n}"],
-                message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode()),
+                RequestReceived(
+                    desk.clients[f"c{n}"], message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode())
+                ),
             )
             lines += [f"{first} with {headers.split()[::2]}", *desk.lines]
         self.check("node_bad_requests", lines)
@@ -480,7 +495,7 @@
         desk.ask("ann", method="HEAD")
         large = message(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", http.Answers)
         large.flow = Flow(70000, lambda: None)
-        desk.tell(ev.REPLIED, desk.links[-1], large)
+        desk.tell(ResponseReceived(desk.links[-1], large))
         self.check("node_head", desk.lines)
 
     def test_ids_are_taken_once(self):
@@ -502,13 +517,13 @@
         desk.open("c0")
         desk.after(1900)
         for _ in range(3):
-            desk.tell(ev.BEGUN, desk.clients["c0"])
+            desk.tell(RequestStarted(desk.clients["c0"]))
             desk.after(300)
         self.check("node_trickle", desk.lines)
 
     def test_hundreds_that_say_nothing(self):
         """They yield, the oldest first, before a link or a client that asked."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 4)
+        desk = Desk(["b0"], sockets=SPARE + 4)
         desk.ask("usual")
         desk.up()
         desk.reply()
@@ -517,17 +532,19 @@
             desk.after(30)
             desk.open(f"silent{n}")
             if n > 1:
-                desk.tell(ev.CLIENT_ENDED, desk.clients[f"silent{n - 2}"], "yielded")
+                desk.tell(ClientDisconnected(desk.clients[f"silent{n - 2}"], "yielded"))
         desk.ask("usual")
         self.check("node_silent", desk.lines)
 
     def test_clients_that_hold_on_make_way_for_others(self):
         """Descriptors are left, but clients are allowed no more connections than a part of them."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 16)
+        desk = Desk(["b0"], sockets=SPARE + 16)
         for n in range(7):
             desk.open(f"c{n}")
             desk.tell(
-                ev.ASKED, desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+                RequestReceived(
+                    desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+                )
             )
             desk.taken(f"c{n}")
             desk.after(150)
@@ -540,7 +557,7 @@
     def test_slow_sender_and_slow_reader(self):
         desk = Desk(["b0"])
         desk.open("c0")
-        desk.tell(ev.BEGUN, desk.clients["c0"])
+        desk.tell(RequestStarted(desk.clients["c0"]))
         desk.after(5001)
         desk.after(5001)
         desk.open("c1")
@@ -549,26 +566,26 @@
 
     def test_sockets_are_used_up(self):
         """Idle links yield first, then idle clients; if none is idle the newcomer is told to come back."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 3)
+        desk = Desk(["b0"], sockets=SPARE + 3)
         desk.ask("c0")
         desk.up()
         desk.reply()
         desk.taken("c0")
         for name in ("c1", "c2", "c3"):
             desk.open(name)
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "yielded")
+        desk.tell(ClientDisconnected(desk.clients["c0"], "yielded"))
         desk.open("c7")
         desk.say("c7 was just opened and does not yield to c8; later two ask, and links need room")
         desk.open("c8")
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c7"], "client closed")
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c8"], "client closed")
+        desk.tell(ClientDisconnected(desk.clients["c7"], "client closed"))
+        desk.tell(ClientDisconnected(desk.clients["c8"], "client closed"))
         desk.after(100)
         for name in ("c1", "c2"):
             desk.ask(name)
         desk.ask("c4")
         desk.say("all are busy, one of them with sending")
         desk.open("c5")
-        desk.tell(ev.BEGUN, desk.clients["c5"])
+        desk.tell(RequestStarted(desk.clients["c5"]))
         desk.ask("c6")
         self.check("node_sockets", desk.lines)
 
@@ -579,8 +596,8 @@
         desk.open("c0")
         desk.ask("c1", left=1000)
         desk.up()
-        desk.tell(ev.STOP)
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "stopping")
+        desk.tell(StopRequested())
+        desk.tell(ClientDisconnected(desk.clients["c0"], "stopping"))
         desk.reply()
         desk.taken("c1")
         desk.after(300)
@@ -599,7 +616,7 @@
 
     def test_the_end_waits_for_what_the_door_let_in_last(self):
         desk = Desk(["b0"])
-        desk.tell(ev.STOP)
+        desk.tell(StopRequested())
         desk.after(2000)
         self.check("node_stop_idle", desk.lines)
 
@@ -608,7 +625,7 @@
         desk.reducer.request_classes[b"look"].request_timeout = 50000
         desk.ask("c0", left=5000)
         desk.up()
-        desk.tell(ev.STOP)
+        desk.tell(StopRequested())
         desk.after(3100)
         desk.taken("c0")
         desk.after(1000)
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -20,7 +20,10 @@
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.state import downstream as state_clients
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause, ConnectionState
+from pierglade.proxy.state.constants import SPARE
+from pierglade.proxy.state.effects import PollDiscovery, ResyncEndpoints
+from pierglade.proxy.state.events import EndpointsUpdated, TimerFired, UpstreamClosed
 from tests.proxy.test_crossing_events import OFFERINGS, House, http_request, leave, until
 from tests.proxy.test_sockets import CHUNKED, SETTINGS, Peer, answer
 from tests.support.scene import MS, Desk, balancer_settings, entry
@@ -128,7 +131,7 @@
                 self.now = end
                 break
             self.now = max(self.now, (wake - self.start) / 1000 / MS)
-            self.apply(ev.WOKE)
+            self.apply(TimerFired())
         if self.now > self.reached + GIVEN_UP:
             raise Told
 
@@ -137,16 +140,20 @@
 
     # The host of the follower.
 
-    def tell(self, kind, *what):
-        if kind is ev.HEARD and isinstance(what[0], dict) and what[0]["index"] >= 8:
+    def tell(self, event):
+        if (
+            isinstance(event, EndpointsUpdated)
+            and isinstance(event.document, dict)
+            and event.document["index"] >= 8
+        ):
             raise Told
-        self.apply(kind, *what)
+        self.apply(event)
 
-    def apply(self, kind, *what):
-        for effect, *_ in self.desk.reducer.apply(self.tenths(), kind, *what):
-            if effect is ev.ASK:
+    def apply(self, event):
+        for effect in self.desk.reducer.apply(self.tenths(), event):
+            if isinstance(effect, PollDiscovery):
                 self.watch.ask()
-            elif effect is ev.RELIST:
+            elif isinstance(effect, ResyncEndpoints):
                 self.watch.relist()
 
     # In the place of its event.
@@ -321,7 +328,9 @@
             backend.reply = lambda message: held
         sock.sendall(http_request(request_class, "1"))
         until(lambda: f"/{request_class}/1" in house.seen())
-        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.attempt)
+        house.first = next(
+            link for link in house.host.reducer.links[ConnectionState.BUSY] if link.attempt
+        )
         for backend in house.backends:
             backend.seen.clear()
         return house.first
@@ -330,7 +339,7 @@
         """Its further attempt waits for a connection; the end is read first."""
         link = self.out(house, sock, request_class)
         house.gate.clear()
-        house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
+        house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
         until(house.connecting)
         yield
         until(lambda: not any(house.host.reducer.clients.values()))
@@ -340,7 +349,7 @@
         """The same; the end is there as the connection comes up."""
         link = self.out(house, sock, request_class)
         house.gate.clear()
-        house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
+        house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
         until(house.connecting)
         yield
         house.gate.set()
@@ -348,7 +357,9 @@
     def further_apart(self, house, sock, request_class):
         """Its further attempt waits until the end of the one before is there."""
         link = self.out(house, sock, request_class)
-        house.host.tell(ev.LINK_ENDED, link, ev.GARBLED, True, "as the test says")
+        house.host.tell(
+            UpstreamClosed(link, CloseCause.MALFORMED_RESPONSE, True, "as the test says")
+        )
         yield
 
     def kept_while_busy(self, house, sock, request_class):
@@ -357,7 +368,7 @@
         sock.setblocking(False)
         until(lambda: sending.waiting(mock.Mock(_sock=sock)))
         sock.recv(1000)
-        until(lambda: house.host.reducer.clients[ev.IDLE])
+        until(lambda: house.host.reducer.clients[ConnectionState.IDLE])
         sock.setblocking(True)
         sock.sendall(http_request(request_class, "1"))
         yield
@@ -401,19 +412,25 @@
                 for n, sock in enumerate(socks):
                     sock.sendall(http_request("look", str(n)))
                 reducer = house.host.reducer
-                until(lambda reducer=reducer: len(reducer.clients[ev.OWED]) == 60)
+                until(
+                    lambda reducer=reducer: (
+                        len(reducer.clients[ConnectionState.AWAITING_RESPONSE]) == 60
+                    )
+                )
                 until(lambda house=house: not house.connecting())
                 until(lambda house=house: len(house.seen()) == len(house.host.reducer.carried))
                 waiting = {
                     client.id.decode()
-                    for client in reducer.clients[ev.OWED]
+                    for client in reducer.clients[ConnectionState.AWAITING_RESPONSE]
                     if not client.request.attempts
                 }
                 self.assertGreater(len(waiting), 10)
                 for number in waiting:
                     leave(socks[int(number)], how)
                 held.set()
-                until(lambda reducer=reducer: not reducer.clients[ev.OWED])
+                until(
+                    lambda reducer=reducer: not reducer.clients[ConnectionState.AWAITING_RESPONSE]
+                )
                 for sock in socks:
                     sock.close()
                 del socks, sock
@@ -506,18 +523,18 @@
     """Idle clients fill the descriptors while discovery is down."""
 
     def test_a_link_for_a_request_in_hand_goes_before_clients_that_were_just_opened(self):
-        desk = Desk(["b0"], sockets=ev.SPARE + 3)
+        desk = Desk(["b0"], sockets=SPARE + 3)
         for name in ("c0", "c1", "c2"):
             desk.open(name)
         desk.lines = []
         desk.ask("c3")
         told = [line.split()[1:] for line in desk.lines]
         self.assertEqual(
-            [line for line in told if line[0] in ("let", "connect", "answer")],
+            [line for line in told if line[0] in ("CloseWhenRead", "Connect", "SendResponse")],
             [
-                ["let", "go", "c0", "yielded"],
-                ["let", "go", "c1", "yielded"],
-                ["connect", "link", "0", "b0"],
+                ["CloseWhenRead", "c0", "yielded"],
+                ["CloseWhenRead", "c1", "yielded"],
+                ["Connect", "link", "0", "b0"],
             ],
         )
 
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -27,8 +27,19 @@
 from pierglade.proxy.http import message as http
 from pierglade.proxy.server import Host
 from pierglade.proxy.state import downstream as state_clients
-from pierglade.proxy.state import events as ev
 from pierglade.proxy.state import upstream as links
+from pierglade.proxy.state.connections import CloseCause, ConnectionState
+from pierglade.proxy.state.events import (
+    ConfigurationLoaded,
+    EndpointsUpdated,
+    RequestReceived,
+    RequestStarted,
+    ResponsePartReceived,
+    ResponseReceived,
+    StopRequested,
+    TimerFired,
+    UpstreamClosed,
+)
 from pierglade.proxy.upstream import LinkSocket
 from tests.proxy.state.test_machine import warm_desk
 from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
@@ -133,7 +144,7 @@
             self.list()
 
     def list(self):
-        self.host.tell(ev.HEARD, self.known)
+        self.host.tell(EndpointsUpdated(self.known))
 
     def client(self):
         return socket.create_connection(self.host.door.sock.getsockname())
@@ -142,7 +153,11 @@
         return [url for backend in self.backends for url in backend.seen]
 
     def connecting(self):
-        return [link for link in self.host.reducer.links[ev.CONNECTING] if link.attempt is not None]
+        return [
+            link
+            for link in self.host.reducer.links[ConnectionState.CONNECTING]
+            if link.attempt is not None
+        ]
 
     def warm(self):
         """A link to each backend that is used again at once."""
@@ -158,9 +173,9 @@
                 all(
                     reducer.now - link.since >= links.REST
                     and self.host.clock.now() - link.since >= links.REST
-                    for link in reducer.links[ev.IDLE]
+                    for link in reducer.links[ConnectionState.IDLE]
                 )
-                or self.host.tell(ev.WOKE)
+                or self.host.tell(TimerFired())
             )
         )
 
@@ -170,7 +185,7 @@
         self.gate.set()
         until(lambda: not any(reducer.clients.values()))
         if self.first is not None:  # its backend still holds the first request
-            self.host.tell(ev.LINK_ENDED, self.first, ev.BROKE, True, "as the test says")
+            self.host.tell(UpstreamClosed(self.first, CloseCause.RESET, True, "as the test says"))
         for backend in self.backends:
             backend.reply = lambda message: answer(200, b"ok")
         before = len(self.seen())
@@ -248,7 +263,11 @@
         go, line = Event(), house.host.line
         line.full, line.wait = lambda: True, lambda *what: go.wait()
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: any(client.io.come for client in house.host.reducer.clients[ev.FRESH]))
+        until(
+            lambda: any(
+                client.io.come for client in house.host.reducer.clients[ConnectionState.NEW]
+            )
+        )
         yield
         go.set()
 
@@ -259,14 +278,16 @@
             backend.reply = lambda message: held
         sock.sendall(http_request(request_class, "first") + more)
         until(lambda: any("first" in url for url in house.seen()))
-        house.first = next(link for link in house.host.reducer.links[ev.BUSY] if link.attempt)
+        house.first = next(
+            link for link in house.host.reducer.links[ConnectionState.BUSY] if link.attempt
+        )
         return house.first
 
     def ahead(self, house, sock, request_class):
         """Behind one in hand, whose answer comes as the client leaves."""
         link = self.first(house, sock, request_class, http_request(request_class, "1"))
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), http.Answers)))
 
     def far_ahead(self, house, sock, request_class):
         """Behind one in hand and before more than the buffer holds."""
@@ -277,7 +298,7 @@
             b"".join(http_request(request_class, str(n)) for n in range(1, 90)),
         )
         yield
-        house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+        house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), http.Answers)))
 
     def decisions(self, house, sock, request_class):
         """Held by the decisions: they decide as the client leaves."""
@@ -286,10 +307,10 @@
             lambda now: None,
         )
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: house.host.reducer.clients[ev.OWED])
+        until(lambda: house.host.reducer.clients[ConnectionState.AWAITING_RESPONSE])
         yield
         house.host.reducer.node.next_decision = decide
-        house.host.tell(ev.WOKE)
+        house.host.tell(TimerFired())
 
     def again(self, house, sock, request_class):
         """Before its further trip; the loss is told before the end is read."""
@@ -297,7 +318,7 @@
         yield
         for backend in house.backends:
             backend.seen.clear()
-        house.host.tell(ev.LINK_ENDED, link, ev.BROKE, False, "as the test says")
+        house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
 
     def kernel(self, house, sock, request_class):
         """In the kernel, before it is accepted."""
@@ -377,7 +398,7 @@
             sock = house.client()
             link = self.first(house, sock, "look", http_request("look", "1"))
             client = link.attempt.request.host_context
-            house.host.tell(ev.REPLIED, link, message(answer(200, b"ok"), http.Answers))
+            house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), http.Answers)))
             client.io.requests.drop()
             gevent.sleep(0)
             gevent.sleep(0)
@@ -390,7 +411,7 @@
         """By us, before or while its rest waits: whoever writes it ends, and raises nothing."""
         for turns in (0, 3):
             ours, theirs = socket.socketpair()
-            link = mock.Mock(probing=True, state=ev.BUSY, cut=True)
+            link = mock.Mock(probing=True, state=ConnectionState.BUSY, cut=True)
             told = []
             seat = LinkSocket(link, lambda *what, told=told: told.append(what))
             seat.sock.close()
@@ -434,12 +455,12 @@
                     until(
                         lambda house=house: any(
                             link.io.whole is False and link.attempt
-                            for link in house.host.reducer.links[ev.BUSY]
+                            for link in house.host.reducer.links[ConnectionState.BUSY]
                         )
                     )
                     gevent.sleep(0)
                     sock.close()
-                    until(lambda house=house: not house.host.reducer.clients[ev.FRESH])
+                    until(lambda house=house: not house.host.reducer.clients[ConnectionState.NEW])
                     go.set()
                     seen = house.rest()
                 lines.append(
@@ -468,21 +489,29 @@
             held.set()
             until(lambda: "/look/passed" in backend.seen)
             house.gate.set()
-            until(lambda: len(reducer.links[ev.IDLE]) == 2 == len(backend.socks))
+            until(lambda: len(reducer.links[ConnectionState.IDLE]) == 2 == len(backend.socks))
             until(
                 lambda: all(
                     house.host.clock.now() - link.since > links.REST
-                    for link in reducer.links[ev.IDLE]
+                    for link in reducer.links[ConnectionState.IDLE]
                 )
             )
-            fresh = next(link for link in reducer.links[ev.IDLE] if not link.io.answers.end)
+            fresh = next(
+                link for link in reducer.links[ConnectionState.IDLE] if not link.io.answers.end
+            )
             fresh.backend.idle.sort(key=lambda link: link is fresh)
-            until(lambda: len(reducer.clients[ev.FRESH]) + len(reducer.clients[ev.IDLE]) == 3)
-            client = next(iter(reducer.clients[ev.FRESH]))
+            until(
+                lambda: (
+                    len(reducer.clients[ConnectionState.NEW])
+                    + len(reducer.clients[ConnectionState.IDLE])
+                    == 3
+                )
+            )
+            client = next(iter(reducer.clients[ConnectionState.NEW]))
             backend.socks[1]._sock.shutdown(
                 socket.SHUT_RDWR
             )  # and the loop does not turn before it is written
-            house.host.tell(ev.ASKED, client, message(http_request("pay", "once")))
+            house.host.tell(RequestReceived(client, message(http_request("pay", "once"))))
             three.setblocking(False)
             until(lambda: sending.waiting(mock.Mock(_sock=three)))
             status, times = three.recv(100).split()[1].decode(), backend.seen.count("/pay/once")
@@ -501,7 +530,9 @@
             if what == "probe drained":
                 for name in ("c0", "c1"):
                     desk.ask(name)
-                    desk.lose(ev.REFUSED, whole=False, link=0) if name == "c0" else None
+                    desk.lose(
+                        CloseCause.CONNECT_FAILED, whole=False, link=0
+                    ) if name == "c0" else None
                 desk.after(200)
                 link = next(n for n, link in enumerate(desk.links) if link.probing)
             else:
@@ -515,7 +546,7 @@
             else:
                 desk.hear([entry(desk.links[link].backend.name, "DRAINING")], 2, whole=False)
             desk.up(link)
-            lines += [line for line in desk.lines if "note" not in line]
+            lines += [line for line in desk.lines if " log " not in line]
         self.check("crossings_coming_up", lines)
 
     def test_settings_that_change_while_a_link_comes_up(self):
@@ -523,7 +554,7 @@
         list was asked for, who waits for the word to ask again is not left waiting."""
         desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
         desk.ask("c0", "/pay")
-        desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(removal_binds=False))
+        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(removal_binds=False)))
         desk.hear([entry("b0", "DELETED")], 2, whole=False)
         desk.up()
         self.check("crossings_settings", desk.lines)
@@ -546,9 +577,9 @@
         desk = warm_desk()
         desk.ask("c0")
         link = next(n for n, link in enumerate(desk.links) if link.attempt)
-        desk.tell(ev.REPLYING, desk.links[link])
+        desk.tell(ResponsePartReceived(desk.links[link]))
         desk.after(102)
-        self.check("crossings_garbled", [line for line in desk.lines if "note" not in line])
+        self.check("crossings_garbled", [line for line in desk.lines if " log " not in line])
 
     def test_a_second_answer_some_ms_late(self):
         """Behind the first by 4 ms: it answers nobody, and the next trip is not on its link."""
@@ -576,18 +607,19 @@
         desk = Desk(["b0"], request_classes=rows, may_cancel=False, connect_timeout=5000 * MS)
         for name in ("half", "late"):
             desk.open(name)
-        desk.tell(ev.BEGUN, desk.clients["half"], None)
-        desk.tell(ev.STOP)
-        desk.tell(ev.STOP)  # two, and new settings behind them, change nothing of the end
+        desk.tell(RequestStarted(desk.clients["half"], None))
+        desk.tell(StopRequested())
+        desk.tell(StopRequested())  # two, and new settings behind them, change nothing of the end
         desk.tell(
-            ev.CONFIGURED,
-            "",
-            {"settings": 1},
-            balancer_settings(
-                request_classes=rows,
-                may_cancel=False,
-                connect_timeout=5000 * MS,
-                max_retry_after=10000 * MS,
+            ConfigurationLoaded(
+                "",
+                {"settings": 1},
+                balancer_settings(
+                    request_classes=rows,
+                    may_cancel=False,
+                    connect_timeout=5000 * MS,
+                    max_retry_after=10000 * MS,
+                ),
             ),
         )
         desk.after(600)
@@ -601,7 +633,7 @@
         desk.ask("late", "/pay")
         desk.up(0)
         desk.after(100)
-        self.check("crossings_stop", [line for line in desk.lines if "note" not in line])
+        self.check("crossings_stop", [line for line in desk.lines if " log " not in line])
 
 
 class Starting(TraceTest):
@@ -656,8 +688,8 @@
                 gate.wait()
                 return connect(sock, where)
 
-            def tell(kind, *what, told=told):
-                told.append(str(kind))
+            def tell(event, told=told):
+                told.append(type(event).__name__)
 
             with mock.patch.object(gevent.socket.socket, "connect", held):
                 watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
@@ -667,7 +699,7 @@
                 gate.set()
                 until(
                     lambda watch=watch, running=running, told=told: (
-                        running.dead if watch.left else "heard" in told
+                        running.dead if watch.left else "EndpointsUpdated" in told
                     )
                 )
                 running.kill()
@@ -678,8 +710,8 @@
         """The list has come while the node was busy for longer than it waits: that is no time-out."""
         told, come = [], Event()
 
-        def tell(kind, *what):
-            told.append(str(kind))
+        def tell(event):
+            told.append(type(event).__name__)
             come.set()
 
         ready = threading.Event()
@@ -705,9 +737,10 @@
         """Asked for again the sooner the more is gone of the 6 s in which what it misses counts as told."""
         told, lost = [], Event()
 
-        def tell(kind, why, waited):
+        def tell(event):
+            name, reason = type(event).__name__, event.reason.partition(":")[0]
             # Both count from the watch's last word, that of the call behind it as well.
-            told.append(f"{kind} {why.partition(':')[0]}, since the last word {waited >= 490}")
+            told.append(f"{name} {reason}, since the last word {event.waited >= 490}")
             if len(told) > 1:
                 lost.set()
             watch.ask()
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -9,7 +9,17 @@
 
 from pierglade.proxy.http import body_stream as flow
 from pierglade.proxy.http import message as http
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.events import (
+    BodyReceived,
+    ClientDisconnected,
+    RequestReceived,
+    RequestStarted,
+    ResponseCompleted,
+    ResponsePartReceived,
+    ResponseProgressed,
+    ResponseReceived,
+)
 from pierglade.proxy.upstream import LinkSocket
 from tests.proxy import test_sockets as test_net
 from tests.support.scene import Desk, TraceTest, message
@@ -24,7 +34,7 @@
     )
     taken.flow = flow.Flow(size)
     taken.flow.add(b"x" * 100)
-    desk.tell(ev.ASKED, desk.clients[name], taken)
+    desk.tell(RequestReceived(desk.clients[name], taken))
     return taken.flow
 
 
@@ -32,7 +42,7 @@
     """An answer whose body is on its way; the flow."""
     taken = message(f"HTTP/1.1 {status} .\r\nContent-Length: 0\r\n\r\n".encode(), http.Answers)
     taken.flow = flow.Flow(size)
-    desk.tell(ev.REPLIED, desk.links[-1], taken)
+    desk.tell(ResponseReceived(desk.links[-1], taken))
     return taken.flow
 
 
@@ -69,9 +79,9 @@
             desk.after(900)
             body.add(b"x" * 70000)
             body.take()
-            desk.tell(ev.BODY, desk.clients["c0"])
+            desk.tell(BodyReceived(desk.clients["c0"]))
         body.finish()
-        desk.tell(ev.BODY, desk.clients["c0"])
+        desk.tell(BodyReceived(desk.clients["c0"]))
         desk.say("whole")
         desk.after(1500)
         self.check("large_upload", [line for line in desk.lines if "endpoints_updated" not in line])
@@ -87,7 +97,7 @@
                 body.take()
                 if whole:
                     body.finish()
-                    desk.tell(ev.BODY, desk.clients["c0"])
+                    desk.tell(BodyReceived(desk.clients["c0"]))
                 desk.lines = [f"whole {whole}, {end}"]
                 desk.lose(whole=whole) if end == "lose" else desk.reply(503, "X-Never-Ran: 1\r\n")
                 lines += desk.lines
@@ -97,7 +107,7 @@
         desk = Desk(["b0", "b1"])
         body = upload(desk, "c0")
         body.finish()
-        desk.tell(ev.BODY, desk.clients["c0"])
+        desk.tell(BodyReceived(desk.clients["c0"]))
         desk.up()
         desk.lose(whole=False)
         desk.up()
@@ -108,7 +118,9 @@
         lines, answered = [], mock.Mock(attempt=None)
         for link in (mock.Mock(), answered):
             ours, theirs = socket.socketpair()
-            seat = LinkSocket(link, lambda kind, _, *what: lines.append(f"{kind} {what}"))
+            seat = LinkSocket(
+                link, lambda event: lines.append(f"{type(event).__name__} {event[1:]}")
+            )
             seat.sock.close()
             seat.sock = gevent.socket.socket(fileno=ours.detach())
             body = flow.Flow(500)
@@ -123,8 +135,8 @@
         desk = Desk(["b0"], may_cancel=False)
         upload(desk, "c0")
         desk.up()
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
-        desk.lose(ev.CUT, whole=False)
+        desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
+        desk.lose(CloseCause.CLIENT_GONE, whole=False)
         desk.say(
             f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.trouble}, "
             f"errors {desk.reducer.node.errors}"
@@ -146,7 +158,9 @@
             lines += [
                 line
                 for line in desk.lines
-                if "connect " not in line and "health_checks=" not in line and "probe" not in line
+                if "connect " not in line.lower()
+                and "health_checks=" not in line
+                and "probe" not in line
             ]
         self.check("large_stands", lines)
 
@@ -158,7 +172,7 @@
             come = 0
             for _ in range(16):
                 come += each
-                desk.tell(ev.BEGUN, desk.clients[name], come)
+                desk.tell(RequestStarted(desk.clients[name], come))
                 desk.after(250)
             desk.say(f"{name}: {desk.clients[name].state}")
         self.check("large_slow", desk.lines)
@@ -175,11 +189,11 @@
             for _ in range(3):
                 desk.after(4900)
                 body.add(b"x")
-                desk.tell(ev.REPLYING, desk.links[-1])
+                desk.tell(ResponsePartReceived(desk.links[-1]))
                 body.take()
-                desk.tell(ev.TAKES, desk.clients["c0"])
+                desk.tell(ResponseProgressed(desk.clients["c0"]))
             body.finish()
-            desk.tell(ev.REPLY_OVER, desk.links[-1], True)
+            desk.tell(ResponseCompleted(desk.links[-1], True))
             desk.taken("c0")
             desk.say(f"link {desk.links[-1].state}, client {desk.clients['c0'].state}")
             lines += desk.lines
@@ -197,7 +211,7 @@
                 body.add(b"x" * flow.WINDOW)
             desk.lines = [case]
             if case == "gone":
-                desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
+                desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
             elif case == "broken":
                 desk.lose()
             desk.after(6000)
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -7,8 +7,9 @@
 
 from pierglade.balancer.balancer import FORGET, Balancer
 from pierglade.model.endpoint import EndpointState
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.effects import LogEvent
 from pierglade.proxy.state.endpoints import NAMED
+from pierglade.proxy.state.events import ConfigurationLoaded, EndpointsUpdated
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
@@ -303,7 +304,7 @@
         self.desk.ask("c0")
         older = self.desk.reducer.node
         self.desk.tell(
-            ev.CONFIGURED, "", {"settings": "others"}, balancer_settings(max_retry_after=7)
+            ConfigurationLoaded("", {"settings": "others"}, balancer_settings(max_retry_after=7))
         )
         self.assertEqual(self.desk.reducer.older, [older])
         self.told = Told(self.desk.reducer.node)
@@ -343,11 +344,18 @@
         desk.now += 1
         effects = desk.reducer.apply(
             desk.now,
-            ev.HEARD,
-            {"index": 1, "snapshot": True, "endpoints": [entry(f"b{n}") for n in range(NAMED + 5)]},
+            EndpointsUpdated(
+                {
+                    "index": 1,
+                    "snapshot": True,
+                    "endpoints": [entry(f"b{n}") for n in range(NAMED + 5)],
+                }
+            ),
         )
         fields = next(
-            effect[2] for effect in effects if effect[:2] == (ev.NOTE, "endpoints_updated")
+            effect.fields
+            for effect in effects
+            if isinstance(effect, LogEvent) and effect.event == "endpoints_updated"
         )
         self.assertEqual((len(fields["changed"]), fields["more"]), (NAMED, 5))
 
@@ -371,7 +379,8 @@
 
     def tell(self, desk, endpoints, whole=True):
         desk.reducer.apply(
-            desk.reducer.now + 1, ev.HEARD, {"index": 1, "snapshot": whole, "endpoints": endpoints}
+            desk.reducer.now + 1,
+            EndpointsUpdated({"index": 1, "snapshot": whole, "endpoints": endpoints}),
         )
 
     def test_one_change_does_not_go_through_all(self):
--- a/tests/proxy/test_operations.py
+++ b/tests/proxy/test_operations.py
@@ -16,7 +16,13 @@
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import management
 from pierglade.proxy import takeover as handover
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.events import (
+    ConfigurationLoaded,
+    ManagementCall,
+    RequestReceived,
+    SoleProcess,
+    StopRequested,
+)
 from pierglade.proxy.state.machine import ProxyStateMachine
 from tests.proxy import test_sockets as test_net
 from tests.support.scene import Desk, TraceTest, balancer_settings, message
@@ -31,7 +37,7 @@
 
 def call(desk, *lines):
     for line in lines:
-        desk.tell(ev.CALLED, Call(line))
+        desk.tell(ManagementCall(Call(line)))
 
 
 READY = b"GET /health/ready HTTP/1.1\r\n%s\r\n" % test_net.HOST
@@ -39,7 +45,7 @@
 
 def ready(desk, name):
     desk.open(name)
-    desk.tell(ev.ASKED, desk.clients[name], message(READY))
+    desk.tell(RequestReceived(desk.clients[name], message(READY)))
 
 
 class Standby(TraceTest):
@@ -86,7 +92,7 @@
     def test_a_stop_while_on_standby_and_calls_after_it(self):
         desk = self.desk()
         call(desk, "PUT /standby")
-        desk.tell(ev.STOP)
+        desk.tell(StopRequested())
         call(desk, "PUT /active", "GET /status", "PUT /standby")
         desk.after(800)
         self.check("day_standby_stop", desk.lines)
@@ -97,7 +103,7 @@
         call(desk, "PUT /standby")
         desk.ask("c0")
         desk.up()
-        desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(max_attempts=1))
+        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
         desk.reply()
         call(desk, "GET /status")
         self.check("day_standby_crossed", desk.lines)
@@ -128,16 +134,15 @@
             RequestClass(1, "top", Idempotency.UNSAFE, "all", 0, 4000, 10000, 1.0),
         ]
         desk.tell(
-            ev.CONFIGURED,
-            "",
-            {"settings": 1},
-            balancer_settings(request_classes=rows, max_attempts=1),
+            ConfigurationLoaded(
+                "", {"settings": 1}, balancer_settings(request_classes=rows, max_attempts=1)
+            ),
         )
         desk.ask("c1", "/look")
         desk.ask("c2", "/pay")
         desk.ask("c3", "/pay", "GET")
         desk.up()
-        desk.tell(ev.CONFIGURED, "", {"settings": 2}, balancer_settings())
+        desk.tell(ConfigurationLoaded("", {"settings": 2}, balancer_settings()))
         desk.say("the first had three trips, and goes on to its second")
         desk.lose(link=0)
         desk.up(-1)
@@ -152,7 +157,9 @@
         desk = Desk(["b0"])
         for n in range(6):
             desk.tell(
-                ev.CONFIGURED, "", {"settings": n % 2}, balancer_settings(max_attempts=1 + n % 2)
+                ConfigurationLoaded(
+                    "", {"settings": n % 2}, balancer_settings(max_attempts=1 + n % 2)
+                )
             )
             desk.after(1)
         desk.ask("c0")
@@ -172,9 +179,9 @@
         for name, one in (("old", desk), ("new", new)):
             one.hear(["b0"])
             one.say(f"{name}: budget {one.reducer.sockets}")
-        new.tell(ev.ALONE)
+        new.tell(SoleProcess())
         new.say(f"new: budget {new.reducer.sockets}")
-        desk.tell(ev.STOP, True)
+        desk.tell(StopRequested(True))
         desk.say(f"old: budget {desk.reducer.sockets}")
         self.check("day_followed", lines + new.lines + desk.lines)
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -24,7 +24,9 @@
 from pierglade.proxy.http import message as http
 from pierglade.proxy.http.body_stream import Space
 from pierglade.proxy.logging import Log
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import ConnectionState
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.events import ConnectionOpened, EndpointsUpdated, RequestReceived
 from pierglade.proxy.upstream import LinkSocket
 from tests.support.scene import TraceTest, entry, message
 
@@ -353,11 +355,11 @@
                 return answer(200, b'{"index":%d}' % len(told))
             return CHUNKED + (b'c\r\n{"index":9}\n\r\n' if len(told) > 2 else b"")
 
-        def tell(kind, what, *more):
-            told.append(f"{kind} {what}")
-            if what == {"index": 9}:
+        def tell(event):
+            told.append(f"{type(event).__name__} {event[0]}")
+            if event[0] == {"index": 9}:
                 watch.relist()
-            elif kind is ev.HEARD and len(told) > 1:
+            elif isinstance(event, EndpointsUpdated) and len(told) > 1:
                 ends.set()
 
         peer = Peer(serve)
@@ -374,8 +376,8 @@
         """Asked again every 0.2 s by each of many nodes, a list that has to be asked served none."""
         told, lost = [], Event()
 
-        def tell(kind, what, *more):
-            told.append(kind)
+        def tell(event):
+            told.append(type(event).__name__)
             lost.set()
 
         peer = Peer(lambda message: None)
@@ -414,15 +416,15 @@
         """A line that was read before the move must not stand in the list of the new place."""
         told = []
 
-        def tell(kind, what):
-            told.append(f"{kind} {what}")
+        def tell(event):
+            told.append(f"{type(event).__name__} {event.document}")
             watch.leave()
 
         peer = Peer(lambda message: CHUNKED + b'c\r\n{"index":9}\n\r\n' * 2)
         watch = discovery.Discovery(peer.address, mock.Mock(tell=tell))
         watch.index = 1
         watch.run()
-        self.assertEqual(told, ["heard {'index': 9}"])
+        self.assertEqual(told, ["EndpointsUpdated {'index': 9}"])
 
 
 def host_of(tell, came):
@@ -446,7 +448,9 @@
             ours, _ = server.accept()
         seat = ClientSocket(
             gevent.socket.socket(fileno=ours.detach()),
-            host_of(lambda *what, came=0: told.append(" ".join(map(str, what[::2]))), lambda: 0),
+            host_of(
+                lambda event, came=0: told.append(f"{type(event).__name__} {event[1]}"), lambda: 0
+            ),
             "",
         )
         reading = gevent.spawn(seat.run)
@@ -472,15 +476,15 @@
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
 
-        def tell(kind, _, *what, came=ev.NEVER):
-            if kind is ev.ASKED:
-                since = "-" if came == ev.NEVER else came
+        def tell(event, came=NEVER):
+            if isinstance(event, RequestReceived):
+                since = "-" if came == NEVER else came
                 lines.append(
-                    f"asked {what[0].url.decode()} body {bytes(what[0].body)} since {since}"
+                    f"asked {event.message.url.decode()} body {bytes(event.message.body)} since {since}"
                 )
                 asked.set()
-            elif kind is not ev.OPENED:
-                lines.append(f"{kind} {what}")
+            elif not isinstance(event, ConnectionOpened):
+                lines.append(f"{type(event).__name__} {event[1:]}")
 
         asked = Event()
         seat = ClientSocket(
@@ -513,9 +517,10 @@
         for behind in (b"", answer(200, b"copy"), b"\x00noise"):
             ours, theirs = socket.socketpair()
             link = LinkSocket(
-                mock.Mock(state=ev.BUSY),
-                lambda kind, _, *what: lines.append(
-                    f"{kind} {[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in what]}"
+                mock.Mock(state=ConnectionState.BUSY),
+                lambda event: lines.append(
+                    f"{type(event).__name__} "
+                    f"{[f'keep {w.keep}' if isinstance(w, http.Message) else w for w in event[1:]]}"
                 ),
             )
             link.sock.close()
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -13,7 +13,7 @@
 
 from pierglade import __main__ as start
 from pierglade.proxy.discovery import Discovery, Lost
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.events import ConfigurationLoaded
 from pierglade.reconfiguration import document_reader as reading
 from pierglade.reconfiguration import quota_changes as shares
 from pierglade.settings.platform import InvalidSettingsError
@@ -276,11 +276,12 @@
     def configure(self, told, settings=None, from_=None, **changed):
         table = self.reducer.settings.tenants
         self.desk.tell(
-            ev.CONFIGURED,
-            "",
-            {"settings": settings or {"customers": []}},
-            balancer_settings(tenants=TenantRegistry(told), **changed),
-            from_ or difference(table, told),
+            ConfigurationLoaded(
+                "",
+                {"settings": settings or {"customers": []}},
+                balancer_settings(tenants=TenantRegistry(told), **changed),
+                from_ or difference(table, told),
+            ),
         )
 
     def ask(self, name, tenant, path="/look"):
@@ -466,7 +467,7 @@
         }
         heard = []
         follower = Discovery(
-            "127.0.0.1:1", mock.Mock(tell=lambda kind, document: heard.append(document))
+            "127.0.0.1:1", mock.Mock(tell=lambda event: heard.append(event.document))
         )
         follower._tell(json.dumps(whole).encode())
         self.assertEqual(heard, [whole])
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -19,7 +19,7 @@
 from click.testing import CliRunner
 
 from pierglade.cli import main
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.events import EndpointsUpdated
 from pierglade.scale import figures, guard, play
 from pierglade.scale import plan as plans
 from pierglade.scale.fit import fit
@@ -164,7 +164,7 @@
 
     def told(self, index, whole=False, **entries):
         told = [{"name": name, "status": status, "since_ms": 0} for name, status in entries.items()]
-        self.node.tell(ev.HEARD, {"index": index, "snapshot": whole, "endpoints": told})
+        self.node.tell(EndpointsUpdated({"index": index, "snapshot": whole, "endpoints": told}))
 
     def test_changes_on_top_of_the_start(self):
         self.told(2, a="DRAINING")
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -12,7 +12,7 @@
 from pierglade.model.endpoint import EndpointState, LoadReport, LoadReportSource
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, RequestClass
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.events import ConfigurationLoaded
 from pierglade.snapshot.handover import REPORTED, take_over
 from pierglade.tenants.registry import RunningMedian, TenantRegistry
 from tests.proxy.test_large_endpoint_lists import fleet, least
@@ -505,7 +505,9 @@
 
     def configure(self, **changed):
         self.settings += 1
-        self.desk.tell(ev.CONFIGURED, "", {"settings": self.settings}, balancer_settings(**changed))
+        self.desk.tell(
+            ConfigurationLoaded("", {"settings": self.settings}, balancer_settings(**changed))
+        )
         return self.reducer.node
 
     def answered(self, name):
@@ -563,7 +565,8 @@
         self.desk.lines = []
         self.desk.reply()
         self.assertTrue(
-            any("answer owed HTTP/1.1 200" in line for line in self.desk.lines), self.desk.lines
+            any("SendResponse owed HTTP/1.1 200" in line for line in self.desk.lines),
+            self.desk.lines,
         )
         self.assertEqual((self.reducer.older, self.reducer.node), ([], node))
         self.assertEqual(node.limit.in_flight, 0)
@@ -606,7 +609,7 @@
 
     def test_before_any_list(self):
         desk = Desk([])
-        desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(max_attempts=1))
+        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
         desk.hear(["b0"], 1)
         self.assertEqual(len(desk.reducer.node.turn), 1)
 
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -19,7 +19,18 @@
 from pierglade.model.request import Idempotency, Request, RequestClass
 from pierglade.proxy.http import message as http
 from pierglade.proxy.http.body_stream import Flow
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.effects import Connect, LogEvent
+from pierglade.proxy.state.events import (
+    ConnectionOpened,
+    EndpointsUpdated,
+    RequestReceived,
+    ResponseReceived,
+    ResponseSent,
+    TimerFired,
+    UpstreamClosed,
+    UpstreamConnected,
+)
 from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.settings.balancer import BalancerSettings
 from pierglade.tenants.registry import TenantRegistry
@@ -185,17 +196,17 @@
 
     def hear(self, backends, index=1, whole=True):
         endpoints = [entry(b) if isinstance(b, str) else b for b in backends]
-        self.tell(ev.HEARD, {"index": index, "snapshot": whole, "endpoints": endpoints})
-
-    def tell(self, kind, *what, **came):
-        for effect, *rest in self.reducer.apply(self.now, kind, *what, **came):
-            if effect is ev.NOTE:
-                event, fields = rest
-                told = (f"{k}={v}" for k, v in fields.items() if not k.endswith("ms"))
-                self.say(" ".join(["note", event, *told]))
+        self.tell(EndpointsUpdated({"index": index, "snapshot": whole, "endpoints": endpoints}))
+
+    def tell(self, event, **came):
+        for effect in self.reducer.apply(self.now, event, **came):
+            if isinstance(effect, LogEvent):
+                fields = (f"{k}={v}" for k, v in effect.fields.items() if not k.endswith("ms"))
+                self.say(" ".join(["log", effect.event, *fields]))
                 continue
+            rest = list(effect)
             subject = rest.pop(0) if rest and not isinstance(rest[0], str) else None
-            if effect is ev.CONNECT:
+            if isinstance(effect, Connect):
                 subject.io = Wire(f"link {len(self.links)}")
                 self.links.append(subject)
                 rest = [subject.backend.name]
@@ -206,7 +217,9 @@
                 (str(p) if isinstance(p, (str, int)) else bytes(p).decode()).replace("\r\n", "|")
                 for p in rest
             ]
-            line = " ".join([effect, *([subject.io.name] if subject else []), *texts])
+            line = " ".join(
+                [type(effect).__name__, *([subject.io.name] if subject else []), *texts]
+            )
             self.say(line.replace("\n", " ").rstrip())
 
     def after(self, ms):
@@ -214,12 +227,12 @@
         end = self.now + int(ms * MS)
         while (wake := self.reducer.next_wakeup(self.now)) is not None and wake <= end:
             self.now = max(wake, self.now)
-            self.tell(ev.WOKE)
+            self.tell(TimerFired())
         self.now = end
 
     def open(self, name):
         wire = Wire(name)
-        self.tell(ev.OPENED, wire)
+        self.tell(ConnectionOpened(wire))
         self.clients[name] = wire.client
 
     def ask(self, name, path="/look", method=None, left=1000, headers="", body="", trace=None):
@@ -231,20 +244,22 @@
         self.asked += 1
         head = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace or self.asked}\r\n"
         head += f"X-Expires-In-Ms: {left}\r\n"
-        self.tell(ev.ASKED, self.clients[name], message((head + headers + "\r\n" + body).encode()))
+        self.tell(
+            RequestReceived(self.clients[name], message((head + headers + "\r\n" + body).encode()))
+        )
 
     def up(self, link=-1):
-        self.tell(ev.UP, self.links[link])
+        self.tell(UpstreamConnected(self.links[link]))
 
     def reply(self, status=200, headers="", link=-1):
         answer = f"HTTP/1.1 {status} .\r\nContent-Length: 2\r\n{headers}\r\nok"
-        self.tell(ev.REPLIED, self.links[link], message(answer.encode(), http.Answers))
+        self.tell(ResponseReceived(self.links[link], message(answer.encode(), http.Answers)))
 
-    def lose(self, how=ev.BROKE, whole=True, link=-1):
-        self.tell(ev.LINK_ENDED, self.links[link], how, whole, "as the test says")
+    def lose(self, how=CloseCause.RESET, whole=True, link=-1):
+        self.tell(UpstreamClosed(self.links[link], how, whole, "as the test says"))
 
     def taken(self, name):
-        self.tell(ev.ANSWERED, self.clients[name])
+        self.tell(ResponseSent(self.clients[name]))
 
 
 class TraceTest(unittest.TestCase):
