--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -49,9 +49,7 @@
         if not self._make_room(client):
             # Nothing idle is left to yield: whoever came last is served, and let go with the answer.
             client.last = True
-            if not self.crowded:
-                self._at(self.now + LOG_INTERVAL, self._tell_crowded, None)
-            self.crowded += 1
+            self._note_crowded()
         self._keep_share(client)
 
     def _rest(self, client):
@@ -138,6 +136,7 @@
         client.last = True
 
     def _asked(self, client, message):
+        """Validates a request and passes it to the balancer, unless it is refused."""
         if client.state not in (
             ConnectionState.NEW,
             ConnectionState.IDLE,
@@ -152,61 +151,55 @@
         if path is None:
             return self._refuse(client, 400, "the target names no path", last=True)
         if path in (READY_PATH, LIVE_PATH):
-            if message.method not in (b"GET", b"HEAD"):
-                return self._refuse(client, 405, "GET or HEAD asks for health", allow=b"GET, HEAD")
-            good = path == LIVE_PATH or self.ready and not self._empties()
-            return self._answer(
-                client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n"
-            )
+            return self._answer_health(client, message, path)
         if self.closing:
             return self._bounce(client, self.node)
         request_class = self.request_classes.get(path.partition(b"?")[0].split(b"/")[1])
         if request_class is None:
             return self._refuse(client, 404, "the path's first part names no offering")
-        # A HEAD is a GET whose answer's body is kept back (RFC 9110, 9.3.2); a backend is asked with GET.
+        # A HEAD is a GET whose response's body is kept back (RFC 9110, 9.3.2); a backend gets a GET.
         method = b"GET" if message.method == b"HEAD" else message.method
         if method != METHODS[request_class.idempotency]:
-            allowed = (
-                b"GET, HEAD"
-                if request_class.idempotency == Idempotency.SAFE
-                else METHODS[request_class.idempotency]
-            )
-            return self._refuse(
-                client,
-                405,
-                "this offering takes " + allowed.decode().replace(", ", " or "),
-                allow=allowed,
-            )
-        fields = message.fields
-        name = fields.get(b"x-trace-id")
+            return self._refuse_method(client, request_class)
+        name = message.fields.get(b"x-trace-id")
         if name is None and self.gives_ids:
             name = self._give_id(message)
             if request_class.idempotency == Idempotency.KEYED:
                 request_class = self.unstamped[request_class.name.encode()]
-        left = fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
-        if (
-            not name
-            or len(name) > ID_MOST
-            or not left.isdigit()
-            or len(left) > 9
-            or message.doubled
-            and not SINGLE.isdisjoint(message.doubled)
-            or message.version == "1.1"
-            and b"host" not in fields
-            or (b"idempotency-key" in fields) != (request_class.idempotency == Idempotency.KEYED)
-            and not message.given
-            or request_class.idempotency == Idempotency.SAFE
-            and (len(message.body) or message.flow)
-        ):
+        left = message.fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
+        if _is_malformed(message, request_class, name, left):
             return self._refuse(
                 client, 400, _at_fault(message, request_class, name, left), last=True
             )
         if self._is_known(name):
-            # Another's, or one that ran already: passed on, it would run twice.
+            # Another's, or one that ran already: forwarded, it would run twice.
             return self._refuse(
                 client, 400, "X-Trace-Id is in use, or was answered just now", last=True
             )
-        left = min(int(left) * 10, request_class.request_timeout)
+        self._admit(client, request_class, name, min(int(left) * 10, request_class.request_timeout))
+
+    def _answer_health(self, client, message, path):
+        if message.method not in (b"GET", b"HEAD"):
+            return self._refuse(client, 405, "GET or HEAD asks for health", allow=b"GET, HEAD")
+        good = path == LIVE_PATH or self.ready and not self._empties()
+        self._answer(client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n")
+
+    def _refuse_method(self, client, request_class):
+        allowed = (
+            b"GET, HEAD"
+            if request_class.idempotency == Idempotency.SAFE
+            else METHODS[request_class.idempotency]
+        )
+        self._refuse(
+            client,
+            405,
+            "this offering takes " + allowed.decode().replace(", ", " or "),
+            allow=allowed,
+        )
+
+    def _admit(self, client, request_class, name, left):
+        """Sheds a valid request, or passes it to the balancer; `left`: ticks until its deadline."""
+        message = client.message
         self.press.waits(self.now, (self.now - self.came) / request_class.latency_objective)
         refused = (
             self.press.bar
@@ -220,15 +213,14 @@
             self._bounced_unseen()
             wait = self._stay_away()
             return self._answer(client, 503, [(b"Retry-After", wait)] if wait else [])
-        limit = self.came + left
-        tenant = self._tenant(fields.get(b"x-customer"))
+        tenant = self._tenant(message.fields.get(b"x-customer"))
         request = Request(
             client,
             request_class,
             tenant,
             self.came,
-            limit,
-            _hint(fields.get(b"x-props")),
+            self.came + left,
+            _hint(message.fields.get(b"x-props")),
             owner=self.node,
         )
         self._is(client, ConnectionState.AWAITING_RESPONSE, self.clients)
@@ -274,14 +266,8 @@
             fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10)),
         )
         if (
-            method != METHODS[request_class.idempotency]
-            or target[:1] != b"/"
-            or not name
-            or len(name) > ID_MOST
-            or not left.isdigit()
-            or len(left) > 9
+            not _can_be_shed_unread(method, target, fields, request_class, name, left)
             or name in self.ids
-            or (b"idempotency-key" in fields) != (request_class.idempotency == Idempotency.KEYED)
             or self._empties()
         ):
             return None
@@ -331,6 +317,11 @@
         self._note("load_shed", requests=self.pressed)
         self.pressed = 0
 
+    def _note_crowded(self):
+        if not self.crowded:
+            self._at(self.now + LOG_INTERVAL, self._tell_crowded, None)
+        self.crowded += 1
+
     def _tell_crowded(self, _):
         self._note(
             "descriptors_exhausted",
@@ -349,8 +340,12 @@
         """Its invocation is answered or abandoned."""
         client.request = client.message = None
         if client.id is not None:
-            self.spent.append((self.now + SPENT_FOR, client.id))
-            self.ids[client.id] = client.id = None
+            self._close_id(client)
+
+    def _close_id(self, client):
+        """Its id is refused for a while yet."""
+        self.spent.append((self.now + SPENT_FOR, client.id))
+        self.ids[client.id] = client.id = None
 
     def _overdue(self, client):
         """Guards against a fault of ours: whatever went wrong, the answer is out before the limit."""
@@ -519,6 +514,38 @@
             client.last = client.last or self.open > self.sockets
 
 
+def _is_malformed(message, request_class, name, left):
+    """Whether a header of a request is missing, doubled or out of its bounds."""
+    fields, idempotency = message.fields, request_class.idempotency
+    return (
+        not name
+        or len(name) > ID_MOST
+        or not left.isdigit()
+        or len(left) > 9
+        or message.doubled
+        and not SINGLE.isdisjoint(message.doubled)
+        or message.version == "1.1"
+        and b"host" not in fields
+        or (b"idempotency-key" in fields) != (idempotency == Idempotency.KEYED)
+        and not message.given
+        or idempotency == Idempotency.SAFE
+        and (len(message.body) or message.flow)
+    )
+
+
+def _can_be_shed_unread(method, target, fields, request_class, name, left):
+    """Whether what is seen at a glance is a valid request, as far as that can be seen."""
+    return (
+        method == METHODS[request_class.idempotency]
+        and target[:1] == b"/"
+        and name
+        and len(name) <= ID_MOST
+        and left.isdigit()
+        and len(left) <= 9
+        and (b"idempotency-key" in fields) == (request_class.idempotency == Idempotency.KEYED)
+    )
+
+
 def _at_fault(message, request_class, name, left):
     """What is missing from a request, doubled or too much in it: the first that is found."""
     doubled = sorted(SINGLE.intersection(message.doubled))
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -90,21 +90,7 @@
             else:
                 self.raw_settings = None  # All is taken anew below.
         if terms is not None and told.get("settings") != self.raw_settings:
-            self.raw_settings = told.get("settings")
-            terms.tenants.follow(self.settings.tenants)
-            self.older.append(self.node)
-            press = self.press
-            self._serve_under(terms, self.now)
-            take_over(self.node, self.older[-1], self.now)
-            if press.classes == self.press.classes:
-                self.press = press  # Or all that is refused at the door would be let in at once.
-            if self.older[-1].settings.polls_endpoints:
-                self._do(
-                    PollDiscovery()
-                )  # Who waits for the word of the earlier settings may wait for long.
-            self._note(
-                "settings_applied", pending=len(self.clients[ConnectionState.AWAITING_RESPONSE])
-            )
+            self._replace_settings(terms, told)
         changed = {key for key in FIXED if told.get(key) != self.told.get(key)}
         self._note(
             "config_reloaded",
@@ -117,6 +103,24 @@
             self.index = self.no_word = None  # Versions are the old place's own.
             self._do(FollowDiscovery(discovery))
 
+    def _replace_settings(self, terms, told):
+        """A new balancer takes what comes from now on; the earlier one keeps what it has taken."""
+        self.raw_settings = told.get("settings")
+        terms.tenants.follow(self.settings.tenants)
+        self.older.append(self.node)
+        press = self.press
+        self._serve_under(terms, self.now)
+        take_over(self.node, self.older[-1], self.now)
+        if press.classes == self.press.classes:
+            self.press = press  # Or all that the earlier one sheds would be let in at once.
+        if self.older[-1].settings.polls_endpoints:
+            # Who waits for the list under the earlier settings may wait for long.
+            self._do(PollDiscovery())
+        self._note(
+            "settings_applied",
+            pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
+        )
+
     def _takes_in_place(self, difference, terms):
         """Whether other shares were taken as a difference from those in force."""
         tenants = self.settings.tenants
@@ -128,14 +132,8 @@
         return True
 
     def _apply_list(self, document, whole):
-        # All of it is read before any is applied; of a whole list heard again most is as it was.
-        entries, listed, named, changed = [], [], set(), []
-        for told in document["endpoints"]:
-            name = told["name"]
-            backend = self.backends.get(name)
-            if name in named or backend is None or not _as_heard(told, backend):
-                entries.append(_entry(told))
-            named.add(name)
+        listed, changed = [], []
+        entries, named = self._changed_entries(document)
         for entry, address in entries:
             backend = self.backends.get(entry.name)
             if backend is None:
@@ -171,6 +169,20 @@
                 **more,
             )
 
+    def _changed_entries(self, document):
+        """(Endpoint, address) of each that is not as it was, and the names of all.
+
+        All of it is read before any is applied; of a whole list sent again most is as it was.
+        """
+        entries, named = [], set()
+        for told in document["endpoints"]:
+            name = told["name"]
+            backend = self.backends.get(name)
+            if name in named or backend is None or not _as_heard(told, backend):
+                entries.append(_entry(told))
+            named.add(name)
+        return entries, named
+
     def _forget_gone(self):
         """Fleets that start under new names must not fill the memory with old ones."""
         old = []
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -280,51 +280,53 @@
         else:
             if self._heeds(LoadReportSource.RESPONSES):
                 self._reported(link, message.fields.get(b"endpoint-load-metrics", b""))
-            attempt, link.attempt = link.attempt, None
-            # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody knows.
-            rejected = 400 <= message.status < 500 and message.status != 429
-            if message.status == 200 or rejected:
-                request = attempt.request
-                awaited = not request.completed
-                outcome = Outcome.CLIENT_ERROR if rejected else Outcome.SUCCESS
-                self._return(attempt, outcome, done=True)
-                if awaited:
-                    if rejected or len(request.attempts) > 1 or self.now > request.objective_at:
-                        # What went well leaves no line: at four times the load there were too many of them.
-                        succeeded = outcome is Outcome.SUCCESS
-                        self._note(
-                            "request_succeeded" if succeeded else "client_error",
-                            request_class=request.request_class.name,
-                            attempts=len(request.attempts),
-                            latency_ms=(self.now - request.arrived_at) / 10,
-                            backend=link.backend.name,
-                        )
-                    headers = http.passed_on(message, KEPT_BACK)
-                    if message.flow is not None:
-                        wanted = request.host_context.message.method != b"HEAD"
-                        self._answer(
-                            request.host_context, message.status, headers, message.flow, link
-                        )
-                        if wanted:
-                            return self._replying(link)
-                    else:
-                        self._answer(request.host_context, message.status, headers, message.body)
-            else:
-                never_ran = (
-                    message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
-                )
-                self._note(
-                    "attempt_failed",
-                    backend=link.backend.name,
-                    status=message.status,
-                    unexecuted=never_ran,
-                )
-                self._return(
-                    attempt, Outcome.REJECTED_UNPROCESSED if never_ran else Outcome.SERVER_ERROR
-                )
-        # The rest of what nobody waits for would hold up the link.
+            if self._attempt_answered(link, message):
+                return self._replying(link)
+        # The rest of what nobody waits for would hold up the connection.
         self._is_free(link, message.keep and message.flow is None)
 
+    def _attempt_answered(self, link, message):
+        """Whether the body of the response is still to be forwarded from the connection."""
+        attempt, link.attempt = link.attempt, None
+        # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody knows.
+        rejected = 400 <= message.status < 500 and message.status != 429
+        if message.status != 200 and not rejected:
+            self._failed(link, attempt, message)
+            return False
+        request = attempt.request
+        awaited = not request.completed
+        outcome = Outcome.CLIENT_ERROR if rejected else Outcome.SUCCESS
+        self._return(attempt, outcome, done=True)
+        if not awaited:
+            return False
+        if rejected or len(request.attempts) > 1 or self.now > request.objective_at:
+            # What went well leaves no line: at four times the load there were too many of them.
+            self._note(
+                "client_error" if rejected else "request_succeeded",
+                request_class=request.request_class.name,
+                attempts=len(request.attempts),
+                latency_ms=(self.now - request.arrived_at) / 10,
+                backend=link.backend.name,
+            )
+        client, headers = request.host_context, http.passed_on(message, KEPT_BACK)
+        if message.flow is None:
+            self._answer(client, message.status, headers, message.body)
+            return False
+        wanted = client.message.method != b"HEAD"
+        self._answer(client, message.status, headers, message.flow, link)
+        return wanted
+
+    def _failed(self, link, attempt, message):
+        """A backend's response that does not go to the client."""
+        never_ran = message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
+        self._note(
+            "attempt_failed",
+            backend=link.backend.name,
+            status=message.status,
+            unexecuted=never_ran,
+        )
+        self._return(attempt, Outcome.REJECTED_UNPROCESSED if never_ran else Outcome.SERVER_ERROR)
+
     def _reply_over(self, link, keep):
         """An answer that was passed on as it came is whole."""
         if link.flow is None or link.state is ConnectionState.CLOSED:
