--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -43,7 +43,7 @@
     def __init__(self, sock, host, address):
         self.sock, self.tell, self.space, self.refuse = sock, host.tell, host.space, host.refuse
         self.host, self.line, self.address = host, host.line, address
-        self.gate = host.reducer.gate  # that let it in; None: nobody was asked
+        self.gate = host.reducer.descriptors.admission  # that let it in; None: nobody was asked
         self.now = host.clock.now
         self.requests = Requests()
         self.read_on = Event()
@@ -85,7 +85,7 @@
                 if not self.last:
                     self.requests.filled(count)
                     self.come += count
-                    if self.host.reducer.press.bar and self._refused():
+                    if self.host.reducer.balancers.load_shedder.bar and self._refused():
                         continue
                     came = NEVER
                     if self.line.full():
@@ -326,14 +326,16 @@
                 continue
             self._admit(sock, address)
             taken += 1
-            if taken >= self.host.reducer.may_open(ACCEPTS) or self.host.line.full():
+            if taken >= self.host.reducer.descriptors.acceptable(ACCEPTS) or self.host.line.full():
                 # Lets the loop close what has yielded before the next one takes a descriptor.
                 taken = 0
                 gevent.sleep(0)
 
     def _admit(self, sock, address):
         reducer = self.host.reducer
-        if reducer.gate is not None and not reducer.lets_in(self.host.clock.now(), address[0]):
+        if reducer.descriptors.admission is not None and not reducer.descriptors.admits(
+            self.host.clock.now(), address[0]
+        ):
             return self._turn_away(sock)
         seat = ClientSocket(sock, self.host, address[0])
         self.host.spawn(seat.run, seat)
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -92,8 +92,8 @@
             place.told,
             self.alone,
         )
-        self.reducer.gives_ids = place.gives_ids
-        self.reducer.gate = Gate(place.caps) if place.caps is not None else None
+        self.reducer.requests.assigns_ids = place.gives_ids
+        self.reducer.descriptors.admission = Gate(place.caps) if place.caps is not None else None
         self.faults = self.rereads = 0
         self.learning = None
         if place.keeping is not None:
@@ -101,12 +101,14 @@
             from pierglade.proxy.snapshot_writer import Keeping, Learning
 
             self.learning = Learning(self, Keeping(*place.keeping), place.name)
-        self.reducer.known(self.learning.list_or(place.known) if self.learning else place.known)
+        self.reducer.endpoints.restore(
+            self.learning.list_or(place.known) if self.learning else place.known
+        )
         if self.learning:
             self.learning.remember()
         self.fixed = place.known if place.discovery is None else None  # a list that nobody tells of
         # From the version that is known: forty whole lists at once keep a discovery busy for seconds.
-        self.follow(place.discovery, self.reducer.index)
+        self.follow(place.discovery, self.reducer.endpoints.version)
         self.inbox, self.working = deque(), False
         self.turns = Turns(self.clock)
         self.line = Line(self.clock, self.turns)
@@ -173,7 +175,7 @@
 
     def follow(self, address, index=None):
         self.discovery = Discovery(address, self, index) if address is not None else Nobody()
-        self.discovery.waits = lambda: self.reducer.settings.polls_endpoints
+        self.discovery.waits = lambda: self.reducer.balancers.settings.polls_endpoints
 
     def _move(self, address):
         """Discovery is elsewhere: a new follower, so that no version, line or link of the old passes over."""
@@ -199,25 +201,25 @@
             self.note("config_rejected", error=str(fault))
         else:
             tenants = place.settings.tenants
-            told = in_steps(shares.steps(self.reducer.settings.tenants, tenants.shares))
-            self.reducer.gives_ids = place.gives_ids
+            told = in_steps(shares.steps(self.reducer.balancers.settings.tenants, tenants.shares))
+            self.reducer.requests.assigns_ids = place.gives_ids
             self._cap(place.caps)
             self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, told))
             fixed = place.known if place.discovery is None else None
             if fixed is not None and fixed != self.fixed:
                 self.tell(EndpointsUpdated(fixed))
             self.fixed = fixed
-            if tenants is not self.reducer.settings.tenants:
+            if tenants is not self.reducer.balancers.settings.tenants:
                 in_steps(shares.let_go(tenants.shares))
 
     def _cap(self, caps):
         """Other caps hold from now on; who is in stays in. A gate that came later counts who comes from
         then."""
-        gate = self.reducer.gate
+        gate = self.reducer.descriptors.admission
         if gate is not None:
             gate.allow(caps or Caps())
         elif caps is not None:
-            self.reducer.gate = Gate(caps)
+            self.reducer.descriptors.admission = Gate(caps)
 
     def note(self, event, **fields):
         self.log.line(self.clock.now(), event, **fields)
@@ -253,7 +255,7 @@
 
     def refuse(self, client, requests):
         """The refusal of what a client sent, if the core is short and it needs no more than a glance."""
-        return self.reducer.glance(
+        return self.reducer.requests.glance(
             self.clock.now(), client, requests, self.turns.came, self.turns.idle
         )
 
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -50,7 +50,9 @@
         if self.snapshot is None:
             return
         try:
-            line = self.host.reducer.remember(self.snapshot, int(self.keeping.half_life_s * 10000))
+            line = self.host.reducer.snapshot.restore(
+                self.snapshot, int(self.keeping.half_life_s * 10000)
+            )
             self.host.note("snapshot_restored", file=self.file, summary=line)
         except ageing.Unworthy as fault:
             self.host.note("snapshot_rejected", error=f"{self.file}: {fault}")
@@ -83,7 +85,7 @@
 
     def _gather(self):
         now = self.host.clock.now()
-        request_classes, backends, work, entries = self.host.reducer.kept(
+        request_classes, backends, work, entries = self.host.reducer.snapshot.export(
             ageing.KEYS, ageing.ROW_KEYS
         )
         if now > self.work_at and work >= self.work:
@@ -96,7 +98,7 @@
             asked=self.asked,
             request_classes=request_classes,
             backends={name: form.Backend(*told) for name, told in backends.items()},
-            index=self.host.reducer.index,
+            index=self.host.reducer.endpoints.version,
             list=entries,
         )
 
--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -130,3 +130,10 @@
         self.coming_up = 0  # of these, those that are not up yet
         self.probed_on = None  # the connection of a health check without a result yet
         self.entry = None  # the last Endpoint of discovery
+
+
+def set_state(connection, state, by_state):
+    """Moves a connection to a state, last of those that are in it."""
+    by_state[connection.state].pop(connection, None)
+    connection.state = state
+    by_state[state][connection] = None
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -1,20 +1,18 @@
-"""The list's part of a node's state: discovery's word on backends, and new configurations."""
+"""The backends' list as discovery tells it, and what is known of each place."""
 
+from collections import OrderedDict
 from dataclasses import replace
 from sys import intern
 
 from pierglade.model.endpoint import Endpoint, EndpointState
-from pierglade.proxy.state.connections import ConnectionState, EndpointRecord
+from pierglade.proxy.state.connections import (
+    EndpointRecord,
+)
 from pierglade.proxy.state.effects import (
-    FollowDiscovery,
-    OpenListener,
-    PollDiscovery,
     ResyncEndpoints,
 )
-from pierglade.reconfiguration.quota_changes import fits_in_place
-from pierglade.snapshot.handover import take_over
 
-# Constants. Times are tenths of a millisecond.
+# Times are tenths of a millisecond.
 FIRST_WORD = 3000  # 0.3 s; with the list it was started with, a node waits so long for a newer one
 NAMED = 40  # names in a line of the log, which is cut where it is too long, and tells of none
 STATES = {
@@ -22,122 +20,71 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-# What of a configuration is read at the start only.
-FIXED = ("name", "listen", "management", "limits")
 
 
-class Listing:
-    """Mixed into the ProxyStateMachine, which holds what is used here."""
+class EndpointRegistry:
+    """Endpoint records by name, kept up to date with the messages of discovery."""
+
+    def __init__(self, step, timers, counters, balancers, lifecycle):
+        self.step = step
+        self.timers = timers
+        self.counters = counters
+        self.balancers = balancers
+        self.lifecycle = lifecycle
+        self.records = {}  # EndpointRecord by name
+        self.removed = OrderedDict()  # names of the removed ones, the longest removed first
+        self.version = None  # of the list that discovery sent last
+        self.lost_reason = None  # why discovery is lost, logged once
 
-    def known(self, document):
+    def connect(self, upstream):
+        """The parts that are made after this one."""
+        self.upstream = upstream
+
+    def restore(self, document):
         """The list that the node was started with, which may be old."""
         if document and document.get("endpoints"):
-            self._apply_list(document, whole=True)
+            self._apply(document, whole=True)
             if type(document.get("index")) is int:
-                self.index = document["index"]
-            self._at(self.now + FIRST_WORD, self._word_is_late, None)
-
-    def _word_is_late(self, _):
-        self._is_ready()
+                self.version = document["index"]
+            self.timers.at(self.step.now + FIRST_WORD, self._discovery_is_late, None)
 
-    def _is_ready(self):
-        self.ready = True
-        if not self.door_open and self.stopped is None:
-            self.door_open = True
-            self._do(OpenListener())
+    def _discovery_is_late(self, _):
+        self.lifecycle.become_ready()
 
-    def _heard(self, document):
+    def updated(self, document):
         """A message of discovery."""
         try:
             index, whole = document["index"], document["snapshot"]
             if type(index) is not int or type(whole) is not bool:
                 raise TypeError("index or snapshot of another type")
-            if not whole and (self.index is None or index < self.index):
-                raise ValueError(f"changes of {index} on top of {self.index}")
-            self._apply_list(document, whole)
+            if not whole and (self.version is None or index < self.version):
+                raise ValueError(f"changes of {index} on top of {self.version}")
+            self._apply(document, whole)
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             # Never act on half a message: ask for the whole list.
-            self._note("endpoints_rejected", error=f"{type(fault).__name__}: {fault}")
-            self._do(ResyncEndpoints())
-            self.index = None
+            self.step.log("endpoints_rejected", error=f"{type(fault).__name__}: {fault}")
+            self.step.emit(ResyncEndpoints())
+            self.version = None
             return
-        self.index, self.no_word = index, None
-        self._is_ready()
+        self.version, self.lost_reason = index, None
+        self.lifecycle.become_ready()
 
-    def _no_word(self, why, waited=0):
+    def discovery_lost(self, why, waited=0):
         """`waited`: since its last word, or since the call for it began."""
-        self._count("discovery_losses")
-        if why != self.no_word:
-            self.no_word = why
-            self._note("discovery_lost", error=why)
-        if self.settings.polls_endpoints:
-            self.node.discovery_lost(self.now, waited)
-
-    def _configured(self, discovery, told, terms=None, difference=None):
-        """A new configuration: discovery is followed where it is now; the list is kept until it is heard.
-
-        New settings hold for what is taken from now on. What was taken before stays with the node that took
-        it, so that its rules hold to its end and nothing of it is lost or sent twice. `difference`: what else
-        tenants may ask; where that is all that changed, the node goes on with it and keeps what it knows.
-        """
-        if terms is not None and told.get("settings") == self.raw_settings and difference:
-            if self._takes_in_place(difference, terms):
-                self._note(
-                    "settings_applied",
-                    pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
-                    quotas=len(difference),
-                )
-            else:
-                self.raw_settings = None  # All is taken anew below.
-        if terms is not None and told.get("settings") != self.raw_settings:
-            self._replace_settings(terms, told)
-        changed = {key for key in FIXED if told.get(key) != self.told.get(key)}
-        self._note(
-            "config_reloaded",
-            discovery=discovery,
-            discovery_moved=discovery != self.discovery,
-            needs_restart=sorted(changed),
-        )
-        if discovery != self.discovery:
-            self.discovery = discovery
-            self.index = self.no_word = None  # Versions are the old place's own.
-            self._do(FollowDiscovery(discovery))
-
-    def _replace_settings(self, terms, told):
-        """A new balancer takes what comes from now on; the earlier one keeps what it has taken."""
-        self.raw_settings = told.get("settings")
-        terms.tenants.follow(self.settings.tenants)
-        self.older.append(self.node)
-        press = self.press
-        self._serve_under(terms, self.now)
-        take_over(self.node, self.older[-1], self.now)
-        if press.classes == self.press.classes:
-            self.press = press  # Or all that the earlier one sheds would be let in at once.
-        if self.older[-1].settings.polls_endpoints:
-            # Who waits for the list under the earlier settings may wait for long.
-            self._do(PollDiscovery())
-        self._note(
-            "settings_applied",
-            pending=len(self.clients[ConnectionState.AWAITING_RESPONSE]),
-        )
-
-    def _takes_in_place(self, difference, terms):
-        """Whether other shares were taken as a difference from those in force."""
-        tenants = self.settings.tenants
-        if difference.base != tenants.version or not fits_in_place(tenants, terms.tenants.shares):
-            return False
-        tenants.apply(difference)
-        if tenants.total:
-            self.node.quotas_updated(self.now)
-        return True
-
-    def _apply_list(self, document, whole):
+        self.counters.count("discovery_losses")
+        if why != self.lost_reason:
+            self.lost_reason = why
+            self.step.log("discovery_lost", error=why)
+        if self.balancers.settings.polls_endpoints:
+            self.balancers.current.discovery_lost(self.step.now, waited)
+
+    def _apply(self, document, whole):
         listed, changed = [], []
         entries, named = self._changed_entries(document)
         for entry, address in entries:
-            backend = self.backends.get(entry.name)
+            backend = self.records.get(entry.name)
             if backend is None:
-                backend = self.backends[entry.name] = EndpointRecord(
+                backend = self.records[entry.name] = EndpointRecord(
                     entry.name, address, entry.started_at
                 )
                 changed.append((entry.name, entry.state.value))
@@ -146,22 +93,22 @@
             ):
                 # The process behind the name is another one: what is kept to the old one is of no use.
                 backend.address, backend.started = address, entry.started_at
-                self._end_idle(backend, "restarted")
+                self._close_idle(backend, "restarted")
                 changed.append((entry.name, "restarted"))
             backend.entry = entry
-            self._told(entry.name, backend, entry.state, changed)
+            self._set_state(entry.name, backend, entry.state, changed)
         if whole:
-            left = [backend for name, backend in self.backends.items() if name not in named]
+            left = [backend for name, backend in self.records.items() if name not in named]
             for backend in left:
-                self._told(backend.name, backend, EndpointState.REMOVED, changed)
+                self._set_state(backend.name, backend, EndpointState.REMOVED, changed)
             listed = [replace(backend.entry, state=EndpointState.REMOVED) for backend in left]
         listed += [entry for entry, _ in entries]
-        self._forget_gone()
-        for node in (*self.older, self.node):
-            node.endpoints_updated(self.now, listed, False)
+        self._forget_removed()
+        for node in (*self.balancers.earlier, self.balancers.current):
+            node.endpoints_updated(self.step.now, listed, False)
         if changed:
             more = {"more": len(changed) - NAMED} if len(changed) > NAMED else {}
-            self._note(
+            self.step.log(
                 "endpoints_updated",
                 version=document["index"],
                 whole=whole,
@@ -177,29 +124,29 @@
         entries, named = [], set()
         for told in document["endpoints"]:
             name = told["name"]
-            backend = self.backends.get(name)
+            backend = self.records.get(name)
             if name in named or backend is None or not _as_heard(told, backend):
                 entries.append(_entry(told))
             named.add(name)
         return entries, named
 
-    def _forget_gone(self):
+    def _forget_removed(self):
         """Fleets that start under new names must not fill the memory with old ones."""
         old = []
-        for name in self.gone:  # the longest gone first
-            if self.now - self.backends[name].told <= self.forget:
+        for name in self.removed:  # the longest gone first
+            if self.step.now - self.records[name].told <= self.balancers.removal_retention:
                 break
             old.append(name)
         for name in old:
-            if not self.backends[name].links:
-                del self.backends[name], self.gone[name]
+            if not self.records[name].links:
+                del self.records[name], self.removed[name]
 
-    def _told(self, name, backend, state, changed):
+    def _set_state(self, name, backend, state, changed):
         backend.state = state
         if state == EndpointState.REMOVED:
-            self.gone.setdefault(name)
+            self.removed.setdefault(name)
         else:
-            self.gone.pop(name, None)
+            self.removed.pop(name, None)
         backend.drains = (
             state == EndpointState.DRAINING or backend.drains and state != EndpointState.READY
         )
@@ -208,21 +155,25 @@
                 changed.append((name, state.value))
             backend.told = None
         elif backend.told is None:
-            backend.told = self.now
+            backend.told = self.step.now
             changed.append((name, state.value))
-            if self._binds(backend):
-                self._end_idle(backend, "drained")
+            if self.is_draining(backend):
+                self._close_idle(backend, "drained")
 
-    def _binds(self, backend):
+    def is_draining(self, backend):
         """Whether the rule on draining holds for it. Listed as gone alone, it may be up all the same."""
         # By the strictest of the settings that still owe something; under which a trip is, is not asked.
         return backend.told is not None and (
-            backend.drains or any(node.settings.removal_binds for node in (self.node, *self.older))
+            backend.drains
+            or any(
+                node.settings.removal_binds
+                for node in (self.balancers.current, *self.balancers.earlier)
+            )
         )
 
-    def _end_idle(self, backend, reason):
+    def _close_idle(self, backend, reason):
         for link in list(backend.idle):
-            self._end_link(link, reason)
+            self.upstream.close(link, reason)
 
 
 def _entry(told):
--- /dev/null
+++ b/pierglade/proxy/state/health_checks.py
@@ -0,0 +1,42 @@
+"""Health checks, and the load reports of backends."""
+
+from pierglade.settings.platform import load_told
+
+
+class HealthChecks:
+    """Checks the health of backends and passes their load reports on."""
+
+    def __init__(self, step, balancers, endpoints, upstream):
+        self.step = step
+        self.balancers = balancers
+        self.endpoints = endpoints
+        self.upstream = upstream
+
+    def uses_reports(self, reports):
+        """Whether load reports come so and a decision rests on them: each costs a node on its core."""
+        return (
+            self.balancers.settings.load_report_source == reports and self.balancers.current.learns
+        )
+
+    def load_reported(self, link, text):
+        load = load_told(bytes(text).decode("latin-1"))
+        if load is not None:
+            self.balancers.current.load_reported(self.step.now, link.backend.name, load)
+
+    def start(self, name):
+        backend = self.endpoints.records.get(name)
+        if backend is None or backend.probed_on is not None or self.endpoints.is_draining(backend):
+            return  # One at a time: a silent backend must not fill up with probes.
+        link = self.upstream.open(backend)
+        if link is None:
+            return self._notify(name, False, 0)
+        link.probing, backend.probed_on = True, link
+        self.upstream.watch(link)
+
+    def finished(self, link, good):
+        link.probing, link.backend.probed_on = False, None
+        self._notify(link.backend.name, good, self.step.now - link.since)
+
+    def _notify(self, name, good, took):
+        for node in (*self.balancers.earlier, self.balancers.current):
+            node.health_checked(self.step.now, name, good, took)
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -1,23 +1,20 @@
-"""All state of a node on sockets. No I/O, no greenlet, no clock: one event and its moment in, effects out.
+"""All state of a proxy process. No I/O, no greenlet, no clock: one event and its moment in, effects out.
 
 The host calls `apply(now, event)` for each event, carries out the effects in their order, and calls again
 with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` have one type a kind; a
 connection's `io` is what the host reads and writes it with, and is never looked into here.
-"""
 
-import random
-from collections import Counter, OrderedDict, deque
-from dataclasses import replace
-from heapq import heappop, heappush
+Each part owns its fields. What a part needs of those made before it comes by its constructor; what it
+needs of later ones (a client's end ends its upstream connection, and the other way round) by `connect`.
+"""
 
-from pierglade.admission.load_shedder import Press
-from pierglade.balancer.balancer import Balancer
-from pierglade.model.request import Idempotency
-from pierglade.proxy.state.connections import ConnectionState
-from pierglade.proxy.state.constants import LOG_INTERVAL, NEVER, SPARE
-from pierglade.proxy.state.downstream import Clients
-from pierglade.proxy.state.effects import Exit, LogEvent
-from pierglade.proxy.state.endpoints import Listing
+from pierglade.proxy.state.attempts import AttemptDispatcher
+from pierglade.proxy.state.balancers import Balancers
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.counters import EventCounters
+from pierglade.proxy.state.descriptors import DescriptorBudget
+from pierglade.proxy.state.downstream import DownstreamConnections
+from pierglade.proxy.state.endpoints import EndpointRegistry
 from pierglade.proxy.state.events import (
     UNDECIDED,
     BodyReceived,
@@ -42,119 +39,124 @@
     UpstreamClosed,
     UpstreamConnected,
 )
-from pierglade.proxy.state.lifecycle import Stopping
-from pierglade.proxy.state.snapshot import Memory
-from pierglade.proxy.state.upstream import Links
-
-# Constants. Times are tenths of a millisecond.
-FORGET = 2  # times the longest hard limit; then nothing out can concern a gone backend
-
-
-# What is counted, in the order in which it is logged.
-COUNTERS = (
-    "endpoint_polls",
-    "request_rejected",
-    "request_failed",
-    "connections_opened",
-    "connections_skipped",
-    "connections_refused",
-    "discovery_losses",
-    "health_checks",
-    "trials",
-    "attempts",
-)
-
-
-class ProxyStateMachine(Clients, Links, Listing, Memory, Stopping):
-    def __init__(self, seed, terms, now, sockets, discovery="", told=None, alone=True):
-        self.node = None
-        self.seed, self.older = seed, []  # nodes under earlier settings that still owe something
-        self._serve_under(terms, now)
-        self.whole_budget = sockets - SPARE
-        # Two processes of one node may hold no more together than it may: each keeps to half.
-        self.sockets = self.whole_budget // (1 if alone else 2)
-        self.door_open = alone  # else with the first good list; until then the other process serves
-        # By what they are doing, in the order in which they came to it: who is to yield is the first of one.
-        self.clients = {
-            state: OrderedDict()
-            for state in (
-                ConnectionState.NEW,
-                ConnectionState.IDLE,
-                ConnectionState.READING_REQUEST,
-                ConnectionState.AWAITING_RESPONSE,
-                ConnectionState.WRITING_RESPONSE,
-                ConnectionState.LINGERING,
-            )
-        }
-        self.links = {
-            state: OrderedDict()
-            for state in (ConnectionState.CONNECTING, ConnectionState.IDLE, ConnectionState.BUSY)
-        }
-        self.open = 0  # connections, of both kinds
-        self.ids = {}  # of open invocations and of those just answered, to their client
-        self.spent = deque()  # (until when it is kept, id) of the latter
-        self.yielding = 0  # clients that were asked to make room
-        self.carried = {}  # trip to its link
-        self.backends, self.gone = (
-            {},
-            OrderedDict(),
-        )  # by name; of these the gone, the longest gone first
-        self.discovery, self.told = discovery, told or {}
-        self.raw_settings = self.told.get("settings")
-        self.index = None  # version of the list that discovery last told
-        self.no_word = None  # why discovery is lost, noted once
-        self.ready = False
-        self.stopped = None  # since when
-        self.standby = False  # operators have it emptied
-        self.gate = None  # who may connect; None: anybody
-        self.gives_ids, self.given = False, 0  # to requests without one, and how many it gave
-        self.leaving = self.exiting = False
-        self.closing = False  # after a stop: the end is so near that nothing more is begun
-        self.due, self.count = [], 0  # heap of (moment, count, what is due, its subject)
-        self.now, self.came, self.idle, self.effects = now, now, now, []
-        self.began = now
-        # What no line has told of yet: invocations bounced unseen, clients that found no descriptor left.
-        self.pressed = self.crowded = self.turned_away = 0
-        self.counts = Counter()  # what was done since the last line of counts
-        self.handlers = {
-            ConnectionOpened: self._opened,
-            RequestStarted: self._begun,
-            RequestReceived: self._asked,
-            BodyReceived: self._body,
-            ResponseProgressed: self._takes,
-            ResponseCompleted: self._reply_over,
-            MalformedRequest: self._faulty,
-            ResponseSent: self._answered,
-            ClientDisconnected: self._client_ended,
-            UpstreamConnected: self._up,
-            RequestNotSent: self._left,
-            ResponsePartReceived: self._replying,
-            ResponseReceived: self._replied,
-            UpstreamClosed: self._link_ended,
-            EndpointsUpdated: self._heard,
-            DiscoveryLost: self._no_word,
-            ConfigurationLoaded: self._configured,
-            ManagementCall: self._called,
-            SoleProcess: self._alone,
-            StopRequested: self._stop,
-            TimerFired: self._woke,
-        }
-
-    def _serve_under(self, terms, now):
-        self.settings, self.node = terms, Balancer(self.seed, terms, now, self.node)
-        self.request_classes = {o.name.encode(): o for o in terms.request_classes}
-        # A stamped one whose request brings no id of its own: what it does must not be done twice.
-        self.unstamped = {
-            o.name.encode(): replace(o, idempotency=Idempotency.UNSAFE)
-            for o in terms.request_classes
-            if o.idempotency == Idempotency.KEYED
-        }
-        self.press = Press(
-            [o.priority_weight for o in terms.request_classes],
-            random.Random(f"{self.seed} press").random,
+from pierglade.proxy.state.health_checks import HealthChecks
+from pierglade.proxy.state.lifecycle import Lifecycle
+from pierglade.proxy.state.management import ManagementCalls
+from pierglade.proxy.state.reconfiguration import Reconfiguration
+from pierglade.proxy.state.requests import RequestIntake
+from pierglade.proxy.state.responses import ResponseRelay
+from pierglade.proxy.state.snapshot import SnapshotExchange
+from pierglade.proxy.state.step import Step
+from pierglade.proxy.state.timers import Timers
+from pierglade.proxy.state.upstream import UpstreamConnections
+
+
+class ProxyStateMachine:
+    """Routes events to the parts that hold the state, and collects their effects.
+
+    `limit`: file descriptors that connections may take; `document`: the configuration as it was read;
+    `sole_process`: no other process serves the address.
+    """
+
+    def __init__(self, seed, settings, now, limit, discovery="", document=None, sole_process=True):
+        self.step = Step(now)
+        self.timers = Timers(self.step)
+        self.counters = EventCounters(self.step, self.timers)
+        self.balancers = Balancers(self.step, seed, settings)
+        self.descriptors = DescriptorBudget(self.step, self.timers, limit, sole_process)
+        self.lifecycle = Lifecycle(
+            self.step, self.timers, self.balancers, self.descriptors, sole_process
+        )
+        self.endpoints = EndpointRegistry(
+            self.step, self.timers, self.counters, self.balancers, self.lifecycle
+        )
+        self.downstream = DownstreamConnections(
+            self.step, self.timers, self.counters, self.descriptors, self.lifecycle
+        )
+        self.requests = RequestIntake(
+            self.step,
+            self.timers,
+            self.balancers,
+            self.descriptors,
+            self.lifecycle,
+            self.downstream,
         )
-        self.refusals = {}  # prepared, by how long clients are told to stay away
-        self.forget = FORGET * max(o.request_timeout for o in terms.request_classes)
+        self.upstream = UpstreamConnections(
+            self.step,
+            self.timers,
+            self.counters,
+            self.balancers,
+            self.descriptors,
+            self.endpoints,
+            self.downstream,
+        )
+        self.attempts = AttemptDispatcher(
+            self.step,
+            self.timers,
+            self.counters,
+            self.balancers,
+            self.endpoints,
+            self.downstream,
+            self.upstream,
+        )
+        self.health_checks = HealthChecks(self.step, self.balancers, self.endpoints, self.upstream)
+        self.responses = ResponseRelay(
+            self.step,
+            self.timers,
+            self.downstream,
+            self.upstream,
+            self.attempts,
+            self.health_checks,
+        )
+        self.reconfiguration = Reconfiguration(
+            self.step, self.balancers, self.endpoints, self.downstream, discovery, document
+        )
+        self.management = ManagementCalls(
+            self.step,
+            self.balancers,
+            self.descriptors,
+            self.lifecycle,
+            self.endpoints,
+            self.downstream,
+        )
+        self.snapshot = SnapshotExchange(self.step, self.balancers, self.endpoints)
+        self._connect_parts()
+        self._handlers = self._handlers_by_type()
+
+    def _connect_parts(self):
+        self.descriptors.connect(self.downstream, self.upstream)
+        self.lifecycle.connect(self.downstream, self.upstream, self.attempts)
+        self.endpoints.connect(self.upstream)
+        self.downstream.connect(self.requests, self.upstream, self.attempts)
+        self.requests.connect(self.reconfiguration)
+        self.upstream.connect(self.attempts, self.health_checks)
+        self.attempts.connect(self.health_checks)
+
+    def _handlers_by_type(self):
+        """What takes an event, by its type: it gets the event's fields."""
+        return {
+            ConnectionOpened: self.downstream.opened,
+            RequestStarted: self.downstream.request_started,
+            RequestReceived: self.requests.received,
+            BodyReceived: self.downstream.body_received,
+            ResponseProgressed: self.downstream.response_progressed,
+            ResponseCompleted: self.responses.completed,
+            MalformedRequest: self.downstream.malformed_request,
+            ResponseSent: self.downstream.response_sent,
+            ClientDisconnected: self.downstream.disconnected,
+            UpstreamConnected: self.upstream.connected,
+            RequestNotSent: self.upstream.request_not_sent,
+            ResponsePartReceived: self.responses.part_received,
+            ResponseReceived: self.responses.received,
+            UpstreamClosed: self.upstream.ended,
+            EndpointsUpdated: self.endpoints.updated,
+            DiscoveryLost: self.endpoints.discovery_lost,
+            ConfigurationLoaded: self.reconfiguration.loaded,
+            ManagementCall: self.management.called,
+            SoleProcess: self.lifecycle.sole_process,
+            StopRequested: self.lifecycle.stop,
+            TimerFired: _only_time_passed,
+        }
 
     def apply(self, now, event, came=NEVER, idle=NEVER):
         """Takes one event and returns the effects that it brings about, in their order.
@@ -162,86 +164,30 @@
         `came`: when what the event reports may have come, if that was before the host could handle it;
         `idle`: when the host last had nothing to do.
         """
-        self.now, self.effects = max(now, self.now), []
-        self.came, self.idle = min(came, self.now), idle
+        self.step.begin(now, came, idle)
         kind = type(event)
-        self.handlers[kind](*event)
-        if self._look_after_due() or kind not in UNDECIDED:
-            self._pull()
-        if self.leaving and not self.exiting and not any(self.clients.values()):
-            self.exiting = True
-            self._do(Exit())
-        return self.effects
+        self._handlers[kind](*event)
+        if self.timers.run_due() or kind not in UNDECIDED:
+            self.attempts.carry_out_decisions()
+        self.lifecycle.exit_when_done()
+        return self.step.effects
 
     def next_wakeup(self, now):
+        """The moment of the next TimerFired; None: nothing is due."""
+        balancers = self.balancers
         wakes = [
-            wake for node in (*self.older, self.node) if (wake := node.next_wakeup(now)) is not None
+            wake
+            for balancer in (*balancers.earlier, balancers.current)
+            if (wake := balancer.next_wakeup(now)) is not None
         ]
-        if self.due:
-            wakes.append(self.due[0][0])
+        if self.timers.heap:
+            wakes.append(self.timers.heap[0][0])
         return min(wakes, default=None)
 
-    def _do(self, effect):
-        self.effects.append(effect)
-
-    def _note(self, event, **fields):
-        self.effects.append(LogEvent(event, fields))
-
-    # What is due.
+    def salvage(self, connection):
+        """The effects after a fault in `apply`, whose event concerned `connection`, or None."""
+        return self.lifecycle.salvage(connection)
 
-    def _at(self, moment, call, subject):
-        self.count += 1
-        heappush(self.due, (moment, self.count, call, subject))
 
-    def _connection_due(self, connection, moment, call):
-        """A connection has one thing due at a time; a later one takes its place."""
-        connection.due = (moment, call)
-        self._queue(connection)
-
-    def _is(self, connection, state, all_of):
-        all_of[connection.state].pop(connection, None)
-        connection.state = state
-        all_of[state][connection] = None
-
-    def _queue(self, connection):
-        # Seldom more than one entry each: with one for every answer the heap would hold a minute's worth.
-        moment = connection.due[0]
-        if connection.queued is None or moment < connection.queued:
-            connection.queued = moment
-            self._at(moment, self._connection_is_due, (connection, moment))
-
-    def _connection_is_due(self, queued):
-        connection, moment = queued
-        if connection.queued != moment:
-            return  # An earlier one has taken its place; followed up, both would live on for ever.
-        connection.queued = None
-        if connection.due is None or connection.state is ConnectionState.CLOSED:
-            return
-        if connection.due[0] > self.now:
-            return self._queue(connection)
-        call, connection.due = connection.due[1], None
-        call(connection)
-
-    def _look_after_due(self):
-        """Whether anything was due."""
-        if not self.due or self.due[0][0] > self.now:
-            return False
-        while self.due and self.due[0][0] <= self.now:
-            _, _, call, subject = heappop(self.due)
-            call(subject)
-        return True
-
-    def _woke(self):
-        """Only the time has passed."""
-
-    def _count(self, what):
-        if not self.counts:
-            self._at(self.now + LOG_INTERVAL, self._tell_counts, None)
-        self.counts[what] += 1
-
-    def _tell_counts(self, _):
-        # Harmless from one node, much of it is harm from forty at once: only counted over all does it show.
-        self._note(
-            "counters", **{name: self.counts[name] for name in COUNTERS if name in self.counts}
-        )
-        self.counts.clear()
+def _only_time_passed():
+    """What is due is looked after in any case."""
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -1,22 +1,27 @@
-"""What a node's state gives to keep over a restart, and takes back: plain figures, for
-`pierglade/snapshot/`."""
+"""Learned statistics for a snapshot, and back: plain figures, for `pierglade/snapshot/`."""
 
 from pierglade.model.endpoint import EndpointState
 from pierglade.snapshot.aging import aged
 from pierglade.snapshot.schema import STORED_IDEMPOTENCY
 
+# Times are tenths of a millisecond.
 STATUSES = {EndpointState.READY: "SERVING", EndpointState.DRAINING: "DRAINING"}
 
 
-class Memory:
-    """Mixed into the ProxyStateMachine, which holds what is used here."""
+class SnapshotExchange:
+    """Exports what a snapshot keeps over a restart, and takes it back."""
 
-    def kept(self, keys, row_keys):
+    def __init__(self, step, balancers, endpoints):
+        self.step = step
+        self.balancers = balancers
+        self.endpoints = endpoints
+
+    def export(self, keys, row_keys):
         """(offerings, backends, work done at all of them, the list's entries), by names, copied.
 
         `backends`: name to (address, started, figures), of those that are ready.
         """
-        rows, figures = self.node.export_statistics(keys)
+        rows, figures = self.balancers.current.export_statistics(keys)
         request_classes = {
             o.name: {
                 "expected": o.latency_objective,
@@ -24,11 +29,11 @@
                 "repeats": STORED_IDEMPOTENCY[o.idempotency],
                 **{key: row[key] for key in row_keys},
             }
-            for o, row in zip(self.settings.request_classes, rows)
+            for o, row in zip(self.balancers.settings.request_classes, rows)
         }
         backends, work = {}, 0
         for name, told in figures.items():
-            backend = self.backends.get(name)
+            backend = self.endpoints.records.get(name)
             if backend is not None:
                 told["pauses"] = list(told["pauses"])
                 work += told["work"]
@@ -43,24 +48,29 @@
                 "weight": backend.entry.weight,
                 "since_ms": backend.entry.started_at // 10,
             }
-            for name, backend in self.backends.items()
+            for name, backend in self.endpoints.records.items()
             if backend.state in STATUSES
         ]
         return request_classes, backends, work, entries
 
-    def remember(self, snapshot, half_life):
+    def restore(self, snapshot, half_life):
         """Takes back what is still true of a Snapshot, after the list; the line that says what that was.
 
         Raises ageing.Unworthy where nothing is. `half_life`: tenths of a millisecond.
         """
-        fresh, _ = self.node.export_statistics(())
+        fresh, _ = self.balancers.current.export_statistics(())
         listed = {
             name: (backend.address, backend.started)
-            for name, backend in self.backends.items()
+            for name, backend in self.endpoints.records.items()
             if backend.state == EndpointState.READY
         }
         rows, backends, line = aged(
-            snapshot, self.now, half_life, self.settings.request_classes, fresh, listed
+            snapshot,
+            self.step.now,
+            half_life,
+            self.balancers.settings.request_classes,
+            fresh,
+            listed,
         )
-        self.node.restore_statistics(rows, backends)
+        self.balancers.current.restore_statistics(rows, backends)
         return line
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -150,14 +150,14 @@
         self.reducer = ProxyStateMachine(
             place.seed, place.settings, self.clock.now(), place.sockets, place.discovery, place.told
         )
-        self.reducer.known(place.known)
+        self.reducer.endpoints.restore(place.known)
         place.known = {}  # as a node does: the reducer has what it needs of it
 
     def take(self, event):
         began = thread_time()
         effects = self.reducer.apply(self.clock.now(), event)
         took = thread_time() - began
-        self.index = self.reducer.index
+        self.index = self.reducer.endpoints.version
         if isinstance(event, EndpointsUpdated):
             self.list_s.append(took)
         for effect in effects:
@@ -174,14 +174,14 @@
         began = thread_time()
         place = in_steps(steps_again(self.place))
         difference = in_steps(
-            shares.steps(self.reducer.settings.tenants, place.settings.tenants.shares)
+            shares.steps(self.reducer.balancers.settings.tenants, place.settings.tenants.shares)
         )
         self.version = place.told["version"]
         self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, difference))
         self.settings_s.append(thread_time() - began)
 
     def wrong(self, changed):
-        backends = self.reducer.backends
+        backends = self.reducer.endpoints.records
         count = 0
         for name in self.at_first:
             backend, status = backends.get(name), changed.get(name, ["SERVING", 0])[0]
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -187,7 +187,7 @@
         """All is to be refused; what the rules need looked at is not refused unseen."""
         desk, lines = Desk(["b0"]), []
         desk.ask("busy", trace="out")
-        bar = desk.reducer.press
+        bar = desk.reducer.balancers.load_shedder
         bar.bar = 0.99
         bar.refuses = lambda *what: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
@@ -218,12 +218,14 @@
             inbox.room()[: len(data)] = data
             inbox.filled(len(data))
             desk.open(name)
-            refusal = desk.reducer.glance(desk.now, desk.clients[name], inbox, desk.now, desk.now)
+            refusal = desk.reducer.requests.glance(
+                desk.now, desk.clients[name], inbox, desk.now, desk.now
+            )
             lines.append(f"{what}: {'refused' if refusal else 'ordinary'}")
-        lines.append(refusal.decode() if refusal else str(desk.reducer.refusals))
+        lines.append(refusal.decode() if refusal else str(desk.reducer.balancers.refusals))
         owed = desk.clients["busy"]
         lines.append(
-            f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, inbox, desk.now, desk.now)}"
+            f"one that is owed an answer: {desk.reducer.requests.glance(desk.now, owed, inbox, desk.now, desk.now)}"
         )
         self.check("admission_glance", lines)
 
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -191,10 +191,10 @@
                     )
                 )
                 desk.after(200)
-                backend = desk.reducer.backends["b0"]
-                left_alone = desk.reducer._binds(backend)
+                backend = desk.reducer.endpoints.records["b0"]
+                left_alone = desk.reducer.endpoints.is_draining(backend)
                 lines.append(f"gone binds {binds}, {status}: left alone {left_alone}")
             desk.after(60000)
             desk.tell(EndpointsUpdated({"index": 3, "snapshot": False, "endpoints": []}))
-            lines.append(f"after a minute known: {list(desk.reducer.backends)}")
+            lines.append(f"after a minute known: {list(desk.reducer.endpoints.records)}")
         self.check("untrue_link", lines)
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -46,7 +46,7 @@
         desk = warm_desk()
         desk.ask("c0")
         link = next(link for link in desk.links if link.attempt)
-        node, owed = desk.reducer.node, [CancelAttempt(link.attempt)]
+        node, owed = desk.reducer.balancers.current, [CancelAttempt(link.attempt)]
         decide = node.next_decision
         node.next_decision = lambda now: owed.pop() if owed else decide(now)
         desk.after(20)
@@ -134,7 +134,7 @@
                     came=desk.now - 800,
                 )
                 desk.taken("c0")
-        typical = desk.reducer.node.table[0].typical
+        typical = desk.reducer.balancers.current.table[0].typical
         desk.say(f"typical {typical / 10:.0f} of 100 at first")
         self.check("node_late", desk.lines)
 
@@ -186,14 +186,17 @@
         desk.ask("c0", "/pay")
         desk.up()
         desk.open("c1")
-        decide, desk.reducer.node.next_decision = desk.reducer.node.next_decision, lambda now: 1 / 0
+        decide, desk.reducer.balancers.current.next_decision = (
+            desk.reducer.balancers.current.next_decision,
+            lambda now: 1 / 0,
+        )
         try:
             desk.ask("c1")
         except ZeroDivisionError:
             effect = desk.reducer.salvage(desk.clients["c1"])[-1]
             name, status = effect.connection.io.name, effect.head.split()[1].decode()
             desk.say(f"fault: {type(effect).__name__} {name} {status}")
-        desk.reducer.node.next_decision = decide
+        desk.reducer.balancers.current.next_decision = decide
         desk.after(998)
         self.check("node_fault", desk.lines)
 
@@ -213,7 +216,7 @@
         desk.reply(link=0)
         desk.after(10)
         desk.say(
-            f"{[link.state for link in desk.links]}, {desk.reducer.backends['b0'].coming_up} coming up"
+            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].coming_up} coming up"
         )
         self.check("node_free_first", desk.lines)
 
@@ -313,8 +316,8 @@
         desk.hear(["b0"], 2)
         desk.now += 20001
         desk.hear(["b0", entry("b2", address="127.0.0.1:9001")], 3)
-        self.assertEqual(sorted(desk.reducer.backends), ["b0", "b2"])
-        self.assertEqual(desk.reducer.backends["b2"].links, 0)
+        self.assertEqual(sorted(desk.reducer.endpoints.records), ["b0", "b2"])
+        self.assertEqual(desk.reducer.endpoints.records["b2"].links, 0)
 
     def test_what_is_due_stays_short(self):
         """One entry for each answer would hold on to a minute's worth of them."""
@@ -325,7 +328,7 @@
             desk.reply()
             desk.taken("c0")
             desk.after(100)
-        self.assertLess(len(desk.reducer.due), 40)
+        self.assertLess(len(desk.reducer.timers.heap), 40)
 
     def test_a_new_configuration(self):
         """Discovery elsewhere: nothing is forgotten until its whole list is there, whatever its version."""
@@ -343,7 +346,7 @@
         """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
         desk = Desk(["b0", "b1"])
         before, after = {"settings": 1}, {"settings": 2}
-        desk.reducer.raw_settings = 1
+        desk.reducer.reconfiguration.raw_settings = 1
         shared = dict(
             tenants=TenantRegistry(),
             node_count=70,
@@ -371,7 +374,7 @@
         desk.after(200)
         desk.ask("c3")
         desk.reply()
-        desk.say(f"{len(desk.reducer.older)} nodes under earlier settings")
+        desk.say(f"{len(desk.reducer.balancers.earlier)} nodes under earlier settings")
         self.check("node_settings", desk.lines)
 
     def test_reports_and_hints_are_heeded_where_a_decision_rests_on_them(self):
@@ -386,13 +389,17 @@
         desk.say(f"hint {desk.clients['c0'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=40, util=0.6, other=x\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, busy {desk.reducer.balancers.current.told_busy}"
+        )
         desk.after(10)
         desk.ask("c1", headers="X-Props: hintUs=none\r\n")
         desk.say(f"hint {desk.clients['c1'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=50, util=0.7\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, busy {desk.reducer.balancers.current.told_busy}"
+        )
         self.check("node_reports", desk.lines)
 
     @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
@@ -407,8 +414,8 @@
         for n in range(21):
             desk.lines = []
             desk.ask("c0")
-            attempt = next(iter(desk.reducer.carried))
-            link = desk.reducer.carried[attempt]
+            attempt = next(iter(desk.reducer.attempts.connections))
+            link = desk.reducer.attempts.connections[attempt]
             desk.tell(UpstreamConnected(link))
             desk.tell(
                 ResponseReceived(
@@ -422,7 +429,9 @@
         desk.up()
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
         desk.tell(ResponseReceived(desk.links[-1], message(answer, http.Answers)))
-        desk.say(f"pace {desk.reducer.node.told_pace}, queue {desk.reducer.node.told_queue}")
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, queue {desk.reducer.balancers.current.told_queue}"
+        )
         self.check("node_stats", desk.lines)
 
     def test_a_list_that_is_asked_for_is_asked_for_later_and_within_the_term(self):
@@ -441,10 +450,10 @@
         """Started anew, twenty-eight nodes asked for the whole list at once, and none of them got it."""
         known = {"index": 41, "snapshot": True, "endpoints": [entry("b0"), entry("b1")]}
         desk = Desk(backends=(), known=known)
-        desk.say(f"follows from {desk.reducer.index}")
+        desk.say(f"follows from {desk.reducer.endpoints.version}")
         desk.hear([entry("b1", "DRAINING")], index=42, whole=False)
         desk.hear([entry("b0", "DRAINING")], index=40, whole=False)
-        desk.say(f"follows from {desk.reducer.index}")
+        desk.say(f"follows from {desk.reducer.endpoints.version}")
         self.check("node_known_version", desk.lines)
 
 
@@ -509,7 +518,9 @@
         desk.ask("c0", trace="one")
         desk.after(2001)
         desk.ask("c2", trace="one")
-        desk.say(f"{len(desk.reducer.ids)} known, {len(desk.reducer.spent)} spent")
+        desk.say(
+            f"{len(desk.reducer.requests.ids)} known, {len(desk.reducer.requests.recent_ids)} spent"
+        )
         self.check("node_ids", desk.lines)
 
     def test_a_trickle_does_not_renew_its_time(self):
@@ -622,7 +633,7 @@
 
     def test_nothing_is_owed_when_the_end_may_come(self):
         desk = Desk(["b0"], max_attempts=1)
-        desk.reducer.request_classes[b"look"].request_timeout = 50000
+        desk.reducer.balancers.request_classes[b"look"].request_timeout = 50000
         desk.ask("c0", left=5000)
         desk.up()
         desk.tell(StopRequested())
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -98,10 +98,10 @@
         self.begun = 0  # calls
         self.heard = []  # when each call began, and when its last piece came
         self.desk = Desk(("b0", "b1"), polls_endpoints=asked)
-        self.desk.reducer.node.pick = mock.Mock(
+        self.desk.reducer.balancers.current.pick = mock.Mock(
             side_effect=lambda most: most - 1 if seed is None else seed * most // 4
         )
-        self.desk.reducer.index = 7
+        self.desk.reducer.endpoints.version = 7
         self.start = self.desk.now
         self.watch = discovery.Discovery("127.0.0.1:1", self, index)
         self.watch.waits = lambda: asked
@@ -329,7 +329,9 @@
         sock.sendall(http_request(request_class, "1"))
         until(lambda: f"/{request_class}/1" in house.seen())
         house.first = next(
-            link for link in house.host.reducer.links[ConnectionState.BUSY] if link.attempt
+            link
+            for link in house.host.reducer.upstream.by_state[ConnectionState.BUSY]
+            if link.attempt
         )
         for backend in house.backends:
             backend.seen.clear()
@@ -342,7 +344,7 @@
         house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
         until(house.connecting)
         yield
-        until(lambda: not any(house.host.reducer.clients.values()))
+        until(lambda: not any(house.host.reducer.downstream.by_state.values()))
         house.gate.set()
 
     def further_connecting_at_once(self, house, sock, request_class):
@@ -368,7 +370,7 @@
         sock.setblocking(False)
         until(lambda: sending.waiting(mock.Mock(_sock=sock)))
         sock.recv(1000)
-        until(lambda: house.host.reducer.clients[ConnectionState.IDLE])
+        until(lambda: house.host.reducer.downstream.by_state[ConnectionState.IDLE])
         sock.setblocking(True)
         sock.sendall(http_request(request_class, "1"))
         yield
@@ -414,14 +416,18 @@
                 reducer = house.host.reducer
                 until(
                     lambda reducer=reducer: (
-                        len(reducer.clients[ConnectionState.AWAITING_RESPONSE]) == 60
+                        len(reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]) == 60
                     )
                 )
                 until(lambda house=house: not house.connecting())
-                until(lambda house=house: len(house.seen()) == len(house.host.reducer.carried))
+                until(
+                    lambda house=house: (
+                        len(house.seen()) == len(house.host.reducer.attempts.connections)
+                    )
+                )
                 waiting = {
                     client.id.decode()
-                    for client in reducer.clients[ConnectionState.AWAITING_RESPONSE]
+                    for client in reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
                     if not client.request.attempts
                 }
                 self.assertGreater(len(waiting), 10)
@@ -429,7 +435,9 @@
                     leave(socks[int(number)], how)
                 held.set()
                 until(
-                    lambda reducer=reducer: not reducer.clients[ConnectionState.AWAITING_RESPONSE]
+                    lambda reducer=reducer: (
+                        not reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
+                    )
                 )
                 for sock in socks:
                     sock.close()
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -155,7 +155,7 @@
     def connecting(self):
         return [
             link
-            for link in self.host.reducer.links[ConnectionState.CONNECTING]
+            for link in self.host.reducer.upstream.by_state[ConnectionState.CONNECTING]
             if link.attempt is not None
         ]
 
@@ -167,13 +167,13 @@
                 sock.sendall(http_request("look", f"warm{n}"))
                 sock.setblocking(False)
                 until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
-        until(lambda: not any(reducer.clients.values()))
+        until(lambda: not any(reducer.downstream.by_state.values()))
         until(
             lambda: (
                 all(
-                    reducer.now - link.since >= links.REST
+                    reducer.step.now - link.since >= links.REST
                     and self.host.clock.now() - link.since >= links.REST
-                    for link in reducer.links[ConnectionState.IDLE]
+                    for link in reducer.upstream.by_state[ConnectionState.IDLE]
                 )
                 or self.host.tell(TimerFired())
             )
@@ -183,7 +183,7 @@
         """What backends saw, once all clients are gone and later requests have come through every backend."""
         reducer = self.host.reducer
         self.gate.set()
-        until(lambda: not any(reducer.clients.values()))
+        until(lambda: not any(reducer.downstream.by_state.values()))
         if self.first is not None:  # its backend still holds the first request
             self.host.tell(UpstreamClosed(self.first, CloseCause.RESET, True, "as the test says"))
         for backend in self.backends:
@@ -195,7 +195,7 @@
                 sock.sendall(http_request("look", f"after{n}"))
                 sock.setblocking(False)
                 until(lambda sock=sock: sending.waiting(mock.Mock(_sock=sock)))
-        until(lambda: len(self.seen()) >= before + later and not reducer.carried)
+        until(lambda: len(self.seen()) >= before + later and not reducer.attempts.connections)
         return [url for url in self.seen() if "after" not in url and "warm" not in url]
 
     def close(self):
@@ -205,7 +205,10 @@
         for backend in self.backends:
             backend.running.kill()
             backend.sock.close()
-        for some in (*self.host.reducer.links.values(), *self.host.reducer.clients.values()):
+        for some in (
+            *self.host.reducer.upstream.by_state.values(),
+            *self.host.reducer.downstream.by_state.values(),
+        ):
             for connection in list(some):
                 if connection.io is not None:
                     connection.io.end()
@@ -243,7 +246,7 @@
         until(house.connecting)
         yield
         if not body:
-            until(lambda: not any(house.host.reducer.clients.values()))
+            until(lambda: not any(house.host.reducer.downstream.by_state.values()))
         house.gate.set()
 
     def connecting_at_once(self, house, sock, request_class):
@@ -265,7 +268,8 @@
         sock.sendall(http_request(request_class, "1"))
         until(
             lambda: any(
-                client.io.come for client in house.host.reducer.clients[ConnectionState.NEW]
+                client.io.come
+                for client in house.host.reducer.downstream.by_state[ConnectionState.NEW]
             )
         )
         yield
@@ -279,7 +283,9 @@
         sock.sendall(http_request(request_class, "first") + more)
         until(lambda: any("first" in url for url in house.seen()))
         house.first = next(
-            link for link in house.host.reducer.links[ConnectionState.BUSY] if link.attempt
+            link
+            for link in house.host.reducer.upstream.by_state[ConnectionState.BUSY]
+            if link.attempt
         )
         return house.first
 
@@ -302,14 +308,14 @@
 
     def decisions(self, house, sock, request_class):
         """Held by the decisions: they decide as the client leaves."""
-        decide, house.host.reducer.node.next_decision = (
-            house.host.reducer.node.next_decision,
+        decide, house.host.reducer.balancers.current.next_decision = (
+            house.host.reducer.balancers.current.next_decision,
             lambda now: None,
         )
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: house.host.reducer.clients[ConnectionState.AWAITING_RESPONSE])
+        until(lambda: house.host.reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE])
         yield
-        house.host.reducer.node.next_decision = decide
+        house.host.reducer.balancers.current.next_decision = decide
         house.host.tell(TimerFired())
 
     def again(self, house, sock, request_class):
@@ -455,12 +461,16 @@
                     until(
                         lambda house=house: any(
                             link.io.whole is False and link.attempt
-                            for link in house.host.reducer.links[ConnectionState.BUSY]
+                            for link in house.host.reducer.upstream.by_state[ConnectionState.BUSY]
                         )
                     )
                     gevent.sleep(0)
                     sock.close()
-                    until(lambda house=house: not house.host.reducer.clients[ConnectionState.NEW])
+                    until(
+                        lambda house=house: (
+                            not house.host.reducer.downstream.by_state[ConnectionState.NEW]
+                        )
+                    )
                     go.set()
                     seen = house.rest()
                 lines.append(
@@ -489,25 +499,31 @@
             held.set()
             until(lambda: "/look/passed" in backend.seen)
             house.gate.set()
-            until(lambda: len(reducer.links[ConnectionState.IDLE]) == 2 == len(backend.socks))
+            until(
+                lambda: (
+                    len(reducer.upstream.by_state[ConnectionState.IDLE]) == 2 == len(backend.socks)
+                )
+            )
             until(
                 lambda: all(
                     house.host.clock.now() - link.since > links.REST
-                    for link in reducer.links[ConnectionState.IDLE]
+                    for link in reducer.upstream.by_state[ConnectionState.IDLE]
                 )
             )
             fresh = next(
-                link for link in reducer.links[ConnectionState.IDLE] if not link.io.answers.end
+                link
+                for link in reducer.upstream.by_state[ConnectionState.IDLE]
+                if not link.io.answers.end
             )
             fresh.backend.idle.sort(key=lambda link: link is fresh)
             until(
                 lambda: (
-                    len(reducer.clients[ConnectionState.NEW])
-                    + len(reducer.clients[ConnectionState.IDLE])
+                    len(reducer.downstream.by_state[ConnectionState.NEW])
+                    + len(reducer.downstream.by_state[ConnectionState.IDLE])
                     == 3
                 )
             )
-            client = next(iter(reducer.clients[ConnectionState.NEW]))
+            client = next(iter(reducer.downstream.by_state[ConnectionState.NEW]))
             backend.socks[1]._sock.shutdown(
                 socket.SHUT_RDWR
             )  # and the loop does not turn before it is written
@@ -627,8 +643,8 @@
         request = desk.clients["body"].request
         request.deadline += 90000  # as where a body is still coming
         request.attempts[0].timeout_at += 90000
-        desk.reducer._watch(desk.links[0])
-        desk.reducer._owes(desk.clients["body"])
+        desk.reducer.upstream.watch(desk.links[0])
+        desk.reducer.downstream.await_response(desk.clients["body"])
         desk.after(480)
         desk.ask("late", "/pay")
         desk.up(0)
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -138,8 +138,8 @@
         desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
         desk.lose(CloseCause.CLIENT_GONE, whole=False)
         desk.say(
-            f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.trouble}, "
-            f"errors {desk.reducer.node.errors}"
+            f"open {desk.reducer.descriptors.open}, out {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.trouble}, "
+            f"errors {desk.reducer.balancers.current.errors}"
         )
         self.check("large_left", lines + desk.lines)
 
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -214,7 +214,7 @@
 
     def setUp(self):
         self.desk = Desk([f"b{n}" for n in range(5)])
-        self.told = Told(self.desk.reducer.node)
+        self.told = Told(self.desk.reducer.balancers.current)
 
     def hear(self, names, *more):
         self.desk.hear([*map(entry, names), *more], index=2)
@@ -223,7 +223,7 @@
     def test_all_as_it_was(self):
         lines = len(self.desk.lines)
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [])
-        self.assertEqual((len(self.desk.lines), self.desk.reducer.index), (lines, 2))
+        self.assertEqual((len(self.desk.lines), self.desk.reducer.endpoints.version), (lines, 2))
 
     def test_each_difference_is_told(self):
         for change in (
@@ -241,7 +241,7 @@
                     told,
                     [("b4", EndpointState.DRAINING if "status" in change else EndpointState.READY)],
                 )
-                backend = self.desk.reducer.backends["b4"]
+                backend = self.desk.reducer.endpoints.records["b4"]
                 self.assertEqual(
                     (
                         backend.entry.zone,
@@ -264,8 +264,8 @@
     def test_left_out_and_back_as_it_was(self):
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3"]), [("b4", EndpointState.REMOVED)])
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(self.desk.reducer.node.ranked), 5)
-        self.assertEqual(len(self.desk.reducer.gone), 0)
+        self.assertEqual(len(self.desk.reducer.balancers.current.ranked), 5)
+        self.assertEqual(len(self.desk.reducer.endpoints.removed), 0)
 
     def test_named_twice_the_last_word_holds(self):
         for twice in (
@@ -274,12 +274,12 @@
         ):
             self.setUp()
             self.hear(["b0", "b1", "b2", "b3"], *twice)
-            backend = self.desk.reducer.backends["b4"]
+            backend = self.desk.reducer.endpoints.records["b4"]
             ready = twice[1]["status"] == "SERVING"
             self.assertEqual(
                 backend.state, EndpointState.READY if ready else EndpointState.DRAINING
             )
-            self.assertEqual(len(self.desk.reducer.node.ranked), 5 if ready else 4)
+            self.assertEqual(len(self.desk.reducer.balancers.current.ranked), 5 if ready else 4)
 
     def test_refused_nothing_of_it_is_applied(self):
         """Also where the fault stands behind a good difference, or in one that is equal but for it."""
@@ -296,18 +296,19 @@
                 self.desk.hear([entry("b0", "DRAINING"), entry("b1"), wrong], index=2)
                 self.assertEqual(self.told.entries, [])
                 self.assertEqual(
-                    {b.state for b in self.desk.reducer.backends.values()}, {EndpointState.READY}
+                    {b.state for b in self.desk.reducer.endpoints.records.values()},
+                    {EndpointState.READY},
                 )
-                self.assertIsNone(self.desk.reducer.index)
+                self.assertIsNone(self.desk.reducer.endpoints.version)
 
     def test_an_older_node_hears_it_too(self):
         self.desk.ask("c0")
-        older = self.desk.reducer.node
+        older = self.desk.reducer.balancers.current
         self.desk.tell(
             ConfigurationLoaded("", {"settings": "others"}, balancer_settings(max_retry_after=7))
         )
-        self.assertEqual(self.desk.reducer.older, [older])
-        self.told = Told(self.desk.reducer.node)
+        self.assertEqual(self.desk.reducer.balancers.earlier, [older])
+        self.told = Told(self.desk.reducer.balancers.current)
         self.hear(["b0", "b1", "b2", "b3"])
         self.assertEqual(
             [older.state[older.index["b4"]], len(older.ranked)], [EndpointState.REMOVED, 4]
@@ -320,24 +321,24 @@
         names = ["b0", "b1", "b2", "b3"]
         self.desk.hear([entry(name, "DRAINING") for name in names], index=2, whole=False)
         self.desk.hear([entry(name, "DELETED") for name in names[1:]], index=3, whole=False)
-        reducer.backends["b1"].links = 1
+        reducer.endpoints.records["b1"].links = 1
         self.desk.now += (FORGOTTEN - 1) * MS
         self.desk.hear(["c1"], index=4, whole=False)
-        self.assertEqual(set(reducer.backends), {"b0", "b1", "b2", "b3", "b4", "c1"})
+        self.assertEqual(set(reducer.endpoints.records), {"b0", "b1", "b2", "b3", "b4", "c1"})
         self.desk.now += 1
         self.desk.hear(["c2"], index=5, whole=False)
-        self.assertEqual(set(reducer.backends), {"b0", "b1", "b4", "c1", "c2"})
-        self.assertEqual(list(reducer.gone), ["b1"])
-        reducer.backends["b1"].links = 0
+        self.assertEqual(set(reducer.endpoints.records), {"b0", "b1", "b4", "c1", "c2"})
+        self.assertEqual(list(reducer.endpoints.removed), ["b1"])
+        reducer.endpoints.records["b1"].links = 0
         self.desk.hear(["c3"], index=6, whole=False)
-        self.assertEqual(set(reducer.backends), {"b0", "b4", "c1", "c2", "c3"})
+        self.assertEqual(set(reducer.endpoints.records), {"b0", "b4", "c1", "c2", "c3"})
 
     def test_back_before_the_time_it_is_not_forgotten(self):
         for state in ("DELETED", "SERVING"):
             self.desk.hear([entry("b1", state)], index=2, whole=False)
         self.desk.now += FORGOTTEN * MS
         self.desk.hear(["c1"], index=3, whole=False)
-        self.assertIn("b1", self.desk.reducer.backends)
+        self.assertIn("b1", self.desk.reducer.endpoints.records)
 
     def test_a_long_line_tells_of_the_first_and_how_many_more(self):
         desk = Desk([])
@@ -379,17 +380,17 @@
 
     def tell(self, desk, endpoints, whole=True):
         desk.reducer.apply(
-            desk.reducer.now + 1,
+            desk.reducer.step.now + 1,
             EndpointsUpdated({"index": 1, "snapshot": whole, "endpoints": endpoints}),
         )
 
     def test_one_change_does_not_go_through_all(self):
         """Looked through at each change for what to forget, all cost more than the change itself."""
         desk = self.desk(30)
-        desk.reducer.backends = Unwalked(desk.reducer.backends)
+        desk.reducer.endpoints.records = Unwalked(desk.reducer.endpoints.records)
         for state in ("DRAINING", "DELETED", "SERVING"):
             self.tell(desk, [entry("b7", state)], False)
-        self.assertEqual(len(desk.reducer.node.ranked), 30)
+        self.assertEqual(len(desk.reducer.balancers.current.ranked), 30)
 
     def test_the_whole_again_costs_little_of_the_first(self):
         endpoints = [entry(f"b{n}") for n in range(4000)]
--- a/tests/proxy/test_operations.py
+++ b/tests/proxy/test_operations.py
@@ -150,7 +150,7 @@
         desk.lose(link=1)
         desk.reply()
         desk.ask("c4", "/look")
-        desk.say(f"{len(desk.reducer.older)} earlier")
+        desk.say(f"{len(desk.reducer.balancers.earlier)} earlier")
         self.check("day_retuned", desk.lines)
 
     def test_files_that_alternate(self):
@@ -165,7 +165,7 @@
         desk.ask("c0")
         desk.up()
         desk.lose()
-        desk.say(f"{len(desk.reducer.older)} earlier")
+        desk.say(f"{len(desk.reducer.balancers.earlier)} earlier")
         self.check("day_alternate", desk.lines)
 
 
@@ -174,15 +174,17 @@
         """The new one opens its door with the first list, with half of the descriptors until it is alone."""
         desk = Desk([], sockets=100)
         new = Desk([], sockets=100)
-        new.reducer = ProxyStateMachine(4, new.reducer.settings, new.now, 100, alone=False)
+        new.reducer = ProxyStateMachine(
+            4, new.reducer.balancers.settings, new.now, 100, sole_process=False
+        )
         lines = []
         for name, one in (("old", desk), ("new", new)):
             one.hear(["b0"])
-            one.say(f"{name}: budget {one.reducer.sockets}")
+            one.say(f"{name}: budget {one.reducer.descriptors.limit}")
         new.tell(SoleProcess())
-        new.say(f"new: budget {new.reducer.sockets}")
+        new.say(f"new: budget {new.reducer.descriptors.limit}")
         desk.tell(StopRequested(True))
-        desk.say(f"old: budget {desk.reducer.sockets}")
+        desk.say(f"old: budget {desk.reducer.descriptors.limit}")
         self.check("day_followed", lines + new.lines + desk.lines)
 
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -434,7 +434,10 @@
         came=came,
         space=Space(1 << 20),
         refuse=lambda *what: None,
-        reducer=mock.Mock(gate=None, press=mock.Mock(bar=0.0)),
+        reducer=mock.Mock(
+            descriptors=mock.Mock(admission=None),
+            balancers=mock.Mock(load_shedder=mock.Mock(bar=0.0)),
+        ),
         line=mock.Mock(full=lambda: False),
     )
 
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -270,11 +270,11 @@
     def setUp(self):
         self.desk = Desk(tenants=TenantRegistry({"north": 20.0, "south": 500.0}))
         self.reducer = self.desk.reducer
-        self.reducer.raw_settings = {"customers": []}
-        self.first = self.reducer.node
+        self.reducer.reconfiguration.raw_settings = {"customers": []}
+        self.first = self.reducer.balancers.current
 
     def configure(self, told, settings=None, from_=None, **changed):
-        table = self.reducer.settings.tenants
+        table = self.reducer.balancers.settings.tenants
         self.desk.tell(
             ConfigurationLoaded(
                 "",
@@ -298,7 +298,8 @@
             [before.tenant.quota_per_second, after.tenant.quota_per_second], [20.0, 5.0]
         )
         self.assertEqual(
-            [before.owner, after.owner, self.reducer.older], [self.first, self.first, []]
+            [before.owner, after.owner, self.reducer.balancers.earlier],
+            [self.first, self.first, []],
         )
         self.assertEqual((self.first.level[0], self.first.asked), (1.7, 505.0 / 10000))
         self.assertEqual(self.first.limit.demand, self.first.asked)
@@ -321,42 +322,45 @@
             {"north": 20.0, "south": 500.0},
         ):
             self.configure(told)
-            self.assertEqual(self.reducer.settings.tenants.shares, told)
+            self.assertEqual(self.reducer.balancers.settings.tenants.shares, told)
         self.assertEqual(
-            (self.reducer.settings.tenants.version, self.reducer.node), (3, self.first)
+            (self.reducer.balancers.settings.tenants.version, self.reducer.balancers.current),
+            (3, self.first),
         )
         self.configure({"north": 20.0, "south": 500.0})  # doubled: nothing to change
         self.assertEqual(
-            (self.reducer.settings.tenants.version, self.reducer.node), (3, self.first)
+            (self.reducer.balancers.settings.tenants.version, self.reducer.balancers.current),
+            (3, self.first),
         )
 
     def test_a_difference_that_does_not_fit_is_replaced_by_the_whole(self):
         """Made from another version, it must neither be applied in part nor be lost."""
-        stale = difference(self.reducer.settings.tenants, {"north": 5.0, "south": 500.0})
+        stale = difference(self.reducer.balancers.settings.tenants, {"north": 5.0, "south": 500.0})
         self.configure({"north": 6.0, "south": 500.0})
         self.configure({"north": 5.0, "south": 7.0, "west": 1.0}, from_=stale)
         self.assertEqual(
-            self.reducer.settings.tenants.shares, {"north": 5.0, "south": 7.0, "west": 1.0}
+            self.reducer.balancers.settings.tenants.shares,
+            {"north": 5.0, "south": 7.0, "west": 1.0},
         )
-        self.assertIsNot(self.reducer.node, self.first)
+        self.assertIsNot(self.reducer.balancers.current, self.first)
 
     def test_the_first_share_and_the_last_begin_anew(self):
         self.configure({})
-        self.assertIsNot(self.reducer.node, self.first)
-        self.assertFalse(self.reducer.node.shares)
-        second = self.reducer.node
+        self.assertIsNot(self.reducer.balancers.current, self.first)
+        self.assertFalse(self.reducer.balancers.current.shares)
+        second = self.reducer.balancers.current
         self.configure({"north": 0.0})  # a tenant without a share: as before
-        self.assertIs(self.reducer.node, second)
+        self.assertIs(self.reducer.balancers.current, second)
         self.configure({"north": 3.0})
-        self.assertTrue(self.reducer.node.shares)
+        self.assertTrue(self.reducer.balancers.current.shares)
 
     def test_other_settings_with_other_shares(self):
         """Both at once: the earlier node ends what it took, the next one knows who asks how much."""
         before = self.ask("c0", "north", "/pay")
         self.configure({"north": 5.0}, {"customers": [], "more": 1}, max_attempts=1)
         after = self.ask("c1", "north")
-        self.assertEqual([before.owner, after.owner], [self.first, self.reducer.node])
-        self.assertIsNot(self.first, self.reducer.node)
+        self.assertEqual([before.owner, after.owner], [self.first, self.reducer.balancers.current])
+        self.assertIsNot(self.first, self.reducer.balancers.current)
         self.assertEqual([after.tenant.quota_per_second, after.tenant.rate], [5.0, 2.0])
 
 
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -508,7 +508,7 @@
         self.desk.tell(
             ConfigurationLoaded("", {"settings": self.settings}, balancer_settings(**changed))
         )
-        return self.reducer.node
+        return self.reducer.balancers.current
 
     def answered(self, name):
         self.desk.ask(name)
@@ -523,24 +523,26 @@
     def test_kept_over_two_changes_in_one_turn(self):
         for n in range(8):
             self.answered(f"c{n}")
-        learned = [(row.typical, row.skew, row.answers) for row in self.reducer.node.table]
+        learned = [
+            (row.typical, row.skew, row.answers) for row in self.reducer.balancers.current.table
+        ]
         self.configure(max_attempts=1)
         node = self.configure(max_attempts=2)
         self.assertEqual([(row.typical, row.skew, row.answers) for row in node.table], learned)
         self.assertEqual(learned[0][2], 10)
         self.assertEqual(sum(map(len, node.samples)), 8)
-        self.assertEqual(self.reducer.older, [])
+        self.assertEqual(self.reducer.balancers.earlier, [])
 
     def test_what_is_refused_at_the_door_stays_refused(self):
-        self.reducer.press.bar = 0.5
+        self.reducer.balancers.load_shedder.bar = 0.5
         self.configure(max_attempts=1)
-        self.assertEqual(self.reducer.press.bar, 0.5)
+        self.assertEqual(self.reducer.balancers.load_shedder.bar, 0.5)
         self.configure(
             request_classes=[
                 replace(row, priority_weight=1.0) for row in balancer_settings().request_classes
             ]
         )
-        self.assertEqual(self.reducer.press.bar, 0.0)  # Its classes are others.
+        self.assertEqual(self.reducer.balancers.load_shedder.bar, 0.0)  # Its classes are others.
 
     def test_settings_that_shrink_while_requests_are_owed(self):
         """Fewer attempts, a shorter limit: what was taken before has both as it was taken."""
@@ -552,9 +554,9 @@
             replace(row, latency_objective=50 * MS, request_timeout=100 * MS)
             for row in balancer_settings().request_classes
         ]
-        first = self.reducer.node
+        first = self.reducer.balancers.current
         node = self.configure(request_classes=rows, max_attempts=1)
-        self.assertEqual(self.reducer.older, [first])
+        self.assertEqual(self.reducer.balancers.earlier, [first])
         self.desk.lose(
             link=next(n for n, link in enumerate(self.desk.links) if link.attempt is not None)
         )
@@ -568,14 +570,16 @@
             any("SendResponse owed HTTP/1.1 200" in line for line in self.desk.lines),
             self.desk.lines,
         )
-        self.assertEqual((self.reducer.older, self.reducer.node), ([], node))
+        self.assertEqual(
+            (self.reducer.balancers.earlier, self.reducer.balancers.current), ([], node)
+        )
         self.assertEqual(node.limit.in_flight, 0)
 
     def test_the_earlier_one_is_dropped_once_it_owes_nothing(self):
         self.desk.ask("owed")
-        first = weakref.ref(self.reducer.node)
+        first = weakref.ref(self.reducer.balancers.current)
         self.configure(max_attempts=1)
-        second = weakref.ref(self.reducer.node)
+        second = weakref.ref(self.reducer.balancers.current)
         self.configure(max_attempts=2)
         gc.collect()
         self.assertIsNotNone(first())
@@ -590,7 +594,7 @@
 
     def test_both_hear_the_list(self):
         self.desk.ask("owed")
-        first = self.reducer.node
+        first = self.reducer.balancers.current
         node = self.configure(max_attempts=1)
         self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
         for each in (first, node):
@@ -611,7 +615,7 @@
         desk = Desk([])
         desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
         desk.hear(["b0"], 1)
-        self.assertEqual(len(desk.reducer.node.turn), 1)
+        self.assertEqual(len(desk.reducer.balancers.current.turn), 1)
 
 
 class Cost(unittest.TestCase):
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -128,12 +128,12 @@
     def remembered(self, one, at_s=100, entries=("b0",), half_life_s=60):
         """What a fresh node that starts `at_s` takes back."""
         desk = Desk(entries)
-        desk.reducer.now = at_s * S
+        desk.reducer.step.now = at_s * S
         try:
-            line = desk.reducer.remember(one, half_life_s * S)
+            line = desk.reducer.snapshot.restore(one, half_life_s * S)
         except ageing.Unworthy as fault:
             return str(fault)
-        node = desk.reducer.node
+        node = desk.reducer.balancers.current
         b, row = node.index["b0"], node.table[0]
         return (
             f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
@@ -143,7 +143,7 @@
 
     def test_by_age_and_by_what_it_tells_of(self):
         desk = Desk(["b0"])
-        o = desk.reducer.settings.request_classes[0]
+        o = desk.reducer.balancers.settings.request_classes[0]
         row = {
             "expected": o.latency_objective,
             "hard_limit": o.request_timeout,
@@ -155,7 +155,7 @@
             "usual_left": 10000,
             "usual_votes": 9,
         }
-        address = desk.reducer.backends["b0"].address
+        address = desk.reducer.endpoints.records["b0"].address
         whole = snapshot(
             request_classes={o.name: row}, backends={"b0": form.Backend(address, 0, FIGURES)}
         )
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -187,7 +187,7 @@
         self.now = 10000 * MS
         self.lines, self.clients, self.links, self.asked = [], {}, [], 0
         self.reducer = ProxyStateMachine(4, balancer_settings(**changed), self.now, sockets)
-        self.reducer.known(known)
+        self.reducer.endpoints.restore(known)
         if backends:
             self.hear(backends)
 
