--- a/pierglade/proxy/state/__init__.py
+++ b/pierglade/proxy/state/__init__.py
@@ -1,4 +1,4 @@
-"""All state of a node on sockets, part by part: clients, links, the list, stopping.
+"""All state of a proxy process, part by part: connections, endpoints, lifecycle.
 
 No I/O. `net/reducer.py` is the door: nothing else calls in here.
 """
--- a/pierglade/proxy/state/attempts.py
+++ b/pierglade/proxy/state/attempts.py
@@ -25,8 +25,8 @@
 )
 
 # Times are tenths of a millisecond.
-APART = 10  # 1 ms; from ending a trip ourselves to the first byte of the next one's, elsewhere
-FLOW_FOR = 36000000  # 1 h; no trip takes so long, and until its body is whole it is not late
+APART = 10  # 1 ms; from aborting an attempt to the first byte of the next one, elsewhere
+FLOW_FOR = 36000000  # 1 h; no attempt takes so long, and until its body is whole it is not late
 REPLACED = http.HOP_BY_HOP | {b"x-expires-in-ms"}  # headers of a request that are written anew
 
 
@@ -84,8 +84,8 @@
                     self.counters.count("endpoint_polls")
                     self.step.emit(PollDiscovery())
                 case RejectRequest(request) | FailRequest(request):
-                    # Overdue in the turn in which this was decided, it has its answer, and must not get
-                    # another.
+                    # Overdue in the turn in which this was decided, it has its answer, and must not
+                    # get another.
                     if request.host_context.request is request:
                         self.downstream.respond_without_backend(
                             request, type(decision) is RejectRequest
@@ -95,13 +95,13 @@
         """Reports the outcome of an attempt to its balancer."""
         self.connections.pop(attempt, None)
         attempt.sent_at = min(attempt.sent_at, self.step.now)
-        # The node's own lateness is no latency of the backend's.
+        # The proxy's own event-loop lag is no latency of the backend.
         attempt.request.owner.attempt_ended(
             self.step.now, attempt, outcome, max(1, self.step.came - attempt.sent_at), done
         )
 
     def abort(self, attempt, reason):
-        """Nothing more is sent for the trip, and no answer is taken."""
+        """Nothing more is sent for the attempt, and no response is taken."""
         link = self.connections.get(attempt)
         if link is not None:
             link.attempt = None
@@ -109,7 +109,7 @@
             self.upstream.close(link, reason)
 
     def send(self, attempt):
-        """A trip goes out on a kept link, or on a new one."""
+        """Sends an attempt on a kept connection, or on a new one."""
         backend = self.endpoints.records.get(attempt.request.owner.endpoint_name(attempt.backend))
         flow = attempt.request.host_context.message.flow
         if flow is not None and flow.spent():
@@ -145,17 +145,18 @@
         attempt, backend = link.attempt, link.backend
         # Time has passed since it was decided: until the link came up, or the one before was ended.
         if attempt.request.completed or self.step.now >= attempt.timeout_at - MARGIN:
-            # Whoever waited has left or has the answer, also where trips may not be called off.
+            # The client has left or has its response, also where attempts may not be cancelled.
             return self.withdraw(link, Outcome.NOT_SENT)
         if self.endpoints.is_draining(backend):
-            # The grace is not used: discovery may have queued the agent of it well before it queued us.
+            # The grace is not used: discovery may have queued the agent of it well before it queued
+            # us.
             return self.withdraw(link, Outcome.REJECTED_UNPROCESSED)
         if link.address != backend.address:
             # Another process may have the address by now, which is queued other things of itself.
             return self.withdraw(link, None)
         if self.step.now < attempt.request.host_context.dropped + APART:
-            # Two connections have no order between them: the end of the one is to be there before the other's
-            # first byte, or the backends see two out at once.
+            # Two connections have no order between them: the end of the one is to be there before
+            # the other's first byte, or the backends see two out at once.
             return self.timers.at(
                 attempt.request.host_context.dropped + APART, self._write_later, (link, attempt)
             )
@@ -174,7 +175,7 @@
         self.step.emit(SendRequest(link, head, body))
 
     def withdraw(self, link, outcome):
-        """Not a byte of its trip is written: the link is free for another. No outcome: the trip goes on."""
+        """Takes the attempt, unwritten, off its connection; no outcome: it is sent elsewhere."""
         attempt, link.attempt = link.attempt, None
         self.upstream.release(link, True)
         if outcome is None:
--- a/pierglade/proxy/state/balancers.py
+++ b/pierglade/proxy/state/balancers.py
@@ -8,7 +8,9 @@
 from pierglade.model.request import Idempotency
 
 # Times are tenths of a millisecond.
-RETENTION_FACTOR = 2  # times the longest hard limit; then nothing out can concern a gone backend
+RETENTION_FACTOR = (
+    2  # times the longest request timeout; then nothing in flight concerns a removed backend
+)
 
 
 class Balancers:
@@ -34,7 +36,7 @@
             [each.priority_weight for each in settings.request_classes],
             random.Random(f"{self.seed} press").random,
         )
-        self.refusals = {}  # prepared, by how long clients are told to stay away
+        self.refusals = {}  # prepared, by their Retry-After
         self.removal_retention = RETENTION_FACTOR * max(
             each.request_timeout for each in settings.request_classes
         )
--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -33,8 +33,8 @@
     CLIENT_GONE = "client_gone"  # the request's client left in the middle of its body
 
 
-# Under their own names as well: reading a member from its class runs Python code in CPython 3.11, 0.2 us
-# of it, about twenty times in a request.
+# Under their own names as well: reading a member from its class runs Python code in CPython 3.11,
+# 0.2 us of it, about twenty times in a request.
 (
     NEW,
     IDLE,
@@ -52,22 +52,22 @@
     """A client's connection, and the request on it that awaits its response."""
 
     __slots__ = (
-        "io",
-        "state",
-        "since",
-        "due",
-        "queued",
-        "message",
-        "request",
-        "id",
-        "last",
         "asked_to_close",
+        "dropped",
+        "due",
         "headed",
-        "taken",
-        "source",
+        "id",
+        "io",
         "known",
+        "last",
+        "message",
         "passed",
-        "dropped",
+        "queued",
+        "request",
+        "since",
+        "source",
+        "state",
+        "taken",
     )
 
     def __init__(self, io):
@@ -92,19 +92,19 @@
     """A connection to a backend, and the attempt or health check on it."""
 
     __slots__ = (
-        "io",
-        "backend",
         "address",
-        "state",
-        "due",
-        "queued",
         "attempt",
+        "backend",
+        "cut",
+        "due",
+        "flow",
+        "io",
         "probing",
+        "queued",
+        "reader",
         "replying",
         "since",
-        "flow",
-        "reader",
-        "cut",
+        "state",
     )
 
     def __init__(self, backend):
@@ -124,16 +124,16 @@
     """Where a backend is reached, and which connections to it are open."""
 
     __slots__ = (
-        "name",
         "address",
-        "started",
-        "state",
+        "coming_up",
         "draining_since",
+        "entry",
         "idle",
         "links",
-        "coming_up",
+        "name",
         "probed_on",
-        "entry",
+        "started",
+        "state",
         "was_draining",
     )
 
--- a/pierglade/proxy/state/counters.py
+++ b/pierglade/proxy/state/counters.py
@@ -35,7 +35,8 @@
         self.pending[what] += 1
 
     def _log_pending(self, _):
-        # Harmless from one node, much of it is harm from forty at once: only counted over all does it show.
+        # Harmless from one process, much of it does harm from forty: only the counts of all show
+        # it.
         self.step.log(
             "counters", **{name: self.pending[name] for name in COUNTERS if name in self.pending}
         )
--- a/pierglade/proxy/state/descriptors.py
+++ b/pierglade/proxy/state/descriptors.py
@@ -11,7 +11,7 @@
 
 # Times are tenths of a millisecond.
 CLIENT_PART = (
-    0.25  # share of the descriptors; beyond it clients that rest are let go, longest idle first
+    0.25  # share of the descriptors; beyond it idle clients are closed, longest idle first
 )
 YIELD_AFTER = 1000  # 100 ms; idle for less, a connection is likely to be used the next moment
 YIELD_FRESH = 200  # 20 ms; who opens a connection in earnest asks at once
@@ -67,13 +67,14 @@
         self.step.log("connections_rejected", reason=why, addresses=dict(by))
 
     def acceptable(self, most):
-        """How many clients may connect before what has yielded is to be closed, `most` at the most."""
+        """How many clients may connect, up to `most`, before others have to be closed."""
         return max(1, min(most, self.limit // 2 - self.open))
 
     def free_descriptors(self, newcomer):
-        """What is least needed yields to the newcomer. Whether there is room."""
+        """Closes what is least needed. Whether there is a descriptor for the newcomer."""
         while self.open - self.closing > self.limit:
-            # Those that were answered for good; those that were opened and say nothing, who may be hundreds.
+            # Those that were answered for good; those that were opened and say nothing, who may be
+            # hundreds.
             if (client := self._longest_in(LINGERING, newcomer)) is not None:
                 self.downstream.close(client, "yielded")
             elif (client := self._longest_in(NEW, newcomer, YIELD_FRESH)) is not None:
@@ -85,10 +86,11 @@
             elif newcomer is None and (
                 client := self._longest_in(NEW, None) or self._longest_in(IDLE, None)
             ):
-                # For a link: without it a request in hand is refused for the sake of who has not asked yet.
+                # For an upstream connection: without it a request is refused for the sake of
+                # clients without one.
                 self._ask_to_close(client)
             else:
-                # Slow senders must not keep the others out: the first of them is told to come back.
+                # Slow senders must not keep the others out: the first of them gets a 503.
                 slow = next(iter(self.downstream.by_state[READING_REQUEST]), None)
                 if slow is not None:
                     self.downstream.refuse(slow, 503, last=True)
@@ -109,8 +111,9 @@
     def _longest_in(self, state, newcomer, after=0):
         """Who has been in this state for longest and may yield."""
         if self.open > self.limit + SPARE // 2:
-            # One that was just opened or answered may bring a request as it is let go, and that would be
-            # lost: it stays for a while, unless the descriptors beyond the budget are in use as well.
+            # One that was just opened or answered may bring a request as it is closed, and that
+            # would be lost: it stays for a while, unless the descriptors beyond the budget are in
+            # use as well.
             after = 0
         for client in self.downstream.by_state[state]:
             if client is not newcomer and not client.asked_to_close:
@@ -123,8 +126,8 @@
         self.step.emit(CloseWhenRead(client, "yielded"))
 
     def keep_open(self, client):
-        """Asked to make room, it had something unread: it is served, and let go with its answer."""
+        """Asked to close, it had something unread: it is served, and closed after its response."""
         if client.asked_to_close:
             client.asked_to_close, self.closing = False, self.closing - 1
-            # Where descriptors are left it was in use, and only the node was late to see it.
+            # Where descriptors are left it was in use, and only the event loop was late to see it.
             client.last = client.last or self.open > self.limit
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -31,7 +31,7 @@
 SLOWEST = 3.2  # bytes in a tenth of a ms; 32 kB/s, half of what slow clients send
 SLOW_READER = 50000  # 5 s; in which some of an answer is to be taken
 CLIENT_IDLE = (
-    25000  # 2.5 s; some clients ask once and stay, and would take the descriptors from the links
+    25000  # 2.5 s; clients that ask once and stay would take descriptors from upstream connections
 )
 LINGER = 10000  # 1 s; for a client to close after its last answer
 
@@ -73,7 +73,7 @@
         client.since = self.step.now
         self.timers.set_timer(client, self.step.now + FIRST_ASK, self.idle_too_long)
         if not self.descriptors.free_descriptors(client):
-            # Nothing idle is left to yield: whoever came last is served, and let go with the answer.
+            # Nothing idle is left to close: the newcomer is served, and closed after its response.
             client.last = True
             self.descriptors.count_exhausted()
         self.descriptors.limit_idle_clients(client)
@@ -90,7 +90,8 @@
     def request_started(self, client, come=None):
         """Some of a message has come; `come`: bytes behind its head, None until that is whole."""
         if client.state in (NEW, IDLE):
-            # The first message has until then from the connecting on, or silence and a trickle would add up.
+            # The first message has until then from the connecting on, or silence and a trickle
+            # would add up.
             client.headed = 0
             until = (client.since if client.state is NEW else self.step.now) + SLOW_HEAD
             set_state(client, READING_REQUEST, self.by_state)
@@ -112,7 +113,7 @@
         self.timers.set_timer(client, self.step.now + within, self._body_stalled)
 
     def _body_stalled(self, client):
-        """Who holds it up: the client, if what has come is all passed on; else the backend that takes it."""
+        """It is held up by the client, if all that has come is forwarded; else by the backend."""
         flow, request = client.message.flow, client.request
         if not flow.full() and flow.size - client.taken < SLOWEST * SLOW_BODY:
             request.owner.client_disconnected(self.step.now, request)
@@ -129,7 +130,7 @@
         self.await_body(client, SLOW_BODY)
 
     def body_received(self, client):
-        """More of it has come. With the last byte the invocation's time begins."""
+        """More of a body has come. With the last byte the request's time begins."""
         request = client.request
         if (
             request is None
@@ -165,13 +166,13 @@
         client.last = True
 
     def _release_request(self, client):
-        """Its invocation is answered or abandoned."""
+        """Its request is answered or abandoned."""
         client.request = client.message = None
         if client.id is not None:
             self.requests.close_id(client)
 
     def _deadline_overrun(self, client):
-        """Guards against a fault of ours: whatever went wrong, the answer is out before the limit."""
+        """Guards against a bug: whatever went wrong, the response is out before the deadline."""
         self.step.log("deadline_overrun")
         client.request.owner.client_disconnected(self.step.now, client.request)
         self.respond_without_backend(client.request, may_retry=False)
@@ -189,16 +190,14 @@
         message = client.message
         chunked = source is not None and body.length is None and message.version == "1.1"
         length = len(body) if source is None else body.length
-        # Without a length or chunks, only the end of the connection tells the end of the answer; and behind
-        # one that comes before its request is whole, the rest of the request would be read as the next.
+        # Without a length or chunks, only the end of the connection tells the end of the answer;
+        # and behind one that comes before its request is whole, the rest of the request would be
+        # read as the next.
         client.last = (
             client.last
             or self.lifecycle.is_draining()
-            or length is None
-            and not chunked
-            or message is not None
-            and message.flow is not None
-            and not message.flow.whole
+            or (length is None and not chunked)
+            or (message is not None and message.flow is not None and not message.flow.whole)
         )
         head = http.answer_head(status, headers, length, client.last, chunked)
         if message is not None and message.method == b"HEAD":
@@ -218,7 +217,7 @@
         self.close(client, "slow reader")
 
     def response_progressed(self, client):
-        """Some more of its answer was written to it."""
+        """Some more of its response was written to it."""
         if client.state is WRITING_RESPONSE:
             self.timers.set_timer(client, self.step.now + SLOW_READER, self._reads_too_slowly)
 
@@ -236,7 +235,7 @@
         self.close(client, "answered last")
 
     def disconnected(self, client, reason):
-        """The client closed, or its connection broke: what it asked for is abandoned."""
+        """The client closed, or its connection broke: its request is abandoned."""
         if client.state is CLOSED:
             return
         if client.request is not None:
@@ -256,7 +255,7 @@
         self.step.emit(AbortConnection(client))
 
     def respond_without_backend(self, request, may_retry):
-        """The final answer of a request that no backend has answered."""
+        """The response to a request that no backend has answered."""
         event = "request_rejected" if may_retry else "request_failed"
         self.step.log(
             event,
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -13,7 +13,7 @@
 )
 
 # Times are tenths of a millisecond.
-FIRST_WORD = 3000  # 0.3 s; with the list it was started with, a node waits so long for a newer one
+FIRST_WORD = 3000  # 0.3 s; with the list of its start, a process waits so long for a newer one
 NAMED = 40  # names in a line of the log, which is cut where it is too long, and tells of none
 STATES = {
     "SERVING": EndpointState.READY,
@@ -41,7 +41,7 @@
         self.upstream = upstream
 
     def restore(self, document):
-        """The list that the node was started with, which may be old."""
+        """Takes the list of the start, which may be old."""
         if document and document.get("endpoints"):
             self._apply(document, whole=True)
             if type(document.get("index")) is int:
@@ -70,7 +70,7 @@
         self.lifecycle.become_ready()
 
     def discovery_lost(self, why, waited=0):
-        """`waited`: since its last word, or since the call for it began."""
+        """`waited`: ticks since its last message, or since the call for it began."""
         self.counters.count("discovery_losses")
         if why != self.lost_reason:
             self.lost_reason = why
@@ -91,7 +91,8 @@
             elif address is not None and (
                 address != backend.address or entry.started_at > backend.started
             ):
-                # The process behind the name is another one: what is kept to the old one is of no use.
+                # The process behind the name is another one: what is kept to the old one is of no
+                # use.
                 backend.address, backend.started = address, entry.started_at
                 self._close_idle(backend, "restarted")
                 changed.append((entry.name, "restarted"))
@@ -133,7 +134,7 @@
     def _drop_removed(self):
         """Fleets that start under new names must not fill the memory with old ones."""
         old = []
-        for name in self.removed:  # the longest gone first
+        for name in self.removed:  # the longest removed first
             if (
                 self.step.now - self.records[name].draining_since
                 <= self.balancers.removal_retention
@@ -150,8 +151,8 @@
             self.removed.setdefault(name)
         else:
             self.removed.pop(name, None)
-        backend.was_draining = (
-            state == EndpointState.DRAINING or backend.was_draining and state != EndpointState.READY
+        backend.was_draining = state == EndpointState.DRAINING or (
+            backend.was_draining and state != EndpointState.READY
         )
         if state == EndpointState.READY:
             if backend.draining_since is not None:
@@ -164,8 +165,8 @@
                 self._close_idle(backend, "drained")
 
     def is_draining(self, backend):
-        """Whether the rule on draining holds for it. Listed as gone alone, it may be up all the same."""
-        # By the strictest of the settings that still owe something; under which a trip is, is not asked.
+        """Whether nothing may be sent to it; only missing from the list, it may be up."""
+        # By the strictest of the settings with open requests, whichever the attempt is under.
         return backend.draining_since is not None and (
             backend.was_draining
             or any(
--- a/pierglade/proxy/state/health_checks.py
+++ b/pierglade/proxy/state/health_checks.py
@@ -13,7 +13,7 @@
         self.upstream = upstream
 
     def uses_reports(self, reports):
-        """Whether load reports come so and a decision rests on them: each costs a node on its core."""
+        """Whether load reports come this way and are used: each costs CPU time."""
         return (
             self.balancers.settings.load_report_source == reports and self.balancers.current.learns
         )
@@ -28,7 +28,7 @@
         """Begins a health check on a connection of its own."""
         backend = self.endpoints.records.get(name)
         if backend is None or backend.probed_on is not None or self.endpoints.is_draining(backend):
-            return  # One at a time: a silent backend must not fill up with probes.
+            return  # One at a time: a silent backend must not fill up with health checks.
         link = self.upstream.open(backend)
         if link is None:
             return self._notify(name, False, 0)
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -58,7 +58,7 @@
             self.step.emit(OpenListener())
 
     def set_standby(self, by):
-        """Standby: ready says no, the door stays open, and each client is let go with its next answer."""
+        """Standby: not ready, still listening; each client is closed after its next response."""
         if by == self.standby:
             return
         self.standby = by
@@ -70,7 +70,7 @@
             self._close_idle_clients()
 
     def is_draining(self):
-        """Whether clients are let go, with their next answer at the latest."""
+        """Whether clients are closed, after their next response at the latest."""
         return self.standby or self.stopped_at is not None
 
     def sole_process(self):
@@ -79,7 +79,7 @@
         self.step.log("sole_process")
 
     def stop(self, followed=False):
-        """New connections are still taken for a while; each client is let go with its next answer."""
+        """Stops taking connections after a while; each client is closed after its next response."""
         if self.stopped_at is not None:
             return
         self.stopped_at = self.step.now
@@ -93,7 +93,8 @@
             while self.descriptors.open > self.descriptors.limit and self.upstream.by_state[IDLE]:
                 self.upstream.close(next(iter(self.upstream.by_state[IDLE])), "yielded")
         self._close_idle_clients()
-        # Where no limit is long the end comes soon: by a fixed time, what has none of its own came too late.
+        # Where no limit is long the end comes soon: by a fixed time, what has none of its own came
+        # too late.
         longest = min(
             LONGEST, max(each.request_timeout for each in self.balancers.settings.request_classes)
         )
@@ -117,19 +118,19 @@
         self.timers.at(self.step.now + LAST_CALL, self._leave, None)
 
     def _leave(self, _):
-        """Not with the door's closing: what the kernel had accepted by then comes in just after it."""
+        """Not as the listener closes: what the kernel had accepted by then comes just after it."""
         self.leaving = True
         self._close_idle_clients()
 
     def _answer_all(self, _):
-        """The process may be ended soon: requests that are still open is failed, what still comes is rejected."""
+        """The process may be ended soon: open requests fail, what still comes is rejected."""
         self.rejecting = True
         for client in list(self.downstream.by_state[AWAITING_RESPONSE]):
             request = client.request
             request.owner.client_disconnected(self.step.now, request)
             self.downstream.respond_without_backend(request, may_retry=False)
         for client in list(self.downstream.by_state[READING_REQUEST]):
-            # Its last byte may be there unread: ended without a word it would be lost.
+            # Its last byte may be there unread: closed without a response it would be lost.
             self.downstream.reject(client, self.balancers.current)
         self._close_idle_clients()
 
@@ -140,7 +141,7 @@
             self.step.emit(Exit())
 
     def salvage(self, subject):
-        """After a fault of ours in `apply`: what the event was about is answered and ended all the same."""
+        """After a fault in `apply`: the event's connection is answered and closed all the same."""
         if isinstance(subject, UpstreamConnection) and subject.state is not CLOSED:
             attempt, subject.attempt = subject.attempt, None
             self.upstream.close(subject, "fault")
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -1,11 +1,12 @@
-"""All state of a proxy process. No I/O, no greenlet, no clock: one event and its moment in, effects out.
+"""All state of a proxy process. No I/O, no clock: one event and its moment in, effects out.
 
-The host calls `apply(now, event)` for each event, carries out the effects in their order, and calls again
-with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` have one type a kind; a
-connection's `io` is what the host reads and writes it with, and is never looked into here.
+The host calls `apply(now, event)` for each event, carries out the effects in their order, and calls
+again with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` have one type a
+kind; a connection's `io` is what the host reads and writes it with, and is never looked into here.
 
-Each part owns its fields. What a part needs of those made before it comes by its constructor; what it
-needs of later ones (a client's end ends its upstream connection, and the other way round) by `connect`.
+Each part owns its fields. What a part needs of those made before it comes by its constructor; what
+it needs of later ones (a client's end ends its upstream connection, and the other way round) by
+`connect`.
 """
 
 from pierglade.proxy.state.attempts import AttemptDispatcher
@@ -54,8 +55,8 @@
 class ProxyStateMachine:
     """Routes events to the parts that hold the state, and collects their effects.
 
-    `limit`: file descriptors that connections may take; `document`: the configuration as it was read;
-    `sole_process`: no other process serves the address.
+    `limit`: file descriptors that connections may take; `document`: the configuration as it was
+    read; `sole_process`: no other process serves the address.
     """
 
     def __init__(self, seed, settings, now, limit, discovery="", document=None, sole_process=True):
@@ -167,8 +168,8 @@
     def apply(self, now, event, came=NEVER, idle=NEVER):
         """Takes one event and returns the effects that it brings about, in their order.
 
-        `came`: when what the event reports may have come, if that was before the host could handle it;
-        `idle`: when the host last had nothing to do.
+        `came`: when what the event reports may have come, if that was before the host could handle
+        it; `idle`: when the host last had nothing to do.
         """
         self.step.begin(now, came, idle)
         kind = type(event)
--- a/pierglade/proxy/state/management.py
+++ b/pierglade/proxy/state/management.py
@@ -81,7 +81,7 @@
         self.step.emit(ReplyToManagement(call, 200 if good else 503, word + b"\n", None))
 
     def _admission_status(self):
-        """Plain data: what share is refused as the core is short, and who was turned away at the door."""
+        """Plain data: the share that is shed for want of CPU, and who may not connect."""
         gate = self.descriptors.admission
         return {
             "refused_share": round(self.balancers.load_shedder.bar, 3),
--- a/pierglade/proxy/state/reconfiguration.py
+++ b/pierglade/proxy/state/reconfiguration.py
@@ -27,11 +27,12 @@
         self.raw_settings = self.document.get("settings")
 
     def loaded(self, discovery, document, settings=None, quota_delta=None):
-        """A new configuration: discovery is followed where it is now; the list is kept until it is heard.
+        """A new configuration: discovery is followed where it is now; the list is kept until then.
 
-        New settings hold for what is taken from now on. What was taken before stays with the node that took
-        it, so that its rules hold to its end and nothing of it is lost or sent twice. `quota_delta`: what else
-        tenants may ask; where that is all that changed, the node goes on with it and keeps what it knows.
+        New settings hold for what is taken from now on. What was taken before stays with the node
+        that took it, so that its rules hold to its end and nothing of it is lost or sent twice.
+        `quota_delta`: what else tenants may ask; where that is all that changed, the node goes on
+        with it and keeps what it knows.
         """
         if settings is not None and document.get("settings") == self.raw_settings and quota_delta:
             if self._apply_quotas_in_place(quota_delta, settings):
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -16,20 +16,17 @@
     LOG_INTERVAL,
     READY_PATH,
 )
+from pierglade.proxy.state.downstream import CLIENT_IDLE, SLOW_BODY
 from pierglade.settings.platform import down
 
 # Times are tenths of a millisecond.
-SLOW_BODY = 20000  # 2 s; what a sender may be behind in a body
-CLIENT_IDLE = (
-    25000  # 2.5 s; some clients ask once and stay, and would take the descriptors from the links
-)
 SPENT_FOR = (
     20000  # 2 s; an id is not taken again so soon after its answer: a copy may just be coming in
 )
-ID_MOST = 256  # bytes of an id; ids are kept while their invocation is open
+ID_MOST = 256  # bytes of an id; ids are kept while their request is open
 HINT = b"hintUs="  # in X-Props: how much work a request is
 RETRY_AFTER_STEPS = (
-    4  # lengths of the wait that a refusal at the door names: one for each fourth of the bar
+    4  # lengths of the Retry-After of shed requests: one for each fourth of the threshold
 )
 METHODS = {Idempotency.SAFE: b"GET", Idempotency.KEYED: b"POST", Idempotency.UNSAFE: b"POST"}
 # Headers that a request has once: of two, the next to read it may heed the other.
@@ -83,7 +80,8 @@
         request_class = self.balancers.request_classes.get(path.partition(b"?")[0].split(b"/")[1])
         if request_class is None:
             return self.downstream.refuse(client, 404, "the path's first part names no offering")
-        # A HEAD is a GET whose response's body is kept back (RFC 9110, 9.3.2); a backend gets a GET.
+        # A HEAD is a GET whose response's body is kept back (RFC 9110, 9.3.2); a backend gets a
+        # GET.
         method = b"GET" if message.method == b"HEAD" else message.method
         if method != METHODS[request_class.idempotency]:
             return self._refuse_method(client, request_class)
@@ -108,7 +106,7 @@
             return self.downstream.refuse(
                 client, 405, "GET or HEAD asks for health", allow=b"GET, HEAD"
             )
-        good = path == LIVE_PATH or self.lifecycle.ready and not self.lifecycle.is_draining()
+        good = path == LIVE_PATH or (self.lifecycle.ready and not self.lifecycle.is_draining())
         self.downstream.respond(
             client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n"
         )
@@ -174,9 +172,10 @@
         )
 
     def glance(self, now, client, requests, came, idle):
-        """The prepared refusal of what `requests` holds, or None if that is to be taken the ordinary way.
+        """The prepared refusal of what `requests` holds, or None if that is to be handled as usual.
 
-        No event: nothing is decided, due or noted but the count, so that it costs a tenth of an answer.
+        No event: nothing is decided, due or noted but the count, so that it costs a tenth of an
+        answer.
         """
         if (
             not self.balancers.load_shedder.bar
@@ -220,7 +219,7 @@
         if not self.balancers.load_shedder.refuses(
             request_class.index, left < request_class.latency_objective, client.known
         ):
-            client.passed = True  # Once is enough: it is not asked again after its wait.
+            client.passed = True  # Once is enough: it is not checked again after its wait.
             return None
         self.balancers.current.should_shed(now, idle, request_class, came, left, True)
         self._count_shed()
@@ -236,8 +235,7 @@
         self.shed += 1
 
     def _retry_after(self):
-        """For how long a client that is refused at the door is told to, in seconds as text; empty:
-        nothing."""
+        """The Retry-After of a shed request: seconds as text; empty where that is not set."""
         most = self.balancers.settings.max_retry_after
         return (
             b"%g"
@@ -252,7 +250,7 @@
         )
 
     def _assign_id(self, message):
-        """An id for a request that brought none; it goes on to the backend like one that was brought."""
+        """An id for a request without one; it is forwarded like one that was sent."""
         self.assigned += 1
         name = b"%s-%x-%x" % (
             str(self.reconfiguration.document.get("name", "")).encode(),
@@ -319,14 +317,13 @@
         or len(name) > ID_MOST
         or not left.isdigit()
         or len(left) > 9
-        or message.doubled
-        and not SINGLE.isdisjoint(message.doubled)
-        or message.version == "1.1"
-        and b"host" not in fields
-        or (b"idempotency-key" in fields) != (idempotency == Idempotency.KEYED)
-        and not message.given
-        or idempotency == Idempotency.SAFE
-        and (len(message.body) or message.flow)
+        or (message.doubled and not SINGLE.isdisjoint(message.doubled))
+        or (message.version == "1.1" and b"host" not in fields)
+        or (
+            (b"idempotency-key" in fields) != (idempotency == Idempotency.KEYED)
+            and not message.given
+        )
+        or (idempotency == Idempotency.SAFE and (len(message.body) or message.flow))
     )
 
 
--- a/pierglade/proxy/state/responses.py
+++ b/pierglade/proxy/state/responses.py
@@ -11,10 +11,10 @@
 
 # Times are tenths of a millisecond.
 REPLY_GOES_ON = 1000  # 100 ms; between the pieces of an answer; a spoilt one may never end
-FLOW_GOES_ON = 50000  # 5 s; between the pieces of an answer that is passed on as it comes
+FLOW_GOES_ON = 50000  # 5 s; between the pieces of a response that is forwarded as it comes
 KEPT_BACK = http.HOP_BY_HOP | {
     b"endpoint-load-metrics"
-}  # headers of an answer that are for the node
+}  # headers of a response that are for the balancer
 
 
 class ResponseRelay:
@@ -29,7 +29,7 @@
         self.health_checks = health_checks
 
     def part_received(self, link):
-        """A piece of an answer has come, and it is not whole. Its size is bounded by whoever reads it."""
+        """A piece of a response has come, and it is not whole. Its reader bounds its size."""
         if link.flow is not None:
             self.timers.set_timer(link, self.step.now + FLOW_GOES_ON, self._flow_stalled)
         elif link.state is BUSY:
@@ -44,10 +44,11 @@
         self.upstream.close(link, "stalled")
 
     def received(self, link, message):
-        """A whole answer has come on the link."""
+        """A whole response has come on a connection."""
         link.replying = 0
         if link.state is IDLE:
-            # Nobody asked: kept, the link would give the next trip an answer that is not its own.
+            # Nobody asked: kept, the connection would give the next attempt a response that is not
+            # its own.
             return self.upstream.close(link, "unasked answer")
         if link.state is not BUSY:
             return
@@ -70,7 +71,8 @@
     def _attempt_answered(self, link, message):
         """Whether the body of the response is still to be forwarded from the connection."""
         attempt, link.attempt = link.attempt, None
-        # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody knows.
+        # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody
+        # knows.
         rejected = 400 <= message.status < 500 and message.status != 429
         if message.status != 200 and not rejected:
             self._attempt_failed(link, attempt, message)
@@ -112,7 +114,7 @@
         )
 
     def completed(self, link, keep):
-        """An answer that was passed on as it came is whole."""
+        """A response that was forwarded as it came is whole."""
         if link.flow is None or link.state is CLOSED:
             return
         if link.reader is not None:
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -29,7 +29,7 @@
                 "repeats": STORED_IDEMPOTENCY[each.idempotency],
                 **{key: row[key] for key in row_keys},
             }
-            for each, row in zip(self.balancers.settings.request_classes, rows)
+            for each, row in zip(self.balancers.settings.request_classes, rows, strict=False)
         }
         backends, work = {}, 0
         for name, statistics in figures.items():
@@ -54,7 +54,7 @@
         return request_classes, backends, work, entries
 
     def restore(self, snapshot, half_life):
-        """Takes back what is still true of a Snapshot, after the list; the line that says what that was.
+        """Takes back what is still true of a Snapshot; returns the line that says what that was.
 
         Raises aging.Unworthy where nothing is. `half_life`: tenths of a millisecond.
         """
--- a/pierglade/proxy/state/timers.py
+++ b/pierglade/proxy/state/timers.py
@@ -26,7 +26,8 @@
         self._enqueue(connection)
 
     def _enqueue(self, connection):
-        # Seldom more than one entry each: with one for every answer the heap would hold a minute's worth.
+        # Seldom more than one entry each: with one for every response the heap would hold a
+        # minute's worth.
         moment = connection.due[0]
         if connection.queued is None or moment < connection.queued:
             connection.queued = moment
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -28,7 +28,7 @@
 )
 
 # Times are tenths of a millisecond.
-IDLE_PART = 0.6  # share of the idle limit after which we close first, so that no trip meets its end
+IDLE_PART = 0.6  # share of the idle timeout after which the proxy closes, ahead of backends
 PROBE_FOR = 2000  # 200 ms; a process that runs says so at once
 
 
@@ -101,7 +101,7 @@
         set_state(link, BUSY, self.by_state)
         self.watch(link)
         if link.attempt is None and not link.probing:
-            # Its trip went out on another that was free first.
+            # Its attempt was sent on another that was free first.
             return self.release(link, True)
         if link.probing and self.endpoints.is_draining(link.backend):
             self.ended(link, CloseCause.CONNECT_FAILED, False, "drained")
@@ -117,7 +117,7 @@
             self.attempts.write(link)
 
     def request_not_sent(self, link):
-        """What was to be written on the link was not: the end of its client was there to be read."""
+        """Nothing was written upstream: the client's end of stream was there to be read."""
         if link.state is BUSY and link.attempt is not None:
             self.downstream.disconnected(link.attempt.request.host_context, "client closed")
             self.attempts.withdraw(link, Outcome.NOT_SENT)
@@ -142,7 +142,7 @@
             )
 
     def _take_over_attempt(self, link):
-        """A link is free while trips wait for others to come up: the oldest of them goes out on it."""
+        """An idle connection takes the oldest attempt that waits for another to connect."""
         if link.state is not IDLE:
             return
         for other in self.by_state[CONNECTING]:
@@ -165,7 +165,7 @@
         self.close(link, "idle")
 
     def ended(self, link, how, whole, reason):
-        """A link has ended by itself; `whole` tells whether the last byte of a request was written."""
+        """A connection has ended by itself; `whole`: the last byte of a request was written."""
         if link.state is CLOSED:
             return
         attempt, link.attempt = link.attempt, None
@@ -177,10 +177,12 @@
         if attempt is None:
             return
         if how is CloseCause.STALE:
-            # A kept connection was found closed before a byte was written: the trip has not begun.
+            # A kept connection was found closed before a byte was written: the attempt has not
+            # begun.
             return self.attempts.send(attempt)
         if how in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
-            # Ended by us: the backend may go on with its answer, and has it out until our end is there.
+            # Ended by us: the backend may go on with its answer, and has it out until our end is
+            # there.
             attempt.request.host_context.dropped = self.step.now
         # Cut: its own client left in the middle of the body, which says nothing of the backend.
         outcome = (
