--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -52,12 +52,12 @@
     """A client's connection, and the request on it that awaits its response."""
 
     __slots__ = (
-        "asked_to_close",
         "dropped",
         "due",
         "headed",
         "id",
         "io",
+        "is_closing",
         "known",
         "last",
         "message",
@@ -77,9 +77,7 @@
         self.due = self.queued = None
         self.message = self.request = self.id = None
         self.last = False  # it ends with its next answer
-        self.asked_to_close = (
-            False  # it was asked to close, and does unless something of it is unread
-        )
+        self.is_closing = False  # it was asked to close, and does unless something of it is unread
         self.headed = 0  # when the head of what it sends was whole
         self.taken = -1  # bytes of its body when it was last looked at
         self.source = None  # the upstream connection whose response is forwarded as it comes
--- a/pierglade/proxy/state/descriptors.py
+++ b/pierglade/proxy/state/descriptors.py
@@ -116,18 +116,18 @@
             # use as well.
             after = 0
         for client in self.downstream.by_state[state]:
-            if client is not newcomer and not client.asked_to_close:
+            if client is not newcomer and not client.is_closing:
                 return client if self.step.now - client.since >= after else None
         return None
 
     def _ask_to_close(self, client):
         # Not ended outright: a request that the kernel holds for it is taken, and would be lost.
-        client.asked_to_close, self.closing = True, self.closing + 1
+        client.is_closing, self.closing = True, self.closing + 1
         self.step.emit(CloseWhenRead(client, "yielded"))
 
     def keep_open(self, client):
         """Asked to close, it had something unread: it is served, and closed after its response."""
-        if client.asked_to_close:
-            client.asked_to_close, self.closing = False, self.closing - 1
+        if client.is_closing:
+            client.is_closing, self.closing = False, self.closing - 1
             # Where descriptors are left it was in use, and only the event loop was late to see it.
             client.last = client.last or self.open > self.limit
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -68,15 +68,15 @@
         self.lifecycle = Lifecycle(
             self.step, self.timers, self.balancers, self.descriptors, sole_process
         )
+        self.endpoints = EndpointRegistry(
+            self.step, self.timers, self.counters, self.balancers, self.lifecycle
+        )
         self._make_connections()
         self._make_operations(discovery, document)
         self._connect_parts()
         self._handlers = self._handlers_by_type()
 
     def _make_connections(self):
-        self.endpoints = EndpointRegistry(
-            self.step, self.timers, self.counters, self.balancers, self.lifecycle
-        )
         self.downstream = DownstreamConnections(
             self.step, self.timers, self.counters, self.descriptors, self.lifecycle
         )
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -91,16 +91,19 @@
             if request_class.idempotency == Idempotency.KEYED:
                 request_class = self.balancers.without_key[request_class.name.encode()]
         left = message.fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
-        fault = None
-        if _is_malformed(message, request_class, name, left):
-            fault = _at_fault(message, request_class, name, left)
-        elif self._is_in_use(name):
-            # Another's, or one that ran already: forwarded, it would run twice.
-            fault = "X-Trace-Id is in use, or was answered just now"
+        fault = self._fault_in(message, request_class, name, left)
         if fault is not None:
             return self.downstream.refuse(client, 400, fault, last=True)
         self._admit(client, request_class, name, min(int(left) * 10, request_class.request_timeout))
 
+    def _fault_in(self, message, request_class, name, left):
+        if _is_malformed(message, request_class, name, left):
+            return _at_fault(message, request_class, name, left)
+        if self._is_in_use(name):
+            # Another's, or one that ran already: forwarded, it would run twice.
+            return "X-Trace-Id is in use, or was answered just now"
+        return None
+
     def _answer_health(self, client, message, path):
         if message.method not in (b"GET", b"HEAD"):
             return self.downstream.refuse(
@@ -180,7 +183,7 @@
         if (
             not self.balancers.load_shedder.bar
             or client.state not in (NEW, IDLE)
-            or client.asked_to_close
+            or client.is_closing
             or client.last
         ):
             return None
