--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -12,7 +12,7 @@
 from pierglade.proxy.event_loop import PER_SECOND, in_steps
 from pierglade.proxy.http.message import request_head
 from pierglade.proxy.http.reader import ProtocolError, ResponseReader
-from pierglade.proxy.state import events
+from pierglade.proxy.state.events import DiscoveryLost, EndpointsUpdated
 from pierglade.reconfiguration import document_reader as reading
 
 LIST_PATH = b"/registry/instances"
@@ -146,7 +146,7 @@
                     self.index = None  # What could not be read may have been a change.
                 if not self.stopped:
                     self.host.tell(
-                        events.NO_WORD, f"{type(fault).__name__}: {fault}", self._waited()
+                        DiscoveryLost(f"{type(fault).__name__}: {fault}", self._waited())
                     )
             finally:
                 self._close()
@@ -208,7 +208,7 @@
             # Read before the move, reported after it, it would enter the new address's list.
             raise DiscoveryUnavailableError("moved")
         self.index = document.get("index") if isinstance(document, dict) else None
-        self.host.tell(events.HEARD, document)
+        self.host.tell(EndpointsUpdated(document))
         if self.index is None:
             raise DiscoveryUnavailableError("the list does not fit")
 
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -17,7 +17,17 @@
 )
 from pierglade.proxy.http.message import GO_ON
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
-from pierglade.proxy.state import events
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.events import (
+    BodyReceived,
+    ClientDisconnected,
+    ConnectionOpened,
+    MalformedRequest,
+    RequestReceived,
+    RequestStarted,
+    ResponseProgressed,
+    ResponseSent,
+)
 
 PIPELINED_MOST = 16  # reads whose time is kept; a client may send a byte at a time
 DISCARD_MOST = (
@@ -39,7 +49,7 @@
     def __init__(self, sock: socket.socket, host, address: str):
         self.sock, self.tell, self.budget, self.refuse = sock, host.tell, host.budget, host.refuse
         self.host, self.line, self.address = host, host.admission_queue, address
-        self.gate = host.reducer.gate  # that admitted it; None: no limits
+        self.gate = host.reducer.descriptors.admission  # that admitted it; None: no limits
         self.now = host.clock.now
         self.requests = RequestReader()
         self.read_on = Event()
@@ -60,7 +70,7 @@
         )  # (bytes read by then, when) while requests wait behind the current one
         sending.set_up(sock)
         self.known = self.gate is not None and self.gate.knows(self.now(), address)
-        self.tell(events.OPENED, self, self.known)
+        self.tell(ConnectionOpened(self, self.known))
 
     def run(self):
         """Reads until the connection ends, and reports how it ended."""
@@ -95,15 +105,15 @@
         finally:
             self.requests.drop()
             self._end_flow()
-        self.tell(events.CLIENT_ENDED, self.client, reason)
+        self.tell(ClientDisconnected(self.client, reason))
 
     def _received(self, count):
         """Takes up `count` bytes that were read; returns whether the connection is still open."""
         self.requests.filled(count)
         self.received += count
-        if self.host.reducer.press.threshold and self._was_shed():
+        if self.host.reducer.balancers.load_shedder.threshold and self._was_shed():
             return True
-        came = events.NEVER
+        came = NEVER
         if self.line.full():
             came = self.came()
             self.line.wait(self.address, count, self.known)
@@ -130,7 +140,7 @@
             raise BrokenPipeError(0, "takes no refusal")
         return True
 
-    def _take(self, came=events.NEVER):
+    def _take(self, came=NEVER):
         """Takes up what was read; `came`: when it arrived, if before this turn of the loop."""
         try:
             if self.flow is not None:
@@ -140,17 +150,17 @@
             # Where the malformed part ends is unknown: nothing behind it is read as a request.
             self.last = True
             self._end_flow()
-            self.tell(events.FAULTY, self.client, fault.status, str(fault))
+            self.tell(MalformedRequest(self.client, fault.status, str(fault)))
             return
         if message is not None and self.requests.flows:
             self._begin_flow(message)
         elif message is not None:
             if self.pipelined:
-                self.tell(events.ASKED, self.client, message, came=self._arrival_of_pipelined())
+                self.tell(RequestReceived(self.client, message), came=self._arrival_of_pipelined())
             else:
-                self.tell(events.ASKED, self.client, message, came=came)
+                self.tell(RequestReceived(self.client, message), came=came)
         elif self.requests.begun():
-            self.tell(events.BEGUN, self.client, self.requests.come())
+            self.tell(RequestStarted(self.client, self.requests.come()))
             if self.requests.expects_go_on():
                 sending.send_now(self.sock, GO_ON, b"")
 
@@ -160,7 +170,7 @@
         if not self.budget.reserve(WINDOW_COST):
             # Before its body is read: many such bodies are far more than the process may hold.
             self.last, self.discard_most = True, DISCARD_REST_MOST
-            self.tell(events.FAULTY, self.client, 503)
+            self.tell(MalformedRequest(self.client, 503))
             return
         self.held = WINDOW_COST
         self.message, self.announced = message, False
@@ -178,12 +188,12 @@
         if requests.over:
             flow.finish()
         if self.announced:
-            self.tell(events.BODY, self.client)
+            self.tell(BodyReceived(self.client))
         elif requests.over or not self._buffers_whole():
             self.announced = True
-            self.tell(events.ASKED, self.client, self.message)
+            self.tell(RequestReceived(self.client, self.message))
         else:
-            self.tell(events.BEGUN, self.client, flow.size)
+            self.tell(RequestStarted(self.client, flow.size))
         if requests.over:
             self.flow = None
 
@@ -223,7 +233,7 @@
             rest = sending.send_now(self.sock, head, body)
         except OSError as fault:
             # The reading greenlet may wait for this response, and see it only at its timeout.
-            return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
+            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
         if rest:
             gevent.spawn(self._write_rest, rest, last)
         else:
@@ -233,26 +243,26 @@
         try:
             self.sock.sendall(rest)
         except OSError as fault:
-            return self.tell(events.CLIENT_ENDED, self.client, f"broke: {fault.strerror}")
+            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
         self._written(last)
 
     def _stream_body(self, head, flow, last, chunked):
         """Streams a response. One that is aborted must not look whole."""
         try:
             sending.stream_body(
-                self.sock, head, flow, chunked, lambda: self.tell(events.TAKES, self.client)
+                self.sock, head, flow, chunked, lambda: self.tell(ResponseProgressed(self.client))
             )
         except OSError:
             flow.break_off()
         if flow.broken:
             sending.reset(self.sock)
-            self.tell(events.CLIENT_ENDED, self.client, "answer broke off")
+            self.tell(ClientDisconnected(self.client, "answer broke off"))
         else:
             self._written(last)
 
     def _written(self, last):
         self.passing = False
-        self.tell(events.ANSWERED, self.client)
+        self.tell(ResponseSent(self.client))
         if last:
             # Closed at once with something unread, it would be reset and the response lost.
             if not self.last and self.requests.flows and not self.requests.over:
@@ -291,7 +301,7 @@
         upto = self.received - (self.requests.end - self.requests.at)
         while self.pipelined and self.pipelined[0][0] < upto:
             self.pipelined.popleft()
-        came = self.pipelined[0][1] if self.pipelined else events.NEVER
+        came = self.pipelined[0][1] if self.pipelined else NEVER
         if not self.requests.more():
             self.pipelined.clear()
         return came
@@ -301,7 +311,7 @@
         if not self.requests.begun() and not sending.is_readable(self.sock):
             # At once: a request that arrived between check and close would be lost.
             sending.hang_up(self.sock)
-            self.tell(events.CLIENT_ENDED, self.client, reason)
+            self.tell(ClientDisconnected(self.client, reason))
 
     def end(self):
         """Ends the connection at once."""
--- a/pierglade/proxy/listener.py
+++ b/pierglade/proxy/listener.py
@@ -47,14 +47,19 @@
                 continue
             self._admit(sock, address)
             taken += 1
-            if taken >= self.host.reducer.may_open(ACCEPTS) or self.host.admission_queue.full():
+            if (
+                taken >= self.host.reducer.descriptors.acceptable(ACCEPTS)
+                or self.host.admission_queue.full()
+            ):
                 # Lets the loop close what has ended before the next one takes a descriptor.
                 taken = 0
                 gevent.sleep(0)
 
     def _admit(self, sock, address):
         reducer = self.host.reducer
-        if reducer.gate is not None and not reducer.lets_in(self.host.clock.now(), address[0]):
+        if reducer.descriptors.admission is not None and not reducer.descriptors.admits(
+            self.host.clock.now(), address[0]
+        ):
             return self._reject(sock)
         handler = DownstreamHandler(sock, self.host, address[0])
         self.host.spawn(handler.run, handler)
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -8,7 +8,7 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http.message import answer_head
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
-from pierglade.proxy.state import events
+from pierglade.proxy.state.events import ManagementCall
 
 MAX_CONNECTIONS = 8  # at once; each holds a descriptor, and staff request one by one
 QUEUE = 64  # connections that the kernel holds until then
@@ -83,7 +83,7 @@
         try:
             with gevent.Timeout(WHOLE_IN, False):
                 if request.read():
-                    self.host.tell(events.CALLED, request)
+                    self.host.tell(ManagementCall(request))
             with gevent.Timeout(LINGER, False):
                 while request.sock.recv(4096):
                     pass
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -20,7 +20,33 @@
 from pierglade.proxy.listener import Listener
 from pierglade.proxy.logging import Log
 from pierglade.proxy.management import MAX_CONNECTIONS, ManagementServer
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.constants import NEVER
+from pierglade.proxy.state.effects import (
+    AbortConnection,
+    CloseListener,
+    CloseUpstream,
+    CloseWhenRead,
+    Connect,
+    Exit,
+    FollowDiscovery,
+    LogEvent,
+    OpenListener,
+    PollDiscovery,
+    ReplyToManagement,
+    ResyncEndpoints,
+    SendRequest,
+    SendResponse,
+)
+from pierglade.proxy.state.events import (
+    ConfigurationLoaded,
+    EndpointsUpdated,
+    MalformedRequest,
+    SoleProcess,
+    StopRequested,
+    TimerFired,
+    UpstreamClosed,
+)
 from pierglade.proxy.state.machine import ProxyStateMachine
 from pierglade.proxy.takeover import POLL_INTERVAL, ProcessLock
 from pierglade.proxy.upstream import UpstreamHandler
@@ -76,8 +102,10 @@
             config.told,
             self.alone,
         )
-        self.reducer.gives_ids = config.gives_ids
-        self.reducer.gate = ConnectionAdmission(config.caps) if config.caps is not None else None
+        self.reducer.requests.assigns_ids = config.gives_ids
+        self.reducer.descriptors.admission = (
+            ConnectionAdmission(config.caps) if config.caps is not None else None
+        )
         self.faults = self.rereads = 0
 
     def _restore(self, config):
@@ -90,34 +118,36 @@
             settings = SnapshotSettings(*config.keeping)
             self.snapshot_writer = SnapshotWriter(self, settings, config.name)
         writer = self.snapshot_writer
-        self.reducer.known(writer.newer_endpoints(config.known) if writer else config.known)
+        self.reducer.endpoints.restore(
+            writer.newer_endpoints(config.known) if writer else config.known
+        )
         if writer:
             writer.restore()
         self.fixed = config.known if config.discovery is None else None  # a list without discovery
         # From the known version: forty whole lists at once keep a discovery busy for seconds.
-        self.follow(config.discovery, self.reducer.index)
+        self.follow(config.discovery, self.reducer.endpoints.version)
 
     def _bind_effects(self):
         self.inbox, self.working = deque(), False
         self.loop_monitor = EventLoopMonitor(self.clock)
         self.admission_queue = AdmissionQueue(self.clock, self.loop_monitor)
         self.carriers = {
-            ev.ANSWER: lambda client, head, body, *how: client.io.answer(
-                head, body, client.last, *how
+            SendResponse: lambda client, head, body, chunked: client.io.answer(
+                head, body, client.last, chunked
             ),
-            ev.LET_GO: lambda client, reason: client.io.let_go(reason),
-            ev.END_CLIENT: self._end,
-            ev.CONNECT: self._connect,
-            ev.WRITE: lambda link, head, body: link.io.write(head, body),
-            ev.END_LINK: self._end,
-            ev.ASK: lambda: self.discovery.ask(),
-            ev.RELIST: lambda: self.discovery.relist(),
-            ev.MOVE: self._move,
-            ev.OPEN_DOOR: self._open_door,
-            ev.CLOSE_DOOR: self.listener.close,
-            ev.REPLY: lambda call, status, body, allow: call.reply(status, body, allow),
-            ev.EXIT: self.done.set,
-            ev.NOTE: lambda event, fields: self.note(event, **fields),
+            CloseWhenRead: lambda client, reason: client.io.let_go(reason),
+            AbortConnection: self._end,
+            Connect: self._connect,
+            SendRequest: lambda link, head, body: link.io.write(head, body),
+            CloseUpstream: self._end,
+            PollDiscovery: lambda: self.discovery.ask(),
+            ResyncEndpoints: lambda: self.discovery.relist(),
+            FollowDiscovery: self._move,
+            OpenListener: self._open_door,
+            CloseListener: self.listener.close,
+            ReplyToManagement: lambda call, status, body, allow: call.reply(status, body, allow),
+            Exit: self.done.set,
+            LogEvent: lambda event, fields: self.note(event, **fields),
         }
 
     def run(self, reload_config: Callable[[], object], early: Iterable[int] = ()) -> int:
@@ -138,9 +168,9 @@
             self.spawn(self.listener.run)
         else:
             self.spawn(self._wait_until_alone)
-        self.tell(ev.WOKE)
+        self.tell(TimerFired())
         if self.fixed is not None:
-            self.tell(ev.HEARD, self.fixed)
+            self.tell(EndpointsUpdated(self.fixed))
         self.note("started", listen=self.listener.address())
         if signal.SIGHUP in early:
             self._reread(reload_config)
@@ -154,7 +184,7 @@
         return 0
 
     def _stop(self):
-        self.tell(ev.STOP, self.process_lock.successor_is_running())
+        self.tell(StopRequested(self.process_lock.successor_is_running()))
 
     def _open_door(self):
         """Starts to listen; during a takeover not before the endpoint list is current."""
@@ -164,7 +194,7 @@
     def _wait_until_alone(self):
         while not self.process_lock.is_sole_process():
             gevent.sleep(POLL_INTERVAL)
-        self.tell(ev.ALONE)
+        self.tell(SoleProcess())
 
     def follow(self, address: str | None, index: int | None = None):
         """Makes the discovery client; `address` None: the list is fixed."""
@@ -172,7 +202,7 @@
             self.discovery = FixedEndpointList()
         else:
             self.discovery = DiscoveryClient(address, self, index)
-        self.discovery.is_polled = lambda: self.reducer.settings.polls_endpoints
+        self.discovery.is_polled = lambda: self.reducer.balancers.settings.polls_endpoints
 
     def _move(self, address):
         """Discovery has moved: a new client, so that no state of the old one is carried over."""
@@ -198,15 +228,15 @@
             self.note("config_rejected", error=str(fault))
         else:
             tenants = place.settings.tenants
-            told = in_steps(shares.steps(self.reducer.settings.tenants, tenants.shares))
-            self.reducer.gives_ids = place.gives_ids
+            told = in_steps(shares.steps(self.reducer.balancers.settings.tenants, tenants.shares))
+            self.reducer.requests.assigns_ids = place.gives_ids
             self._set_limits(place.caps)
-            self.tell(ev.CONFIGURED, place.discovery, place.told, place.settings, told)
+            self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, told))
             fixed = place.known if place.discovery is None else None
             if fixed is not None and fixed != self.fixed:
-                self.tell(ev.HEARD, fixed)
+                self.tell(EndpointsUpdated(fixed))
             self.fixed = fixed
-            if tenants is not self.reducer.settings.tenants:
+            if tenants is not self.reducer.balancers.settings.tenants:
                 in_steps(shares.clear(tenants.shares))
 
     def _set_limits(self, caps):
@@ -214,11 +244,11 @@
 
         Without limits at the start, connections count from now on.
         """
-        gate = self.reducer.gate
+        gate = self.reducer.descriptors.admission
         if gate is not None:
             gate.set_limits(caps or ConnectionLimits())
         elif caps is not None:
-            self.reducer.gate = ConnectionAdmission(caps)
+            self.reducer.descriptors.admission = ConnectionAdmission(caps)
 
     def note(self, event: str, **fields):
         """Logs an event."""
@@ -235,9 +265,9 @@
             except Exception as fault:
                 self._fault(fault)
             if isinstance(handler, DownstreamHandler):
-                return self.tell(ev.FAULTY, handler.client, 500)
+                return self.tell(MalformedRequest(handler.client, 500))
             if isinstance(handler, UpstreamHandler):
-                return self.tell(ev.LINK_ENDED, handler.link, ev.BROKE, True, "fault")
+                return self.tell(UpstreamClosed(handler.link, CloseCause.RESET, True, "fault"))
             gevent.sleep(0.1)  # Listener and discovery client go on.
 
     def _fault(self, fault):
@@ -247,7 +277,7 @@
     def _woke(self, lag):
         if lag > LAG_LOGGED:
             self.note("event_loop_lag", lag_ms=lag / 10)
-        self.tell(ev.WOKE)
+        self.tell(TimerFired())
 
     def came(self) -> int:
         """Returns when what is read in this turn of the loop is likely to have arrived."""
@@ -255,31 +285,29 @@
 
     def refuse(self, client, requests):
         """Returns the prepared rejection of what a client sent, if load is shed; else None."""
-        return self.reducer.glance(
+        return self.reducer.requests.glance(
             self.clock.now(), client, requests, self.loop_monitor.came, self.loop_monitor.idle
         )
 
-    def tell(self, kind, *what, came=ev.NEVER):
+    def tell(self, event, came=NEVER):
         """Applies an event and carries out its effects; events that they raise come after them.
 
         `came`: when it arrived, if before this turn of the loop.
         """
-        self.inbox.append((kind, what, min(came, self.loop_monitor.came), self.loop_monitor.idle))
+        self.inbox.append((event, min(came, self.loop_monitor.came), self.loop_monitor.idle))
         if self.working:
             return
         self.working = True
         try:
             while self.inbox:
-                kind, what, came, idle = self.inbox.popleft()
+                event, came, idle = self.inbox.popleft()
                 try:
-                    effects = self.reducer.apply(
-                        self.clock.now(), kind, *what, came=came, idle=idle
-                    )
+                    effects = self.reducer.apply(self.clock.now(), event, came=came, idle=idle)
                 except Exception as fault:
                     self._fault(fault)
-                    effects = self.reducer.salvage(what[0] if what else None)
+                    effects = self.reducer.salvage(getattr(event, "connection", None))
                 for effect in effects:
-                    self._carry_out(*effect)
+                    self._carry_out(effect)
         finally:
             self.working = False
         now = self.clock.now()
@@ -290,9 +318,9 @@
             wake = now + AFTER_FAULT
         self.timer.set(wake)
 
-    def _carry_out(self, kind, *what):
+    def _carry_out(self, effect):
         try:
-            self.carriers[kind](*what)
+            self.carriers[type(effect)](*effect)
         except Exception as fault:
             self._fault(fault)
 
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -56,7 +56,9 @@
         if self.snapshot is None:
             return
         try:
-            line = self.host.reducer.remember(self.snapshot, int(self.settings.half_life_s * 10000))
+            line = self.host.reducer.snapshot.restore(
+                self.snapshot, int(self.settings.half_life_s * 10000)
+            )
             self.host.note("snapshot_restored", file=self.file, summary=line)
         except schema.UntrustedSnapshotError as error:
             self.host.note("snapshot_rejected", error=f"{self.file}: {error}")
@@ -92,7 +94,7 @@
 
     def _gather(self) -> schema.Snapshot:
         now = self.host.clock.now()
-        request_classes, backends, completed, entries = self.host.reducer.kept(
+        request_classes, backends, completed, entries = self.host.reducer.snapshot.export(
             aging.KEYS, aging.ROW_KEYS
         )
         if now > self.counted_at and completed >= self.completed:
@@ -105,7 +107,7 @@
             request_rate=self.request_rate,
             request_classes=request_classes,
             backends={name: schema.StoredBackend(*stored) for name, stored in backends.items()},
-            endpoints_version=self.host.reducer.index,
+            endpoints_version=self.host.reducer.endpoints.version,
             endpoints=entries,
         )
 
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -9,7 +9,15 @@
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http.body_stream import BodyStream
 from pierglade.proxy.http.reader import ProtocolError, ResponseReader
-from pierglade.proxy.state import events
+from pierglade.proxy.state.connections import IDLE, CloseCause
+from pierglade.proxy.state.events import (
+    RequestNotSent,
+    ResponseCompleted,
+    ResponsePartReceived,
+    ResponseReceived,
+    UpstreamClosed,
+    UpstreamConnected,
+)
 
 
 class UpstreamHandler:
@@ -37,10 +45,10 @@
             self.sock.connect((host, int(port)))
             sending.set_up(self.sock)
         except OSError as fault:
-            return self._ended(events.REFUSED, f"refused: {fault.strerror or fault}")
-        self.tell(events.UP, self.link)
+            return self._ended(CloseCause.CONNECT_FAILED, f"refused: {fault.strerror or fault}")
+        self.tell(UpstreamConnected(self.link))
         # Unused when connected, it is idle: written unchecked, its end would count as a failure.
-        self.kept = self.link.state is events.IDLE
+        self.kept = self.link.state is IDLE
         self.read()
 
     def read(self):
@@ -57,23 +65,23 @@
                 self.answers.filled(count)
                 self._take()
                 if self.answers.begun():
-                    if self.link.state is events.IDLE:
+                    if self.link.state is IDLE:
                         # Unsolicited bytes: they would be taken for the next response.
-                        return self._ended(events.BROKE, "unasked bytes")
-                    self.tell(events.REPLYING, self.link)
+                        return self._ended(CloseCause.RESET, "unasked bytes")
+                    self.tell(ResponsePartReceived(self.link))
             if self.answers.ended():
                 self._take_last()
         except ProtocolError as fault:
-            return self._ended(events.GARBLED, f"malformed answer: {fault}")
+            return self._ended(CloseCause.MALFORMED_RESPONSE, f"malformed answer: {fault}")
         except OSError as fault:
-            return self._ended(events.BROKE, f"broke: {fault.strerror or fault}")
-        self._ended(events.BROKE, "closed by the backend")
+            return self._ended(CloseCause.RESET, f"broke: {fault.strerror or fault}")
+        self._ended(CloseCause.RESET, "closed by the backend")
 
     def _take(self):
         while True:
             if self.flow is not None:
                 self.flow.add(self.answers.piece())
-                self.tell(events.REPLYING, self.link)
+                self.tell(ResponsePartReceived(self.link))
                 if not self.answers.over:
                     return
                 self._flow_is_whole(self.answers.message)
@@ -85,7 +93,7 @@
                     self.answers.length if counted else None, self.read_on.set
                 )
                 self.flow.add(self.answers.piece())
-                self.tell(events.REPLIED, self.link, message)
+                self.tell(ResponseReceived(self.link, message))
                 if self.flow is None or not self.answers.over:
                     return  # It was aborted, or there is more to read.
                 self._flow_is_whole(message)
@@ -98,7 +106,7 @@
         # Bytes behind a response, a duplicate say, would be taken for the next attempt's.
         message.keep = message.keep and self.whole and not self.answers.more()
         self.kept, self.whole = True, False
-        self.tell(events.REPLIED, self.link, message)
+        self.tell(ResponseReceived(self.link, message))
 
     def _flow_is_whole(self, message):
         flow, self.flow = self.flow, None
@@ -106,7 +114,7 @@
             flow.finish()
         keep = message.keep and self.whole and not self.answers.more()
         self.kept, self.whole = True, False
-        self.tell(events.REPLY_OVER, self.link, keep)
+        self.tell(ResponseCompleted(self.link, keep))
 
     def _take_last(self):
         """Takes a response that ends with the connection."""
@@ -118,7 +126,7 @@
     def _ended(self, how, reason):
         """Reports the end, and whether the request in flight was written whole."""
         self._end_flow()
-        self.tell(events.LINK_ENDED, self.link, how, self.whole, reason)
+        self.tell(UpstreamClosed(self.link, how, self.whole, reason))
 
     def _unwanted(self):
         """Whether no client waits any more for what is to be written; checked as late as possible.
@@ -137,10 +145,10 @@
     def write(self, head: bytes, body):
         """Sends a request; `body`: bytes or a BodyStream."""
         if self.kept and sending.is_readable(self.sock):
-            self.tell(events.LINK_ENDED, self.link, events.STALE, False, "readable while idle")
+            self.tell(UpstreamClosed(self.link, CloseCause.STALE, False, "readable while idle"))
             return
         if self._unwanted():
-            self.tell(events.LEFT, self.link)
+            self.tell(RequestNotSent(self.link))
             return
         if isinstance(body, BodyStream):
             gevent.spawn(self._write_flow, head, body)
@@ -148,7 +156,9 @@
         try:
             rest = sending.send_now(self.sock, head, body)
         except OSError as fault:
-            self.tell(events.LINK_ENDED, self.link, events.BROKE, False, f"broke: {fault.strerror}")
+            self.tell(
+                UpstreamClosed(self.link, CloseCause.RESET, False, f"broke: {fault.strerror}")
+            )
             return
         if rest:
             gevent.spawn(self._write_rest, rest)
@@ -161,7 +171,7 @@
                 if self._unwanted():
                     # A backend executes only with the last byte: nothing is executed in vain.
                     return self.tell(
-                        events.LINK_ENDED, self.link, events.CUT, False, "its client left"
+                        UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "its client left")
                     )
                 try:
                     rest = rest[self.sock._sock.send(rest, socket.MSG_DONTWAIT) :]
@@ -170,7 +180,7 @@
             self.whole = True
         except OSError as fault:
             # Part of the last piece may be sent: it counts as written, never to be executed twice.
-            self.tell(events.LINK_ENDED, self.link, events.BROKE, True, f"broke: {fault.strerror}")
+            self.tell(UpstreamClosed(self.link, CloseCause.RESET, True, f"broke: {fault.strerror}"))
 
     def _write_flow(self, head, flow):
         """Sends a body: one that is buffered whole is kept for a retry, another is streamed."""
@@ -180,7 +190,9 @@
                 for piece in list(flow.pieces):
                     if self._unwanted():
                         return self.tell(
-                            events.LINK_ENDED, self.link, events.CUT, False, "its client left"
+                            UpstreamClosed(
+                                self.link, CloseCause.CLIENT_GONE, False, "its client left"
+                            )
                         )
                     self.sock.sendall(piece)
             else:
@@ -188,15 +200,18 @@
             self.whole = not flow.broken
             if flow.broken and self.link.attempt is not None:
                 # Without cancellation nothing else would end it: its body is never whole.
-                self.tell(events.LINK_ENDED, self.link, events.CUT, False, "body broke off")
+                self.tell(
+                    UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "body broke off")
+                )
         except OSError as fault:
             # As above, where the last piece was being sent; before it, the backend has not begun.
             self.tell(
-                events.LINK_ENDED,
-                self.link,
-                events.BROKE,
-                flow.whole and not flow.waiting,
-                f"broke: {fault.strerror}",
+                UpstreamClosed(
+                    self.link,
+                    CloseCause.RESET,
+                    flow.whole and not flow.waiting,
+                    f"broke: {fault.strerror}",
+                ),
             )
 
     def _end_flow(self):
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -198,7 +198,7 @@
         """All is to be refused; what the rules need looked at is not refused unseen."""
         desk, lines = Desk(["b0"]), []
         desk.ask("busy", trace="out")
-        shedder = desk.reducer.press
+        shedder = desk.reducer.balancers.load_shedder
         shedder.threshold = 0.99
         shedder.rejects = lambda *what: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
@@ -229,14 +229,14 @@
             incoming.writable()[: len(data)] = data
             incoming.filled(len(data))
             desk.open(name)
-            refusal = desk.reducer.glance(
+            refusal = desk.reducer.requests.glance(
                 desk.now, desk.clients[name], incoming, desk.now, desk.now
             )
             lines.append(f"{what}: {'refused' if refusal else 'ordinary'}")
-        lines.append(refusal.decode() if refusal else str(desk.reducer.refusals))
+        lines.append(refusal.decode() if refusal else str(desk.reducer.balancers.refusals))
         owed = desk.clients["busy"]
         lines.append(
-            f"one that is owed an answer: {desk.reducer.glance(desk.now, owed, incoming, desk.now, desk.now)}"
+            f"one that is owed an answer: {desk.reducer.requests.glance(desk.now, owed, incoming, desk.now, desk.now)}"
         )
         self.check("admission_glance", lines)
 
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -7,7 +7,21 @@
 from pierglade.model.endpoint import LoadReportSource
 from pierglade.proxy.http import reader
 from pierglade.proxy.http.body_stream import BodyStream
-from pierglade.proxy.state import events as ev
+from pierglade.proxy.state.connections import CloseCause
+from pierglade.proxy.state.constants import SPARE
+from pierglade.proxy.state.events import (
+    ClientDisconnected,
+    ConfigurationLoaded,
+    DiscoveryLost,
+    EndpointsUpdated,
+    RequestReceived,
+    RequestStarted,
+    ResponsePartReceived,
+    ResponseReceived,
+    StopRequested,
+    TimerFired,
+    UpstreamConnected,
+)
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import Desk, TraceTest, balancer_settings, entry, message
 
@@ -32,11 +46,11 @@
         desk = warm_desk()
         desk.ask("c0")
         link = next(link for link in desk.links if link.attempt)
-        node, owed = desk.reducer.node, [CancelAttempt(link.attempt)]
+        node, owed = desk.reducer.balancers.current, [CancelAttempt(link.attempt)]
         decide = node.next_decision
         node.next_decision = lambda now: owed.pop() if owed else decide(now)
         desk.after(20)
-        desk.tell(ev.WOKE)
+        desk.tell(TimerFired())
         desk.after(3)
         desk.say(f"cut in the middle {link.cut}")
         self.check("apart", desk.lines)
@@ -65,7 +79,7 @@
         desk.taken("c0")
         desk.after(10)
         desk.ask("c0", "/pay", body="five")
-        desk.lose(ev.STALE, whole=False)
+        desk.lose(CloseCause.STALE, whole=False)
         desk.up()
         self.check("node_stale", desk.lines)
 
@@ -73,16 +87,16 @@
         """A break after the last byte, and a 503 that does not say otherwise, end a one-shot for good."""
         lines = []
         for path, how, *end in (
-            ("/pay", "lose", ev.BROKE, True),
-            ("/pay", "lose", ev.BROKE, False),
+            ("/pay", "lose", CloseCause.RESET, True),
+            ("/pay", "lose", CloseCause.RESET, False),
             ("/pay", "reply", 400),
             ("/look", "reply", 429),
             ("/pay", "reply", 429),
             ("/pay", "reply", 503),
             ("/pay", "reply", 504, "X-Never-Ran: 1\r\n"),
-            ("/pay", "lose", ev.GARBLED, True),
+            ("/pay", "lose", CloseCause.MALFORMED_RESPONSE, True),
             ("/look", "reply", 503),
-            ("/hold", "lose", ev.BROKE, True),
+            ("/hold", "lose", CloseCause.RESET, True),
         ):
             desk = Desk(["b0", "b1"])
             desk.ask("c0", path)
@@ -108,20 +122,19 @@
             desk.now += 2000
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {waited}\r\n\r\n"
             desk.tell(
-                ev.ASKED, desk.clients["c0"], message(head.encode()), came=desk.now - waited * 10
+                RequestReceived(desk.clients["c0"], message(head.encode())),
+                came=desk.now - waited * 10,
             )
             if waited == 50:
                 desk.up()
                 desk.now += 1000
                 answer = b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n"
                 desk.tell(
-                    ev.REPLIED,
-                    desk.links[0],
-                    message(answer, reader.ResponseReader),
+                    ResponseReceived(desk.links[0], message(answer, reader.ResponseReader)),
                     came=desk.now - 800,
                 )
                 desk.taken("c0")
-        typical = desk.reducer.node.table[0].typical
+        typical = desk.reducer.balancers.current.table[0].typical
         desk.say(f"typical {typical / 10:.0f} of 100 at first")
         self.check("node_late", desk.lines)
 
@@ -134,9 +147,7 @@
             head = f"GET /look HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {n}\r\n\r\n"
             desk.say(f"idle {idle} ms ago, waited {waited} ms")
             desk.tell(
-                ev.ASKED,
-                desk.clients[f"c{n}"],
-                message(head.encode()),
+                RequestReceived(desk.clients[f"c{n}"], message(head.encode())),
                 came=desk.now - waited * 10,
                 idle=desk.now - idle * 10,
             )
@@ -152,14 +163,14 @@
         desk.ask("c0", "/pay", left=700)
         desk.up()
         desk.now += 7000
-        desk.lose(ev.BROKE)
+        desk.lose(CloseCause.RESET)
         self.check("node_overdue", desk.lines)
 
     def test_client_gone(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/pay")
         desk.up()
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
+        desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
         desk.reply()
         self.check("node_client_gone", desk.lines)
 
@@ -175,13 +186,17 @@
         desk.ask("c0", "/pay")
         desk.up()
         desk.open("c1")
-        decide, desk.reducer.node.next_decision = desk.reducer.node.next_decision, lambda now: 1 / 0
+        decide, desk.reducer.balancers.current.next_decision = (
+            desk.reducer.balancers.current.next_decision,
+            lambda now: 1 / 0,
+        )
         try:
             desk.ask("c1")
         except ZeroDivisionError:
-            kind, client, head, _ = desk.reducer.salvage(desk.clients["c1"])[-1]
-            desk.say(f"fault: {kind} {client.io.name} {head.split()[1].decode()}")
-        desk.reducer.node.next_decision = decide
+            effect = desk.reducer.salvage(desk.clients["c1"])[-1]
+            name, status = effect.connection.io.name, effect.head.split()[1].decode()
+            desk.say(f"fault: {type(effect).__name__} {name} {status}")
+        desk.reducer.balancers.current.next_decision = decide
         desk.after(998)
         self.check("node_fault", desk.lines)
 
@@ -201,7 +216,7 @@
         desk.reply(link=0)
         desk.after(10)
         desk.say(
-            f"{[link.state for link in desk.links]}, {desk.reducer.backends['b0'].coming_up} coming up"
+            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].coming_up} coming up"
         )
         self.check("node_free_first", desk.lines)
 
@@ -227,8 +242,8 @@
             "changes older than what is known, then half a message: the whole list is asked for"
         )
         desk.hear([entry("b1", "DELETED")], 4, whole=False)
-        desk.tell(ev.HEARD, {"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]})
-        desk.tell(ev.HEARD, [])
+        desk.tell(EndpointsUpdated({"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]}))
+        desk.tell(EndpointsUpdated([]))
         desk.hear(["b0"], 7)
         desk.hear([entry("b0", address="127.0.0.1:9999", since_ms=900)], 8, whole=False)
         self.check("node_list", desk.lines)
@@ -259,16 +274,16 @@
         desk = Desk(["b0", "b1"])
         for name in ("c0", "c1"):
             desk.ask(name)
-            desk.lose(ev.REFUSED, whole=False, link=0) if name == "c0" else None
+            desk.lose(CloseCause.CONNECT_FAILED, whole=False, link=0) if name == "c0" else None
         desk.after(200)
         desk.up()
         desk.reply()
-        self.check("node_probe", [line for line in desk.lines if "note" not in line])
+        self.check("node_probe", [line for line in desk.lines if " log " not in line])
 
     def test_probe_without_an_answer(self):
         desk = Desk(["b0", "b1"])
         desk.ask("c0")
-        desk.lose(ev.REFUSED, whole=False)
+        desk.lose(CloseCause.CONNECT_FAILED, whole=False)
         desk.after(200)
         desk.up()
         desk.after(210)
@@ -290,7 +305,7 @@
         desk.ask("c0")
         desk.up()
         for _ in range(3):
-            desk.tell(ev.REPLYING, desk.links[0])
+            desk.tell(ResponsePartReceived(desk.links[0]))
             desk.after(90)
         desk.after(11)
         self.check("node_endless", desk.lines)
@@ -301,8 +316,8 @@
         desk.hear(["b0"], 2)
         desk.now += 20001
         desk.hear(["b0", entry("b2", address="127.0.0.1:9001")], 3)
-        self.assertEqual(sorted(desk.reducer.backends), ["b0", "b2"])
-        self.assertEqual(desk.reducer.backends["b2"].links, 0)
+        self.assertEqual(sorted(desk.reducer.endpoints.records), ["b0", "b2"])
+        self.assertEqual(desk.reducer.endpoints.records["b2"].links, 0)
 
     def test_what_is_due_stays_short(self):
         """One entry for each answer would hold on to a minute's worth of them."""
@@ -313,14 +328,14 @@
             desk.reply()
             desk.taken("c0")
             desk.after(100)
-        self.assertLess(len(desk.reducer.due), 40)
+        self.assertLess(len(desk.reducer.timers.heap), 40)
 
     def test_a_new_configuration(self):
         """Discovery elsewhere: nothing is forgotten until its whole list is there, whatever its version."""
         desk = Desk(["b0", "b1"])
         told = {"discovery": "127.0.0.1:1", "limits": {"sockets": 9}, "seed": "other"}
-        desk.tell(ev.CONFIGURED, "127.0.0.1:1", told)
-        desk.tell(ev.CONFIGURED, "127.0.0.1:1", told)
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
         desk.ask("c0", "/health/ready", "GET")
         desk.hear([entry("b1", "DELETED")], 0, whole=False)
         desk.hear(["b0"], 0)
@@ -331,7 +346,7 @@
         """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
         desk = Desk(["b0", "b1"])
         before, after = {"settings": 1}, {"settings": 2}
-        desk.reducer.raw_settings = 1
+        desk.reducer.reconfiguration.raw_settings = 1
         shared = dict(
             tenants=TenantRegistry(),
             node_count=70,
@@ -340,7 +355,7 @@
         )
         desk.ask("c0", "/pay")
         desk.up()
-        desk.tell(ev.CONFIGURED, "", after, balancer_settings(**shared))
+        desk.tell(ConfigurationLoaded("", after, balancer_settings(**shared)))
         desk.say("the turn goes on where it was, at b1, then b0")
         desk.ask("c4")
         desk.up()
@@ -353,13 +368,13 @@
         desk.reply()
         desk.say("the way back is the same step")
         desk.ask("c2")
-        desk.tell(ev.CONFIGURED, "", before, balancer_settings())
+        desk.tell(ConfigurationLoaded("", before, balancer_settings()))
         desk.up()
         desk.reply()
         desk.after(200)
         desk.ask("c3")
         desk.reply()
-        desk.say(f"{len(desk.reducer.older)} nodes under earlier settings")
+        desk.say(f"{len(desk.reducer.balancers.earlier)} nodes under earlier settings")
         self.check("node_settings", desk.lines)
 
     def test_reports_and_hints_are_heeded_where_a_decision_rests_on_them(self):
@@ -374,13 +389,17 @@
         desk.say(f"hint {desk.clients['c0'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=40, util=0.6, other=x\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, busy {desk.reducer.balancers.current.told_busy}"
+        )
         desk.after(10)
         desk.ask("c1", headers="X-Props: hintUs=none\r\n")
         desk.say(f"hint {desk.clients['c1'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=50, util=0.7\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, busy {desk.reducer.balancers.current.told_busy}"
+        )
         self.check("node_reports", desk.lines)
 
     @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
@@ -395,13 +414,14 @@
         for n in range(21):
             desk.lines = []
             desk.ask("c0")
-            attempt = next(iter(desk.reducer.carried))
-            link = desk.reducer.carried[attempt]
-            desk.tell(ev.UP, link)
+            attempt = next(iter(desk.reducer.attempts.connections))
+            link = desk.reducer.attempts.connections[attempt]
+            desk.tell(UpstreamConnected(link))
             desk.tell(
-                ev.REPLIED,
-                link,
-                message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", reader.ResponseReader),
+                ResponseReceived(
+                    link,
+                    message(b"HTTP/1.1 200 .\r\nContent-Length: 0\r\n\r\n", reader.ResponseReader),
+                ),
             )
             desk.taken("c0")
             desk.after(10)
@@ -409,8 +429,10 @@
                 break
         desk.up()
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
-        desk.tell(ev.REPLIED, desk.links[-1], message(answer, reader.ResponseReader))
-        desk.say(f"pace {desk.reducer.node.told_pace}, queue {desk.reducer.node.told_queue}")
+        desk.tell(ResponseReceived(desk.links[-1], message(answer, reader.ResponseReader)))
+        desk.say(
+            f"pace {desk.reducer.balancers.current.told_pace}, queue {desk.reducer.balancers.current.told_queue}"
+        )
         self.check("node_stats", desk.lines)
 
     def test_a_list_that_is_asked_for_is_asked_for_later_and_within_the_term(self):
@@ -418,10 +440,10 @@
         desk = Desk(["b0", "b1"], polls_endpoints=True)
         desk.after(10)
         for _ in range(5):
-            desk.tell(ev.NO_WORD, "down")
+            desk.tell(DiscoveryLost("down"))
             desk.after(8000)
         desk.hear(["b0", "b1"], 3)
-        desk.tell(ev.NO_WORD, "down")
+        desk.tell(DiscoveryLost("down"))
         desk.after(8000)
         self.check("node_asks", desk.lines)
 
@@ -429,10 +451,10 @@
         """Started anew, twenty-eight nodes asked for the whole list at once, and none of them got it."""
         known = {"index": 41, "snapshot": True, "endpoints": [entry("b0"), entry("b1")]}
         desk = Desk(backends=(), known=known)
-        desk.say(f"follows from {desk.reducer.index}")
+        desk.say(f"follows from {desk.reducer.endpoints.version}")
         desk.hear([entry("b1", "DRAINING")], index=42, whole=False)
         desk.hear([entry("b0", "DRAINING")], index=40, whole=False)
-        desk.say(f"follows from {desk.reducer.index}")
+        desk.say(f"follows from {desk.reducer.endpoints.version}")
         self.check("node_known_version", desk.lines)
 
 
@@ -466,9 +488,9 @@
             desk.open(f"c{n}")
             desk.lines = []
             desk.tell(
-                ev.ASKED,
-                desk.clients[f"c{n}"],
-                message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode()),
+                RequestReceived(
+                    desk.clients[f"c{n}"], message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode())
+                ),
             )
             lines += [f"{first} with {headers.split()[::2]}", *desk.lines]
         self.check("node_bad_requests", lines)
@@ -483,7 +505,7 @@
         desk.ask("ann", method="HEAD")
         large = message(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", reader.ResponseReader)
         large.flow = BodyStream(70000, lambda: None)
-        desk.tell(ev.REPLIED, desk.links[-1], large)
+        desk.tell(ResponseReceived(desk.links[-1], large))
         self.check("node_head", desk.lines)
 
     def test_ids_are_taken_once(self):
@@ -497,7 +519,9 @@
         desk.ask("c0", trace="one")
         desk.after(2001)
         desk.ask("c2", trace="one")
-        desk.say(f"{len(desk.reducer.ids)} known, {len(desk.reducer.spent)} spent")
+        desk.say(
+            f"{len(desk.reducer.requests.ids)} known, {len(desk.reducer.requests.recent_ids)} spent"
+        )
         self.check("node_ids", desk.lines)
 
     def test_a_trickle_does_not_renew_its_time(self):
@@ -505,13 +529,13 @@
         desk.open("c0")
         desk.after(1900)
         for _ in range(3):
-            desk.tell(ev.BEGUN, desk.clients["c0"])
+            desk.tell(RequestStarted(desk.clients["c0"]))
             desk.after(300)
         self.check("node_trickle", desk.lines)
 
     def test_hundreds_that_say_nothing(self):
         """They yield, the oldest first, before a link or a client that asked."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 4)
+        desk = Desk(["b0"], sockets=SPARE + 4)
         desk.ask("usual")
         desk.up()
         desk.reply()
@@ -520,17 +544,19 @@
             desk.after(30)
             desk.open(f"silent{n}")
             if n > 1:
-                desk.tell(ev.CLIENT_ENDED, desk.clients[f"silent{n - 2}"], "yielded")
+                desk.tell(ClientDisconnected(desk.clients[f"silent{n - 2}"], "yielded"))
         desk.ask("usual")
         self.check("node_silent", desk.lines)
 
     def test_clients_that_hold_on_make_way_for_others(self):
         """Descriptors are left, but clients are allowed no more connections than a part of them."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 16)
+        desk = Desk(["b0"], sockets=SPARE + 16)
         for n in range(7):
             desk.open(f"c{n}")
             desk.tell(
-                ev.ASKED, desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+                RequestReceived(
+                    desk.clients[f"c{n}"], message(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+                )
             )
             desk.taken(f"c{n}")
             desk.after(150)
@@ -543,7 +569,7 @@
     def test_slow_sender_and_slow_reader(self):
         desk = Desk(["b0"])
         desk.open("c0")
-        desk.tell(ev.BEGUN, desk.clients["c0"])
+        desk.tell(RequestStarted(desk.clients["c0"]))
         desk.after(5001)
         desk.after(5001)
         desk.open("c1")
@@ -552,26 +578,26 @@
 
     def test_sockets_are_used_up(self):
         """Idle links yield first, then idle clients; if none is idle the newcomer is told to come back."""
-        desk = Desk(["b0"], sockets=ev.SPARE + 3)
+        desk = Desk(["b0"], sockets=SPARE + 3)
         desk.ask("c0")
         desk.up()
         desk.reply()
         desk.taken("c0")
         for name in ("c1", "c2", "c3"):
             desk.open(name)
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "yielded")
+        desk.tell(ClientDisconnected(desk.clients["c0"], "yielded"))
         desk.open("c7")
         desk.say("c7 was just opened and does not yield to c8; later two ask, and links need room")
         desk.open("c8")
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c7"], "client closed")
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c8"], "client closed")
+        desk.tell(ClientDisconnected(desk.clients["c7"], "client closed"))
+        desk.tell(ClientDisconnected(desk.clients["c8"], "client closed"))
         desk.after(100)
         for name in ("c1", "c2"):
             desk.ask(name)
         desk.ask("c4")
         desk.say("all are busy, one of them with sending")
         desk.open("c5")
-        desk.tell(ev.BEGUN, desk.clients["c5"])
+        desk.tell(RequestStarted(desk.clients["c5"]))
         desk.ask("c6")
         self.check("node_sockets", desk.lines)
 
@@ -582,8 +608,8 @@
         desk.open("c0")
         desk.ask("c1", left=1000)
         desk.up()
-        desk.tell(ev.STOP)
-        desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "stopping")
+        desk.tell(StopRequested())
+        desk.tell(ClientDisconnected(desk.clients["c0"], "stopping"))
         desk.reply()
         desk.taken("c1")
         desk.after(300)
@@ -602,16 +628,16 @@
 
     def test_the_end_waits_for_what_the_door_let_in_last(self):
         desk = Desk(["b0"])
-        desk.tell(ev.STOP)
+        desk.tell(StopRequested())
         desk.after(2000)
         self.check("node_stop_idle", desk.lines)
 
     def test_nothing_is_owed_when_the_end_may_come(self):
         desk = Desk(["b0"], max_attempts=1)
-        desk.reducer.request_classes[b"look"].request_timeout = 50000
+        desk.reducer.balancers.request_classes[b"look"].request_timeout = 50000
         desk.ask("c0", left=5000)
         desk.up()
-        desk.tell(ev.STOP)
+        desk.tell(StopRequested())
         desk.after(3100)
         desk.taken("c0")
         desk.after(1000)
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -134,9 +134,9 @@
         self.assertEqual(form.decode(form.encode(one)), one)
         self.assertEqual(form.encode(one), path.read_bytes())
         desk = Desk(["b0", "b1"])
-        desk.reducer.now = one.written_at
-        line = desk.reducer.remember(one, 60 * S)
-        node = desk.reducer.node
+        desk.reducer.step.now = one.written_at
+        line = desk.reducer.snapshot.restore(one, 60 * S)
+        node = desk.reducer.balancers.current
         lines = [
             line,
             f"written {one.written_at} by {one.node}, list {one.endpoints_version}, asked {one.request_rate}",
@@ -144,7 +144,7 @@
         lines += [
             f"{o.name}: typical {row.typical:.6f} of {row.answers}, skew {row.skew:.6f}, "
             f"left {row.usual_left} of {row.usual_votes}"
-            for o, row in zip(desk.reducer.settings.request_classes, node.table)
+            for o, row in zip(desk.reducer.balancers.settings.request_classes, node.table)
         ]
         for name in ("b0", "b1"):
             b = node.index[name]
@@ -159,12 +159,12 @@
     def remembered(self, one, at_s=100, entries=("b0",), half_life_s=60):
         """What a fresh node that starts `at_s` takes back."""
         desk = Desk(entries)
-        desk.reducer.now = at_s * S
+        desk.reducer.step.now = at_s * S
         try:
-            line = desk.reducer.remember(one, half_life_s * S)
+            line = desk.reducer.snapshot.restore(one, half_life_s * S)
         except form.UntrustedSnapshotError as fault:
             return str(fault)
-        node = desk.reducer.node
+        node = desk.reducer.balancers.current
         b, row = node.index["b0"], node.table[0]
         return (
             f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
@@ -174,7 +174,7 @@
 
     def test_restored_by_age_and_by_what_still_matches(self):
         desk = Desk(["b0"])
-        o = desk.reducer.settings.request_classes[0]
+        o = desk.reducer.balancers.settings.request_classes[0]
         row = {
             "expected": o.latency_objective,
             "hard_limit": o.request_timeout,
@@ -186,7 +186,7 @@
             "usual_left": 10000,
             "usual_votes": 9,
         }
-        address = desk.reducer.backends["b0"].address
+        address = desk.reducer.endpoints.records["b0"].address
         whole = snapshot(
             request_classes={o.name: row}, backends={"b0": form.StoredBackend(address, 0, FIGURES)}
         )
