--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -30,7 +30,8 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
-from pierglade.balancer.balancer import COLD_MARGIN, Balancer  # noqa: E402
+from pierglade.balancer.balancer import Balancer  # noqa: E402
+from pierglade.balancer.slow_start import MARGIN  # noqa: E402
 from pierglade.model.decision import SendAttempt  # noqa: E402
 from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.model.outcome import Outcome
@@ -67,7 +68,7 @@
 
     def given(self, age):
         """The same, of what all nodes together give it."""
-        return max(COLD_MARGIN, self.capacity(age)) * min(1.0, self.bears(age))
+        return max(MARGIN, self.capacity(age)) * min(1.0, self.bears(age))
 
     def over(self, share, begin, end):
         """What `share` comes to from one age to another, for a pace of one a second."""
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -32,8 +32,8 @@
         desk = Desk([entry(f"b{n}") for n in range(count)])
         node = desk.reducer.node
         for b in range(count):
-            node.pauses[b] = deque(range(0, 9000, 1000))
-            node.work_due[b] = 9000.0
+            node.pause_forecast.pauses[b] = deque(range(0, 9000, 1000))
+            node.pause_forecast.next_pause_answered[b] = 9000.0
         with tempfile.TemporaryDirectory(dir=".") as path:
             folder = files.Folder(path, "n1")
 
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -91,9 +91,12 @@
             self._pause()
 
     def _expects(self, node, b):
-        forecast, now = node.forecast[b], int(self.clock.now)
+        forecast, now = node.pause_forecast.next_pause_at[b], int(self.clock.now)
         ahead = node.table[0].typical * node.level[b]
-        return forecast is not None and forecast - ahead <= now <= forecast + node.mean_pause[b]
+        return (
+            forecast is not None
+            and forecast - ahead <= now <= forecast + node.pause_forecast.mean_pause[b]
+        )
 
 
 def one(job):
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -15,6 +15,10 @@
 from math import exp, log, sqrt
 from typing import NamedTuple
 
+from pierglade.balancer.pause_forecast import INITIAL, PauseForecast
+from pierglade.balancer.polling import PollSchedule
+from pierglade.balancer.retry import RetryBudget
+from pierglade.balancer.slow_start import SlowStart
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import (
     CancelAttempt,
@@ -30,17 +34,7 @@
 from pierglade.tenants.registry import RunningMedian
 
 # Constants. Times are tenths of a millisecond.
-WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = (
-    3000,
-    300,
-    30,
-)  # samples; the design's forecast windows by band
-BAND_LOW, BAND_HIGH = 0.1, 1.0  # coefficient of variation; the design's band bounds
-PAUSES_KEPT = 30  # pauses; enough to tell a band, few enough to follow a change within a minute
-PAUSES_NEEDED = 3  # pauses; two make a line, the third can contradict it
-LONGEST_PAUSE = 15000  # 1.5 s; a longer stretch is an outage and teaches the forecast nothing
 REST_MOST = 50000  # 5 s; longest that a slow backend is left alone before it is tried in earnest
-FIRST_PAUSE = 2000  # 200 ms; mean pause assumed before one was seen, that of a long collection
 FAR = 2.5  # times; quick latency this far above its smoothed level is a pause, above a wide tail
 GOOD = 2.0  # times; an answer within this of the level ends a pause, under FAR so it cannot flap
 RATIO_CAP = 6.0  # times; one answer counts as no slower, so that one heavy invocation is no pause
@@ -79,8 +73,6 @@
 )
 CROWD = 1.0  # times the mean in flight; far more than chance piles up on one backend
 CROWD_FLOOR = 0.5  # trips; below this much over the mean nothing is crowded
-EXTRA_SHARE = 0.2  # further trips earned by each invocation, so that they cannot feed an overload
-EXTRA_MOST = 20.0  # further trips saved up, for a burst of losses when a backend dies
 HOPELESS = 1.5  # times typical; with less time than this left, too many would come too late
 CHANCE = 0.4  # the same while there is room: work is uneven, and half of it takes less than this
 HOPELESS_MOST = 0.9  # share of the expected time; what has just come in is worth a trip
@@ -116,12 +108,6 @@
 REST_EACH, REST_IN = 60000, 10000  # 6 s, 1 s; rests begin at multiples of the one, within the other
 REST_FOR, REST_AGAIN = 50000, 110000  # 5 s, 11 s; a rest, and from its start to another
 REST_PART = 0.2  # of the limit; cores are then less than half in use
-ASK_GAP, ASK_GAP_MOST, ASK_SOON, ASK_WITHIN = (
-    20000,
-    160000,
-    6000,
-    44000,
-)  # 2 to 16, 0.6 s; told in 6: 4.4 s
 COST_LEAST, COST_MOST = 0.25, 4.0  # times the mean; hints are not to be trusted beyond
 SOME = 1e-5  # 0.1 a second; a node that nothing has come to yet is asked for that much
 SEEN_LEAST = 5000  # 0.5 s; what came in less is luck
@@ -132,14 +118,6 @@
 MOVE = 50000  # 5 s; between moves by one backend towards an even place on the ring
 FEWEST = 2  # backends; with fewer a node could lose all to one outage
 STEEP = 4  # power of the level in turns; nothing else evens out what few links bring by chance
-COLD_MARGIN = (
-    0.5  # share of the cold budget used while colder; the rest is for uneven nodes and work
-)
-COLD_BURST, COLD_MORE, COLD_SPAN = (
-    1.5,
-    2.0,
-    10000,
-)  # trips saved up, by one, by all; 1 s of what it bears
 OVER_SHARE = (
     1.3  # times its share; nodes see tenants unevenly, and two seconds of a small one are few
 )
@@ -165,21 +143,13 @@
 COUNTED = (None, SLOW)  # trips on the others come to nothing and must not use up the limit
 
 
-# Of each backend an array, and what a new one begins with. Its process's past: losses, forecast's samples.
+# Of each backend an array, and what a new one begins with. Its process's past: losses, latency.
 HISTORY = dict(
     errors=0.0,
     relapses=0,
     quick=1.0,
-    work=0,
-    samples=(),
-    sums=(0, 0, 0, 0),
-    window=WINDOW_MEDIUM,
-    pauses=(),
-    mean_pause=FIRST_PAUSE,
-    work_due=None,
-    forecast=None,
 )
-# Who and where it is, its size; when it started, left; what may go to it while cold; level; trouble, trials;
+# Who and where it is, its size; when it left; level; trouble, trials;
 # what reports say (settled in a second for all nodes, cores in use, usually settled by all cores).
 FIRST = HISTORY | dict(
     names=None,
@@ -189,11 +159,7 @@
     cell=None,
     size=0.0,
     owed=0.0,
-    started=0,
     left_at=0,
-    cold_until=0,
-    allowance=0.0,
-    allowed_at=0,
     last_answer=0,
     level=1.0,
     trouble=None,
@@ -211,6 +177,17 @@
     usual_of=0,
 )
 
+# Of the figures that snapshots store, those of the pause forecast: the stored name and its array's.
+STORED_NAMES = {
+    "work": "answered",
+    "window": "window",
+    "pauses": "pauses",
+    "mean_pause": "mean_pause",
+    "work_due": "next_pause_answered",
+}
+# What a new backend begins with, by stored name.
+INITIAL_STORED = FIRST | {stored: INITIAL[name] for stored, name in STORED_NAMES.items()}
+
 
 class EndpointStatus(NamedTuple):
     """What a balancer knows of a backend, for operators."""
@@ -265,6 +242,13 @@
         )  # by name; those that left, the longest gone first
         for name in FIRST:
             setattr(self, name, [])
+        self.pause_forecast = PauseForecast()
+        self.slow_start = SlowStart(
+            terms.slow_start_duration,
+            terms.slow_start_capacity,
+            terms.slow_start_overload,
+            terms.node_count,
+        )
         # The rotation: from the ring of ready backends, as many as this node can keep in view.
         self.done = 0.0  # trips settled lately
         self.drags, self.drag = (
@@ -287,7 +271,6 @@
             FORGET * max(o.request_timeout for o in terms.request_classes),
             0,
         )  # ready at once
-        self.warm_pace = 0.0  # what a warm backend in view gets from this node, by size and time
         self.ranked, self.total, self.redraw_at = [], 0.0, NEVER  # the ring, its size
         self.turn, self.at, self.anchor, self.move_at = [], 0, b"", now
         self.largest, self.slow_ones, self.steep = 1.0, 0, STEEP if self.learns else 1
@@ -302,16 +285,20 @@
             now,
             SOME if self.learns else self.asked or None,
         )
-        self.count, self.extra = 0, EXTRA_MOST
-        # Moments of further trips and of what was taken, as far back as the budget looks.
-        self.spent, self.earned = (before.spent, before.earned) if before else (deque(), deque())
+        self.count = 0
+        self.retry_budget = RetryBudget(
+            terms.retry_budget_window,
+            terms.retry_budget_minimum,
+            terms.retry_budget_ratio,
+            before.retry_budget if before else None,
+        )
         self.lost = LOST_LEAST  # share of trips that come to nothing at backends that are well
         self.unsettled = 0.0  # invocations that their clients may come back with
         self.overloaded, self.ahead = False, None  # the queue that need not wait for room
         self.flying, self.ailing = {}, {}  # of backends the trips out; those in trouble
         self.swept = self.see_at = self.room_at = self.seen_at = now
-        self.ask_at, self.ask_gap = (now if terms.polls_endpoints else NEVER), ASK_GAP
-        self.sweep_at = self.ask_at
+        self.polling = PollSchedule(terms.polls_endpoints, now, self.pick)
+        self.sweep_at = self.polling.next_at
         self.slower_since, self.rest_until, self.rest_again = NEVER, 0, 0
         # Where a pace is told, it grows soon enough by that.
         blind = (
@@ -333,9 +320,11 @@
         b = self.index.get(name)
         if b is None:
             return None
-        forecast = self.forecast[b]
+        forecast = self.pause_forecast.next_pause_at[b]
         is_pausing = forecast is not None and (
-            forecast - PASSED_OVER * self.level[b] <= now <= forecast + self.mean_pause[b]
+            forecast - PASSED_OVER * self.level[b]
+            <= now
+            <= forecast + self.pause_forecast.mean_pause[b]
         )
         return EndpointStatus(
             zone=self.zone[b],
@@ -345,8 +334,8 @@
             is_pausing=is_pausing,
             next_pause_at=forecast,
             latency_level=self.level[b],
-            is_in_slow_start=now < self.cold_until[b],
-            answered=self.work[b],
+            is_in_slow_start=now < self.slow_start.until[b],
+            answered=self.pause_forecast.answered[b],
         )
 
     def queue_length(self):
@@ -366,7 +355,7 @@
     def export_statistics(self, keys):
         """What a restart would forget: the table's rows, `keys` of FIRST by name of each ready backend."""
         return [vars(row) for row in self.table], {
-            name: {key: getattr(self, key)[b] for key in keys}
+            name: {key: self._figures(key)[b] for key in keys}
             for name, b in self.index.items()
             if self.state[b] == EndpointState.READY
         }
@@ -377,12 +366,19 @@
             vars(row).update(told)
         for name, told in backends.items():
             for key, value in told.items():
-                getattr(self, key)[self.index[name]] = value
+                self._figures(key)[self.index[name]] = value
+
+    def _figures(self, stored_name):
+        """The array of the figure that snapshots store under that name."""
+        return (
+            getattr(self.pause_forecast, STORED_NAMES[stored_name])
+            if (stored_name in STORED_NAMES)
+            else getattr(self, stored_name)
+        )
 
     def endpoints_updated(self, now, entries, whole):
         """The list's word on all backends, or on the changed ones."""
-        # Not at once: a call that still waits its turn has its first line, and may yet come to nothing.
-        self.ask_gap = max(ASK_GAP, self.ask_gap // 2)
+        self.polling.endpoints_updated()
         if whole:
             named = {e.name for e in entries}
             for name, b in self.index.items():
@@ -400,11 +396,8 @@
             if e.state != EndpointState.READY:
                 self._leave(b, e.state, now)
                 continue
-            if e.started_at > self.started[b]:
-                # A process that has just started is cold until its time is up, whoever else sends to it.
-                self.started[b] = e.started_at
-                self.cold_until[b] = e.started_at + self.settings.slow_start_duration
-                self.allowance[b], self.allowed_at[b] = self.pick(1000) / 1000, now
+            if e.started_at > self.slow_start.started_at[b]:
+                self.slow_start.process_started(b, now, e.started_at, self.pick(1000) / 1000)
                 self._forget_history(b, now)
             self.left_at[b] = 0
             if self.state[b] != EndpointState.READY:
@@ -416,13 +409,8 @@
 
     def discovery_lost(self, now, waited=-NEVER):
         """The list could not be had, or is followed no more; `waited`: since its last word."""
-        # All nodes lose it at once, and at once they would ask: by chance apart, and as seldom as may be.
-        gap = max(ASK_SOON, min(self.ask_gap, (ASK_WITHIN - waited) * 2 // 3))
-        self.ask_at, self.ask_gap = (
-            now + gap // 2 + self.pick(gap),
-            min(ASK_GAP_MOST, self.ask_gap * 2),
-        )
-        self._due(self.ask_at)
+        self.polling.discovery_lost(now, waited)
+        self._due(self.polling.next_at)
 
     def _draw_turn(self, now):
         """The rotation runs over as many of the ring as are enough sound ones; it starts at random."""
@@ -441,10 +429,10 @@
             if enough is not None and size * len(self.ranked) >= enough:
                 break
             after.append(b)
-            if now < self.cold_until[b]:
+            if now < self.slow_start.until[b]:
                 size += self.size[b] * self.settings.slow_start_capacity
                 self.redraw_at = min(
-                    self.redraw_at, self.cold_until[b], NEVER if self.shares else now + SEE
+                    self.redraw_at, self.slow_start.until[b], NEVER if self.shares else now + SEE
                 )
                 self._due(self.redraw_at)
             elif self.trouble[b] in COUNTED:
@@ -464,7 +452,9 @@
                 / max(o.latency_objective for o in self.settings.request_classes)
             )
             asked = self.asked if self.shares else max(least, self._seen(now, "got"))
-            self.warm_pace = asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
+            self.slow_start.warm_rate = (
+                asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
+            )
         self.largest = max((self.size[b] for b in after), default=1.0)
         if after == before:
             return
@@ -480,7 +470,7 @@
     def _see(self, now):
         """Where tenants have no shares, a node's part of all that is asked follows from what comes to it."""
         self.asked = self.limit.demand = max(SOME, self._seen(now, "asked"))
-        told = [b for b in self.turn if self.told_at[b] and now >= self.cold_until[b]]
+        told = [b for b in self.turn if self.told_at[b] and now >= self.slow_start.until[b]]
         paced = [b for b in told if self.told_pace[b] is not None]
         if paced:
             size = sum(self.size[b] for b in self.ranked) / sum(self.size[b] for b in paced)
@@ -557,9 +547,7 @@
 
     def request_received(self, now, request):
         """An invocation has come in; from here on it is owed one final answer."""
-        self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
-        if self.settings.retry_budget_window:
-            self.earned.append(now)
+        self.retry_budget.request_received(now)
         tenant = request.tenant
         if tenant is not None:
             tenant.rate = tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / RATE_SPAN) + 1
@@ -717,9 +705,7 @@
             if request.completed or self._hopeless(request, now):
                 self.again.remove(request)
                 return self._decide(now) if request.completed else self._final(request)
-            # A window that was used up by others since it was lost may have room again in time.
-            may = not self.settings.retry_budget_window or self._left(now) >= 1
-            b = self._choose(request, now) if may else None
+            b = self._choose(request, now) if self.retry_budget.allows_granted(now) else None
             if b is not None:
                 self.again.remove(request)
                 return self._send(request, b, now)
@@ -828,40 +814,20 @@
         """A trip came to nothing: a further one, or the final answer at once."""
         # Where it was lost at every ready backend there is no way back: held, it would only wait in vain.
         may = (
-            self._left(now) >= 1
+            self.retry_budget.left(now) >= 1
             and not self._hopeless(request, now)
             and outcome != Outcome.NOT_SENT
             and any(self._may_send(request, b, now) for b in self.turn)
             and not {t.backend for t in request.attempts}.issuperset(self.ranked)
         )
         if may:
-            self.extra -= 1
+            self.retry_budget.retry_granted()
             request.queued_since = now
             self.again.append(request)
             self._due(now + SWEEP)
         else:
             self.finals.append(self._final(request))
 
-    def _left(self, now):
-        """How many further trips may go out: where a budget is stated, no window of it may hold more.
-
-        It holds for all that goes out again, whatever ended the trip before. Where none is stated, a share of
-        what comes, saved up. No trip is kept back while the window has room, so nothing is given up for it.
-        """
-        terms = self.settings
-        if not terms.retry_budget_window:
-            return self.extra
-        # A tenth of a ms on either side: the host's clock is finer, and counts a window's very ends.
-        while self.spent and self.spent[0] < now - terms.retry_budget_window - 1:
-            self.spent.popleft()
-        while self.earned and self.earned[0] <= now - terms.retry_budget_window + 1:
-            self.earned.popleft()
-        return (
-            terms.retry_budget_minimum
-            + int(terms.retry_budget_ratio * len(self.earned))
-            - len(self.spent)
-        )
-
     def _call_off_rest(self, request):
         for attempt in request.attempts:
             self._call_off(attempt)
@@ -979,7 +945,9 @@
                 return "may not"
             if any(t.backend == b for t in request.attempts):
                 return "tried"
-        if now < self.cold_until[b] and not self._cold_allows(b, now):
+        if now < self.slow_start.until[b] and not self.slow_start.allows(
+            b, now, self.size[b], len(self.ranked), len(self.turn)
+        ):
             return "cold"
         trouble = self.trouble[b]
         if trouble is not None and not self._is_trial(request, b):
@@ -991,14 +959,14 @@
         most = 1 + CROWD_FLOOR + CROWD * self.limit.in_flight / self.limit.healthy_backends
         if (out := self.flying.get(b)) and (len(out) + 1) * self.level[b] > most:
             return "crowded"
-        forecast = self.forecast[b]
+        forecast = self.pause_forecast.next_pause_at[b]
         if forecast is not None:
             threshold = self.table[request.request_class.index].typical * self.level[b]
             if forecast - threshold <= now:
-                if now <= forecast + self.mean_pause[b]:
+                if now <= forecast + self.pause_forecast.mean_pause[b]:
                     return "forecast"
-                # No pause came: the forecast is set aside until one does, so it cannot starve the backend.
-                self.forecast[b] = self.work_due[b] = None
+                # No pause came: set aside until one does, the forecast cannot starve the backend.
+                self.pause_forecast.set_aside(b)
         return None
 
     def _is_trial(self, request, b):
@@ -1010,27 +978,6 @@
             == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
         )
 
-    def _cold_allows(self, b, now):
-        """Rule 4: this node's part of what a cold backend may be sent, and of what all may have saved up."""
-        terms, age, warm = (
-            self.settings,
-            max(0, now - self.started[b]),
-            self.warm_pace * self.size[b],
-        )
-        capacity = terms.slow_start_capacity + (1 - terms.slow_start_capacity) * age / max(
-            1, terms.slow_start_duration
-        )
-        part = max(COLD_MARGIN, capacity) * min(
-            1.0, (bears := terms.slow_start_overload * capacity)
-        )
-        saved = self.allowance[b] + part * warm * (now - self.allowed_at[b])
-        more = (bears - part) * warm * COLD_SPAN + COLD_MORE * len(self.ranked) / len(
-            self.turn
-        ) / terms.node_count
-        saved = min(saved, COLD_BURST if 1 + more >= COLD_BURST else more + (saved - more) % 1)
-        self.allowance[b], self.allowed_at[b] = saved, now
-        return self.allowance[b] >= 1
-
     def _send(self, request, b, now):
         trial = self._is_trial(request, b)
         attempt = Attempt(request, len(request.attempts), b, now, request.deadline, trial)
@@ -1040,8 +987,7 @@
         if trial:
             self.trials_out[b] += 1
             self._next_trial(b, now)
-        if now < self.cold_until[b]:
-            self.allowance[b] -= 1
+        self.slow_start.attempt_sent(b, now)
         if (
             self.learns
             and self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
@@ -1055,8 +1001,8 @@
         self._due(
             now + max(SWEEP, int(SILENT_LEAST * self.table[request.request_class.index].typical))
         )
-        if request.attempts and self.settings.retry_budget_window:
-            self.spent.append(now)
+        if request.attempts:
+            self.retry_budget.retry_sent(now)
         request.attempts.append(attempt)
         request.in_flight += 1
         if request.first_possibly_executed is None:
@@ -1092,7 +1038,7 @@
                     0.0, row.skew - (log(ratio) + row.skew) * max(TYPICAL, 1 / row.answers)
                 )
                 self.level[b] += (ratio - self.level[b]) * heed
-                self._sample(b, now)
+                self.pause_forecast.answer_received(b, now)
                 request_class = attempt.request.request_class
                 self.limit.attempt_answered(
                     now,
@@ -1136,7 +1082,9 @@
         if self.trouble[b] is None:
             self.since[b] = now
             # Slow again before it was well: it has not had the rest that it needs, and gets twice as long.
-            self.until[b] = now + min(REST_MOST, self.mean_pause[b] << self.relapses[b])
+            self.until[b] = now + min(
+                REST_MOST, self.pause_forecast.mean_pause[b] << self.relapses[b]
+            )
             self.trial_gap[b] = TRIAL_GAP
             self.trial_at[b] = now + TRIAL_GAP
             self.trial_due[b] = False
@@ -1166,10 +1114,7 @@
             return
         self.relapses[b] = 0
         self.quick[b] = min(self.quick[b], max(self.level[b], 1.0))
-        lasted = now - self.since[b]
-        # Hangs, deaths and quick errors last longer than pauses; kept out, they cannot skew the forecast.
-        if lasted <= LONGEST_PAUSE:
-            self._pause(b, lasted)
+        self.pause_forecast.pause_ended(b, now - self.since[b])
 
     def _next_trial(self, b, now, worse=False):
         if worse:
@@ -1190,10 +1135,9 @@
         self.sweep_at = NEVER
         if now >= self.redraw_at:
             self._draw_turn(now)
-        if now >= self.ask_at:
-            self.ask_at = NEVER
+        if self.polling.take_due(now):
             self.finals.append(PollEndpoints())
-        self._due(self.ask_at)
+        self._due(self.polling.next_at)
         self._due(min(self.redraw_at, now + SWEEP) if self.again else self.redraw_at)
         self._relieve(now)
         fade = FADE ** ((now - self.swept) / SWEEP)
@@ -1252,7 +1196,7 @@
             )
         if self.trouble[b] is not SILENCE:
             self._begin(b, SILENCE, now)
-        left = self._left(now)
+        left = self.retry_budget.left(now)
         for attempt in list(attempts):
             request = attempt.request
             if attempt.is_trial and now - attempt.sent_at > SILENT * typical:
@@ -1270,59 +1214,6 @@
                 left -= self.settings.retry_budget_window > 0
         return now
 
-    # The forecast: two regressions, one from pause to work, one from work to time.
-
-    def _sample(self, b, now):
-        self.work[b] += 1
-        if not self.samples[b]:  # On a large fleet most backends are never sent to.
-            self.samples[b], self.sums[b] = deque(), [0, 0, 0, 0]
-        work, samples, sums = self.work[b], self.samples[b], self.sums[b]
-        samples.append(now)  # Each is one unit of work after the one before.
-        for n, each in enumerate((work, now, work * work, work * now)):
-            sums[n] += each
-        while len(samples) > self.window[b]:
-            old_work, old_now = work - len(samples) + 1, samples.popleft()
-            for n, each in enumerate((old_work, old_now, old_work * old_work, old_work * old_now)):
-                sums[n] -= each
-        if self.work_due[b] is not None:
-            self._project(b)
-
-    def _pause(self, b, lasted):
-        """A pause has ended: it enters the regressions, the band is checked, the next one is forecast."""
-        self.mean_pause[b] += (lasted - self.mean_pause[b]) // 4
-        pauses = self.pauses[b] = self.pauses[b] or deque(maxlen=PAUSES_KEPT)
-        pauses.append(self.work[b])
-        self.forecast[b] = self.work_due[b] = None
-        if len(pauses) < PAUSES_NEEDED:
-            return
-        gaps = [after - before for before, after in zip(pauses, list(pauses)[1:])]
-        mean = sum(gaps) / len(gaps)
-        spread = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
-        varies = spread / mean if mean else BAND_HIGH
-        self.window[b] = (
-            WINDOW_LOW
-            if varies <= BAND_LOW
-            else WINDOW_HIGH
-            if varies >= BAND_HIGH
-            else WINDOW_MEDIUM
-        )
-        count = len(pauses)
-        numbers, total = count * (count - 1) // 2, sum(pauses)
-        slope = (count * sum(n * w for n, w in enumerate(pauses)) - numbers * total) / (
-            count * sum(n * n for n in range(count)) - numbers * numbers
-        )
-        self.work_due[b] = (total - slope * numbers) / count + slope * count
-        self._project(b)
-
-    def _project(self, b):
-        """When the work is reached at which the next pause is due."""
-        count = len(self.samples[b])
-        works, times, squares, products = self.sums[b]
-        ground = count * squares - works * works
-        if ground > 0:
-            slope = (count * products - works * times) / ground
-            self.forecast[b] = int((times - slope * works) / count + slope * self.work_due[b])
-
     # The list.
 
     def _new_index(self, name, now):
@@ -1338,7 +1229,9 @@
             name,
             blake2b(name.encode(), digest_size=8).digest() + name.encode(),
         )
-        self.left_at[b], self.allowed_at[b], self.owed[b] = now, now, self.pick(1000) / 1000
+        self.pause_forecast.add(b)
+        self.slow_start.add(b, now)
+        self.left_at[b], self.owed[b] = now, self.pick(1000) / 1000
         self.index[name] = b
         return b
 
@@ -1348,6 +1241,7 @@
             self._mark(b, None, now)
         for name, first in HISTORY.items():
             getattr(self, name)[b] = first
+        self.pause_forecast.add(b)
 
     def _leave(self, b, state, now):
         """Rule 3: from the moment the list says that it drains or is gone, it is out of the rotation."""
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -94,11 +94,16 @@
 
 def _backend(told, weight, done):
     """The same of a backend; `done`: what it has likely settled for this node while that was away."""
-    from pierglade.balancer.balancer import FIRST
+    from pierglade.balancer.balancer import INITIAL_STORED
 
-    kept = {key: _faded(told[key], FIRST[key], weight) for key in FADING if _number(told.get(key))}
     kept = {
-        key: int(value) if isinstance(FIRST[key], int) else value for key, value in kept.items()
+        key: _faded(told[key], INITIAL_STORED[key], weight)
+        for key in FADING
+        if _number(told.get(key))
+    }
+    kept = {
+        key: int(value) if isinstance(INITIAL_STORED[key], int) else value
+        for key, value in kept.items()
     }
     if _number(told.get("usual")) and _number(told.get("usual_of")):
         kept["usual"], kept["usual_of"] = told["usual"], int(told["usual_of"] * weight)
@@ -120,7 +125,7 @@
 
 
 def _most_pauses():
-    from pierglade.balancer.balancer import PAUSES_KEPT
+    from pierglade.balancer.pause_forecast import PAUSES_KEPT
 
     return PAUSES_KEPT
 
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -20,12 +20,10 @@
 from pierglade.balancer.balancer import COMES, FIRST
 from pierglade.model.endpoint import Endpoint, EndpointState
 
-PASTS = ("samples", "pauses")
 REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
 # Of the node itself, as they are: counts and shares of lately, and the moments that they go with.
 LATELY = (
     "count",
-    "extra",
     "done",
     "asked_over",
     "swept",
@@ -77,7 +75,11 @@
         now,
         [
             Endpoint(
-                node.names[b], EndpointState.REMOVED, node.zone[b], node.cell[b], node.started[b]
+                node.names[b],
+                EndpointState.REMOVED,
+                node.zone[b],
+                node.cell[b],
+                node.slow_start.started_at[b],
             )
             for b in left
         ],
@@ -93,19 +95,14 @@
             setattr(node, name, [first] * count)
         else:
             setattr(node, name, getattr(before, name).copy())
-    for name in PASTS:
-        setattr(node, name, [past and past.copy() for past in getattr(before, name)])
-    node.sums = [list(sums) if type(sums) is list else sums for sums in before.sums]
+    node.pause_forecast.copy_from(before.pause_forecast)
+    node.slow_start.copy_from(before.slow_start)
+    node.retry_budget.copy_from(before.retry_budget)
     node.index, node.gone, node.ailing = (
         before.index.copy(),
         OrderedDict(before.gone),
         before.ailing.copy(),
     )
-    span = node.settings.slow_start_duration
-    if span != before.settings.slow_start_duration:
-        node.cold_until = [started and started + span for started in before.started]
-    # Or both would spend what was saved up.
-    before.allowance = [0.0] * count
 
 
 def _rows(node, before, places):
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -258,7 +258,7 @@
             scene.list(["b12"])
             lines.append(
                 f"asked {scene.node.asked * 10000:.0f} a second, a warm one gets "
-                f"{scene.node.warm_pace * 10000:.1f} by what was settled"
+                f"{scene.node.slow_start.warm_rate * 10000:.1f} by what was settled"
             )
         self.check("cold_settled", lines)
 
@@ -312,7 +312,7 @@
                     scene.end(name, Outcome.CANCELLED)
         scene.say(
             f"b1 is {scene.node.trouble[scene.node.index['b1']]}, "
-            f"pauses known: {len(scene.node.pauses[scene.node.index['b1']])}"
+            f"pauses known: {len(scene.node.pause_forecast.pauses[scene.node.index['b1']])}"
         )
         self.check("hang", scene.lines)
 
@@ -661,7 +661,9 @@
             scene.end(f"at {ms}", Outcome.SERVER_ERROR)
             if scene.requests[f"at {ms}"].in_flight:
                 scene.end(f"at {ms}")
-        scene.say(f"{len(scene.node.spent)} spent, {len(scene.node.earned)} in the window")
+        scene.say(
+            f"{len(scene.node.retry_budget.sent_at)} spent, {len(scene.node.retry_budget.received_at)} in the window"
+        )
         self.check("budget_edges", scene.lines)
 
     def test_one_budget_across_settings(self):
@@ -673,7 +675,9 @@
         after = Balancer(4, scene.settings, scene.now, scene.node)
         self.check(
             "budget_settings",
-            [f"{scene.node._left(scene.now)} left, {after._left(scene.now)} after"],
+            [
+                f"{scene.node.retry_budget.left(scene.now)} left, {after.retry_budget.left(scene.now)} after"
+            ],
         )
 
 
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -4,6 +4,7 @@
 import unittest
 from dataclasses import replace
 
+from pierglade.balancer import pause_forecast, slow_start
 from pierglade.balancer.balancer import COUNTED, FIRST, SLOW, Balancer
 from pierglade.model.decision import (
     CancelAttempt,
@@ -159,6 +160,11 @@
     def check(self, node):
         equal, all_of = self.case.assertEqual, range(len(node.names))
         equal({len(getattr(node, name)) for name in FIRST}, {len(node.names)})
+        for part, names in (
+            (node.pause_forecast, pause_forecast.INITIAL),
+            (node.slow_start, slow_start.INITIAL),
+        ):
+            equal({len(getattr(part, name)) for name in names}, {len(node.names)})
         equal(sorted(node.ranked), [b for b in all_of if node.state[b] == EndpointState.READY])
         equal(node.ranked, sorted(node.ranked, key=node.rank.__getitem__))
         self.case.assertAlmostEqual(node.total, sum(node.size[b] for b in node.ranked))
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -95,7 +95,8 @@
         self.begun = 0  # calls
         self.heard = []  # when each call began, and when its last piece came
         self.desk = Desk(("b0", "b1"), polls_endpoints=asked)
-        self.desk.reducer.node.pick = mock.Mock(
+        node = self.desk.reducer.node
+        node.pick = node.polling.pick = mock.Mock(
             side_effect=lambda most: most - 1 if seed is None else seed * most // 4
         )
         self.desk.reducer.index = 7
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -20,7 +20,8 @@
 from gevent.event import Event
 
 from pierglade.__main__ import place_of
-from pierglade.balancer.balancer import ASK_GAP, ASK_SOON, Balancer
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.polling import INTERVAL, INTERVAL_LEAST
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
@@ -720,12 +721,17 @@
             lost.wait(20)
             running.kill()
         lines = told[:2]
-        for waited, gap in ((0, ASK_GAP), (20000, 16000), (35000, ASK_SOON), (90000, ASK_SOON)):
+        for waited, gap in (
+            (0, INTERVAL),
+            (20000, 16000),
+            (35000, INTERVAL_LEAST),
+            (90000, INTERVAL_LEAST),
+        ):
             waits = []
             for seed in range(200):
                 node = Balancer(seed, balancer_settings(polls_endpoints=True), 0)
                 node.discovery_lost(100, waited)
-                waits.append(node.ask_at - 100)
+                waits.append(node.polling.next_at - 100)
             most = 1.5 * gap
             apart = max(waits) - min(waits) > most / 2
             lines.append(
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -183,17 +183,28 @@
         node = Balancer(4, balancer_settings(node_count=720), 0)
         node.endpoints_updated(0, fleet(0, 300), True)
         for name in ("samples", "pauses", "sums"):
-            self.assertEqual(len({id(past) for past in getattr(node, name)}), 1, name)
+            self.assertEqual(
+                len({id(past) for past in getattr(node.pause_forecast, name)}), 1, name
+            )
 
     def test_the_past_of_one_is_its_own(self):
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(60)
         node = scene.node
-        self.assertEqual(sum(map(len, node.samples)), 60)
-        self.assertEqual([sums[1] for sums in node.sums], [sum(times) for times in node.samples])
+        self.assertEqual(sum(map(len, node.pause_forecast.samples)), 60)
+        self.assertEqual(
+            [sums[1] for sums in node.pause_forecast.sums],
+            [sum(times) for times in node.pause_forecast.samples],
+        )
         scene.list([listed("b0", started=scene.now)])
-        self.assertEqual((len(node.samples[node.index["b0"]]), node.work[node.index["b0"]]), (0, 0))
-        self.assertEqual(sum(map(len, node.samples)), 40)
+        self.assertEqual(
+            (
+                len(node.pause_forecast.samples[node.index["b0"]]),
+                node.pause_forecast.answered[node.index["b0"]],
+            ),
+            (0, 0),
+        )
+        self.assertEqual(sum(map(len, node.pause_forecast.samples)), 40)
 
 
 class Told:
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -6,7 +6,12 @@
 from collections import OrderedDict, deque
 from dataclasses import replace
 
+from pierglade.balancer import pause_forecast, slow_start
 from pierglade.balancer.balancer import FAILING, FIRST, FIRST_TYPICAL, SILENCE, SLOW, Balancer, Row
+from pierglade.balancer.pause_forecast import PauseForecast
+from pierglade.balancer.polling import PollSchedule
+from pierglade.balancer.retry import RetryBudget
+from pierglade.balancer.slow_start import SlowStart
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import SendAttempt
 from pierglade.model.endpoint import EndpointState, LoadReport, LoadReportSource
@@ -18,6 +23,8 @@
 from tests.proxy.test_large_endpoint_lists import fleet, least
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
+PARTS = (PauseForecast, PollSchedule, RetryBudget, SlowStart)
+
 
 def changed(scene, **settings):
     """The scene's node under other settings; the earlier node."""
@@ -35,20 +42,23 @@
     scene.flow(20)
 
 
+def fields(part):
+    """The fields of an object, without the moments that two nodes' retry budgets share by intent."""
+    shared = ("sent_at", "received_at") if isinstance(part, RetryBudget) else ()
+    return {name: value for name, value in vars(part).items() if name not in shared}
+
+
 def reachable(node):
     """What may change of all that a node holds, by identity; not what two nodes share by intent."""
     found, todo = (
         {},
-        [
-            value
-            for name, value in vars(node).items()
-            if name not in ("terms", "spent", "earned", "pick")
-        ],
+        [value for name, value in fields(node).items() if name != "pick"],
     )
     while todo:
         each = todo.pop()
         if id(each) in found or not isinstance(
-            each, (list, dict, deque, OrderedDict, Row, ConcurrencyLimiter, RunningMedian)
+            each,
+            (list, dict, deque, OrderedDict, Row, ConcurrencyLimiter, RunningMedian, *PARTS),
         ):
             continue
         found[id(each)] = each
@@ -57,7 +67,7 @@
             if isinstance(each, dict)
             else each
             if isinstance(each, (list, deque))
-            else (vars(each).values())
+            else (fields(each).values())
         )
     return found
 
@@ -79,7 +89,7 @@
                     node = scene.node
                     for name, b in node.index.items():
                         scene.say(
-                            f"{name} {node.level[b]:.6f} {node.forecast[b]} {node.trouble[b]}"
+                            f"{name} {node.level[b]:.6f} {node.pause_forecast.next_pause_at[b]} {node.trouble[b]}"
                         )
                 lines.append(scene.lines)
             self.assertEqual(*lines)
@@ -92,14 +102,23 @@
         for name in FIRST:
             self.assertEqual(
                 list(getattr(node, name)),
-                list(getattr(before, name)) if name != "allowance" else list(node.allowance),
+                list(getattr(before, name)),
                 name,
             )
-        self.assertGreater(min(map(len, node.samples)), 30)
-        self.assertGreater(len(node.pauses[node.index["b1"]]), 2)
+        for name in pause_forecast.INITIAL:
+            self.assertEqual(
+                getattr(node.pause_forecast, name), getattr(before.pause_forecast, name), name
+            )
+        for name in slow_start.INITIAL:
+            if name != "allowance":
+                self.assertEqual(
+                    getattr(node.slow_start, name), getattr(before.slow_start, name), name
+                )
+        self.assertGreater(min(map(len, node.pause_forecast.samples)), 30)
+        self.assertGreater(len(node.pause_forecast.pauses[node.index["b1"]]), 2)
         self.assertEqual(
-            [pauses.maxlen for pauses in node.pauses if pauses],
-            [pauses.maxlen for pauses in before.pauses if pauses],
+            [pauses.maxlen for pauses in node.pause_forecast.pauses if pauses],
+            [pauses.maxlen for pauses in before.pause_forecast.pauses if pauses],
         )
         self.assertEqual([vars(row) for row in node.table], [vars(row) for row in before.table])
         self.assertEqual(
@@ -127,20 +146,26 @@
         before = changed(scene, max_retry_after=1)
         shared = reachable(before).keys() & reachable(scene.node).keys()
         self.assertEqual([reachable(before)[each] for each in shared], [])
-        self.assertIs(before.spent, scene.node.spent)
+        self.assertIs(before.retry_budget.sent_at, scene.node.retry_budget.sent_at)
 
     def test_the_earlier_one_goes_on_learning_alone(self):
         scene = Scene(["b0", "b1"])
         scene.flow(40)
         out = [scene.take(f"i{n}") for n in range(2)]
         before = changed(scene, max_retry_after=1)
-        node, kept = scene.node, [list(map(len, scene.node.samples)), list(scene.node.level)]
+        node, kept = (
+            scene.node,
+            [list(map(len, scene.node.pause_forecast.samples)), list(scene.node.level)],
+        )
         for request in out:
             before.attempt_ended(
                 scene.now + 300 * MS, request.attempts[0], Outcome.SUCCESS, 300 * MS, True
             )
-        self.assertEqual([list(map(len, node.samples)), list(node.level)], kept)
-        self.assertEqual([len(times) + 1 for times in node.samples], list(map(len, before.samples)))
+        self.assertEqual([list(map(len, node.pause_forecast.samples)), list(node.level)], kept)
+        self.assertEqual(
+            [len(times) + 1 for times in node.pause_forecast.samples],
+            list(map(len, before.pause_forecast.samples)),
+        )
         learned = list(before.level)
         scene.flow(10)
         self.assertEqual(list(before.level), learned)
@@ -222,9 +247,10 @@
         second = changed(scene)
         self.assertEqual(scene.node.level, second.level)
         self.assertNotEqual(scene.node.level, first.level)
-        self.assertEqual(scene.node.pauses, second.pauses)
+        self.assertEqual(scene.node.pause_forecast.pauses, second.pause_forecast.pauses)
         self.assertGreaterEqual(
-            min(map(len, filter(None, second.pauses))), min(map(len, filter(None, first.pauses)))
+            min(map(len, filter(None, second.pause_forecast.pauses))),
+            min(map(len, filter(None, first.pause_forecast.pauses))),
         )
 
 
@@ -427,11 +453,15 @@
     def test_cold_by_the_new_span_and_one_budget(self):
         scene = Scene(["b0", "b1", listed("b2", started=9000 * MS)], slow_start_duration=8000 * MS)
         b = scene.node.index["b2"]
-        saved = list(scene.node.allowance)
+        saved = list(scene.node.slow_start.allowance)
         before = changed(scene, slow_start_duration=3000 * MS)
-        self.assertEqual((scene.node.cold_until[b], before.cold_until[b]), (12000 * MS, 17000 * MS))
-        self.assertEqual(scene.node.cold_until.count(0), 2)
-        self.assertEqual((scene.node.allowance, before.allowance), (saved, [0.0] * 3))
+        self.assertEqual(
+            (scene.node.slow_start.until[b], before.slow_start.until[b]), (12000 * MS, 17000 * MS)
+        )
+        self.assertEqual(scene.node.slow_start.until.count(0), 2)
+        self.assertEqual(
+            (scene.node.slow_start.allowance, before.slow_start.allowance), (saved, [0.0] * 3)
+        )
 
     def sent_to_cold(self, every_ms):
         """Trips in 8 s to a backend that is cold for all of them, of 100 requests a second at four backends.
@@ -526,7 +556,7 @@
         node = self.configure(max_attempts=2)
         self.assertEqual([(row.typical, row.skew, row.answers) for row in node.table], learned)
         self.assertEqual(learned[0][2], 10)
-        self.assertEqual(sum(map(len, node.samples)), 8)
+        self.assertEqual(sum(map(len, node.pause_forecast.samples)), 8)
         self.assertEqual(self.reducer.older, [])
 
     def test_what_is_refused_at_the_door_stays_refused(self):
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -137,7 +137,8 @@
         b, row = node.index["b0"], node.table[0]
         return (
             f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
-            f"{node.level[b]:.2f}, pause {node.mean_pause[b]}, due {node.work_due[b]} at work {node.work[b]}, "
+            f"{node.level[b]:.2f}, pause {node.pause_forecast.mean_pause[b]}, "
+            f"due {node.pause_forecast.next_pause_answered[b]} at work {node.pause_forecast.answered[b]}, "
             f"usual {node.usual[b]:g} of {node.usual_of[b]}; trouble {node.trouble[b]}"
         )
 
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -166,15 +166,18 @@
         nodes, lines = self.nodes(slow_start_capacity=0.36, slow_start_overload=3.0), []
         self.tell(nodes, [listed("cold", started=self.now)])
         seers = [node for node in nodes if node.index["cold"] in node.turn]
-        warm = nodes[0].warm_pace * nodes[0].size[0] * 10000 * len(seers)
+        warm = nodes[0].slow_start.warm_rate * nodes[0].size[0] * 10000 * len(seers)
         for second in range(8):  # Each sends all that it may, as with work waiting all the time.
             sent = 0
             for self.now in range(
                 self.begin + second * 10000, self.begin + (second + 1) * 10000, MS
             ):
                 for node in seers:
-                    if node._cold_allows(cold := node.index["cold"], self.now):
-                        node.allowance[cold] -= 1
+                    cold = node.index["cold"]
+                    if node.slow_start.allows(
+                        cold, self.now, node.size[cold], len(node.ranked), len(node.turn)
+                    ):
+                        node.slow_start.attempt_sent(cold, self.now)
                         sent += 1
             can = 0.36 + 0.64 * second / 8
             lines.append(
