--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -50,7 +50,7 @@
         (False, [replace(e, started=now + 2 * AFTER) for e in zone]),
     ):
         node.endpoints_updated(now, listed, whole)
-        views.append({node.names[b] for b in node.turn})
+        views.append({node.endpoints.names[b] for b in node.turn})
         now += AFTER
     return views
 
@@ -81,7 +81,7 @@
             elif type(decision) is CheckHealth:
                 subject = decision.backend
                 probed += subject == gone and now >= half
-                node.health_checked(now, node.names[subject], subject != gone, 5)
+                node.health_checked(now, node.endpoints.names[subject], subject != gone, 5)
         while out and out[0][0] <= now:
             attempt = out.pop(0)[1]
             lost = attempt.backend == gone
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -203,7 +203,7 @@
         while (decision := node.next_decision(self.now)) is not None:
             if type(decision) is SendAttempt:
                 subject = decision.attempt
-                if node.names[subject.backend] == "b0" and self.now >= self.start:
+                if node.endpoints.names[subject.backend] == "b0" and self.now >= self.start:
                     self.sent.append(self.now)
                 self.at(self.now + TOOK, self._end, number, subject)
         wake = node.next_wakeup(self.now)
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -69,7 +69,7 @@
             self.pauses += 1
             for seat in self.seats:
                 node = getattr(seat, "node", None)
-                if node is not None and (b := node.index[self.name]) in node.turn:
+                if node is not None and (b := node.endpoints.index[self.name]) in node.turn:
                     self.seen += 1
                     self.forecast += self._expects(node, b)
         if self.by_work:
@@ -92,7 +92,7 @@
 
     def _expects(self, node, b):
         forecast, now = node.pause_forecast.next_pause_at[b], int(self.clock.now)
-        ahead = node.table[0].typical * node.level[b]
+        ahead = node.request_stats.classes[0].typical * node.level[b]
         return (
             forecast is not None
             and forecast - ahead <= now <= forecast + node.pause_forecast.mean_pause[b]
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -9,16 +9,19 @@
 
 import random
 from bisect import bisect_left, insort
-from collections import OrderedDict, deque
-from hashlib import blake2b
+from collections import deque
 from heapq import heappop, heappush
 from math import exp, log, sqrt
 from typing import NamedTuple
 
-from pierglade.balancer.pause_forecast import INITIAL, PauseForecast
+from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
+from pierglade.balancer.health_checks import HealthChecks
+from pierglade.balancer.load_reports import LOOK_INTERVAL, LoadReports
+from pierglade.balancer.pause_forecast import PauseForecast
 from pierglade.balancer.polling import PollSchedule
 from pierglade.balancer.retry import RetryBudget
 from pierglade.balancer.slow_start import SlowStart
+from pierglade.balancer.stored_figures import STORED_FIGURES
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import (
     CancelAttempt,
@@ -40,7 +43,6 @@
 RATIO_CAP = 6.0  # times; one answer counts as no slower, so that one heavy invocation is no pause
 QUICK, LEVEL = 1 / 4, 1 / 32  # shares of a new answer in the quick and in the smoothed level
 LEVEL_SPAN = 30000  # 3 s; the level follows within this where answers are rare
-FIRST_TYPICAL = 0.25  # share of the expected time; leaves room for a further trip
 GRAIN = 50  # 5 ms; a host is held up for as long now and then, so what is quicker tells nothing
 TYPICAL = 1 / 24  # share of a new answer in an offering's typical latency: about a second's worth
 ERRORS = 0.3  # share of a new outcome in the error level
@@ -62,7 +64,6 @@
 SILENT_LEAST = (
     2.5  # times typical; one slow service must not look silent however many wait behind it
 )
-COMES = 100  # invocations; a kind that none of these was of comes no more, or too seldom
 TRIAL_GAP, TRIAL_GAP_MOST = 1500, 40000  # 150 ms, 4 s; between trials, doubled after each bad one
 DEAR = 0.05  # of an invocation's worth for each crossing; less is no reason to crowd the own zone
 DRAGS = 2.5  # times what others take; a tenant's work that takes so long is slow wherever it goes
@@ -83,38 +84,8 @@
     0.3  # share of the expected time; held longer, it is bounced, as is what is over its share
 )
 IN_VIEW = 2500  # 0.25 s; of a backend seen less often it is not known how full it is
-TOLD = 1 / 3  # share of a new report; one covers few answers
-TOLD_FOR = 30000  # 3 s; an older report says nothing of now
-BUSY_LEAST = 0.2  # share of cores in use from which what a backend settles tells what it can
-USUALLY = 1 / 32  # share of a new report in what a backend usually does
-USUAL_FROM = 4  # reports that this must rest on
-WELL = 0.9  # of what backends usually do; they had rest enough
-PROBES, BLIND_PROBES = (
-    0.05,
-    0.15,
-)  # probes for each trip, where only they tell the load; and tell no pace
-FIRST_PROBES = 3.0  # at the start; or a node with few trips hears of the first load after seconds
-FIRST_ROOM = 2.0  # times the limit; where reports are that rare it is found too slowly from one
-FULL = 0.9  # share of cores in use; with less, there is room for more trips
-QUEUED = 1.0  # invocations that wait at a backend; with fewer, the same
-ROOM_MORE, ROOM_LESS, ROOM_MOST = (
-    1.1,
-    0.95,
-    4.0,
-)  # times; how the limit grows by reports, look by look
-SHARED = 0.65  # of what backends usually do; less, of all alike, is no chance
-REST_FROM = 0.6  # share of cores in use; with less, backends have their rest already
-SURE_FOR = 20000  # 2 s; so long must it look so, as many spells pass within some seconds
-REST_EACH, REST_IN = 60000, 10000  # 6 s, 1 s; rests begin at multiples of the one, within the other
-REST_FOR, REST_AGAIN = 50000, 110000  # 5 s, 11 s; a rest, and from its start to another
-REST_PART = 0.2  # of the limit; cores are then less than half in use
 COST_LEAST, COST_MOST = 0.25, 4.0  # times the mean; hints are not to be trusted beyond
 SOME = 1e-5  # 0.1 a second; a node that nothing has come to yet is asked for that much
-SEEN_LEAST = 5000  # 0.5 s; what came in less is luck
-SEE = 2000  # 0.2 s; how often a node looks how much comes to it
-PART_LEAST, PART_MOST = 0.2, 20.0  # times the mean; a node's part of what all are asked for
-PART_FROM = 8  # trips settled; of fewer nobody can tell a part
-UNMET = 1 / 8  # share of what it cannot settle that counts; a node with too little room finds out
 MOVE = 50000  # 5 s; between moves by one backend towards an even place on the ring
 FEWEST = 2  # backends; with fewer a node could lose all to one outage
 STEEP = 4  # power of the level in turns; nothing else evens out what few links bring by chance
@@ -126,13 +97,11 @@
 LIGHT = 0.1  # share of the work asked for; so little of it need not wait for room
 WAITED = 0.1  # share of the expected time; an oldest held wait beyond it ranks what is held by gain
 BEHIND = 1000  # 100 ms; a host that had no rest for so long is short of its core, not held up once
-FADE = 0.999  # share left of what was asked and settled after each 50 ms: about 50 s are seen
 PASSED_OVER = (
     100  # 10 ms; about an attempt, by which a backend is skipped before its forecast pause
 )
 SWEEP = 500  # 50 ms; looking for silence costs little at this pace and finds it within one answer
 NEVER = 1 << 62  # a moment that does not come
-FORGET = 2  # times the longest hard limit; then a gone backend's index is used again
 COMES_BACK = 20000  # 2 s; a client that was not settled asks again within this or not at all
 COME_SOON = 1000  # 0.1 s; the same where there is none, and what it found full may be free
 COME_BACK = 5000  # 0.5 s; advice to a bounced client under overload, the time a burst takes to pass
@@ -149,17 +118,9 @@
     relapses=0,
     quick=1.0,
 )
-# Who and where it is, its size; when it left; level; trouble, trials;
-# what reports say (settled in a second for all nodes, cores in use, usually settled by all cores).
+# Its turns, its level, trouble, trials.
 FIRST = HISTORY | dict(
-    names=None,
-    rank=None,
-    state=EndpointState.REMOVED,
-    zone=None,
-    cell=None,
-    size=0.0,
     owed=0.0,
-    left_at=0,
     last_answer=0,
     level=1.0,
     trouble=None,
@@ -169,25 +130,8 @@
     trial_gap=TRIAL_GAP,
     trial_due=False,
     trials_out=0,
-    told_pace=None,
-    told_busy=0.0,
-    told_queue=0.0,
-    told_at=0,
-    usual=0.0,
-    usual_of=0,
 )
 
-# Of the figures that snapshots store, those of the pause forecast: the stored name and its array's.
-STORED_NAMES = {
-    "work": "answered",
-    "window": "window",
-    "pauses": "pauses",
-    "mean_pause": "mean_pause",
-    "work_due": "next_pause_answered",
-}
-# What a new backend begins with, by stored name.
-INITIAL_STORED = FIRST | {stored: INITIAL[name] for stored, name in STORED_NAMES.items()}
-
 
 class EndpointStatus(NamedTuple):
     """What a balancer knows of a backend, for operators."""
@@ -205,22 +149,6 @@
     """Successful answers counted for the forecast."""
 
 
-class Row:
-    """What a node knows of one offering; the table has a row for each."""
-
-    def __init__(self, request_class):
-        self.priority_weight = request_class.priority_weight
-        # Smoothed latency. A first answer alone is a poor guide: by a very quick one all would look silent.
-        self.typical = FIRST_TYPICAL * request_class.latency_objective
-        self.skew = 0.0  # log of the mean answer over the usual one, half the variance of that log
-        self.hinted = 0.0  # smoothed hint of the work
-        self.answers = 2  # how many that rests on; the first guess counts as two
-        self.asked = 0.0  # first tries taken lately
-        self.got = 0.0  # settled lately within the expected time
-        self.usual_left = 0  # the time that a client's first try comes with
-        self.usual_votes = 0  # how sure that is
-
-
 class Balancer:
     """One balancer: what it knows of its backends, and what it holds."""
 
@@ -229,17 +157,9 @@
         self.settings = terms
         chance = random.Random(seed)
         self.pick = chance.randrange
-        # How many invocations had come when one of the kind last did.
-        self.asked_at = {
-            kind: 0 if any(o.idempotency == kind for o in terms.request_classes) else -COMES
-            for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
-        }
-        self.table = [Row(o) for o in terms.request_classes]
-        # What is known of each backend, under a dense index: the arrays of FIRST.
-        self.index, self.gone = (
-            {},
-            OrderedDict(),
-        )  # by name; those that left, the longest gone first
+        self.endpoints = EndpointStats(max(o.request_timeout for o in terms.request_classes))
+        self.request_stats = RequestStats(terms.request_classes, now)
+        # What else is known of each backend, under its index: the arrays of FIRST.
         for name in FIRST:
             setattr(self, name, [])
         self.pause_forecast = PauseForecast()
@@ -250,7 +170,6 @@
             terms.node_count,
         )
         # The rotation: from the ring of ready backends, as many as this node can keep in view.
-        self.done = 0.0  # trips settled lately
         self.drags, self.drag = (
             RunningMedian(DRAG_SPAN),
             1.0,
@@ -260,17 +179,12 @@
             terms.tenants.total > 0,
             terms.tenants.total / terms.node_count / 10000,
         )
-        self.asked_over = 0.0  # span over which the table's figures are seen, fading with them
         # Without a word of what others are asked for, rounds of trips find the room (docs/notes/limit.md).
         self.learns = bool(not self.shares and terms.node_count > 1 and terms.load_report_source)
         self.in_view = (
             max(FEWEST, int(self.asked * IN_VIEW)) if self.shares or self.learns else None
         )
-        self.part = 1.0  # times the mean of all nodes that this one is asked for
-        self.forget, self.most = (
-            FORGET * max(o.request_timeout for o in terms.request_classes),
-            0,
-        )  # ready at once
+        self.most = 0  # ready at once
         self.ranked, self.total, self.redraw_at = [], 0.0, NEVER  # the ring, its size
         self.turn, self.at, self.anchor, self.move_at = [], 0, b"", now
         self.largest, self.slow_ones, self.steep = 1.0, 0, STEEP if self.learns else 1
@@ -278,14 +192,14 @@
         self.held = [[] for _ in terms.request_classes]
         self.line = deque()  # the same in order of arrival, some already gone
         self.again = []  # invocations that wait for a further trip
-        self.finals, self.probes = deque(), deque()  # decisions already made
+        self.finals = deque()  # decisions already made
         self.limit = ConcurrencyLimiter(
             terms.node_count,
             len(terms.request_classes),
             now,
             SOME if self.learns else self.asked or None,
         )
-        self.count = 0
+        self.request_stats.received = 0
         self.retry_budget = RetryBudget(
             terms.retry_budget_window,
             terms.retry_budget_minimum,
@@ -296,28 +210,26 @@
         self.unsettled = 0.0  # invocations that their clients may come back with
         self.overloaded, self.ahead = False, None  # the queue that need not wait for room
         self.flying, self.ailing = {}, {}  # of backends the trips out; those in trouble
-        self.swept = self.see_at = self.room_at = self.seen_at = now
         self.polling = PollSchedule(terms.polls_endpoints, now, self.pick)
         self.sweep_at = self.polling.next_at
-        self.slower_since, self.rest_until, self.rest_again = NEVER, 0, 0
-        # Where a pace is told, it grows soon enough by that.
-        blind = (
-            self.learns
-            and terms.load_report_source == LoadReportSource.HEALTH_CHECKS
-            and "throughput" not in terms.load_report_fields
+        by_health_checks = (
+            self.learns and terms.load_report_source == LoadReportSource.HEALTH_CHECKS
+        )
+        are_rare = by_health_checks and "throughput" not in terms.load_report_fields
+        self.load_reports = LoadReports(
+            terms, self.endpoints, self.request_stats, self.slow_start, are_rare, now
         )
-        self.room, self.probe_share = (FIRST_ROOM, BLIND_PROBES) if blind else (1.0, PROBES)
-        self.unprobed = FIRST_PROBES
+        self.health_checks = HealthChecks(by_health_checks and terms.may_check_health, are_rare)
 
     # What hosts and operators may ask.
 
     def endpoint_name(self, backend):
         """The name of the backend with that index."""
-        return self.names[backend]
+        return self.endpoints.names[backend]
 
     def endpoint_status(self, name, now):
         """What is known of the backend of that name (`EndpointStatus`); None if nothing is."""
-        b = self.index.get(name)
+        b = self.endpoints.index.get(name)
         if b is None:
             return None
         forecast = self.pause_forecast.next_pause_at[b]
@@ -327,7 +239,7 @@
             <= forecast + self.pause_forecast.mean_pause[b]
         )
         return EndpointStatus(
-            zone=self.zone[b],
+            zone=self.endpoints.zone[b],
             is_in_subset=b in self.turn,
             in_flight=len(self.flying.get(b, ())),
             ejection_reason=self.trouble[b],
@@ -354,57 +266,53 @@
 
     def export_statistics(self, keys):
         """What a restart would forget: the table's rows, `keys` of FIRST by name of each ready backend."""
-        return [vars(row) for row in self.table], {
+        return [vars(row) for row in self.request_stats.classes], {
             name: {key: self._figures(key)[b] for key in keys}
-            for name, b in self.index.items()
-            if self.state[b] == EndpointState.READY
+            for name, b in self.endpoints.index.items()
+            if self.endpoints.state[b] == EndpointState.READY
         }
 
     def restore_statistics(self, rows, backends):
         """The part of it that is still taken for true (`pierglade/snapshot/`); the backends are listed."""
-        for row, told in zip(self.table, rows):
+        for row, told in zip(self.request_stats.classes, rows):
             vars(row).update(told)
         for name, told in backends.items():
             for key, value in told.items():
-                self._figures(key)[self.index[name]] = value
+                self._figures(key)[self.endpoints.index[name]] = value
 
     def _figures(self, stored_name):
         """The array of the figure that snapshots store under that name."""
-        return (
-            getattr(self.pause_forecast, STORED_NAMES[stored_name])
-            if (stored_name in STORED_NAMES)
-            else getattr(self, stored_name)
-        )
+        part, array, _ = STORED_FIGURES[stored_name]
+        return getattr(getattr(self, part) if part else self, array)
 
     def endpoints_updated(self, now, entries, whole):
         """The list's word on all backends, or on the changed ones."""
         self.polling.endpoints_updated()
         if whole:
             named = {e.name for e in entries}
-            for name, b in self.index.items():
+            for name, b in self.endpoints.index.items():
                 if name not in named:
                     self._leave(b, EndpointState.REMOVED, now)
         for e in entries:
-            b = self.index.get(e.name)
+            b = self.endpoints.index.get(e.name)
             if b is None:
                 if e.state != EndpointState.READY:
                     continue
                 b = self._new_index(e.name, now)
-            self.zone[b], self.cell[b] = e.zone, e.cell
+            self.endpoints.zone[b], self.endpoints.cell[b] = e.zone, e.cell
             # Live weights are late and would swing all nodes together; the largest seen is the size.
-            self.size[b] = max(self.size[b], e.weight)
+            self.endpoints.size[b] = max(self.endpoints.size[b], e.weight)
             if e.state != EndpointState.READY:
                 self._leave(b, e.state, now)
                 continue
             if e.started_at > self.slow_start.started_at[b]:
                 self.slow_start.process_started(b, now, e.started_at, self.pick(1000) / 1000)
                 self._forget_history(b, now)
-            self.left_at[b] = 0
-            if self.state[b] != EndpointState.READY:
-                self.state[b] = EndpointState.READY
-                self.gone.pop(b, None)
-                insort(self.ranked, b, key=self.rank.__getitem__)
-        self.total = sum(map(self.size.__getitem__, self.ranked))
+            self.endpoints.left_at[b] = 0
+            if self.endpoints.state[b] != EndpointState.READY:
+                self.endpoints.became_ready(b)
+                insort(self.ranked, b, key=self.endpoints.rank.__getitem__)
+        self.total = sum(map(self.endpoints.size.__getitem__, self.ranked))
         self._draw_turn(now)
 
     def discovery_lost(self, now, waited=-NEVER):
@@ -419,28 +327,32 @@
         self.redraw_at = NEVER
         # Evenly round one ring: by chance some were in two thirds more views; each move opens connections.
         count = len(self.ranked)
-        begin = bisect_left(self.ranked, self.anchor, key=self.rank.__getitem__) % max(1, count)
+        begin = bisect_left(self.ranked, self.anchor, key=self.endpoints.rank.__getitem__) % max(
+            1, count
+        )
         even = count * self.settings.node_number // self.settings.node_count % max(1, count)
         if begin != even and now >= self.move_at:
             nearer = 1 if (even - begin) % count <= count // 2 else -1
             begin = (begin + nearer) % count if self.anchor else even
-            self.anchor, self.move_at = self.rank[self.ranked[begin]], now + MOVE
+            self.anchor, self.move_at = self.endpoints.rank[self.ranked[begin]], now + MOVE
         for b in self.ranked[begin:] + self.ranked[:begin]:
             if enough is not None and size * len(self.ranked) >= enough:
                 break
             after.append(b)
             if now < self.slow_start.until[b]:
-                size += self.size[b] * self.settings.slow_start_capacity
+                size += self.endpoints.size[b] * self.settings.slow_start_capacity
                 self.redraw_at = min(
-                    self.redraw_at, self.slow_start.until[b], NEVER if self.shares else now + SEE
+                    self.redraw_at,
+                    self.slow_start.until[b],
+                    NEVER if self.shares else now + LOOK_INTERVAL,
                 )
                 self._due(self.redraw_at)
             elif self.trouble[b] in COUNTED:
-                size += self.size[b]
+                size += self.endpoints.size[b]
             sound += self.trouble[b] in COUNTED
         # One at least: a node that was cut off sees all fail, and must still send trials to find them well.
         sound = max(1, sound)
-        part = self.part * (REST_PART if now < self.rest_until else self.room)
+        part = self.load_reports.capacity_factor(now)
         self.limit.update_backends(now, sound, part * sound * len(self.ranked) / max(1, len(after)))
         self.most = max(self.most, len(self.ranked))
         if after:
@@ -451,99 +363,31 @@
                 / self.settings.node_count
                 / max(o.latency_objective for o in self.settings.request_classes)
             )
-            asked = self.asked if self.shares else max(least, self._seen(now, "got"))
+            asked = self.asked if self.shares else max(least, self.request_stats.rate(now, "got"))
             self.slow_start.warm_rate = (
                 asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
             )
-        self.largest = max((self.size[b] for b in after), default=1.0)
+        self.largest = max((self.endpoints.size[b] for b in after), default=1.0)
         if after == before:
             return
         self.turn, kept = after, set(after)
         following = next((b for b in before[self.at :] + before[: self.at] if b in kept), None)
         self.at = self.pick(max(1, len(after))) if following is None else after.index(following)
 
-    def _seen(self, now, what):
-        """How many first tries were asked for, or settled, in a tenth of a millisecond of late."""
-        over = self.asked_over + now - self.swept
-        return sum(getattr(row, what) for row in self.table) / max(over, SEEN_LEAST)
-
     def _see(self, now):
         """Where tenants have no shares, a node's part of all that is asked follows from what comes to it."""
-        self.asked = self.limit.demand = max(SOME, self._seen(now, "asked"))
-        told = [b for b in self.turn if self.told_at[b] and now >= self.slow_start.until[b]]
-        paced = [b for b in told if self.told_pace[b] is not None]
-        if paced:
-            size = sum(self.size[b] for b in self.ranked) / sum(self.size[b] for b in paced)
-            fleet = sum(self.told_pace[b] for b in paced) * size / 10000
-            if self.done >= PART_FROM:
-                # Like with like: by all that is asked each node of a full fleet took itself for a busy one.
-                own = self.done / max(self.asked_over + now - self.swept, SEEN_LEAST)
-                own += max(0.0, self.asked - own) * UNMET
-                self.part = max(
-                    PART_LEAST, min(PART_MOST, own * self.settings.node_count / max(fleet, 1e-9))
-                )
-        told = [b for b in told if now - self.told_at[b] < TOLD_FOR]
-        probed = self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-        # Probes are few and far between: none vouches for more than was out when it was made.
-        fresh = [b for b in told if not probed or self.told_at[b] >= self.seen_at]
-        if fresh and self.limit.last_limited_at >= self.seen_at:
-            # Room that reports show is let out; what is full by them is left to strain and rounds.
-            full = sum(self.told_busy[b] / FULL + self.told_queue[b] / QUEUED for b in fresh) / len(
-                fresh
-            )
-            most = ROOM_MORE ** ((now - self.room_at) / SEE)
-            more = min(most, 1 / max(full, BUSY_LEAST)) if probed else ROOM_MORE
-            self.room = max(1.0, min(ROOM_MOST, self.room * (ROOM_LESS if full >= 1 else more)))
-            self.room_at = now
-        self.seen_at = now
-        self._look_for_shared(now, told)
+        self.asked = self.limit.demand = max(SOME, self.request_stats.rate(now, "asked"))
+        self.load_reports.look(now, self.turn, self.ranked, self.asked, self.limit)
         in_view = max(FEWEST, int(self.asked * IN_VIEW))
         if not self.in_view / 1.5 <= in_view <= self.in_view * 1.5:
             self.in_view = in_view
         self._draw_turn(now)
 
-    def _look_for_shared(self, now, told):
-        """Where all are slower alike, a rest of all: some such spells end by it."""
-        told = [b for b in told if self.usual_of[b] >= USUAL_FROM]
-        busy = sum(self.told_busy[b] for b in told)
-        does = sum(self.told_pace[b] for b in told)
-        usual = sum(self.told_busy[b] * self.usual[b] for b in told)
-        if now < self.rest_until:
-            if does > WELL * usual:
-                self.rest_until = now
-        elif not told or busy < REST_FROM * len(told) or does > SHARED * usual:
-            self.slower_since = NEVER
-        elif self.slower_since == NEVER:
-            self.slower_since, self.room = now, 1.0
-        elif (
-            now - self.slower_since >= SURE_FOR
-            and now >= self.rest_again
-            and now % REST_EACH < REST_IN
-        ):
-            # Only all nodes together give the backends a rest, and the clock is all that they share.
-            self.rest_until, self.rest_again = now - now % REST_EACH + REST_FOR, now + REST_AGAIN
-
     def load_reported(self, now, name, load):
         """What a backend tells of its load, with an answer or a probe's result."""
-        b = self.index.get(name)
-        if b is None or load.throughput is None and load.utilization is None:
-            return
-        heed = TOLD if self.told_at[b] else 1
-        if load.throughput is not None:
-            before = self.told_pace[b] or 0.0
-            self.told_pace[b] = before + (load.throughput - before) * heed
-        self.told_queue[b] += ((load.queue_length or 0.0) - self.told_queue[b]) * heed
-        if load.utilization is not None:
-            self.told_busy[b] += (load.utilization - self.told_busy[b]) * heed
-            if (
-                load.throughput is not None
-                and self.told_busy[b] > BUSY_LEAST
-                and self.rest_until <= now < self.slower_since
-            ):
-                does = self.told_pace[b] / self.told_busy[b]
-                self.usual_of[b] += 1
-                self.usual[b] += (does - self.usual[b]) * max(USUALLY, 1 / self.usual_of[b])
-        self.told_at[b] = now
+        b = self.endpoints.index.get(name)
+        if b is not None:
+            self.load_reports.load_reported(b, now, load)
 
     def request_received(self, now, request):
         """An invocation has come in; from here on it is owed one final answer."""
@@ -554,11 +398,8 @@
             tenant.last_seen = now
         request.queued_since = request.arrived_at
         request.objective_at = request.arrived_at + self._time_left(request)
-        self.count += 1
         o = request.request_class.index
-        row = self.table[o]
-        row.asked += 1
-        self.asked_at[request.request_class.idempotency] = self.count
+        row = self.request_stats.request_received(request)
         if request.cost_hint:
             # Few invocations cost what their offering does in the mean: unweighed, heavy ones look queued.
             row.hinted += (request.cost_hint - row.hinted) * (TYPICAL if row.hinted else 1)
@@ -569,7 +410,7 @@
             request.relative_cost = (
                 drag if tenant.slow_requests % DRAG_TRIES else min(drag, COST_MOST)
             )
-        heappush(self.held[o], (request.objective_at, self.count, request))
+        heappush(self.held[o], (request.objective_at, self.request_stats.received, request))
         self.line.append(request)
         self._due(now + SWEEP)
 
@@ -584,7 +425,8 @@
             return
         ratio = min(
             DRAG_MOST,
-            max(took, GRAIN) / max(self.table[request.request_class.index].typical, GRAIN),
+            max(took, GRAIN)
+            / max(self.request_stats.classes[request.request_class.index].typical, GRAIN),
         )
         drag = self._drag(tenant, now)
         if not whole and ratio < drag:
@@ -595,7 +437,7 @@
     def _time_left(self, request):
         """How much of the expected time is left, which runs from the client's first try."""
         request_class, left = request.request_class, request.deadline - request.arrived_at
-        row = self.table[request_class.index]
+        row = self.request_stats.classes[request_class.index]
         usual = row.usual_left
         # A vote, not the longest seen: by repeats with more time all first tries look late.
         row.usual_votes += 1 if abs(left - usual) <= USUAL * usual else -1
@@ -614,7 +456,7 @@
 
     def _short(self, request_class, left):
         """Whether it came with less time than first tries usually do."""
-        return left < (1 - USUAL) * self.table[request_class.index].usual_left
+        return left < (1 - USUAL) * self.request_stats.classes[request_class.index].usual_left
 
     def should_shed(self, now, idle, request_class, came, left, refused=False):
         """Whether what has come is bounced unseen, as the host is short of its core: idle last at `idle`, or
@@ -635,7 +477,9 @@
         request.in_flight -= 1
         # A trip that is no longer waited for may still be worked on; filled at once, its place overdrives.
         if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
-            attempt.timeout_at = now + int(GHOST * self.table[request.request_class.index].typical)
+            attempt.timeout_at = now + int(
+                GHOST * self.request_stats.classes[request.request_class.index].typical
+            )
             self._due(attempt.timeout_at)
         else:
             self._leave_flight(b, attempt, now)
@@ -650,7 +494,7 @@
             return
         if done:
             request.completed = True
-            self.table[request.request_class.index].got += (
+            self.request_stats.classes[request.request_class.index].got += (
                 outcome == Outcome.SUCCESS and now <= request.objective_at
             )
             self._call_off_rest(request)
@@ -679,7 +523,7 @@
 
     def health_checked(self, now, name, good, took):
         """A probe's result. It proves no more than a running process, so it only admits a trial trip."""
-        b = self.index.get(name)
+        b = self.endpoints.index.get(name)
         if b is None or self.trouble[b] is None:
             return
         if good:
@@ -734,7 +578,8 @@
         for queue in self.held:
             if queue and self._hopeless(queue[0][2], now):
                 return self._final(heappop(queue)[2])
-        return CheckHealth(self.probes.popleft()) if self.probes else None
+        b = self.health_checks.take()
+        return None if b is None else CheckHealth(b)
 
     def next_wakeup(self, now):
         """When to call decide again, if nothing comes in before."""
@@ -772,9 +617,9 @@
         return (
             group == "all"
             or group == "zone"
-            and self.zone[b] == self.zone[first_possibly_executed.backend]
+            and self.endpoints.zone[b] == self.endpoints.zone[first_possibly_executed.backend]
             or group == "cell"
-            and self.cell[b] == self.cell[first_possibly_executed.backend]
+            and self.endpoints.cell[b] == self.endpoints.cell[first_possibly_executed.backend]
         )
 
     def _may_bounce(self, request):
@@ -805,7 +650,7 @@
         # Not all of the expected time, or what was once slow would never be tried again.
         room = not self.overloaded and len(self.turn) == len(self.ranked)
         times = CHANCE if room and not sure else HOPELESS
-        need = request.relative_cost * self.table[request_class.index].typical
+        need = request.relative_cost * self.request_stats.classes[request_class.index].typical
         if request.relative_cost <= COST_MOST:
             need = min(times * need, HOPELESS_MOST * request_class.latency_objective)
         return request.objective_at - max(HOPELESS_LEAST, int(need))
@@ -846,7 +691,11 @@
             while queue and queue[0][2].completed:
                 heappop(queue)
             if queue:
-                rank = -self._gain(self.table[place]) if self.overloaded else queue[0][0]
+                rank = (
+                    -self._gain(self.request_stats.classes[place])
+                    if self.overloaded
+                    else queue[0][0]
+                )
                 if best is None or rank < least:
                     best, least = queue, rank
         return best
@@ -872,9 +721,11 @@
         gain = (
             (1 - self.settings.worst_class_weight)
             * row.priority_weight
-            / sum(each.priority_weight * max(each.asked, 1.0) for each in self.table)
+            / sum(
+                each.priority_weight * max(each.asked, 1.0) for each in self.request_stats.classes
+            )
         )
-        if row is min(self.table, key=lambda each: each.got / max(each.asked, 1.0)):
+        if row is min(self.request_stats.classes, key=lambda each: each.got / max(each.asked, 1.0)):
             gain += self.settings.worst_class_weight / max(row.asked, 1.0)
         return gain / row.typical
 
@@ -888,8 +739,8 @@
         )
         self.overloaded = waited > WAITED
         # A node with room for two trips waits long for one to end: what gains most and is little goes ahead.
-        work = [max(row.asked, 1.0) * row.typical for row in self.table]
-        most = max(range(len(work)), key=lambda o: self._gain(self.table[o]))
+        work = [max(row.asked, 1.0) * row.typical for row in self.request_stats.classes]
+        most = max(range(len(work)), key=lambda o: self._gain(self.request_stats.classes[o]))
         self.ahead = self.held[most] if work[most] <= LIGHT * sum(work) else None
         if line:
             self._due(now + SWEEP)
@@ -918,13 +769,13 @@
         for step in range(0 if self.home is None else -count, count):
             place = (at + step) % count
             b = turn[place]
-            if step < 0 and self.zone[b] != self.home:
+            if step < 0 and self.endpoints.zone[b] != self.home:
                 continue
             skip = self._skip(request, b, now)
             if skip is None:
                 # Even turns would overdrive the small machines at a load that the fleet can bear.
                 self.owed[b] += min(
-                    1.0, self.size[b] / (self.largest * self.level[b] ** self.steep)
+                    1.0, self.endpoints.size[b] / (self.largest * self.level[b] ** self.steep)
                 )
                 if self.owed[b] >= 1:
                     self.owed[b] -= 1
@@ -946,7 +797,7 @@
             if any(t.backend == b for t in request.attempts):
                 return "tried"
         if now < self.slow_start.until[b] and not self.slow_start.allows(
-            b, now, self.size[b], len(self.ranked), len(self.turn)
+            b, now, self.endpoints.size[b], len(self.ranked), len(self.turn)
         ):
             return "cold"
         trouble = self.trouble[b]
@@ -961,7 +812,9 @@
             return "crowded"
         forecast = self.pause_forecast.next_pause_at[b]
         if forecast is not None:
-            threshold = self.table[request.request_class.index].typical * self.level[b]
+            threshold = (
+                self.request_stats.classes[request.request_class.index].typical * self.level[b]
+            )
             if forecast - threshold <= now:
                 if now <= forecast + self.pause_forecast.mean_pause[b]:
                     return "forecast"
@@ -974,8 +827,7 @@
         return (
             self.trial_due[b]
             and not self.trials_out[b]
-            and request.request_class.idempotency
-            == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
+            and request.request_class.idempotency == self.request_stats.least_harmful_kind()
         )
 
     def _send(self, request, b, now):
@@ -988,18 +840,14 @@
             self.trials_out[b] += 1
             self._next_trial(b, now)
         self.slow_start.attempt_sent(b, now)
-        if (
-            self.learns
-            and self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-            and self.settings.may_check_health
-        ):
-            self.unprobed += self.probe_share
-            if self.unprobed >= 1:
-                self.unprobed -= 1
-                self.probes.append(min(self.turn, key=self.told_at.__getitem__))
+        self.health_checks.attempt_sent(self.turn, self.load_reports.reported_at)
         self.flying.setdefault(b, {})[attempt] = None
         self._due(
-            now + max(SWEEP, int(SILENT_LEAST * self.table[request.request_class.index].typical))
+            now
+            + max(
+                SWEEP,
+                int(SILENT_LEAST * self.request_stats.classes[request.request_class.index].typical),
+            )
         )
         if request.attempts:
             self.retry_budget.retry_sent(now)
@@ -1012,7 +860,7 @@
     # Server health.
 
     def _learn(self, now, attempt, outcome, took):
-        b, row = attempt.backend, self.table[attempt.request.request_class.index]
+        b, row = attempt.backend, self.request_stats.classes[attempt.request.request_class.index]
         if outcome != Outcome.SUCCESS or self.trouble[b] is not None:
             self.limit.attempt_lost(attempt.request.request_class.index, attempt.probing_round)
         if (
@@ -1022,7 +870,7 @@
         ):
             self._see_drag(now, attempt.request, took, outcome == Outcome.SUCCESS)
         if outcome == Outcome.SUCCESS:
-            self.done += 1
+            self.request_stats.succeeded += 1
             heed = min(QUICK, max(LEVEL, (now - self.last_answer[b]) / LEVEL_SPAN))
             self.last_answer[b] = now
             self.errors[b] *= 1 - ERRORS
@@ -1067,7 +915,10 @@
             )
             if self.trouble[b] is None:
                 self.lost += (1 - self.lost) * COMMON
-                if outcome == Outcome.REJECTED_UNPROCESSED and self.state[b] == EndpointState.READY:
+                if (
+                    outcome == Outcome.REJECTED_UNPROCESSED
+                    and self.endpoints.state[b] == EndpointState.READY
+                ):
                     self.limit.attempt_rejected(now, attempt.sent_at)
             # What all backends lose alike is no one's outage: left out for it, they would leave no room.
             many = IN_A_ROW
@@ -1121,8 +972,8 @@
             self.trial_gap[b] = min(TRIAL_GAP_MOST, self.trial_gap[b] * 2)
             if (
                 self.trial_gap[b] == TRIAL_GAP_MOST
-                and self.left_at[b]
-                and self.state[b] == EndpointState.READY
+                and self.endpoints.left_at[b]
+                and self.endpoints.state[b] == EndpointState.READY
             ):
                 self._leave(b, EndpointState.REMOVED, now)
                 self._draw_turn(now)
@@ -1140,22 +991,17 @@
         self._due(self.polling.next_at)
         self._due(min(self.redraw_at, now + SWEEP) if self.again else self.redraw_at)
         self._relieve(now)
-        fade = FADE ** ((now - self.swept) / SWEEP)
-        self.asked_over = (self.asked_over + now - self.swept) * fade
-        self.unsettled = max(0.0, self.unsettled) * max(0.0, 1 - (now - self.swept) / COMES_BACK)
-        self.swept = now
-        self.done *= fade
-        for row in self.table:
-            row.asked, row.got = row.asked * fade, row.got * fade
+        away = now - self.request_stats.faded_at
+        self.unsettled = max(0.0, self.unsettled) * max(0.0, 1 - away / COMES_BACK)
+        self.request_stats.fade(now)
         # In the mean of all a large slow tenant hid itself; where all are slow, none is.
         self.drag = max(1.0, self.drags.figure(now) or 1.0)
-        if self.learns and now >= self.see_at:
-            self.see_at = now + SEE
+        if self.learns and self.load_reports.take_due_look(now):
             self._see(now)
         for b in list(self.flying):
             self._due(max(now + SWEEP, self._listen(b, now)))
         for b in list(self.ailing):
-            if self.state[b] != EndpointState.READY:
+            if self.endpoints.state[b] != EndpointState.READY:
                 continue
             if self.trouble[b] is SLOW and now >= self.until[b]:
                 self._end(b, now, well=False)
@@ -1163,7 +1009,7 @@
             if not self.trial_due[b] and now >= self.trial_at[b] and not self.trials_out[b]:
                 self._next_trial(b, now)
                 if self.settings.may_check_health and self.trouble[b] is not SLOW:
-                    self.probes.append(b)
+                    self.health_checks.request(b)
                 else:
                     self.trial_due[b] = True
             if self.trouble[b] is SLOW or not self.trial_due[b]:
@@ -1183,7 +1029,7 @@
         quiet = now - max(self.last_answer[b], oldest.sent_at)
         # A light one may wait behind heavy ones, and has no less patience for it.
         cost = max(1.0, *(t.request.relative_cost for t in attempts))
-        row = self.table[oldest.request.request_class.index]
+        row = self.request_stats.classes[oldest.request.request_class.index]
         typical = max(GRAIN, cost * row.typical * max(self.level[b], 1.0))
         # A node with few trips has one out at a time: by the mean alone each heavy one is taken for silence.
         heavy = exp(RARE / len(attempts) * sqrt(2 * row.skew) - row.skew)
@@ -1217,22 +1063,14 @@
     # The list.
 
     def _new_index(self, name, now):
-        b = next((b for b in self.gone if b not in self.flying), None)
-        if b is None or now - self.left_at[b] <= self.forget:
-            b = len(self.names)
-        else:
-            del self.index[self.names[b]], self.gone[b]
-            self.ailing.pop(b, None)  # What ailed the one before must not cost the new one probes.
+        b = self.endpoints.add(name, now, self.flying)
+        self.ailing.pop(b, None)  # What ailed the one before must not cost the new one probes.
         for array, first in FIRST.items():
             getattr(self, array)[b : b + 1] = [first]  # appends where b is new
-        self.names[b], self.rank[b] = (
-            name,
-            blake2b(name.encode(), digest_size=8).digest() + name.encode(),
-        )
         self.pause_forecast.add(b)
         self.slow_start.add(b, now)
-        self.left_at[b], self.owed[b] = now, self.pick(1000) / 1000
-        self.index[name] = b
+        self.load_reports.add(b)
+        self.owed[b] = self.pick(1000) / 1000
         return b
 
     def _forget_history(self, b, now):
@@ -1245,22 +1083,25 @@
 
     def _leave(self, b, state, now):
         """Rule 3: from the moment the list says that it drains or is gone, it is out of the rotation."""
-        if self.state[b] == EndpointState.READY:
+        if self.endpoints.state[b] == EndpointState.READY:
             if (
                 state == EndpointState.REMOVED
                 and not self.settings.removal_binds
                 and self.trial_gap[b] < TRIAL_GAP_MOST
             ):
                 # It may be up all the same: trials tell, and one that fails them for long is gone.
-                self.left_at[b] = now
+                self.endpoints.left_at[b] = now
                 if self.trouble[b] in COUNTED:
                     self._begin(b, FAILING, now)
                 return
-            self.total -= self.size[b]
-            del self.ranked[bisect_left(self.ranked, self.rank[b], key=self.rank.__getitem__)]
-            self.left_at[b] = now
+            self.total -= self.endpoints.size[b]
+            del self.ranked[
+                bisect_left(
+                    self.ranked, self.endpoints.rank[b], key=self.endpoints.rank.__getitem__
+                )
+            ]
+            self.endpoints.left_at[b] = now
             if self.trouble[b] is SLOW:
                 # Gone, it must not count to the slow ones for ever, or shared trouble would seem to last.
                 self._mark(b, None, now)
-        self.state[b] = state
-        (self.gone.setdefault if state == EndpointState.REMOVED else self.gone.pop)(b, None)
+        self.endpoints.became_unready(b, state)
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -94,15 +94,15 @@
 
 def _backend(told, weight, done):
     """The same of a backend; `done`: what it has likely settled for this node while that was away."""
-    from pierglade.balancer.balancer import INITIAL_STORED
+    from pierglade.balancer.stored_figures import STORED_FIGURES
 
     kept = {
-        key: _faded(told[key], INITIAL_STORED[key], weight)
+        key: _faded(told[key], STORED_FIGURES[key][-1], weight)
         for key in FADING
         if _number(told.get(key))
     }
     kept = {
-        key: int(value) if isinstance(INITIAL_STORED[key], int) else value
+        key: int(value) if isinstance(STORED_FIGURES[key][-1], int) else value
         for key, value in kept.items()
     }
     if _number(told.get("usual")) and _number(told.get("usual_of")):
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -15,18 +15,12 @@
 | what a cold backend may be sent | always, by the new span; the earlier one begins at nothing | - |
 """
 
-from collections import OrderedDict
-
-from pierglade.balancer.balancer import COMES, FIRST
+from pierglade.balancer.balancer import FIRST
+from pierglade.balancer.endpoint_stats import KIND_SEEN_WITHIN
 from pierglade.model.endpoint import Endpoint, EndpointState
 
-REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
 # Of the node itself, as they are: counts and shares of lately, and the moments that they go with.
 LATELY = (
-    "count",
-    "done",
-    "asked_over",
-    "swept",
     "unsettled",
     "lost",
     "drag",
@@ -36,7 +30,6 @@
     "at",
 )
 ON_THE_RING = ("anchor", "move_at")
-BY_REPORTS = ("room_at", "seen_at", "slower_since", "rest_until", "rest_again", "unprobed", "room")
 
 
 def take_over(node, before, now):
@@ -52,33 +45,33 @@
     same_ring = (terms.node_number, terms.node_count) == (were.node_number, were.node_count)
     _backends(node, before, same_reports)
     _rows(node, before, places)
-    names = (
-        LATELY
-        + same_ring * ON_THE_RING
-        + (node.learns and before.learns and same_reports) * BY_REPORTS
-    )
-    for name in names:
+    node.request_stats.copy_from(before.request_stats)
+    if node.learns and before.learns and same_reports:
+        node.load_reports.copy_growth(before.load_reports)
+        node.health_checks.copy_due(before.health_checks)
+    for name in LATELY + same_ring * ON_THE_RING:
         setattr(node, name, getattr(before, name))
     node.ranked, node.turn = before.ranked.copy(), before.turn.copy()
     node.drags.newest, node.drags.figures = before.drags.newest.copy(), before.drags.figures.copy()
     same_nodes = terms.node_count == were.node_count
     if node.learns and before.learns:
         node.asked, node.in_view = before.asked, before.in_view
-        node.part = before.part if same_nodes else node.part
+        if same_nodes:
+            node.load_reports.traffic_share = before.load_reports.traffic_share
         node.limit.demand = before.limit.demand
     same_kind = (node.learns, node.shares) == (before.learns, before.shares)
     if same_nodes and same_kind and any(place is not None for place in places):
         node.limit = before.limit.successor(now, places, node.limit.demand)
-    left = [b for b in node.ranked if node.left_at[b]] if terms.removal_binds else ()
+    left = [b for b in node.ranked if node.endpoints.left_at[b]] if terms.removal_binds else ()
     # What was listed as gone and was tried all the same is gone where that binds.
     node.endpoints_updated(
         now,
         [
             Endpoint(
-                node.names[b],
+                node.endpoints.names[b],
                 EndpointState.REMOVED,
-                node.zone[b],
-                node.cell[b],
+                node.endpoints.zone[b],
+                node.endpoints.cell[b],
                 node.slow_start.started_at[b],
             )
             for b in left
@@ -89,27 +82,27 @@
 
 
 def _backends(node, before, same_reports):
-    count = len(before.names)
+    count = len(before.endpoints.names)
+    node.endpoints.copy_from(before.endpoints)
+    node.load_reports.copy_reports(before.load_reports, same_reports)
     for name, first in FIRST.items():
-        if name == "trials_out" or name in REPORTED and not same_reports:
+        if name == "trials_out":
             setattr(node, name, [first] * count)
         else:
             setattr(node, name, getattr(before, name).copy())
     node.pause_forecast.copy_from(before.pause_forecast)
     node.slow_start.copy_from(before.slow_start)
     node.retry_budget.copy_from(before.retry_budget)
-    node.index, node.gone, node.ailing = (
-        before.index.copy(),
-        OrderedDict(before.gone),
-        before.ailing.copy(),
-    )
+    node.ailing = before.ailing.copy()
 
 
 def _rows(node, before, places):
-    for row, request_class, place in zip(node.table, node.settings.request_classes, places):
+    for row, request_class, place in zip(
+        node.request_stats.classes, node.settings.request_classes, places
+    ):
         if place is None:
             continue
-        told, was = before.table[place], before.settings.request_classes[place]
+        told, was = before.request_stats.classes[place], before.settings.request_classes[place]
         row.asked, row.got, row.hinted = told.asked, told.got, told.hinted
         if told.answers > row.answers:
             row.typical, row.skew, row.answers = told.typical, told.skew, told.answers
@@ -117,8 +110,12 @@
             row.usual_left, row.usual_votes = told.usual_left, told.usual_votes
     came = {request_class.idempotency for request_class in before.settings.request_classes}
     for kind in {request_class.idempotency for request_class in node.settings.request_classes}:
-        node.asked_at[kind] = before.asked_at[kind] if kind in came else before.count
-    for kind in node.asked_at.keys() - {
+        node.request_stats.last_received[kind] = (
+            before.request_stats.last_received[kind]
+            if kind in came
+            else before.request_stats.received
+        )
+    for kind in node.request_stats.last_received.keys() - {
         request_class.idempotency for request_class in node.settings.request_classes
     }:
-        node.asked_at[kind] = before.count - COMES
+        node.request_stats.last_received[kind] = before.request_stats.received - KIND_SEEN_WITHIN
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -37,7 +37,7 @@
             scene.take(f"i{n}")
             scene.after(5)
             for name in scene.out():
-                if scene.node.names[scene.requests[name].attempts[-1].backend] != "b1":
+                if scene.node.endpoints.names[scene.requests[name].attempts[-1].backend] != "b1":
                     scene.end(name, note=False)
         self.check("crowded", scene.lines)
 
@@ -80,7 +80,9 @@
             scene.after(every_ms)
             for attempt in request.attempts:
                 if report:
-                    scene.node.load_reported(scene.now, scene.node.names[attempt.backend], report)
+                    scene.node.load_reported(
+                        scene.now, scene.node.endpoints.names[attempt.backend], report
+                    )
                 scene.node.attempt_ended(scene.now, attempt, Outcome.SUCCESS, took * MS, True)
                 scene.pull()
             sent += bool(request.attempts)
@@ -88,8 +90,8 @@
         scene.lines = lines
         node = scene.node
         scene.say(
-            f"{sent} sent, {bounced} not; {len(node.turn)} in view, part {node.part:.1f}, room "
-            f"{node.room:.1f}, {'rests' if scene.now < node.rest_until else 'no rest'}"
+            f"{sent} sent, {bounced} not; {len(node.turn)} in view, part {node.load_reports.traffic_share:.1f}, room "
+            f"{node.load_reports._growth:.1f}, {'rests' if scene.now < node.load_reports._rest_until else 'no rest'}"
         )
 
     def test_without_shares_view_and_part_follow_what_comes(self):
@@ -147,7 +149,7 @@
             scene.say("both of the own zone refuse")
             for n in range(8):
                 scene.take("r")
-                east = scene.node.names[scene.requests["r"].attempts[-1].backend] < "b2"
+                east = scene.node.endpoints.names[scene.requests["r"].attempts[-1].backend] < "b2"
                 scene.end("r", Outcome.CONNECT_FAILED if east else Outcome.SUCCESS, note=False)
                 for name in scene.out():
                     scene.end(name, note=False)
@@ -193,7 +195,7 @@
             scene.lines = lines
             scene.say(
                 f"south {phase}: north {got['north']}, south {got['south']} sent and not at once; "
-                f"usual {scene.node.table[0].typical // MS:.0f} ms, levels "
+                f"usual {scene.node.request_stats.classes[0].typical // MS:.0f} ms, levels "
                 f"{[round(level, 1) for level in scene.node.level]}, some marked {marked * 20} ms"
             )
         self.check("tenant_slow", scene.lines)
@@ -206,13 +208,13 @@
             scene = self.learner(load_report_source=LoadReportSource.HEALTH_CHECKS)
             for n in range(150):
                 if n * 20 % (each_s * 1000) == 0 and n * 20 < until_s * 1000:
-                    for name in scene.node.names:
+                    for name in scene.node.endpoints.names:
                         scene.node.load_reported(scene.now, name, LoadReport(utilization=busy))
                 scene.take(n)
                 scene.after(20)
             lines.append(
                 f"{busy} of the cores in use, told each {each_s} s for {until_s} s: "
-                f"room {scene.node.room:.1f} after 3 s"
+                f"room {scene.node.load_reports._growth:.1f} after 3 s"
             )
         self.check("room_by_cores", lines)
 
@@ -240,7 +242,7 @@
                 scene.end("h", note=False)
             marks = [mark for mark in scene.node.trouble]
             lines.append(
-                f"hints {hint}: {marks}, typical {scene.node.table[0].typical / MS:.0f} ms, levels "
+                f"hints {hint}: {marks}, typical {scene.node.request_stats.classes[0].typical / MS:.0f} ms, levels "
                 + " ".join(f"{level:.2f}" for level in scene.node.level)
             )
         self.check("hints", lines)
@@ -271,7 +273,7 @@
             scene.say(f"node {number}")
             scene.flow(6)
             request = scene.take("a")
-            lost = scene.node.names[request.attempts[0].backend]
+            lost = scene.node.endpoints.names[request.attempts[0].backend]
             scene.after(5)
             scene.end("a", Outcome.CONNECT_FAILED)
             scene.after(20)
@@ -306,13 +308,13 @@
             scene.after(20)
             for name in scene.out():
                 attempt = scene.requests[name].attempts[-1]
-                if scene.node.names[attempt.backend] != "b1":
+                if scene.node.endpoints.names[attempt.backend] != "b1":
                     scene.end(name)
                 elif attempt.cancelled:
                     scene.end(name, Outcome.CANCELLED)
         scene.say(
-            f"b1 is {scene.node.trouble[scene.node.index['b1']]}, "
-            f"pauses known: {len(scene.node.pause_forecast.pauses[scene.node.index['b1']])}"
+            f"b1 is {scene.node.trouble[scene.node.endpoints.index['b1']]}, "
+            f"pauses known: {len(scene.node.pause_forecast.pauses[scene.node.endpoints.index['b1']])}"
         )
         self.check("hang", scene.lines)
 
@@ -345,7 +347,7 @@
         scene = Scene(["b0", "b1"])
         for n in range(4):
             scene.take(f"i{n}")
-            at_b1 = scene.node.names[scene.requests[f"i{n}"].attempts[-1].backend] == "b1"
+            at_b1 = scene.node.endpoints.names[scene.requests[f"i{n}"].attempts[-1].backend] == "b1"
             scene.end(f"i{n}", Outcome.CONNECT_FAILED if at_b1 else Outcome.SUCCESS)
         scene.flow(4)
         scene.list([listed("b1", EndpointState.REMOVED)])
@@ -361,7 +363,9 @@
             scene.take(f"i{n}")
             scene.after(2)
             for name in scene.out():
-                at_b1 = scene.node.names[scene.requests[name].attempts[-1].backend] == "b1"
+                at_b1 = (
+                    scene.node.endpoints.names[scene.requests[name].attempts[-1].backend] == "b1"
+                )
                 scene.end(
                     name, Outcome.REJECTED_UNPROCESSED if at_b1 else Outcome.SUCCESS, note=at_b1
                 )
@@ -399,7 +403,7 @@
                 scene.after(300)
                 kind = 0 if seldom and n % seldom == 0 else request_class
                 attempt = scene.take("i", request_class=kind).attempts[-1]
-                at_b1 = scene.node.names[attempt.backend] == "b1"
+                at_b1 = scene.node.endpoints.names[attempt.backend] == "b1"
                 tried += [
                     f"{scene.settings.request_classes[kind].idempotency} as number {n}"
                 ] * attempt.is_trial
@@ -451,7 +455,9 @@
         scene.take("a", 1)
         scene.after(5)
         scene.end("a", Outcome.SERVER_ERROR)
-        scene.list([listed("b2", zone=scene.node.zone[scene.requests["a"].attempts[0].backend])])
+        scene.list(
+            [listed("b2", zone=scene.node.endpoints.zone[scene.requests["a"].attempts[0].backend])]
+        )
         scene.after(10)
         scene.take("b", 1)
         scene.after(310)
@@ -498,14 +504,14 @@
                 scene.end(
                     "a",
                     Outcome.SUCCESS
-                    if scene.node.names[attempts[-1].backend] == "b0"
+                    if scene.node.endpoints.names[attempts[-1].backend] == "b0"
                     else Outcome.CONNECT_FAILED,
                 )
             scene.list([listed(f"n{n}", EndpointState.REMOVED), listed(f"n{n + 1}")])
             scene.after(500)
         node = scene.node
-        self.assertLess(len(node.names), 9)
-        self.assertEqual(len(node.index), len(node.names))
+        self.assertLess(len(node.endpoints.names), 9)
+        self.assertEqual(len(node.endpoints.index), len(node.endpoints.names))
         self.assertLess(len(node.ailing), 9)
 
     def test_what_all_backends_lose_alike_leaves_none_out(self):
@@ -517,13 +523,13 @@
             attempts = scene.take("a", request_class=2).attempts
             scene.after(5)
             if attempts:
-                at = scene.node.names[attempts[-1].backend]
+                at = scene.node.endpoints.names[attempts[-1].backend]
                 scene.end(
                     "a",
                     Outcome.CONNECTION_RESET if chance() < lost.get(at, 0.12) else Outcome.SUCCESS,
                     note=False,
                 )
-            out.update((n // 401, scene.node.names[b]) for b in scene.node.ailing)
+            out.update((n // 401, scene.node.endpoints.names[b]) for b in scene.node.ailing)
             if n == 400:
                 lost["b2"] = 0.95
         self.assertEqual(out, {(1, "b2")})
@@ -552,16 +558,16 @@
 
     def test_a_slow_one_that_goes_is_no_longer_slow(self):
         scene = Scene(["b0", "b1", "b3"])
-        b = scene.node.index["b1"]
+        b = scene.node.endpoints.index["b1"]
         scene.flow(90, took=8)
         scene.flow(12, slow=("b1",), took=8, slow_took=47)
         scene.say(f"b1 is {scene.node.trouble[b]}, slow ones: {scene.node.slow_ones}")
         scene.list([listed("b1", EndpointState.REMOVED)])
-        scene.say(f"b1 is {scene.node.state[b]}, slow ones: {scene.node.slow_ones}")
+        scene.say(f"b1 is {scene.node.endpoints.state[b]}, slow ones: {scene.node.slow_ones}")
         scene.after(61000)
         scene.list(["b2"])
         scene.say(
-            f"b2 has the index of b1: {scene.node.index['b2'] == b}, trouble: {scene.node.trouble[b]}"
+            f"b2 has the index of b1: {scene.node.endpoints.index['b2'] == b}, trouble: {scene.node.trouble[b]}"
         )
         scene.flow(4)
         self.check("slow_and_gone", scene.lines)
@@ -584,7 +590,9 @@
         scene.take("b", 2)
         scene.after(100)
         for name in ("a", "b"):
-            at_gone = scene.node.names[scene.requests[name].attempts[-1].backend] == "gone"
+            at_gone = (
+                scene.node.endpoints.names[scene.requests[name].attempts[-1].backend] == "gone"
+            )
             scene.end(name, Outcome.CONNECT_FAILED if at_gone else Outcome.SUCCESS)
         scene.list(["b0", listed("cold", started=9000 * MS)], whole=True)
         scene.flow(6)
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -48,7 +48,7 @@
                             not hasattr(request.host_context, "seen")
                             and (name, attempt.number) not in had
                         ):
-                            backend = self.node.names[attempt.backend]
+                            backend = self.node.endpoints.names[attempt.backend]
                             had[(name, attempt.number)] = 1
                             sent[backend] += 1
                             trials[backend] += attempt.is_trial
@@ -172,10 +172,12 @@
                     (5, Outcome.CONNECT_FAILED) if b == "b1" else (20, Outcome.SUCCESS)
                 ),
             )
-            scene.say(f"b1 is {scene.node.state[scene.node.index['b1']]}")
+            scene.say(f"b1 is {scene.node.endpoints.state[scene.node.endpoints.index['b1']]}")
             scene.list([listed("b0", EndpointState.DRAINING)])
             scene.list([listed("b0", EndpointState.REMOVED)])
-            scene.say(f"b0 drained, then gone: it is {scene.node.state[scene.node.index['b0']]}")
+            scene.say(
+                f"b0 drained, then gone: it is {scene.node.endpoints.state[scene.node.endpoints.index['b0']]}"
+            )
             lines += scene.lines
         self.check("untrue_gone", lines)
 
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -118,7 +118,7 @@
                     ev.REPLIED, desk.links[0], message(answer, http.Answers), came=desk.now - 800
                 )
                 desk.taken("c0")
-        typical = desk.reducer.node.table[0].typical
+        typical = desk.reducer.node.request_stats.classes[0].typical
         desk.say(f"typical {typical / 10:.0f} of 100 at first")
         self.check("node_late", desk.lines)
 
@@ -323,7 +323,7 @@
         desk.hear(["b0"], 0)
         self.check("node_configured", desk.lines)
 
-    @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
+    @mock.patch("pierglade.balancer.health_checks.INITIAL_DUE", 0)  # as after the start
     def test_new_settings_while_trips_are_out(self):
         """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
         desk = Desk(["b0", "b1"])
@@ -371,16 +371,20 @@
         desk.say(f"hint {desk.clients['c0'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=40, util=0.6, other=x\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.node.load_reports.throughput}, busy {desk.reducer.node.load_reports.utilization}"
+        )
         desk.after(10)
         desk.ask("c1", headers="X-Props: hintUs=none\r\n")
         desk.say(f"hint {desk.clients['c1'].request.cost_hint}")
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=50, util=0.7\r\n")
-        desk.say(f"pace {desk.reducer.node.told_pace}, busy {desk.reducer.node.told_busy}")
+        desk.say(
+            f"pace {desk.reducer.node.load_reports.throughput}, busy {desk.reducer.node.load_reports.utilization}"
+        )
         self.check("node_reports", desk.lines)
 
-    @mock.patch("pierglade.balancer.balancer.FIRST_PROBES", 0)  # as after the start
+    @mock.patch("pierglade.balancer.health_checks.INITIAL_DUE", 0)  # as after the start
     def test_one_probe_to_twenty_trips_brings_the_report(self):
         desk = Desk(
             ["b0", "b1"],
@@ -407,7 +411,9 @@
         desk.up()
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
         desk.tell(ev.REPLIED, desk.links[-1], message(answer, http.Answers))
-        desk.say(f"pace {desk.reducer.node.told_pace}, queue {desk.reducer.node.told_queue}")
+        desk.say(
+            f"pace {desk.reducer.node.load_reports.throughput}, queue {desk.reducer.node.load_reports.queue_length}"
+        )
         self.check("node_stats", desk.lines)
 
     def test_a_list_that_is_asked_for_is_asked_for_later_and_within_the_term(self):
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -4,7 +4,7 @@
 import unittest
 from dataclasses import replace
 
-from pierglade.balancer import pause_forecast, slow_start
+from pierglade.balancer import endpoint_stats, load_reports, pause_forecast, slow_start
 from pierglade.balancer.balancer import COUNTED, FIRST, SLOW, Balancer
 from pierglade.model.decision import (
     CancelAttempt,
@@ -148,9 +148,11 @@
                     self.end(attempt, Outcome.CANCELLED)
                 case CheckHealth(backend):
                     good = self.chance.random() < 0.5
-                    node.health_checked(self.now, node.names[backend], good, 5)
+                    node.health_checked(self.now, node.endpoints.names[backend], good, 5)
                 case SendAttempt(attempt):
-                    self.case.assertEqual(node.state[attempt.backend], EndpointState.READY)
+                    self.case.assertEqual(
+                        node.endpoints.state[attempt.backend], EndpointState.READY
+                    )
                     self.case.assertIs(attempt.request.owner, node)
                     self.case.assertLess(self.now, attempt.request.deadline)
                 case RejectRequest(request) | FailRequest(request):
@@ -158,19 +160,30 @@
                     self.finals[request.host_context] = type(decision)
 
     def check(self, node):
-        equal, all_of = self.case.assertEqual, range(len(node.names))
-        equal({len(getattr(node, name)) for name in FIRST}, {len(node.names)})
+        equal, all_of = self.case.assertEqual, range(len(node.endpoints.names))
+        equal({len(getattr(node, name)) for name in FIRST}, {len(node.endpoints.names)})
         for part, names in (
             (node.pause_forecast, pause_forecast.INITIAL),
             (node.slow_start, slow_start.INITIAL),
+            (node.endpoints, endpoint_stats.INITIAL),
+            (node.load_reports, load_reports.INITIAL),
         ):
-            equal({len(getattr(part, name)) for name in names}, {len(node.names)})
-        equal(sorted(node.ranked), [b for b in all_of if node.state[b] == EndpointState.READY])
-        equal(node.ranked, sorted(node.ranked, key=node.rank.__getitem__))
-        self.case.assertAlmostEqual(node.total, sum(node.size[b] for b in node.ranked))
+            equal({len(getattr(part, name)) for name in names}, {len(node.endpoints.names)})
+        equal(
+            sorted(node.ranked),
+            [b for b in all_of if node.endpoints.state[b] == EndpointState.READY],
+        )
+        equal(node.ranked, sorted(node.ranked, key=node.endpoints.rank.__getitem__))
+        self.case.assertAlmostEqual(node.total, sum(node.endpoints.size[b] for b in node.ranked))
         self.case.assertLessEqual(set(node.turn), set(node.ranked))
-        equal(sorted(node.gone), [b for b in all_of if node.state[b] == EndpointState.REMOVED])
-        equal({b: name for name, b in node.index.items()}, dict(enumerate(node.names)))
+        equal(
+            sorted(node.endpoints.removed),
+            [b for b in all_of if node.endpoints.state[b] == EndpointState.REMOVED],
+        )
+        equal(
+            {b: name for name, b in node.endpoints.index.items()},
+            dict(enumerate(node.endpoints.names)),
+        )
         equal(node.slow_ones, sum(trouble is SLOW for trouble in node.trouble))
         equal(sorted(node.ailing), [b for b in all_of if node.trouble[b] is not None])
         equal(
@@ -187,7 +200,7 @@
         equal(node.trials_out, [trials.count(b) for b in all_of])
         equal(
             {len(node.limit.missing), len(node.limit.base), len(node.limit.answers)},
-            {len(node.table)},
+            {len(node.request_stats.classes)},
         )
 
 
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -5,7 +5,8 @@
 import unittest
 from functools import partial
 
-from pierglade.balancer.balancer import FORGET, Balancer
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.endpoint_stats import REUSE_AFTER
 from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.state import events as ev
 from pierglade.proxy.state.endpoints import NAMED
@@ -13,7 +14,7 @@
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
 HARD_LIMIT = 1000  # ms; the longest of the scene's offerings
-FORGOTTEN = FORGET * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
+FORGOTTEN = REUSE_AFTER * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
 
 
 def fleet(first, count):
@@ -85,7 +86,7 @@
             node.endpoints_updated(0, fleet(0, count), True)
             node.at = count - 1
             node.endpoints_updated(
-                1, [listed(node.names[node.turn[-1]], EndpointState.REMOVED)], False
+                1, [listed(node.endpoints.names[node.turn[-1]], EndpointState.REMOVED)], False
             )
             return lambda: node.endpoints_updated(
                 2, [listed(f"b{n}", EndpointState.REMOVED) for n in range(count // 2)], False
@@ -101,20 +102,25 @@
 
     def test_used_again_after_the_time_and_not_before(self):
         scene, node = self.scene()
-        old = node.index["b1"]
+        old = node.endpoints.index["b1"]
         scene.list([listed("b1", EndpointState.REMOVED)])
         scene.after(FORGOTTEN - 1)
         scene.list(["c0"])
-        self.assertEqual((node.index["c0"], len(node.names)), (3, 4))
+        self.assertEqual((node.endpoints.index["c0"], len(node.endpoints.names)), (3, 4))
         scene.after(1)
         scene.list(["c1"])
-        self.assertEqual((node.index["c1"], node.names[old], len(node.names)), (old, "c1", 4))
-        self.assertNotIn("b1", node.index)
-        self.assertEqual(sorted(node.names[b] for b in node.turn), ["b0", "b2", "c0", "c1"])
+        self.assertEqual(
+            (node.endpoints.index["c1"], node.endpoints.names[old], len(node.endpoints.names)),
+            (old, "c1", 4),
+        )
+        self.assertNotIn("b1", node.endpoints.index)
+        self.assertEqual(
+            sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b2", "c0", "c1"]
+        )
 
     def test_what_came_back_keeps_its_own(self):
         scene, node = self.scene()
-        old = node.index["b1"]
+        old = node.endpoints.index["b1"]
         for state in (
             EndpointState.REMOVED,
             EndpointState.READY,
@@ -125,14 +131,17 @@
             scene.list([listed("b1", state)])
         scene.after(FORGOTTEN)
         scene.list(["c0"])
-        self.assertEqual((node.index["b1"], node.index["c0"], len(node.gone)), (old, 3, 0))
+        self.assertEqual(
+            (node.endpoints.index["b1"], node.endpoints.index["c0"], len(node.endpoints.removed)),
+            (old, 3, 0),
+        )
 
     def test_what_only_drains_keeps_its_own(self):
         scene, node = self.scene()
         scene.list([listed("b1", EndpointState.DRAINING)])
         scene.after(FORGOTTEN)
         scene.list(["c0"])
-        self.assertEqual(node.index["c0"], 3)
+        self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_gone_again_the_time_begins_anew(self):
         scene, node = self.scene()
@@ -142,39 +151,43 @@
         scene.list([listed("b1", EndpointState.REMOVED)])
         scene.after(1)
         scene.list(["c0"])
-        self.assertEqual(node.index["c0"], 3)
+        self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_not_with_a_trip_out_while_others_are(self):
         """What comes of the trip is learned of the index; another behind it is free all the same."""
         scene, node = self.scene(2)
         request = scene.take("i0", request_class=2, left=100000)
         held = request.attempts[0].backend
-        scene.list([listed(node.names[held], EndpointState.REMOVED)])
-        scene.list([listed(node.names[1 - held], EndpointState.REMOVED)])
+        scene.list([listed(node.endpoints.names[held], EndpointState.REMOVED)])
+        scene.list([listed(node.endpoints.names[1 - held], EndpointState.REMOVED)])
         scene.after(FORGOTTEN)
         scene.list(["c0", "c1"])
-        self.assertEqual((node.index["c0"], node.index["c1"]), (1 - held, 2))
+        self.assertEqual((node.endpoints.index["c0"], node.endpoints.index["c1"]), (1 - held, 2))
         scene.end("i0")
         scene.list(["c2"])
-        self.assertEqual(node.index["c2"], held)
+        self.assertEqual(node.endpoints.index["c2"], held)
 
     def test_many_new_names_after_many_gone(self):
         scene, node = self.scene(300)
         scene.list([], whole=True)
         scene.after(FORGOTTEN)
         scene.list([f"c{n}" for n in range(400)], whole=True)
-        self.assertEqual((len(node.names), len(node.ranked), len(node.index)), (400, 400, 400))
-        self.assertEqual(sorted(node.index.values()), list(range(400)))
-        self.assertEqual(len(node.gone), 0)
-        self.assertEqual([node.rank[b] for b in node.ranked], sorted(node.rank))
+        self.assertEqual(
+            (len(node.endpoints.names), len(node.ranked), len(node.endpoints.index)),
+            (400, 400, 400),
+        )
+        self.assertEqual(sorted(node.endpoints.index.values()), list(range(400)))
+        self.assertEqual(len(node.endpoints.removed), 0)
+        self.assertEqual([node.endpoints.rank[b] for b in node.ranked], sorted(node.endpoints.rank))
 
     def test_half_replaced_leaves_the_rest_in_its_order(self):
         scene, node = self.scene(300)
         scene.list([f"b{n}" for n in range(150, 450)], whole=True)
         self.assertEqual(
-            sorted(node.names[b] for b in node.ranked), sorted(f"b{n}" for n in range(150, 450))
+            sorted(node.endpoints.names[b] for b in node.ranked),
+            sorted(f"b{n}" for n in range(150, 450)),
         )
-        ranks = [node.rank[b] for b in node.ranked]
+        ranks = [node.endpoints.rank[b] for b in node.ranked]
         self.assertEqual(ranks, sorted(ranks))
 
 
@@ -199,8 +212,8 @@
         scene.list([listed("b0", started=scene.now)])
         self.assertEqual(
             (
-                len(node.pause_forecast.samples[node.index["b0"]]),
-                node.pause_forecast.answered[node.index["b0"]],
+                len(node.pause_forecast.samples[node.endpoints.index["b0"]]),
+                node.pause_forecast.answered[node.endpoints.index["b0"]],
             ),
             (0, 0),
         )
@@ -320,7 +333,8 @@
         self.told = Told(self.desk.reducer.node)
         self.hear(["b0", "b1", "b2", "b3"])
         self.assertEqual(
-            [older.state[older.index["b4"]], len(older.ranked)], [EndpointState.REMOVED, 4]
+            [older.endpoints.state[older.endpoints.index["b4"]], len(older.ranked)],
+            [EndpointState.REMOVED, 4],
         )
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
         self.assertEqual(len(older.ranked), 5)
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -6,8 +6,16 @@
 from collections import OrderedDict, deque
 from dataclasses import replace
 
-from pierglade.balancer import pause_forecast, slow_start
-from pierglade.balancer.balancer import FAILING, FIRST, FIRST_TYPICAL, SILENCE, SLOW, Balancer, Row
+from pierglade.balancer import endpoint_stats, load_reports, pause_forecast, slow_start
+from pierglade.balancer.balancer import FAILING, FIRST, SILENCE, SLOW, Balancer
+from pierglade.balancer.endpoint_stats import (
+    INITIAL_LATENCY,
+    EndpointStats,
+    RequestClassStats,
+    RequestStats,
+)
+from pierglade.balancer.health_checks import HealthChecks
+from pierglade.balancer.load_reports import LoadReports
 from pierglade.balancer.pause_forecast import PauseForecast
 from pierglade.balancer.polling import PollSchedule
 from pierglade.balancer.retry import RetryBudget
@@ -18,12 +26,21 @@
 from pierglade.model.outcome import Outcome
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy.state import events as ev
-from pierglade.snapshot.handover import REPORTED, take_over
+from pierglade.snapshot.handover import take_over
 from pierglade.tenants.registry import RunningMedian, TenantRegistry
 from tests.proxy.test_large_endpoint_lists import fleet, least
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
-PARTS = (PauseForecast, PollSchedule, RetryBudget, SlowStart)
+PARTS = (
+    EndpointStats,
+    HealthChecks,
+    LoadReports,
+    RequestStats,
+    PauseForecast,
+    PollSchedule,
+    RetryBudget,
+    SlowStart,
+)
 
 
 def changed(scene, **settings):
@@ -58,7 +75,16 @@
         each = todo.pop()
         if id(each) in found or not isinstance(
             each,
-            (list, dict, deque, OrderedDict, Row, ConcurrencyLimiter, RunningMedian, *PARTS),
+            (
+                list,
+                dict,
+                deque,
+                OrderedDict,
+                RequestClassStats,
+                ConcurrencyLimiter,
+                RunningMedian,
+                *PARTS,
+            ),
         ):
             continue
         found[id(each)] = each
@@ -87,7 +113,7 @@
                     scene.flow(25, slow=slow, slow_took=70)
                     scene.after(300)
                     node = scene.node
-                    for name, b in node.index.items():
+                    for name, b in node.endpoints.index.items():
                         scene.say(
                             f"{name} {node.level[b]:.6f} {node.pause_forecast.next_pause_at[b]} {node.trouble[b]}"
                         )
@@ -109,18 +135,27 @@
             self.assertEqual(
                 getattr(node.pause_forecast, name), getattr(before.pause_forecast, name), name
             )
+        for name in endpoint_stats.INITIAL:
+            self.assertEqual(getattr(node.endpoints, name), getattr(before.endpoints, name), name)
+        for name in load_reports.INITIAL:
+            self.assertEqual(
+                getattr(node.load_reports, name), getattr(before.load_reports, name), name
+            )
         for name in slow_start.INITIAL:
             if name != "allowance":
                 self.assertEqual(
                     getattr(node.slow_start, name), getattr(before.slow_start, name), name
                 )
         self.assertGreater(min(map(len, node.pause_forecast.samples)), 30)
-        self.assertGreater(len(node.pause_forecast.pauses[node.index["b1"]]), 2)
+        self.assertGreater(len(node.pause_forecast.pauses[node.endpoints.index["b1"]]), 2)
         self.assertEqual(
             [pauses.maxlen for pauses in node.pause_forecast.pauses if pauses],
             [pauses.maxlen for pauses in before.pause_forecast.pauses if pauses],
         )
-        self.assertEqual([vars(row) for row in node.table], [vars(row) for row in before.table])
+        self.assertEqual(
+            [vars(row) for row in node.request_stats.classes],
+            [vars(row) for row in before.request_stats.classes],
+        )
         self.assertEqual(
             (node.limit.each, node.limit.base, node.limit.answers, node.limit.in_flight),
             (before.limit.each, before.limit.base, before.limit.answers, 0),
@@ -129,8 +164,20 @@
             (node.turn, node.ranked, node.anchor), (before.turn, before.ranked, before.anchor)
         )
         self.assertEqual(
-            (node.lost, node.drag, node.done, node.asked_over, node.count),
-            (before.lost, before.drag, before.done, before.asked_over, before.count),
+            (
+                node.lost,
+                node.drag,
+                node.request_stats.succeeded,
+                node.request_stats.span,
+                node.request_stats.received,
+            ),
+            (
+                before.lost,
+                before.drag,
+                before.request_stats.succeeded,
+                before.request_stats.span,
+                before.request_stats.received,
+            ),
         )
 
     def test_nothing_that_changes_is_shared(self):
@@ -176,7 +223,7 @@
             with self.subTest(what):
                 scene = Scene(["b0", "b1", "b2"], dead=("b1",))
                 scene.flow(30)
-                b = scene.node.index["b1"]
+                b = scene.node.endpoints.index["b1"]
                 if what is FAILING:
                     while scene.node.trouble[b] is None:
                         request = scene.take("i")
@@ -212,7 +259,7 @@
         """It is not waited for here: the next one comes when it is due."""
         scene = Scene(["b0", "b1"], may_check_health=False)
         scene.flow(30)
-        node, b = scene.node, scene.node.index["b1"]
+        node, b = scene.node, scene.node.endpoints.index["b1"]
         node._begin(b, FAILING, scene.now)
         scene.after(160)
         while not (trial := scene.take("t")).attempts[-1].is_trial:
@@ -229,7 +276,7 @@
     def test_slow_ones_count_and_their_rest_ends(self):
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(60)
-        b = scene.node.index["b1"]
+        b = scene.node.endpoints.index["b1"]
         scene.node._begin(b, SLOW, scene.now)
         changed(scene, max_retry_after=1)
         self.assertEqual((scene.node.slow_ones, list(scene.node.ailing)), (1, [b]))
@@ -274,19 +321,29 @@
         before = changed(scene, request_classes=rows)
         node = scene.node
         self.assertEqual(
-            [row.typical for row in node.table],
-            [before.table[2].typical, FIRST_TYPICAL * 800 * MS, before.table[0].typical],
+            [row.typical for row in node.request_stats.classes],
+            [
+                before.request_stats.classes[2].typical,
+                INITIAL_LATENCY * 800 * MS,
+                before.request_stats.classes[0].typical,
+            ],
         )
         self.assertEqual(
-            [row.answers for row in node.table],
-            [before.table[2].answers, 2, before.table[0].answers],
+            [row.answers for row in node.request_stats.classes],
+            [before.request_stats.classes[2].answers, 2, before.request_stats.classes[0].answers],
         )
         self.assertEqual(node.limit.base, [before.limit.base[2], 0.0, before.limit.base[0]])
         self.assertEqual(node.limit.answers, [before.limit.answers[2], 0, before.limit.answers[0]])
         self.assertEqual(len(node.limit.missing), 3)
-        self.assertFalse(node.asked_at[Idempotency.KEYED] > node.count - 100)
+        self.assertFalse(
+            node.request_stats.last_received[Idempotency.KEYED] > node.request_stats.received - 100
+        )
         self.assertEqual(
-            [node.asked_at[kind] for kind in (Idempotency.SAFE, Idempotency.UNSAFE)], [58, 60]
+            [
+                node.request_stats.last_received[kind]
+                for kind in (Idempotency.SAFE, Idempotency.UNSAFE)
+            ],
+            [58, 60],
         )
         for n in range(30):
             scene.take(f"j{n}", request_class=n % 3)
@@ -302,7 +359,7 @@
         changed(scene, request_classes=rows)
         self.assertEqual(
             [
-                scene.node.asked_at[kind]
+                scene.node.request_stats.last_received[kind]
                 for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
             ],
             [210] * 3,
@@ -331,9 +388,12 @@
         )
         node = scene.node
         self.assertEqual(
-            (node.limit.base, node.limit.answers, node.table[0].answers), ([0.0], [0], 2)
+            (node.limit.base, node.limit.answers, node.request_stats.classes[0].answers),
+            ([0.0], [0], 2),
+        )
+        self.assertGreater(
+            node.request_stats.last_received[Idempotency.KEYED], node.request_stats.received - 100
         )
-        self.assertGreater(node.asked_at[Idempotency.KEYED], node.count - 100)
         scene.flow(10)
 
     def test_another_hard_limit_brings_another_usual_time(self):
@@ -344,15 +404,17 @@
         ]
         before = changed(scene, request_classes=rows)
         self.assertEqual(
-            [row.usual_left for row in scene.node.table],
-            [0, *(row.usual_left for row in before.table[1:])],
+            [row.usual_left for row in scene.node.request_stats.classes],
+            [0, *(row.usual_left for row in before.request_stats.classes[1:])],
         )
 
     def test_a_row_that_nothing_was_learned_of_follows_its_expected_time(self):
         scene = Scene(["b0"])
         rows = [replace(row, latency_objective=800 * MS) for row in scene.settings.request_classes]
         changed(scene, request_classes=rows)
-        self.assertEqual({row.typical for row in scene.node.table}, {FIRST_TYPICAL * 800 * MS})
+        self.assertEqual(
+            {row.typical for row in scene.node.request_stats.classes}, {INITIAL_LATENCY * 800 * MS}
+        )
 
 
 class Dropped(unittest.TestCase):
@@ -368,8 +430,8 @@
             fresh = Scene(names, tenants=shares, **settings).node
             # At once to the even place: one by one it would be there after minutes.
             self.assertEqual(
-                set(scene.node.names[b] for b in scene.node.turn),
-                set(fresh.names[b] for b in fresh.turn),
+                set(scene.node.endpoints.names[b] for b in scene.node.turn),
+                set(fresh.endpoints.names[b] for b in fresh.turn),
             )
             self.assertEqual(scene.node.limit.nodes, settings["node_count"])
             self.assertEqual(
@@ -391,7 +453,8 @@
             [f"b{n}" for n in range(30, 100)], node_count=10, node_number=5, tenants=shares
         ).node
         self.assertNotEqual(
-            [scene.node.names[b] for b in view], [fresh.names[b] for b in fresh.turn]
+            [scene.node.endpoints.names[b] for b in view],
+            [fresh.endpoints.names[b] for b in fresh.turn],
         )
 
     def test_other_shares_only_move_the_view(self):
@@ -421,16 +484,23 @@
         fresh = Scene(names, **learned).node
         self.assertEqual((scene.node.level, scene.node.limit.answers), (level, [0, 0, 0]))
         self.assertEqual((scene.node.in_view, scene.node.asked), (fresh.in_view, fresh.asked))
-        scene.node.part = 3.0
+        scene.node.load_reports.traffic_share = 3.0
         scene.flow(60)
         before = changed(scene, max_retry_after=1, **learned)
         self.assertEqual(
-            (scene.node.part, scene.node.in_view, scene.node.asked, scene.node.limit.each),
+            (
+                scene.node.load_reports.traffic_share,
+                scene.node.in_view,
+                scene.node.asked,
+                scene.node.limit.each,
+            ),
             (3.0, before.in_view, before.asked, before.limit.each),
         )
         self.assertGreater(sum(scene.node.limit.answers), 0)
         changed(scene, **shares)
-        self.assertEqual((scene.node.part, scene.node.limit.answers), (1.0, [0, 0, 0]))
+        self.assertEqual(
+            (scene.node.load_reports.traffic_share, scene.node.limit.answers), (1.0, [0, 0, 0])
+        )
 
     def test_other_reports(self):
         settings = dict(
@@ -444,15 +514,17 @@
         before = changed(
             scene, max_retry_after=1, load_report_source=LoadReportSource.RESPONSES, **settings
         )
-        for name in REPORTED:
-            self.assertEqual(getattr(scene.node, name), getattr(before, name))
+        for name in load_reports.INITIAL:
+            self.assertEqual(
+                getattr(scene.node.load_reports, name), getattr(before.load_reports, name)
+            )
         changed(scene, load_report_source=LoadReportSource.HEALTH_CHECKS, **settings)
-        for name in REPORTED:
-            self.assertEqual(getattr(scene.node, name), [FIRST[name]] * 2)
+        for name, initial in load_reports.INITIAL.items():
+            self.assertEqual(getattr(scene.node.load_reports, name), [initial] * 2)
 
     def test_cold_by_the_new_span_and_one_budget(self):
         scene = Scene(["b0", "b1", listed("b2", started=9000 * MS)], slow_start_duration=8000 * MS)
-        b = scene.node.index["b2"]
+        b = scene.node.endpoints.index["b2"]
         saved = list(scene.node.slow_start.allowance)
         before = changed(scene, slow_start_duration=3000 * MS)
         self.assertEqual(
@@ -474,7 +546,7 @@
             slow_start_capacity=0.1,
             slow_start_overload=2.0,
         )
-        cold, sent, due = scene.node.index["b3"], 0, every_ms
+        cold, sent, due = scene.node.endpoints.index["b3"], 0, every_ms
         for n in range(800):
             # One is owed by the earlier node at each change, and may go to the cold one from there.
             taken = [scene.take(f"i{n}")]
@@ -518,7 +590,9 @@
         self.assertEqual(len(scene.node.ranked), 3)
         before = changed(scene, removal_binds=True)
         self.assertEqual((len(scene.node.ranked), len(before.ranked)), (2, 3))
-        self.assertEqual(scene.node.state[scene.node.index["b1"]], EndpointState.REMOVED)
+        self.assertEqual(
+            scene.node.endpoints.state[scene.node.endpoints.index["b1"]], EndpointState.REMOVED
+        )
         scene.lines = []
         scene.after(5000)
         scene.flow(20)
@@ -551,10 +625,14 @@
     def test_kept_over_two_changes_in_one_turn(self):
         for n in range(8):
             self.answered(f"c{n}")
-        learned = [(row.typical, row.skew, row.answers) for row in self.reducer.node.table]
+        learned = [
+            (row.typical, row.skew, row.answers) for row in self.reducer.node.request_stats.classes
+        ]
         self.configure(max_attempts=1)
         node = self.configure(max_attempts=2)
-        self.assertEqual([(row.typical, row.skew, row.answers) for row in node.table], learned)
+        self.assertEqual(
+            [(row.typical, row.skew, row.answers) for row in node.request_stats.classes], learned
+        )
         self.assertEqual(learned[0][2], 10)
         self.assertEqual(sum(map(len, node.pause_forecast.samples)), 8)
         self.assertEqual(self.reducer.older, [])
@@ -622,17 +700,18 @@
         self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
         for each in (first, node):
             self.assertEqual(
-                [each.names[b] for b in each.ranked], [each.names[b] for b in node.ranked]
+                [each.endpoints.names[b] for b in each.ranked],
+                [each.endpoints.names[b] for b in node.ranked],
             )
-            self.assertEqual(sorted(each.names[b] for b in each.ranked), ["b1", "b2"])
-        self.assertEqual(len(first.names), 3)
+            self.assertEqual(sorted(each.endpoints.names[b] for b in each.ranked), ["b1", "b2"])
+        self.assertEqual(len(first.endpoints.names), 3)
 
     def test_a_list_and_settings_in_one_turn(self):
         self.desk.hear(["b0", "b2"], 2)
         node = self.configure(max_attempts=1)
-        self.assertEqual(sorted(node.names[b] for b in node.turn), ["b0", "b2"])
+        self.assertEqual(sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b2"])
         self.desk.hear(["b0", "b1"], 3)
-        self.assertEqual(sorted(node.names[b] for b in node.turn), ["b0", "b1"])
+        self.assertEqual(sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b1"])
 
     def test_before_any_list(self):
         desk = Desk([])
