--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -50,7 +50,7 @@
         (False, [replace(e, started=now + 2 * AFTER) for e in zone]),
     ):
         node.endpoints_updated(now, listed, whole)
-        views.append({node.endpoints.names[b] for b in node.turn})
+        views.append({node.endpoints.names[b] for b in node.rotation.subset})
         now += AFTER
     return views
 
@@ -64,7 +64,7 @@
     """What a backend that is dead and listed gets of one node in a minute, from the second half on."""
     node, now = Balancer(5, replace(terms, node_number=5, may_check_health=probes), NOW), NOW
     node.endpoints_updated(now, entries, True)
-    gone, out, sent, probed, count = node.turn[0], [], 0, 0, 0
+    gone, out, sent, probed, count = node.rotation.subset[0], [], 0, 0, 0
     half, end = NOW + MINUTE * 5000, NOW + MINUTE * 10000
     request_class = terms.request_classes[0]
     while now < end:
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -69,7 +69,10 @@
             self.pauses += 1
             for seat in self.seats:
                 node = getattr(seat, "node", None)
-                if node is not None and (b := node.endpoints.index[self.name]) in node.turn:
+                if (
+                    node is not None
+                    and (b := node.endpoints.index[self.name]) in node.rotation.subset
+                ):
                     self.seen += 1
                     self.forecast += self._expects(node, b)
         if self.by_work:
@@ -92,7 +95,7 @@
 
     def _expects(self, node, b):
         forecast, now = node.pause_forecast.next_pause_at[b], int(self.clock.now)
-        ahead = node.request_stats.classes[0].typical * node.level[b]
+        ahead = node.request_stats.classes[0].typical * node.outliers.latency_level[b]
         return (
             forecast is not None
             and forecast - ahead <= now <= forecast + node.pause_forecast.mean_pause[b]
@@ -120,7 +123,7 @@
     summary = played.play()
     backends = list(played.backends.values())
     asked = summary["per_s"]["asked"]
-    view = [len(seat.node.turn) for seat in played.seats if hasattr(seat, "node")]
+    view = [len(seat.node.rotation.subset) for seat in played.seats if hasattr(seat, "node")]
     return {
         "in time": summary["per_s"]["in_time"] / asked,
         "p99": summary["p99_ms"],
--- a/pierglade/balancer/stored_figures.py
+++ b/pierglade/balancer/stored_figures.py
@@ -1,11 +1,11 @@
 """The figures of a backend that snapshots store: for each stored name, where a balancer keeps it."""
 
-from pierglade.balancer import load_reports, pause_forecast
+from pierglade.balancer import load_reports, outlier_detection, pause_forecast
 
 # Stored name: the balancer's part, its array, and what a new backend begins with.
 STORED_FIGURES = {
-    "level": ("", "level", 1.0),
-    "quick": ("", "quick", 1.0),
+    "level": ("outliers", "latency_level", outlier_detection.INITIAL["latency_level"]),
+    "quick": ("outliers", "recent_level", outlier_detection.INITIAL["recent_level"]),
     "mean_pause": ("pause_forecast", "mean_pause", pause_forecast.INITIAL["mean_pause"]),
     "work": ("pause_forecast", "answered", pause_forecast.INITIAL["answered"]),
     "pauses": ("pause_forecast", "pauses", pause_forecast.INITIAL["pauses"]),
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -15,85 +15,82 @@
 | what a cold backend may be sent | always, by the new span; the earlier one begins at nothing | - |
 """
 
-from pierglade.balancer.balancer import FIRST
+from pierglade.balancer.balancer import Balancer
 from pierglade.balancer.endpoint_stats import KIND_SEEN_WITHIN
 from pierglade.model.endpoint import Endpoint, EndpointState
 
-# Of the node itself, as they are: counts and shares of lately, and the moments that they go with.
-LATELY = (
-    "unsettled",
-    "lost",
-    "drag",
-    "most",
-    "slow_ones",
-    "total",
-    "at",
-)
-ON_THE_RING = ("anchor", "move_at")
 
-
-def take_over(node, before, now):
-    """Gives `node`, which was just made, what `before` knows. Both are told of the list from then on."""
-    terms, were = node.settings, before.settings
-    # Of each row of the new table the one there was, by name.
+def take_over(node: Balancer, before: Balancer, now: int) -> None:
+    """Gives `node`, which was just made, what `before` knows. Both get endpoint lists from then on."""
+    settings, were = node.settings, before.settings
+    # Of each class of the new settings the place it had, by name.
     places = {request_class.name: request_class.index for request_class in were.request_classes}
-    places = [places.get(request_class.name) for request_class in terms.request_classes]
-    same_reports = (terms.load_report_source, terms.load_report_fields) == (
+    places = [places.get(request_class.name) for request_class in settings.request_classes]
+    same_reports = (settings.load_report_source, settings.load_report_fields) == (
         were.load_report_source,
         were.load_report_fields,
     )
-    same_ring = (terms.node_number, terms.node_count) == (were.node_number, were.node_count)
-    _backends(node, before, same_reports)
+    same_nodes = settings.node_count == were.node_count
+    both_learn = node.learns and before.learns
+    _figures(node, before, same_reports)
     _rows(node, before, places)
     node.request_stats.copy_from(before.request_stats)
-    if node.learns and before.learns and same_reports:
+    if both_learn and same_reports:
         node.load_reports.copy_growth(before.load_reports)
         node.health_checks.copy_due(before.health_checks)
-    for name in LATELY + same_ring * ON_THE_RING:
-        setattr(node, name, getattr(before, name))
-    node.ranked, node.turn = before.ranked.copy(), before.turn.copy()
-    node.drags.newest, node.drags.figures = before.drags.newest.copy(), before.drags.figures.copy()
-    same_nodes = terms.node_count == were.node_count
-    if node.learns and before.learns:
-        node.asked, node.in_view = before.asked, before.in_view
+    node.rotation.copy_from(
+        before.rotation, same_nodes and settings.node_number == were.node_number, both_learn
+    )
+    if both_learn:
         if same_nodes:
             node.load_reports.traffic_share = before.load_reports.traffic_share
         node.limit.demand = before.limit.demand
-    same_kind = (node.learns, node.shares) == (before.learns, before.shares)
+    same_kind = (node.learns, node.rotation.has_quotas) == (
+        before.learns,
+        before.rotation.has_quotas,
+    )
     if same_nodes and same_kind and any(place is not None for place in places):
-        node.limit = before.limit.successor(now, places, node.limit.demand)
-    left = [b for b in node.ranked if node.endpoints.left_at[b]] if terms.removal_binds else ()
-    # What was listed as gone and was tried all the same is gone where that binds.
+        node.replace_limit(before.limit.successor(now, places, node.limit.demand))
+    _remove_where_that_binds(node, now)
+    node.wakeup.request(now)
+
+
+def _remove_where_that_binds(node, now):
+    """What was listed as removed and was tried all the same is removed where that binds."""
+    endpoints = node.endpoints
+    left = (
+        [b for b in node.rotation.by_rank if endpoints.left_at[b]]
+        if node.settings.removal_binds
+        else ()
+    )
     node.endpoints_updated(
         now,
         [
             Endpoint(
-                node.endpoints.names[b],
+                endpoints.names[b],
                 EndpointState.REMOVED,
-                node.endpoints.zone[b],
-                node.endpoints.cell[b],
+                endpoints.zone[b],
+                endpoints.cell[b],
                 node.slow_start.started_at[b],
             )
             for b in left
         ],
         False,
     )
-    node.sweep_at = min(node.sweep_at, now)
 
 
-def _backends(node, before, same_reports):
-    count = len(before.endpoints.names)
+def _figures(node, before, same_reports):
+    """What is known of backends, and of all requests together."""
     node.endpoints.copy_from(before.endpoints)
-    node.load_reports.copy_reports(before.load_reports, same_reports)
-    for name, first in FIRST.items():
-        if name == "trials_out":
-            setattr(node, name, [first] * count)
-        else:
-            setattr(node, name, getattr(before, name).copy())
+    node.ejections.copy_from(before.ejections)
+    node.outliers.copy_from(before.outliers)
+    node.selection.copy_from(before.selection)
     node.pause_forecast.copy_from(before.pause_forecast)
     node.slow_start.copy_from(before.slow_start)
+    node.load_reports.copy_reports(before.load_reports, same_reports)
     node.retry_budget.copy_from(before.retry_budget)
-    node.ailing = before.ailing.copy()
+    node.request_costs.copy_from(before.request_costs)
+    node.deadlines.copy_from(before.deadlines)
 
 
 def _rows(node, before, places):
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -90,7 +90,7 @@
         scene.lines = lines
         node = scene.node
         scene.say(
-            f"{sent} sent, {bounced} not; {len(node.turn)} in view, part {node.load_reports.traffic_share:.1f}, room "
+            f"{sent} sent, {bounced} not; {len(node.rotation.subset)} in view, part {node.load_reports.traffic_share:.1f}, room "
             f"{node.load_reports._growth:.1f}, {'rests' if scene.now < node.load_reports._rest_until else 'no rest'}"
         )
 
@@ -191,12 +191,12 @@
                         )
                     if request.completed and not request.in_flight:
                         out.remove(name)
-                marked += bool(scene.node.ailing)
+                marked += bool(scene.node.ejections.ejected)
             scene.lines = lines
             scene.say(
                 f"south {phase}: north {got['north']}, south {got['south']} sent and not at once; "
                 f"usual {scene.node.request_stats.classes[0].typical // MS:.0f} ms, levels "
-                f"{[round(level, 1) for level in scene.node.level]}, some marked {marked * 20} ms"
+                f"{[round(level, 1) for level in scene.node.outliers.latency_level]}, some marked {marked * 20} ms"
             )
         self.check("tenant_slow", scene.lines)
 
@@ -240,10 +240,10 @@
                 scene.take("h", hint=hint and (hint * 6 if heavy else hint))
                 scene.after(240 if heavy else 40)
                 scene.end("h", note=False)
-            marks = [mark for mark in scene.node.trouble]
+            marks = [mark for mark in scene.node.ejections.reason]
             lines.append(
                 f"hints {hint}: {marks}, typical {scene.node.request_stats.classes[0].typical / MS:.0f} ms, levels "
-                + " ".join(f"{level:.2f}" for level in scene.node.level)
+                + " ".join(f"{level:.2f}" for level in scene.node.outliers.latency_level)
             )
         self.check("hints", lines)
 
@@ -259,7 +259,7 @@
                     scene.node.attempt_ended(scene.now, attempt, Outcome.SUCCESS, 40 * MS, True)
             scene.list(["b12"])
             lines.append(
-                f"asked {scene.node.asked * 10000:.0f} a second, a warm one gets "
+                f"asked {scene.node.rotation.request_rate * 10000:.0f} a second, a warm one gets "
                 f"{scene.node.slow_start.warm_rate * 10000:.1f} by what was settled"
             )
         self.check("cold_settled", lines)
@@ -294,9 +294,9 @@
         scene.lines = []
         scene.take("a")
         scene.after(8)
-        scene.say(f"troubles {scene.node.trouble}")
+        scene.say(f"troubles {scene.node.ejections.reason}")
         scene.after(60)
-        scene.say(f"troubles {scene.node.trouble}")
+        scene.say(f"troubles {scene.node.ejections.reason}")
         self.check("grain", scene.lines)
 
     def test_hang_is_no_pause(self):
@@ -313,7 +313,7 @@
                 elif attempt.cancelled:
                     scene.end(name, Outcome.CANCELLED)
         scene.say(
-            f"b1 is {scene.node.trouble[scene.node.endpoints.index['b1']]}, "
+            f"b1 is {scene.node.ejections.reason[scene.node.endpoints.index['b1']]}, "
             f"pauses known: {len(scene.node.pause_forecast.pauses[scene.node.endpoints.index['b1']])}"
         )
         self.check("hang", scene.lines)
@@ -331,14 +331,14 @@
                     scene.after(1)
                 if request.in_flight:
                     scene.end("i", note=False)
-                silent += bool(scene.node.ailing)
+                silent += bool(scene.node.ejections.ejected)
                 scene.after(100)
             # Where work is alike, six times the mean is still silence.
             scene.take("gone")
             scene.after(150)
             told.append(
                 f"spread {spread}: a backend was left out after {silent} of 600 answers; "
-                f"150 ms without one: {[t for t in scene.node.trouble if t]}"
+                f"150 ms without one: {[t for t in scene.node.ejections.reason if t]}"
             )
         self.check("heavy", told)
 
@@ -512,7 +512,7 @@
         node = scene.node
         self.assertLess(len(node.endpoints.names), 9)
         self.assertEqual(len(node.endpoints.index), len(node.endpoints.names))
-        self.assertLess(len(node.ailing), 9)
+        self.assertLess(len(node.ejections.ejected), 9)
 
     def test_what_all_backends_lose_alike_leaves_none_out(self):
         """Resets and spoilt answers at every backend; one that loses nearly all is found all the same."""
@@ -529,7 +529,9 @@
                     Outcome.CONNECTION_RESET if chance() < lost.get(at, 0.12) else Outcome.SUCCESS,
                     note=False,
                 )
-            out.update((n // 401, scene.node.endpoints.names[b]) for b in scene.node.ailing)
+            out.update(
+                (n // 401, scene.node.endpoints.names[b]) for b in scene.node.ejections.ejected
+            )
             if n == 400:
                 lost["b2"] = 0.95
         self.assertEqual(out, {(1, "b2")})
@@ -561,13 +563,17 @@
         b = scene.node.endpoints.index["b1"]
         scene.flow(90, took=8)
         scene.flow(12, slow=("b1",), took=8, slow_took=47)
-        scene.say(f"b1 is {scene.node.trouble[b]}, slow ones: {scene.node.slow_ones}")
+        scene.say(
+            f"b1 is {scene.node.ejections.reason[b]}, slow ones: {scene.node.ejections.slow_count}"
+        )
         scene.list([listed("b1", EndpointState.REMOVED)])
-        scene.say(f"b1 is {scene.node.endpoints.state[b]}, slow ones: {scene.node.slow_ones}")
+        scene.say(
+            f"b1 is {scene.node.endpoints.state[b]}, slow ones: {scene.node.ejections.slow_count}"
+        )
         scene.after(61000)
         scene.list(["b2"])
         scene.say(
-            f"b2 has the index of b1: {scene.node.endpoints.index['b2'] == b}, trouble: {scene.node.trouble[b]}"
+            f"b2 has the index of b1: {scene.node.endpoints.index['b2'] == b}, trouble: {scene.node.ejections.reason[b]}"
         )
         scene.flow(4)
         self.check("slow_and_gone", scene.lines)
@@ -627,7 +633,7 @@
                     len(lost) == 1
                     and request.request_class.idempotency == Idempotency.SAFE
                     and 2 * spent < allowed
-                    and not scene.node._hopeless(request, scene.now)
+                    and not scene.node.deadlines.is_hopeless(request, scene.now)
                 )
                 return final(request)
 
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -4,8 +4,17 @@
 import unittest
 from dataclasses import replace
 
-from pierglade.balancer import endpoint_stats, load_reports, pause_forecast, slow_start
-from pierglade.balancer.balancer import COUNTED, FIRST, SLOW, Balancer
+from pierglade.balancer import (
+    ejections,
+    endpoint_stats,
+    load_reports,
+    outlier_detection,
+    pause_forecast,
+    slow_start,
+)
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY
+from pierglade.balancer.outlier_detection import SLOW
 from pierglade.model.decision import (
     CancelAttempt,
     CheckHealth,
@@ -161,21 +170,28 @@
 
     def check(self, node):
         equal, all_of = self.case.assertEqual, range(len(node.endpoints.names))
-        equal({len(getattr(node, name)) for name in FIRST}, {len(node.endpoints.names)})
+        equal(len(node.selection.turn_credit), len(node.endpoints.names))
         for part, names in (
             (node.pause_forecast, pause_forecast.INITIAL),
             (node.slow_start, slow_start.INITIAL),
             (node.endpoints, endpoint_stats.INITIAL),
+            (node.ejections, ejections.INITIAL),
+            (node.outliers, outlier_detection.INITIAL),
             (node.load_reports, load_reports.INITIAL),
         ):
             equal({len(getattr(part, name)) for name in names}, {len(node.endpoints.names)})
         equal(
-            sorted(node.ranked),
+            sorted(node.rotation.by_rank),
             [b for b in all_of if node.endpoints.state[b] == EndpointState.READY],
         )
-        equal(node.ranked, sorted(node.ranked, key=node.endpoints.rank.__getitem__))
-        self.case.assertAlmostEqual(node.total, sum(node.endpoints.size[b] for b in node.ranked))
-        self.case.assertLessEqual(set(node.turn), set(node.ranked))
+        equal(
+            node.rotation.by_rank,
+            sorted(node.rotation.by_rank, key=node.endpoints.rank.__getitem__),
+        )
+        self.case.assertAlmostEqual(
+            node.rotation.total_size, sum(node.endpoints.size[b] for b in node.rotation.by_rank)
+        )
+        self.case.assertLessEqual(set(node.rotation.subset), set(node.rotation.by_rank))
         equal(
             sorted(node.endpoints.removed),
             [b for b in all_of if node.endpoints.state[b] == EndpointState.REMOVED],
@@ -184,11 +200,18 @@
             {b: name for name, b in node.endpoints.index.items()},
             dict(enumerate(node.endpoints.names)),
         )
-        equal(node.slow_ones, sum(trouble is SLOW for trouble in node.trouble))
-        equal(sorted(node.ailing), [b for b in all_of if node.trouble[b] is not None])
+        equal(node.ejections.slow_count, sum(trouble is SLOW for trouble in node.ejections.reason))
+        equal(
+            sorted(node.ejections.ejected),
+            [b for b in all_of if node.ejections.reason[b] is not None],
+        )
         equal(
             node.limit.in_flight,
-            sum(len(attempts) for b, attempts in node.flying.items() if node.trouble[b] in COUNTED),
+            sum(
+                len(attempts)
+                for b, attempts in node.ejections.in_flight.items()
+                if node.ejections.reason[b] in COUNTS_TOWARD_CAPACITY
+            ),
         )
         trials = [
             attempt.backend
@@ -197,7 +220,7 @@
             for attempt in each.attempts
             if attempt.is_trial and attempt.outcome is None
         ]
-        equal(node.trials_out, [trials.count(b) for b in all_of])
+        equal(node.ejections.trials_in_flight, [trials.count(b) for b in all_of])
         equal(
             {len(node.limit.missing), len(node.limit.base), len(node.limit.answers)},
             {len(node.request_stats.classes)},
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -96,7 +96,7 @@
         self.heard = []  # when each call began, and when its last piece came
         self.desk = Desk(("b0", "b1"), polls_endpoints=asked)
         node = self.desk.reducer.node
-        node.pick = node.polling.pick = mock.Mock(
+        node.pick = node.polling.pick = node.rotation.pick = mock.Mock(
             side_effect=lambda most: most - 1 if seed is None else seed * most // 4
         )
         self.desk.reducer.index = 7
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -126,8 +126,8 @@
         desk.tell(ev.CLIENT_ENDED, desk.clients["c0"], "client closed")
         desk.lose(ev.CUT, whole=False)
         desk.say(
-            f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.trouble}, "
-            f"errors {desk.reducer.node.errors}"
+            f"open {desk.reducer.open}, out {len(desk.reducer.carried)}, {desk.reducer.node.ejections.reason}, "
+            f"errors {desk.reducer.node.outliers.error_rate}"
         )
         self.check("large_left", lines + desk.lines)
 
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -84,9 +84,11 @@
         def leaves(count):
             node = Balancer(4, balancer_settings(tenants=TenantRegistry()), 0)
             node.endpoints_updated(0, fleet(0, count), True)
-            node.at = count - 1
+            node.rotation.position = count - 1
             node.endpoints_updated(
-                1, [listed(node.endpoints.names[node.turn[-1]], EndpointState.REMOVED)], False
+                1,
+                [listed(node.endpoints.names[node.rotation.subset[-1]], EndpointState.REMOVED)],
+                False,
             )
             return lambda: node.endpoints_updated(
                 2, [listed(f"b{n}", EndpointState.REMOVED) for n in range(count // 2)], False
@@ -115,7 +117,7 @@
         )
         self.assertNotIn("b1", node.endpoints.index)
         self.assertEqual(
-            sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b2", "c0", "c1"]
+            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b2", "c0", "c1"]
         )
 
     def test_what_came_back_keeps_its_own(self):
@@ -173,21 +175,23 @@
         scene.after(FORGOTTEN)
         scene.list([f"c{n}" for n in range(400)], whole=True)
         self.assertEqual(
-            (len(node.endpoints.names), len(node.ranked), len(node.endpoints.index)),
+            (len(node.endpoints.names), len(node.rotation.by_rank), len(node.endpoints.index)),
             (400, 400, 400),
         )
         self.assertEqual(sorted(node.endpoints.index.values()), list(range(400)))
         self.assertEqual(len(node.endpoints.removed), 0)
-        self.assertEqual([node.endpoints.rank[b] for b in node.ranked], sorted(node.endpoints.rank))
+        self.assertEqual(
+            [node.endpoints.rank[b] for b in node.rotation.by_rank], sorted(node.endpoints.rank)
+        )
 
     def test_half_replaced_leaves_the_rest_in_its_order(self):
         scene, node = self.scene(300)
         scene.list([f"b{n}" for n in range(150, 450)], whole=True)
         self.assertEqual(
-            sorted(node.endpoints.names[b] for b in node.ranked),
+            sorted(node.endpoints.names[b] for b in node.rotation.by_rank),
             sorted(f"b{n}" for n in range(150, 450)),
         )
-        ranks = [node.endpoints.rank[b] for b in node.ranked]
+        ranks = [node.endpoints.rank[b] for b in node.rotation.by_rank]
         self.assertEqual(ranks, sorted(ranks))
 
 
@@ -287,7 +291,7 @@
     def test_left_out_and_back_as_it_was(self):
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3"]), [("b4", EndpointState.REMOVED)])
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(self.desk.reducer.node.ranked), 5)
+        self.assertEqual(len(self.desk.reducer.node.rotation.by_rank), 5)
         self.assertEqual(len(self.desk.reducer.gone), 0)
 
     def test_named_twice_the_last_word_holds(self):
@@ -302,7 +306,7 @@
             self.assertEqual(
                 backend.state, EndpointState.READY if ready else EndpointState.DRAINING
             )
-            self.assertEqual(len(self.desk.reducer.node.ranked), 5 if ready else 4)
+            self.assertEqual(len(self.desk.reducer.node.rotation.by_rank), 5 if ready else 4)
 
     def test_refused_nothing_of_it_is_applied(self):
         """Also where the fault stands behind a good difference, or in one that is equal but for it."""
@@ -333,11 +337,11 @@
         self.told = Told(self.desk.reducer.node)
         self.hear(["b0", "b1", "b2", "b3"])
         self.assertEqual(
-            [older.endpoints.state[older.endpoints.index["b4"]], len(older.ranked)],
+            [older.endpoints.state[older.endpoints.index["b4"]], len(older.rotation.by_rank)],
             [EndpointState.REMOVED, 4],
         )
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(older.ranked), 5)
+        self.assertEqual(len(older.rotation.by_rank), 5)
 
     def test_forgotten_in_time_and_not_while_it_has_links(self):
         reducer = self.desk.reducer
@@ -405,7 +409,7 @@
         desk.reducer.backends = Unwalked(desk.reducer.backends)
         for state in ("DRAINING", "DELETED", "SERVING"):
             self.tell(desk, [entry("b7", state)], False)
-        self.assertEqual(len(desk.reducer.node.ranked), 30)
+        self.assertEqual(len(desk.reducer.node.rotation.by_rank), 30)
 
     def test_the_whole_again_costs_little_of_the_first(self):
         endpoints = [entry(f"b{n}") for n in range(4000)]
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -290,7 +290,7 @@
     def test_one_share_changes(self):
         """What was learned stays, as the node does; what was taken keeps the share of then."""
         before = self.ask("c0", "north", "/pay")
-        self.first.level[0] = 1.7
+        self.first.outliers.latency_level[0] = 1.7
         self.configure({"north": 5.0, "south": 500.0})
         after = self.ask("c1", "north")
         self.assertEqual(
@@ -299,8 +299,11 @@
         self.assertEqual(
             [before.owner, after.owner, self.reducer.older], [self.first, self.first, []]
         )
-        self.assertEqual((self.first.level[0], self.first.asked), (1.7, 505.0 / 10000))
-        self.assertEqual(self.first.limit.demand, self.first.asked)
+        self.assertEqual(
+            (self.first.outliers.latency_level[0], self.first.rotation.request_rate),
+            (1.7, 505.0 / 10000),
+        )
+        self.assertEqual(self.first.limit.demand, self.first.rotation.request_rate)
         self.assertEqual(after.tenant.rate, 2.0)
 
     def test_shares_shrink_while_much_is_owed(self):
@@ -342,12 +345,12 @@
     def test_the_first_share_and_the_last_begin_anew(self):
         self.configure({})
         self.assertIsNot(self.reducer.node, self.first)
-        self.assertFalse(self.reducer.node.shares)
+        self.assertFalse(self.reducer.node.rotation.has_quotas)
         second = self.reducer.node
         self.configure({"north": 0.0})  # a tenant without a share: as before
         self.assertIs(self.reducer.node, second)
         self.configure({"north": 3.0})
-        self.assertTrue(self.reducer.node.shares)
+        self.assertTrue(self.reducer.node.rotation.has_quotas)
 
     def test_other_settings_with_other_shares(self):
         """Both at once: the earlier node ends what it took, the next one knows who asks how much."""
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -6,8 +6,16 @@
 from collections import OrderedDict, deque
 from dataclasses import replace
 
-from pierglade.balancer import endpoint_stats, load_reports, pause_forecast, slow_start
-from pierglade.balancer.balancer import FAILING, FIRST, SILENCE, SLOW, Balancer
+from pierglade.balancer import (
+    ejections,
+    endpoint_stats,
+    load_reports,
+    outlier_detection,
+    pause_forecast,
+    slow_start,
+)
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.ejections import Ejections
 from pierglade.balancer.endpoint_stats import (
     INITIAL_LATENCY,
     EndpointStats,
@@ -16,10 +24,17 @@
 )
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.load_reports import LoadReports
+from pierglade.balancer.outlier_detection import FAILING, SLOW, UNRESPONSIVE, OutlierDetection
 from pierglade.balancer.pause_forecast import PauseForecast
+from pierglade.balancer.pending_decisions import PendingDecisions
 from pierglade.balancer.polling import PollSchedule
-from pierglade.balancer.retry import RetryBudget
+from pierglade.balancer.request_cost import RequestCosts
+from pierglade.balancer.request_queue import RequestQueue
+from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
+from pierglade.balancer.rotation import Rotation
+from pierglade.balancer.selection import Selection
 from pierglade.balancer.slow_start import SlowStart
+from pierglade.balancer.wakeup import Wakeup
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import SendAttempt
 from pierglade.model.endpoint import EndpointState, LoadReport, LoadReportSource
@@ -32,6 +47,16 @@
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
 PARTS = (
+    Ejections,
+    OutlierDetection,
+    PendingDecisions,
+    RequestCosts,
+    RequestDeadlines,
+    RequestQueue,
+    RetryRules,
+    Rotation,
+    Selection,
+    Wakeup,
     EndpointStats,
     HealthChecks,
     LoadReports,
@@ -115,7 +140,7 @@
                     node = scene.node
                     for name, b in node.endpoints.index.items():
                         scene.say(
-                            f"{name} {node.level[b]:.6f} {node.pause_forecast.next_pause_at[b]} {node.trouble[b]}"
+                            f"{name} {node.outliers.latency_level[b]:.6f} {node.pause_forecast.next_pause_at[b]} {node.ejections.reason[b]}"
                         )
                 lines.append(scene.lines)
             self.assertEqual(*lines)
@@ -125,12 +150,11 @@
         learn_pauses(scene)
         before = changed(scene, worst_class_weight=0.5)
         node = scene.node
-        for name in FIRST:
-            self.assertEqual(
-                list(getattr(node, name)),
-                list(getattr(before, name)),
-                name,
-            )
+        for name in ejections.INITIAL:
+            self.assertEqual(getattr(node.ejections, name), getattr(before.ejections, name), name)
+        for name in outlier_detection.INITIAL:
+            self.assertEqual(getattr(node.outliers, name), getattr(before.outliers, name), name)
+        self.assertEqual(node.selection.turn_credit, before.selection.turn_credit)
         for name in pause_forecast.INITIAL:
             self.assertEqual(
                 getattr(node.pause_forecast, name), getattr(before.pause_forecast, name), name
@@ -161,19 +185,20 @@
             (before.limit.each, before.limit.base, before.limit.answers, 0),
         )
         self.assertEqual(
-            (node.turn, node.ranked, node.anchor), (before.turn, before.ranked, before.anchor)
+            (node.rotation.subset, node.rotation.by_rank, node.rotation.anchor),
+            (before.rotation.subset, before.rotation.by_rank, before.rotation.anchor),
         )
         self.assertEqual(
             (
-                node.lost,
-                node.drag,
+                node.outliers.loss_rate,
+                node.request_costs.median_slowness,
                 node.request_stats.succeeded,
                 node.request_stats.span,
                 node.request_stats.received,
             ),
             (
-                before.lost,
-                before.drag,
+                before.outliers.loss_rate,
+                before.request_costs.median_slowness,
                 before.request_stats.succeeded,
                 before.request_stats.span,
                 before.request_stats.received,
@@ -202,30 +227,37 @@
         before = changed(scene, max_retry_after=1)
         node, kept = (
             scene.node,
-            [list(map(len, scene.node.pause_forecast.samples)), list(scene.node.level)],
+            [
+                list(map(len, scene.node.pause_forecast.samples)),
+                list(scene.node.outliers.latency_level),
+            ],
         )
         for request in out:
             before.attempt_ended(
                 scene.now + 300 * MS, request.attempts[0], Outcome.SUCCESS, 300 * MS, True
             )
-        self.assertEqual([list(map(len, node.pause_forecast.samples)), list(node.level)], kept)
+        self.assertEqual(
+            [list(map(len, node.pause_forecast.samples)), list(node.outliers.latency_level)], kept
+        )
         self.assertEqual(
             [len(times) + 1 for times in node.pause_forecast.samples],
             list(map(len, before.pause_forecast.samples)),
         )
-        learned = list(before.level)
+        learned = list(before.outliers.latency_level)
         scene.flow(10)
-        self.assertEqual(list(before.level), learned)
-        self.assertEqual((before.limit.in_flight, before.flying, node.limit.in_flight), (0, {}, 0))
+        self.assertEqual(list(before.outliers.latency_level), learned)
+        self.assertEqual(
+            (before.limit.in_flight, before.ejections.in_flight, node.limit.in_flight), (0, {}, 0)
+        )
 
     def test_a_backend_in_trouble_stays_left_out_and_gets_its_trial(self):
-        for what in (FAILING, SILENCE):
+        for what in (FAILING, UNRESPONSIVE):
             with self.subTest(what):
                 scene = Scene(["b0", "b1", "b2"], dead=("b1",))
                 scene.flow(30)
                 b = scene.node.endpoints.index["b1"]
                 if what is FAILING:
-                    while scene.node.trouble[b] is None:
+                    while scene.node.ejections.reason[b] is None:
                         request = scene.take("i")
                         at_b1 = request.attempts and request.attempts[-1].backend == b
                         scene.after(5)
@@ -235,54 +267,66 @@
                         scene.after(5)
                         scene.end("i")
                     scene.after(950)
-                self.assertIs(scene.node.trouble[b], what)
+                self.assertIs(scene.node.ejections.reason[b], what)
                 before = changed(scene, max_retry_after=1)
-                self.assertIs(scene.node.trouble[b], what)
+                self.assertIs(scene.node.ejections.reason[b], what)
                 scene.lines = []
                 scene.flow(20)
                 self.assertNotIn(" b1", scene.lines[-1])
                 scene.dead = ()
                 scene.lines = []
                 for _ in range(30):
-                    if not scene.node.trouble[b]:
+                    if not scene.node.ejections.reason[b]:
                         break
                     scene.take("t")
                     scene.after(150)
                     if scene.requests["t"].attempts[-1].outcome is None:
                         scene.end("t")
-                self.assertIsNone(scene.node.trouble[b])
+                self.assertIsNone(scene.node.ejections.reason[b])
                 self.assertTrue(any("as a trial" in line for line in scene.lines))
-                self.assertEqual(scene.node.trials_out[b], 0)
-                self.assertIs(before.trouble[b], what)
+                self.assertEqual(scene.node.ejections.trials_in_flight[b], 0)
+                self.assertIs(before.ejections.reason[b], what)
 
     def test_a_trial_that_is_out_at_the_earlier_one(self):
         """It is not waited for here: the next one comes when it is due."""
         scene = Scene(["b0", "b1"], may_check_health=False)
         scene.flow(30)
         node, b = scene.node, scene.node.endpoints.index["b1"]
-        node._begin(b, FAILING, scene.now)
+        node.outliers.eject(b, FAILING, scene.now)
         scene.after(160)
         while not (trial := scene.take("t")).attempts[-1].is_trial:
             scene.after(5)
             scene.end("t")
-        self.assertEqual(node.trials_out[b], 1)
+        self.assertEqual(node.ejections.trials_in_flight[b], 1)
         before = changed(scene, max_retry_after=1)
-        self.assertEqual((scene.node.trials_out[b], scene.node.trial_due[b]), (0, False))
+        self.assertEqual(
+            (scene.node.ejections.trials_in_flight[b], scene.node.ejections.trial_due[b]),
+            (0, False),
+        )
         scene.after(1000)
-        self.assertTrue(scene.node.trial_due[b])
+        self.assertTrue(scene.node.ejections.trial_due[b])
         before.attempt_ended(scene.now, trial.attempts[0], Outcome.SUCCESS, 20 * MS, True)
-        self.assertEqual((before.trials_out[b], scene.node.trials_out[b]), (0, 0))
+        self.assertEqual(
+            (before.ejections.trials_in_flight[b], scene.node.ejections.trials_in_flight[b]), (0, 0)
+        )
 
     def test_slow_ones_count_and_their_rest_ends(self):
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(60)
         b = scene.node.endpoints.index["b1"]
-        scene.node._begin(b, SLOW, scene.now)
+        scene.node.outliers.eject(b, SLOW, scene.now)
         changed(scene, max_retry_after=1)
-        self.assertEqual((scene.node.slow_ones, list(scene.node.ailing)), (1, [b]))
+        self.assertEqual(
+            (scene.node.ejections.slow_count, list(scene.node.ejections.ejected)), (1, [b])
+        )
         scene.after(6000)
         self.assertEqual(
-            (scene.node.slow_ones, scene.node.ailing, scene.node.trouble[b]), (0, {}, None)
+            (
+                scene.node.ejections.slow_count,
+                scene.node.ejections.ejected,
+                scene.node.ejections.reason[b],
+            ),
+            (0, {}, None),
         )
 
     def test_back_to_the_older_settings(self):
@@ -292,8 +336,8 @@
         changed(scene, max_attempts=1)
         scene.flow(20, slow=("b2",), slow_took=30)
         second = changed(scene)
-        self.assertEqual(scene.node.level, second.level)
-        self.assertNotEqual(scene.node.level, first.level)
+        self.assertEqual(scene.node.outliers.latency_level, second.outliers.latency_level)
+        self.assertNotEqual(scene.node.outliers.latency_level, first.outliers.latency_level)
         self.assertEqual(scene.node.pause_forecast.pauses, second.pause_forecast.pauses)
         self.assertGreaterEqual(
             min(map(len, filter(None, second.pause_forecast.pauses))),
@@ -430,31 +474,31 @@
             fresh = Scene(names, tenants=shares, **settings).node
             # At once to the even place: one by one it would be there after minutes.
             self.assertEqual(
-                set(scene.node.endpoints.names[b] for b in scene.node.turn),
-                set(fresh.endpoints.names[b] for b in fresh.turn),
+                set(scene.node.endpoints.names[b] for b in scene.node.rotation.subset),
+                set(fresh.endpoints.names[b] for b in fresh.rotation.subset),
             )
             self.assertEqual(scene.node.limit.nodes, settings["node_count"])
             self.assertEqual(
                 scene.node.limit.answers == before.limit.answers,
                 settings["node_count"] == before.settings.node_count,
             )
-            self.assertEqual(scene.node.level, before.level)
+            self.assertEqual(scene.node.outliers.latency_level, before.outliers.latency_level)
 
     def test_the_same_place_is_kept_on_the_way_to_the_even_one(self):
         shares = TenantRegistry({"north": 200.0})
         scene = Scene([f"b{n}" for n in range(100)], node_count=10, node_number=5, tenants=shares)
         scene.after(100)
         scene.list([listed(f"b{n}", EndpointState.REMOVED) for n in range(30)])
-        view = list(scene.node.turn)
+        view = list(scene.node.rotation.subset)
         changed(scene, node_count=10, node_number=5, tenants=shares, max_retry_after=1)
-        self.assertEqual(scene.node.turn, view)
+        self.assertEqual(scene.node.rotation.subset, view)
         scene.after(30000)
         fresh = Scene(
             [f"b{n}" for n in range(30, 100)], node_count=10, node_number=5, tenants=shares
         ).node
         self.assertNotEqual(
             [scene.node.endpoints.names[b] for b in view],
-            [fresh.endpoints.names[b] for b in fresh.turn],
+            [fresh.endpoints.names[b] for b in fresh.rotation.subset],
         )
 
     def test_other_shares_only_move_the_view(self):
@@ -464,8 +508,10 @@
         before = changed(
             scene, node_count=10, node_number=3, tenants=TenantRegistry({"north": 400.0})
         )
-        self.assertEqual(scene.node.turn[: len(before.turn)], before.turn)
-        self.assertEqual(len(scene.node.turn), 2 * len(before.turn))
+        self.assertEqual(
+            scene.node.rotation.subset[: len(before.rotation.subset)], before.rotation.subset
+        )
+        self.assertEqual(len(scene.node.rotation.subset), 2 * len(before.rotation.subset))
         self.assertEqual(
             (scene.node.limit.demand, scene.node.limit.answers),
             (2 * before.limit.demand, before.limit.answers),
@@ -479,22 +525,27 @@
         shares = dict(node_count=70, tenants=TenantRegistry({"north": 500.0}))
         scene = Scene(names, **shares)
         scene.flow(60)
-        level = list(scene.node.level)
+        level = list(scene.node.outliers.latency_level)
         before = changed(scene, **learned)
         fresh = Scene(names, **learned).node
-        self.assertEqual((scene.node.level, scene.node.limit.answers), (level, [0, 0, 0]))
-        self.assertEqual((scene.node.in_view, scene.node.asked), (fresh.in_view, fresh.asked))
+        self.assertEqual(
+            (scene.node.outliers.latency_level, scene.node.limit.answers), (level, [0, 0, 0])
+        )
+        self.assertEqual(
+            (scene.node.rotation.subset_size, scene.node.rotation.request_rate),
+            (fresh.rotation.subset_size, fresh.rotation.request_rate),
+        )
         scene.node.load_reports.traffic_share = 3.0
         scene.flow(60)
         before = changed(scene, max_retry_after=1, **learned)
         self.assertEqual(
             (
                 scene.node.load_reports.traffic_share,
-                scene.node.in_view,
-                scene.node.asked,
+                scene.node.rotation.subset_size,
+                scene.node.rotation.request_rate,
                 scene.node.limit.each,
             ),
-            (3.0, before.in_view, before.asked, before.limit.each),
+            (3.0, before.rotation.subset_size, before.rotation.request_rate, before.limit.each),
         )
         self.assertGreater(sum(scene.node.limit.answers), 0)
         changed(scene, **shares)
@@ -585,11 +636,11 @@
         scene = Scene(["b0", "b1", "b2"], removal_binds=False)
         scene.flow(30)
         scene.list([listed("b1", EndpointState.REMOVED)])
-        self.assertEqual(len(scene.node.ranked), 3)
+        self.assertEqual(len(scene.node.rotation.by_rank), 3)
         changed(scene, removal_binds=False, max_retry_after=1)
-        self.assertEqual(len(scene.node.ranked), 3)
+        self.assertEqual(len(scene.node.rotation.by_rank), 3)
         before = changed(scene, removal_binds=True)
-        self.assertEqual((len(scene.node.ranked), len(before.ranked)), (2, 3))
+        self.assertEqual((len(scene.node.rotation.by_rank), len(before.rotation.by_rank)), (2, 3))
         self.assertEqual(
             scene.node.endpoints.state[scene.node.endpoints.index["b1"]], EndpointState.REMOVED
         )
@@ -700,24 +751,30 @@
         self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
         for each in (first, node):
             self.assertEqual(
-                [each.endpoints.names[b] for b in each.ranked],
-                [each.endpoints.names[b] for b in node.ranked],
+                [each.endpoints.names[b] for b in each.rotation.by_rank],
+                [each.endpoints.names[b] for b in node.rotation.by_rank],
+            )
+            self.assertEqual(
+                sorted(each.endpoints.names[b] for b in each.rotation.by_rank), ["b1", "b2"]
             )
-            self.assertEqual(sorted(each.endpoints.names[b] for b in each.ranked), ["b1", "b2"])
         self.assertEqual(len(first.endpoints.names), 3)
 
     def test_a_list_and_settings_in_one_turn(self):
         self.desk.hear(["b0", "b2"], 2)
         node = self.configure(max_attempts=1)
-        self.assertEqual(sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b2"])
+        self.assertEqual(
+            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b2"]
+        )
         self.desk.hear(["b0", "b1"], 3)
-        self.assertEqual(sorted(node.endpoints.names[b] for b in node.turn), ["b0", "b1"])
+        self.assertEqual(
+            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b1"]
+        )
 
     def test_before_any_list(self):
         desk = Desk([])
         desk.tell(ev.CONFIGURED, "", {"settings": 1}, balancer_settings(max_attempts=1))
         desk.hear(["b0"], 1)
-        self.assertEqual(len(desk.reducer.node.turn), 1)
+        self.assertEqual(len(desk.reducer.node.rotation.subset), 1)
 
 
 class Cost(unittest.TestCase):
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -137,9 +137,9 @@
         b, row = node.endpoints.index["b0"], node.request_stats.classes[0]
         return (
             f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
-            f"{node.level[b]:.2f}, pause {node.pause_forecast.mean_pause[b]}, "
+            f"{node.outliers.latency_level[b]:.2f}, pause {node.pause_forecast.mean_pause[b]}, "
             f"due {node.pause_forecast.next_pause_answered[b]} at work {node.pause_forecast.answered[b]}, "
-            f"usual {node.load_reports.baseline_throughput[b]:g} of {node.load_reports.baseline_reports[b]}; trouble {node.trouble[b]}"
+            f"usual {node.load_reports.baseline_throughput[b]:g} of {node.load_reports.baseline_reports[b]}; trouble {node.ejections.reason[b]}"
         )
 
     def test_by_age_and_by_what_it_tells_of(self):
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -127,10 +127,10 @@
                 self.now += 5000 * MS
                 self.tell(nodes, [])
             if n in (-1, 11, 23, 35, 75):
-                held = [{node.endpoints.names[b] for b in node.turn} for node in nodes]
+                held = [{node.endpoints.names[b] for b in node.rotation.subset} for node in nodes]
                 seen = [
                     sum(nodes[0].endpoints.names[b] in view for view in held)
-                    for b in nodes[0].ranked
+                    for b in nodes[0].rotation.by_rank
                 ]
                 moved = sum(len(view - old) for view, old in zip(held, before))
                 lines.append(
@@ -143,11 +143,11 @@
     def test_a_dead_backend_is_not_asked_by_all_at_once(self):
         """Each node probes what it lost; the rate that the backend sees is bounded, and it is found soon."""
         seers, found = (
-            [node for node in self.nodes() if node.endpoints.index["b7"] in node.turn],
+            [node for node in self.nodes() if node.endpoints.index["b7"] in node.rotation.subset],
             {},
         )
         for node in seers:
-            node._begin(node.endpoints.index["b7"], EjectionReason.FAILING, self.now)
+            node.outliers.eject(node.endpoints.index["b7"], EjectionReason.FAILING, self.now)
 
         def probe(node, decision):
             away = self.now - self.begin - 10000 * MS
@@ -171,7 +171,7 @@
         three times what it can do for 2 s, by all nodes together, one falls over."""
         nodes, lines = self.nodes(slow_start_capacity=0.36, slow_start_overload=3.0), []
         self.tell(nodes, [listed("cold", started=self.now)])
-        seers = [node for node in nodes if node.endpoints.index["cold"] in node.turn]
+        seers = [node for node in nodes if node.endpoints.index["cold"] in node.rotation.subset]
         warm = nodes[0].slow_start.warm_rate * nodes[0].endpoints.size[0] * 10000 * len(seers)
         for second in range(8):  # Each sends all that it may, as with work waiting all the time.
             sent = 0
@@ -181,7 +181,11 @@
                 for node in seers:
                     cold = node.endpoints.index["cold"]
                     if node.slow_start.allows(
-                        cold, self.now, node.endpoints.size[cold], len(node.ranked), len(node.turn)
+                        cold,
+                        self.now,
+                        node.endpoints.size[cold],
+                        len(node.rotation.by_rank),
+                        len(node.rotation.subset),
                     ):
                         node.slow_start.attempt_sent(cold, self.now)
                         sent += 1
