--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -9,19 +9,19 @@
 
 import random
 from collections.abc import Iterable
-from heapq import heappop
 from typing import NamedTuple
 
-from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY, Ejections
+from pierglade.balancer.dispatch import Dispatch
+from pierglade.balancer.ejections import Ejections
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.load_reports import LoadReports
-from pierglade.balancer.outlier_detection import UNRESPONSIVE_LEAST, OutlierDetection
+from pierglade.balancer.outlier_detection import OutlierDetection
 from pierglade.balancer.pause_forecast import PauseForecast
 from pierglade.balancer.pending_decisions import PendingDecisions
 from pierglade.balancer.polling import PollSchedule
 from pierglade.balancer.request_cost import RequestCosts
-from pierglade.balancer.request_queue import OVERLOADED_FROM, PATIENCE, RequestQueue
+from pierglade.balancer.request_queue import OVERLOADED_FROM, RequestQueue
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
 from pierglade.balancer.rotation import RATE_LEAST, Rotation
 from pierglade.balancer.selection import Selection
@@ -30,11 +30,9 @@
 from pierglade.balancer.wakeup import NEVER, SWEEP_INTERVAL, Wakeup
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import (
-    CheckHealth,
-    FailRequest,
+    Decision,
     PollEndpoints,
     RejectRequest,
-    SendAttempt,
 )
 from pierglade.model.endpoint import (
     EjectionReason,
@@ -180,10 +178,27 @@
             self.retry_rules,
         )
 
+        self.dispatch = Dispatch(
+            self.limit,
+            self.wakeup,
+            self.pending,
+            self.queue,
+            self.deadlines,
+            self.retry_budget,
+            self.retry_rules,
+            self.selection,
+            self.rotation,
+            self.ejections,
+            self.slow_start,
+            self.health_checks,
+            self.load_reports,
+            self.request_stats,
+        )
+
     def replace_limit(self, limit: ConcurrencyLimiter) -> None:
         """All parts go on with that limiter (`pierglade/snapshot/handover.py`)."""
         self.limit = self.ejections.limit = self.rotation.limit = limit
-        self.outliers.limit = self.selection.limit = limit
+        self.outliers.limit = self.selection.limit = self.dispatch.limit = limit
 
     # What hosts and operators may ask.
 
@@ -198,25 +213,28 @@
 
     def endpoint_status(self, name: str, now: int) -> EndpointStatus | None:
         """What is known of the backend of that name; None if nothing is."""
-        b = self.endpoints.index.get(name)
-        if b is None:
+        backend = self.endpoints.index.get(name)
+        if backend is None:
             return None
-        forecast, level = self.pause_forecast.next_pause_at[b], self.outliers.latency_level[b]
+        forecast, level = (
+            self.pause_forecast.next_pause_at[backend],
+            self.outliers.latency_level[backend],
+        )
         is_pausing = forecast is not None and (
             forecast - SKIPPED_BEFORE_PAUSE * level
             <= now
-            <= forecast + self.pause_forecast.mean_pause[b]
+            <= forecast + self.pause_forecast.mean_pause[backend]
         )
         return EndpointStatus(
-            zone=self.endpoints.zone[b],
-            is_in_subset=b in self.rotation.subset,
-            in_flight=len(self.ejections.in_flight.get(b, ())),
-            ejection_reason=self.ejections.reason[b],
+            zone=self.endpoints.zone[backend],
+            is_in_subset=backend in self.rotation.subset,
+            in_flight=len(self.ejections.in_flight.get(backend, ())),
+            ejection_reason=self.ejections.reason[backend],
             is_pausing=is_pausing,
             next_pause_at=forecast,
             latency_level=level,
-            is_in_slow_start=now < self.slow_start.until[b],
-            answered=self.pause_forecast.answered[b],
+            is_in_slow_start=now < self.slow_start.until[backend],
+            answered=self.pause_forecast.answered[backend],
         )
 
     def queue_length(self) -> int:
@@ -234,9 +252,9 @@
         """
         endpoints, arrays = self.endpoints, {key: self._figures(key) for key in keys}
         return [vars(each) for each in self.request_stats.classes], {
-            name: {key: array[b] for key, array in arrays.items()}
-            for name, b in endpoints.index.items()
-            if endpoints.state[b] == EndpointState.READY
+            name: {key: array[backend] for key, array in arrays.items()}
+            for name, backend in endpoints.index.items()
+            if endpoints.state[backend] == EndpointState.READY
         }
 
     def restore_statistics(self, rows: list[dict], backends: dict[str, dict]) -> None:
@@ -263,39 +281,39 @@
         endpoints = self.endpoints
         if whole:
             named = {e.name for e in entries}
-            for name, b in endpoints.index.items():
+            for name, backend in endpoints.index.items():
                 if name not in named:
-                    self.outliers.endpoint_left(b, EndpointState.REMOVED, now)
+                    self.outliers.endpoint_left(backend, EndpointState.REMOVED, now)
         for e in entries:
-            b = endpoints.index.get(e.name)
-            if b is None:
+            backend = endpoints.index.get(e.name)
+            if backend is None:
                 if e.state != EndpointState.READY:
                     continue
-                b = self._add_endpoint(e.name, now)
-            endpoints.zone[b], endpoints.cell[b] = e.zone, e.cell
+                backend = self._add_endpoint(e.name, now)
+            endpoints.zone[backend], endpoints.cell[backend] = e.zone, e.cell
             # Live weights are late and would swing all nodes together; the largest seen is the size.
-            endpoints.size[b] = max(endpoints.size[b], e.weight)
+            endpoints.size[backend] = max(endpoints.size[backend], e.weight)
             if e.state != EndpointState.READY:
-                self.outliers.endpoint_left(b, e.state, now)
+                self.outliers.endpoint_left(backend, e.state, now)
                 continue
-            if e.started_at > self.slow_start.started_at[b]:
-                self.slow_start.process_started(b, now, e.started_at, self.pick(1000) / 1000)
-                self.outliers.process_started(b, now)
-            endpoints.left_at[b] = 0
-            if endpoints.state[b] != EndpointState.READY:
-                endpoints.became_ready(b)
-                self.rotation.add(b)
+            if e.started_at > self.slow_start.started_at[backend]:
+                self.slow_start.process_started(backend, now, e.started_at, self.pick(1000) / 1000)
+                self.outliers.process_started(backend, now)
+            endpoints.left_at[backend] = 0
+            if endpoints.state[backend] != EndpointState.READY:
+                endpoints.became_ready(backend)
+                self.rotation.add(backend)
         self.rotation.endpoints_updated(now)
 
     def _add_endpoint(self, name: str, now: int) -> int:
-        b = self.endpoints.add(name, now, self.ejections.in_flight)
-        self.ejections.add(b)
-        self.outliers.add(b)
-        self.pause_forecast.add(b)
-        self.slow_start.add(b, now)
-        self.load_reports.add(b)
-        self.selection.add(b, self.pick(1000) / 1000)
-        return b
+        backend = self.endpoints.add(name, now, self.ejections.in_flight)
+        self.ejections.add(backend)
+        self.outliers.add(backend)
+        self.pause_forecast.add(backend)
+        self.slow_start.add(backend, now)
+        self.load_reports.add(backend)
+        self.selection.add(backend, self.pick(1000) / 1000)
+        return backend
 
     def discovery_lost(self, now: int, waited: int = -NEVER) -> None:
         """The list could not be had, or is watched no more; `waited`: since its last update."""
@@ -304,9 +322,9 @@
 
     def load_reported(self, now: int, name: str, load: LoadReport) -> None:
         """A backend reports its load, with an answer or a health check's result."""
-        b = self.endpoints.index.get(name)
-        if b is not None:
-            self.load_reports.load_reported(b, now, load)
+        backend = self.endpoints.index.get(name)
+        if backend is not None:
+            self.load_reports.load_reported(backend, now, load)
 
     def request_received(self, now: int, request: Request) -> None:
         """A request has come in; from here on it gets exactly one final answer."""
@@ -343,7 +361,7 @@
         self, now: int, attempt: Attempt, outcome: Outcome, took: int, done: bool
     ) -> None:
         """An attempt has ended after `took`; `done`: its answer is the request's."""
-        request, b = attempt.request, attempt.backend
+        request, backend = attempt.request, attempt.backend
         stats = self.request_stats.classes[request.request_class.index]
         attempt.outcome = outcome
         request.in_flight -= 1
@@ -352,12 +370,17 @@
             attempt.timeout_at = now + int(ABANDONED_FOR * stats.typical)
             self.wakeup.request(attempt.timeout_at)
         else:
-            self.ejections.attempt_left(b, attempt, now)
+            self.ejections.attempt_left(backend, attempt, now)
         if attempt.is_trial:
-            self.ejections.trial_ended(b)
+            self.ejections.trial_ended(backend)
         if outcome.is_unexecuted and request.first_possibly_executed is attempt:
             request.first_possibly_executed = next(
-                (t for t in request.attempts if not (t.outcome and t.outcome.is_unexecuted)), None
+                (
+                    attempt
+                    for attempt in request.attempts
+                    if not (attempt.outcome and attempt.outcome.is_unexecuted)
+                ),
+                None,
             )
         self.outliers.attempt_ended(now, attempt, outcome, took)
         if request.completed:
@@ -367,25 +390,7 @@
             stats.got += outcome == Outcome.SUCCESS and now <= request.objective_at
             self.pending.cancel_all(request)
         elif not request.in_flight:
-            self._attempt_lost(now, request, outcome)
-
-    def _attempt_lost(self, now: int, request: Request, outcome: Outcome) -> None:
-        """An attempt came to nothing: a retry, or the final answer at once."""
-        # Where it was lost at every ready backend there is no way back: queued, it would wait in vain.
-        may_retry = (
-            self.retry_budget.left(now) >= 1
-            and not self.deadlines.is_hopeless(request, now)
-            and outcome != Outcome.NOT_SENT
-            and any(self.retry_rules.may_send(request, b, now) for b in self.rotation.subset)
-            and not {t.backend for t in request.attempts}.issuperset(self.rotation.by_rank)
-        )
-        if may_retry:
-            self.retry_budget.retry_granted()
-            request.queued_since = now
-            self.queue.retries.append(request)
-            self.wakeup.request(now + SWEEP_INTERVAL)
-        else:
-            self.pending.append(self._final(request))
+            self.dispatch.attempt_lost(now, request, outcome)
 
     def response_started(self, attempt: Attempt) -> None:
         """The response has started; the attempt belongs to the client."""
@@ -403,13 +408,13 @@
 
         It proves no more than a running process, so it only admits a trial request.
         """
-        b = self.endpoints.index.get(name)
-        if b is None or self.ejections.reason[b] is None:
+        backend = self.endpoints.index.get(name)
+        if backend is None or self.ejections.reason[backend] is None:
             return
         if good:
-            self.ejections.admit_trial(b)
+            self.ejections.admit_trial(backend)
         else:
-            self.outliers.trial_failed(b, now)
+            self.outliers.trial_failed(backend, now)
 
     # Decisions: the host pulls them one by one.
 
@@ -419,119 +424,15 @@
         first = min([self.wakeup.at, *map(self.deadlines.last_chance, self.queue.first_of_each())])
         return max(now + 1, first) if first < NEVER else None
 
-    def next_decision(self, now: int) -> object | None:
+    def next_decision(self, now: int) -> Decision | None:
         """The next decision (`pierglade.model.decision`), or None."""
-        decision = self._decide(now)
+        if now >= self.wakeup.at:
+            self._sweep(now)
+        decision = self.dispatch.next_decision(now)
         if type(decision) is RejectRequest:
             decision.retry_after = self.retry_after(now)
         return decision
 
-    def _decide(self, now: int) -> object | None:
-        if now >= self.wakeup.at:
-            self._sweep(now)
-        if (decision := self.pending.take()) is not None:
-            return decision
-        is_decided, decision = self._decide_retry(now)
-        if is_decided:
-            return decision
-        if (decision := self._decide_queued(now) or self._decide_trial(now)) is not None:
-            return decision
-        for heap in self.queue.heaps:
-            if heap and self.deadlines.is_hopeless(heap[0][2], now):
-                return self._final(heappop(heap)[2])
-        b = self.health_checks.take()
-        return None if b is None else CheckHealth(b)
-
-    def _decide_retry(self, now: int) -> tuple[bool, object | None]:
-        """Whether that is the decision, and the decision, which may be None all the same."""
-        retries = self.queue.retries
-        for request in retries:
-            if request.completed or self.deadlines.is_hopeless(request, now):
-                retries.remove(request)
-                return True, self._decide(now) if request.completed else self._final(request)
-            allowed = self.retry_budget.allows_granted(now)
-            b = self.selection.choose(request, now) if allowed else None
-            if b is not None:
-                retries.remove(request)
-                return True, self._send(request, b, now)
-        return False, None
-
-    def _decide_queued(self, now: int) -> object | None:
-        queue, limit = self.queue, self.limit
-        while (heap := queue.next_heap()) is not None:
-            request = heap[0][2]
-            if (
-                self.deadlines.is_hopeless(request, now)
-                or now - request.queued_since > PATIENCE * request.request_class.latency_objective
-            ):
-                # Queued so long, it would be answered late: an early no leaves capacity for the others.
-                heappop(heap)
-                return self._final(request)
-            full = limit.is_full(now, heap is queue.light_heap)
-            if full and (opens := limit.opens_at(now)) is not None:
-                self.wakeup.request(opens)
-            b = None if full else self.selection.choose(request, now)
-            if b is None:
-                break
-            heappop(heap)
-            return self._send(request, b, now)
-        return None
-
-    def _decide_trial(self, now: int) -> object | None:
-        """A trial request that is due, though the healthy backends are full.
-
-        Or a node that took most for unresponsive by mistake would queue all for the one left and
-        learn no better. One with others to draw into its subset keeps to the limit: hundreds beyond
-        it overdrive the fleet.
-        """
-        rotation, ejections = self.rotation, self.ejections
-        if not self.limit.healthy_backends * 2 <= len(rotation.subset) == len(rotation.by_rank):
-            return None
-        for b in ejections.ejected:
-            if not ejections.trial_due[b] or ejections.trials_in_flight[b]:
-                continue
-            if b not in rotation.subset:
-                continue
-            for heap in self.queue.heaps:
-                if (
-                    heap
-                    and self.selection.is_trial(heap[0][2], b)
-                    and not self.deadlines.is_hopeless(heap[0][2], now)
-                    and self.selection.skip_reason(heap[0][2], b, now) is None
-                ):
-                    return self._send(heappop(heap)[2], b, now)
-        return None
-
-    def _send(self, request: Request, b: int, now: int) -> SendAttempt:
-        ejections, class_index = self.ejections, request.request_class.index
-        trial = self.selection.is_trial(request, b)
-        attempt = Attempt(request, len(request.attempts), b, now, request.deadline, trial)
-        if ejections.reason[b] in COUNTS_TOWARD_CAPACITY:
-            self.limit.change_in_flight(now, 1)
-            attempt.probing_round = self.limit.attempt_sent(now, class_index)
-        if trial:
-            ejections.trial_sent(b)
-            ejections.schedule_trial(b, now)
-        self.slow_start.attempt_sent(b, now)
-        self.health_checks.attempt_sent(self.rotation.subset, self.load_reports.reported_at)
-        ejections.attempt_sent(b, attempt)
-        quiet = int(UNRESPONSIVE_LEAST * self.request_stats.classes[class_index].typical)
-        self.wakeup.request(now + max(SWEEP_INTERVAL, quiet))
-        if request.attempts:
-            self.retry_budget.retry_sent(now)
-        request.attempts.append(attempt)
-        request.in_flight += 1
-        if request.first_possibly_executed is None:
-            request.first_possibly_executed = attempt
-        return SendAttempt(attempt)
-
-    def _final(self, request: Request) -> RejectRequest | FailRequest:
-        request.completed = True
-        self.deadlines.left_unanswered(request)
-        if self.retry_rules.may_reject(request):
-            return RejectRequest(request, 0)
-        return FailRequest(request)
-
     def _sweep(self, now: int) -> None:
         """Looks after what is due: unresponsive backends, trial requests, polls, what waits too long."""
         wakeup, rotation = self.wakeup, self.rotation
@@ -545,13 +446,13 @@
         if self.queue.retries:
             wakeup.request(now + SWEEP_INTERVAL)
         for request in self.queue.update_overload(now):
-            self.pending.append(self._final(request))
+            self.pending.append(self.dispatch.final(request))
         self.deadlines.fade(now)
         self.request_stats.fade(now)
         self.request_costs.update_median(now)
         if self.learns and self.load_reports.take_due_look(now):
             rotation.look(now)
-        for b in list(self.ejections.in_flight):
-            again = self.outliers.check_unresponsive(b, now)
-            wakeup.request(max(now + SWEEP_INTERVAL, again))
+        for backend in list(self.ejections.in_flight):
+            next_check_at = self.outliers.check_unresponsive(backend, now)
+            wakeup.request(max(now + SWEEP_INTERVAL, next_check_at))
         self.outliers.check_ejected(now)
--- /dev/null
+++ b/pierglade/balancer/dispatch.py
@@ -0,0 +1,193 @@
+"""Which request is sent, rejected or failed next, and where an attempt goes. No I/O, no clock."""
+
+from heapq import heappop
+
+from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY, Ejections
+from pierglade.balancer.endpoint_stats import RequestStats
+from pierglade.balancer.health_checks import HealthChecks
+from pierglade.balancer.load_reports import LoadReports
+from pierglade.balancer.outlier_detection import UNRESPONSIVE_LEAST
+from pierglade.balancer.pending_decisions import PendingDecisions
+from pierglade.balancer.request_queue import QUEUED_MOST, RequestQueue
+from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
+from pierglade.balancer.rotation import Rotation
+from pierglade.balancer.selection import Selection
+from pierglade.balancer.slow_start import SlowStart
+from pierglade.balancer.wakeup import SWEEP_INTERVAL, Wakeup
+from pierglade.concurrency.limiter import ConcurrencyLimiter
+from pierglade.model.decision import (
+    CheckHealth,
+    Decision,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+)
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Attempt, Request
+
+
+class Dispatch:
+    """Takes requests off the queue: decisions made already, retries, queued requests, trial requests."""
+
+    def __init__(
+        self,
+        limit: ConcurrencyLimiter,
+        wakeup: Wakeup,
+        pending: PendingDecisions,
+        queue: RequestQueue,
+        deadlines: RequestDeadlines,
+        retry_budget: RetryBudget,
+        retry_rules: RetryRules,
+        selection: Selection,
+        rotation: Rotation,
+        ejections: Ejections,
+        slow_start: SlowStart,
+        health_checks: HealthChecks,
+        load_reports: LoadReports,
+        request_stats: RequestStats,
+    ) -> None:
+        self.limit = limit
+        self._wakeup = wakeup
+        self._pending = pending
+        self._queue = queue
+        self._deadlines = deadlines
+        self._retry_budget = retry_budget
+        self._retry_rules = retry_rules
+        self._selection = selection
+        self._rotation = rotation
+        self._ejections = ejections
+        self._slow_start = slow_start
+        self._health_checks = health_checks
+        self._load_reports = load_reports
+        self._request_stats = request_stats
+
+    def next_decision(self, now: int) -> Decision | None:
+        """The next decision, or None; a rejection's advice is the caller's to set."""
+        if (decision := self._pending.take()) is not None:
+            return decision
+        is_decided, decision = self._decide_retry(now)
+        if is_decided:
+            return decision
+        if (decision := self._decide_queued(now) or self._decide_trial(now)) is not None:
+            return decision
+        for heap in self._queue.heaps:
+            if heap and self._deadlines.is_too_late(heap[0][2], now):
+                return self.final(heappop(heap)[2])
+        backend = self._health_checks.take()
+        return None if backend is None else CheckHealth(backend)
+
+    def _decide_retry(self, now: int) -> tuple[bool, Decision | None]:
+        """Whether that is the decision, and the decision, which may be None all the same."""
+        retries = self._queue.retries
+        for request in retries:
+            if request.completed or self._deadlines.is_too_late(request, now):
+                retries.remove(request)
+                return True, self.next_decision(now) if request.completed else self.final(request)
+            allowed = self._retry_budget.allows_granted(now)
+            backend = self._selection.choose(request, now) if allowed else None
+            if backend is not None:
+                retries.remove(request)
+                return True, self.send(request, backend, now)
+        return False, None
+
+    def _decide_queued(self, now: int) -> Decision | None:
+        queue, limit = self._queue, self.limit
+        while (heap := queue.next_heap()) is not None:
+            request = heap[0][2]
+            if (
+                self._deadlines.is_too_late(request, now)
+                or now - request.queued_since
+                > QUEUED_MOST * request.request_class.latency_objective
+            ):
+                # Queued so long, it would be answered late: an early no leaves capacity for the others.
+                heappop(heap)
+                return self.final(request)
+            full = limit.is_full(now, heap is queue.light_heap)
+            if full and (opens := limit.opens_at(now)) is not None:
+                self._wakeup.request(opens)
+            backend = None if full else self._selection.choose(request, now)
+            if backend is None:
+                break
+            heappop(heap)
+            return self.send(request, backend, now)
+        return None
+
+    def _decide_trial(self, now: int) -> Decision | None:
+        """A trial request that is due, though the healthy backends are full.
+
+        Or a node that took most for unresponsive by mistake would queue all for the one left and
+        learn no better. One with others to draw into its subset keeps to the limit: hundreds beyond
+        it overdrive the fleet.
+        """
+        rotation, ejections = self._rotation, self._ejections
+        if not self.limit.healthy_backends * 2 <= len(rotation.subset) == len(rotation.by_rank):
+            return None
+        for backend in ejections.ejected:
+            if not ejections.trial_due[backend] or ejections.trials_in_flight[backend]:
+                continue
+            if backend not in rotation.subset:
+                continue
+            for heap in self._queue.heaps:
+                if (
+                    heap
+                    and self._selection.is_trial(heap[0][2], backend)
+                    and not self._deadlines.is_too_late(heap[0][2], now)
+                    and self._selection.skip_reason(heap[0][2], backend, now) is None
+                ):
+                    return self.send(heappop(heap)[2], backend, now)
+        return None
+
+    def send(self, request: Request, backend: int, now: int) -> SendAttempt:
+        """An attempt goes to that backend."""
+        ejections, class_index = self._ejections, request.request_class.index
+        trial = self._selection.is_trial(request, backend)
+        attempt = Attempt(request, len(request.attempts), backend, now, request.deadline, trial)
+        if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
+            self.limit.change_in_flight(now, 1)
+            attempt.probing_round = self.limit.attempt_sent(now, class_index)
+        if trial:
+            ejections.trial_sent(backend)
+            ejections.schedule_trial(backend, now)
+        self._slow_start.attempt_sent(backend, now)
+        self._health_checks.attempt_sent(self._rotation.subset, self._load_reports.reported_at)
+        ejections.attempt_sent(backend, attempt)
+        quiet = int(UNRESPONSIVE_LEAST * self._request_stats.classes[class_index].typical)
+        self._wakeup.request(now + max(SWEEP_INTERVAL, quiet))
+        if request.attempts:
+            self._retry_budget.retry_sent(now)
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        if request.first_possibly_executed is None:
+            request.first_possibly_executed = attempt
+        return SendAttempt(attempt)
+
+    def final(self, request: Request) -> RejectRequest | FailRequest:
+        """The final answer of a request that gets no response."""
+        request.completed = True
+        self._deadlines.left_unanswered(request)
+        if self._retry_rules.may_reject(request):
+            return RejectRequest(request, 0)
+        return FailRequest(request)
+
+    def attempt_lost(self, now: int, request: Request, outcome: Outcome) -> None:
+        """An attempt came to nothing: a retry, or the final answer at once."""
+        # Where it was lost at every ready backend there is no way back: queued, it would wait in vain.
+        may_retry = (
+            self._retry_budget.left(now) >= 1
+            and not self._deadlines.is_too_late(request, now)
+            and outcome != Outcome.NOT_SENT
+            and any(
+                self._retry_rules.may_send(request, backend, now)
+                for backend in self._rotation.subset
+            )
+            and not {attempt.backend for attempt in request.attempts}.issuperset(
+                self._rotation.by_rank
+            )
+        )
+        if may_retry:
+            self._retry_budget.retry_granted()
+            request.queued_since = now
+            self._queue.retries.append(request)
+            self._wakeup.request(now + SWEEP_INTERVAL)
+        else:
+            self._pending.append(self.final(request))
--- a/pierglade/balancer/ejections.py
+++ b/pierglade/balancer/ejections.py
@@ -48,11 +48,11 @@
         self.slow_count = 0
         """How many are ejected as slow."""
 
-    def add(self, b: int) -> None:
+    def add(self, backend: int) -> None:
         """Begins with a backend that is not ejected; why the one before was, costs it no checks."""
         for name, initial in INITIAL.items():
-            getattr(self, name)[b : b + 1] = [initial]
-        self.ejected.pop(b, None)
+            getattr(self, name)[backend : backend + 1] = [initial]
+        self.ejected.pop(backend, None)
 
     def copy_from(self, before: "Ejections") -> None:
         """Takes over the ejections; attempts in flight, also trial requests, stay with `before`."""
@@ -61,60 +61,60 @@
         self.trials_in_flight = [0] * len(before.trials_in_flight)
         self.ejected, self.slow_count = before.ejected.copy(), before.slow_count
 
-    def begin(self, b: int, until: int, now: int) -> None:
+    def begin(self, backend: int, until: int, now: int) -> None:
         """Sets the moments of an ejection that begins now."""
-        self.since[b], self.until[b] = now, until
-        self.trial_interval[b] = TRIAL_INTERVAL
-        self.trial_at[b] = now + TRIAL_INTERVAL
-        self.trial_due[b] = False
+        self.since[backend], self.until[backend] = now, until
+        self.trial_interval[backend] = TRIAL_INTERVAL
+        self.trial_at[backend] = now + TRIAL_INTERVAL
+        self.trial_due[backend] = False
 
-    def set_reason(self, b: int, reason: EjectionReason | None, now: int) -> None:
+    def set_reason(self, backend: int, reason: EjectionReason | None, now: int) -> None:
         """Keeps the counts that depend on why a backend is ejected."""
-        before = self.reason[b]
+        before = self.reason[backend]
         self.limit.change_in_flight(
             now,
-            len(self.in_flight.get(b, ()))
+            len(self.in_flight.get(backend, ()))
             * ((reason in COUNTS_TOWARD_CAPACITY) - (before in COUNTS_TOWARD_CAPACITY)),
         )
         self.slow_count += (reason is EjectionReason.SLOW) - (before is EjectionReason.SLOW)
-        self.reason[b] = reason
+        self.reason[backend] = reason
         if reason is None:
-            self.ejected.pop(b, None)
+            self.ejected.pop(backend, None)
         else:
-            self.ejected[b] = None
+            self.ejected[backend] = None
             self._wakeup.request(now + SWEEP_INTERVAL)
 
-    def double_trial_interval(self, b: int) -> None:
+    def double_trial_interval(self, backend: int) -> None:
         """A trial request or a health check has failed."""
-        self.trial_interval[b] = min(TRIAL_INTERVAL_MOST, self.trial_interval[b] * 2)
+        self.trial_interval[backend] = min(TRIAL_INTERVAL_MOST, self.trial_interval[backend] * 2)
 
-    def schedule_trial(self, b: int, now: int) -> None:
+    def schedule_trial(self, backend: int, now: int) -> None:
         """The next trial request is due after the interval."""
-        self.trial_due[b] = False
-        self.trial_at[b] = now + self.trial_interval[b]
-        self._wakeup.request(self.trial_at[b])
+        self.trial_due[backend] = False
+        self.trial_at[backend] = now + self.trial_interval[backend]
+        self._wakeup.request(self.trial_at[backend])
 
-    def admit_trial(self, b: int, due: bool = True) -> None:
+    def admit_trial(self, backend: int, due: bool = True) -> None:
         """The next request that may be a trial is sent to the backend, if `due`."""
-        self.trial_due[b] = due
+        self.trial_due[backend] = due
 
-    def attempt_sent(self, b: int, attempt: Attempt) -> None:
+    def attempt_sent(self, backend: int, attempt: Attempt) -> None:
         """An attempt goes out."""
-        self.in_flight.setdefault(b, {})[attempt] = None
+        self.in_flight.setdefault(backend, {})[attempt] = None
 
-    def trial_sent(self, b: int) -> None:
+    def trial_sent(self, backend: int) -> None:
         """It is a trial request."""
-        self.trials_in_flight[b] += 1
+        self.trials_in_flight[backend] += 1
 
-    def trial_ended(self, b: int) -> None:
+    def trial_ended(self, backend: int) -> None:
         """A trial request has ended."""
-        self.trials_in_flight[b] -= 1
+        self.trials_in_flight[backend] -= 1
 
-    def attempt_left(self, b: int, attempt: Attempt, now: int) -> None:
+    def attempt_left(self, backend: int, attempt: Attempt, now: int) -> None:
         """An attempt is in flight no more."""
         in_flight = self.in_flight
-        del in_flight[b][attempt]
-        if not in_flight[b]:
-            del in_flight[b]
-        if self.reason[b] in COUNTS_TOWARD_CAPACITY:
+        del in_flight[backend][attempt]
+        if not in_flight[backend]:
+            del in_flight[backend]
+        if self.reason[backend] in COUNTS_TOWARD_CAPACITY:
             self.limit.change_in_flight(now, -1)
--- a/pierglade/balancer/endpoint_stats.py
+++ b/pierglade/balancer/endpoint_stats.py
@@ -58,18 +58,18 @@
 
     def add(self, name: str, now: int, in_flight: Container[int]) -> int:
         """An index for a new backend: a removed one's that has no attempts left, or the next."""
-        b = next((b for b in self.removed if b not in in_flight), None)
-        if b is None or now - self.left_at[b] <= self._reuse_after:
-            b = len(self.names)
+        backend = next((backend for backend in self.removed if backend not in in_flight), None)
+        if backend is None or now - self.left_at[backend] <= self._reuse_after:
+            backend = len(self.names)
         else:
-            del self.index[self.names[b]], self.removed[b]
+            del self.index[self.names[backend]], self.removed[backend]
         for array, initial in INITIAL.items():
-            getattr(self, array)[b : b + 1] = [initial]  # appends where b is new
-        self.names[b] = name
-        self.rank[b] = blake2b(name.encode(), digest_size=8).digest() + name.encode()
-        self.left_at[b] = now
-        self.index[name] = b
-        return b
+            getattr(self, array)[backend : backend + 1] = [initial]  # appends where backend is new
+        self.names[backend] = name
+        self.rank[backend] = blake2b(name.encode(), digest_size=8).digest() + name.encode()
+        self.left_at[backend] = now
+        self.index[name] = backend
+        return backend
 
     def copy_from(self, before: "EndpointStats") -> None:
         """Takes over what `before` knows; nothing that changes later is shared."""
@@ -77,15 +77,17 @@
             setattr(self, name, getattr(before, name).copy())
         self.index, self.removed = before.index.copy(), OrderedDict(before.removed)
 
-    def became_ready(self, b: int) -> None:
+    def became_ready(self, backend: int) -> None:
         """The backend is listed as ready."""
-        self.state[b] = EndpointState.READY
-        self.removed.pop(b, None)
+        self.state[backend] = EndpointState.READY
+        self.removed.pop(backend, None)
 
-    def became_unready(self, b: int, state: EndpointState) -> None:
+    def became_unready(self, backend: int, state: EndpointState) -> None:
         """The backend drains or was removed."""
-        self.state[b] = state
-        (self.removed.setdefault if state == EndpointState.REMOVED else self.removed.pop)(b, None)
+        self.state[backend] = state
+        (self.removed.setdefault if state == EndpointState.REMOVED else self.removed.pop)(
+            backend, None
+        )
 
 
 class RequestClassStats:
--- a/pierglade/balancer/health_checks.py
+++ b/pierglade/balancer/health_checks.py
@@ -22,9 +22,9 @@
         """Takes over how soon the next check for the load is due."""
         self._due = before._due
 
-    def request(self, b: int) -> None:
-        """Backend `b` is to be checked."""
-        self._pending.append(b)
+    def request(self, backend: int) -> None:
+        """Backend `backend` is to be checked."""
+        self._pending.append(backend)
 
     def attempt_sent(self, subset: list[int], reported_at: list[int]) -> None:
         """After so many attempts, the backend of the subset that reported longest ago is checked."""
--- a/pierglade/balancer/load_reports.py
+++ b/pierglade/balancer/load_reports.py
@@ -45,7 +45,7 @@
 # 6 s, 1 s; rests begin at multiples of the one, within the other.
 REST_EACH, REST_BEGINS_WITHIN = 60000, 10000
 # 5 s, 11 s; a rest, and from its start to another one.
-REST_FOR, REST_AGAIN = 50000, 110000
+REST_FOR, REST_INTERVAL = 50000, 110000
 # Share of the limit during a rest; cores are then less than half in use.
 REST_SHARE = 0.2
 # A moment that does not come.
@@ -95,12 +95,12 @@
         # Where a throughput is reported, the limit grows soon enough by that.
         self._growth = INITIAL_GROWTH_RARE if are_rare else 1.0
         self._grown_at = self._looked_at = self._next_look_at = now
-        self._slower_since, self._rest_until, self._rest_again = NEVER, 0, 0
+        self._slower_since, self._rest_until, self._next_rest_at = NEVER, 0, 0
 
-    def add(self, b: int) -> None:
-        """Begins with nothing for backend `b`."""
+    def add(self, backend: int) -> None:
+        """Begins with nothing for `backend`."""
         for name, initial in INITIAL.items():
-            getattr(self, name)[b : b + 1] = [initial]
+            getattr(self, name)[backend : backend + 1] = [initial]
 
     def copy_reports(self, before: "LoadReports", same_reports: bool) -> None:
         """Takes over what backends reported; where it was reported in another way, nothing."""
@@ -112,30 +112,32 @@
         """Takes over how far the limit has grown by reports, and the rests of all backends."""
         self._growth, self._grown_at = before._growth, before._grown_at
         self._looked_at, self._slower_since = before._looked_at, before._slower_since
-        self._rest_until, self._rest_again = before._rest_until, before._rest_again
+        self._rest_until, self._next_rest_at = before._rest_until, before._next_rest_at
 
-    def load_reported(self, b: int, now: int, load: LoadReport) -> None:
+    def load_reported(self, backend: int, now: int, load: LoadReport) -> None:
         """A backend reports its load, with an answer or a health check's result."""
         if load.throughput is None and load.utilization is None:
             return
-        smoothing = SMOOTHING if self.reported_at[b] else 1
+        smoothing = SMOOTHING if self.reported_at[backend] else 1
         if load.throughput is not None:
-            before = self.throughput[b] or 0.0
-            self.throughput[b] = before + (load.throughput - before) * smoothing
-        self.queue_length[b] += ((load.queue_length or 0.0) - self.queue_length[b]) * smoothing
+            before = self.throughput[backend] or 0.0
+            self.throughput[backend] = before + (load.throughput - before) * smoothing
+        self.queue_length[backend] += (
+            (load.queue_length or 0.0) - self.queue_length[backend]
+        ) * smoothing
         if load.utilization is not None:
-            self.utilization[b] += (load.utilization - self.utilization[b]) * smoothing
+            self.utilization[backend] += (load.utilization - self.utilization[backend]) * smoothing
             if (
                 load.throughput is not None
-                and self.utilization[b] > UTILIZATION_LEAST
+                and self.utilization[backend] > UTILIZATION_LEAST
                 and self._rest_until <= now < self._slower_since
             ):
-                does = self.throughput[b] / self.utilization[b]
-                self.baseline_reports[b] += 1
-                self.baseline_throughput[b] += (does - self.baseline_throughput[b]) * max(
-                    BASELINE_SMOOTHING, 1 / self.baseline_reports[b]
-                )
-        self.reported_at[b] = now
+                does = self.throughput[backend] / self.utilization[backend]
+                self.baseline_reports[backend] += 1
+                self.baseline_throughput[backend] += (
+                    does - self.baseline_throughput[backend]
+                ) * max(BASELINE_SMOOTHING, 1 / self.baseline_reports[backend])
+        self.reported_at[backend] = now
 
     def capacity_factor(self, now: int) -> float:
         """Times the even share of the limit that this node may use."""
@@ -166,21 +168,25 @@
             limit: asked for the moment when it last held requests back.
         """
         until = self._slow_start.until
-        reported = [b for b in subset if self.reported_at[b] and now >= until[b]]
+        reported = [
+            backend for backend in subset if self.reported_at[backend] and now >= until[backend]
+        ]
         self._update_share(now, reported, by_rank, rate)
-        reported = [b for b in reported if now - self.reported_at[b] < FRESH_FOR]
+        reported = [backend for backend in reported if now - self.reported_at[backend] < FRESH_FOR]
         self._update_growth(now, reported, limit)
         self._looked_at = now
         self._look_for_slower_together(now, reported)
 
     def _update_share(self, now: int, reported: list[int], by_rank: list[int], rate: float) -> None:
         """Without quotas, a node's share of what all are asked for follows from what comes to it."""
-        with_throughput = [b for b in reported if self.throughput[b] is not None]
+        with_throughput = [backend for backend in reported if self.throughput[backend] is not None]
         if not with_throughput:
             return
         size = self._endpoints.size
-        scale = sum(size[b] for b in by_rank) / sum(size[b] for b in with_throughput)
-        fleet = sum(self.throughput[b] for b in with_throughput) * scale / 10000
+        scale = sum(size[backend] for backend in by_rank) / sum(
+            size[backend] for backend in with_throughput
+        )
+        fleet = sum(self.throughput[backend] for backend in with_throughput) * scale / 10000
         if self._request_stats.succeeded >= SHARE_FROM:
             # Like with like: by all that is asked each node of a full fleet took itself for a busy one.
             own = self._request_stats.success_rate(now)
@@ -193,15 +199,15 @@
         """Capacity that reports show is used; what is full by them is left to the limiter's rounds."""
         # Checks are few and far between: none vouches for more than was out when it was made.
         fresh = [
-            b
-            for b in reported
-            if not self._by_health_checks or self.reported_at[b] >= self._looked_at
+            backend
+            for backend in reported
+            if not self._by_health_checks or self.reported_at[backend] >= self._looked_at
         ]
         if not fresh or limit.last_limited_at < self._looked_at:
             return
         full = sum(
-            self.utilization[b] / FULL_UTILIZATION + self.queue_length[b] / FULL_QUEUE
-            for b in fresh
+            self.utilization[backend] / FULL_UTILIZATION + self.queue_length[backend] / FULL_QUEUE
+            for backend in fresh
         ) / len(fresh)
         most = GROWTH ** ((now - self._grown_at) / LOOK_INTERVAL)
         more = min(most, 1 / max(full, UTILIZATION_LEAST)) if self._by_health_checks else GROWTH
@@ -210,10 +216,12 @@
 
     def _look_for_slower_together(self, now: int, reported: list[int]) -> None:
         """Where all backends are slower alike, a rest of all: some such spells end by it."""
-        known = [b for b in reported if self.baseline_reports[b] >= BASELINE_FROM]
-        busy = sum(self.utilization[b] for b in known)
-        does = sum(self.throughput[b] for b in known)
-        usual = sum(self.utilization[b] * self.baseline_throughput[b] for b in known)
+        known = [backend for backend in reported if self.baseline_reports[backend] >= BASELINE_FROM]
+        busy = sum(self.utilization[backend] for backend in known)
+        does = sum(self.throughput[backend] for backend in known)
+        usual = sum(
+            self.utilization[backend] * self.baseline_throughput[backend] for backend in known
+        )
         if now < self._rest_until:
             if does > RECOVERED * usual:
                 self._rest_until = now
@@ -223,8 +231,11 @@
             self._slower_since, self._growth = now, 1.0
         elif (
             now - self._slower_since >= SURE_AFTER
-            and now >= self._rest_again
+            and now >= self._next_rest_at
             and now % REST_EACH < REST_BEGINS_WITHIN
         ):
             # Only all nodes together give the backends a rest, and the clock is all that they share.
-            self._rest_until, self._rest_again = now - now % REST_EACH + REST_FOR, now + REST_AGAIN
+            self._rest_until, self._next_rest_at = (
+                now - now % REST_EACH + REST_FOR,
+                now + REST_INTERVAL,
+            )
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -107,10 +107,10 @@
         self.loss_rate = LOSS_LEAST
         """Share of attempts that come to nothing at healthy backends."""
 
-    def add(self, b: int) -> None:
-        """Begins with nothing for backend `b`."""
+    def add(self, backend: int) -> None:
+        """Begins with nothing for `backend`."""
         for name, initial in INITIAL.items():
-            getattr(self, name)[b : b + 1] = [initial]
+            getattr(self, name)[backend : backend + 1] = [initial]
 
     def copy_from(self, before: "OutlierDetection") -> None:
         """Takes over what `before` knows; nothing that changes later is shared."""
@@ -118,38 +118,38 @@
             setattr(self, name, getattr(before, name).copy())
         self.loss_rate = before.loss_rate
 
-    def process_started(self, b: int, now: int) -> None:
+    def process_started(self, backend: int, now: int) -> None:
         """A process that has started anew pauses anew, and why the one before was ejected is not its own."""
-        if self._ejections.reason[b] is not None:
-            self._set_reason(b, None, now)
+        if self._ejections.reason[backend] is not None:
+            self._set_reason(backend, None, now)
         for name, initial in PROCESS_INITIAL.items():
-            getattr(self, name)[b] = initial
-        self._pause_forecast.add(b)
+            getattr(self, name)[backend] = initial
+        self._pause_forecast.add(backend)
 
-    def endpoint_left(self, b: int, state: EndpointState, now: int) -> None:
+    def endpoint_left(self, backend: int, state: EndpointState, now: int) -> None:
         """Rule 3: from the moment it is listed as draining or removed, it is out of the rotation."""
         endpoints, ejections = self._endpoints, self._ejections
-        if endpoints.state[b] == EndpointState.READY:
-            endpoints.left_at[b] = now
+        if endpoints.state[backend] == EndpointState.READY:
+            endpoints.left_at[backend] = now
             if (
                 state == EndpointState.REMOVED
                 and not self._settings.removal_binds
-                and ejections.trial_interval[b] < TRIAL_INTERVAL_MOST
+                and ejections.trial_interval[backend] < TRIAL_INTERVAL_MOST
             ):
                 # It may be up all the same: trials tell, and one that fails them for long is removed.
-                if ejections.reason[b] in COUNTS_TOWARD_CAPACITY:
-                    self.eject(b, FAILING, now)
+                if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
+                    self.eject(backend, FAILING, now)
                 return
-            self._rotation.remove(b)
-            if ejections.reason[b] is SLOW:
+            self._rotation.remove(backend)
+            if ejections.reason[backend] is SLOW:
                 # Removed, it must not count to the slow ones for ever, or shared slowness would seem to last.
-                self._set_reason(b, None, now)
-        endpoints.became_unready(b, state)
+                self._set_reason(backend, None, now)
+        endpoints.became_unready(backend, state)
 
     def attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome, took: int) -> None:
         """Learns from the outcome of an attempt that took that long."""
-        b, request_class = attempt.backend, attempt.request.request_class
-        healthy, succeeded = self._ejections.reason[b] is None, outcome == Outcome.SUCCESS
+        backend, request_class = attempt.backend, attempt.request.request_class
+        healthy, succeeded = self._ejections.reason[backend] is None, outcome == Outcome.SUCCESS
         if not succeeded or not healthy:
             self.limit.attempt_lost(request_class.index, attempt.probing_round)
         if succeeded and healthy or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
@@ -160,32 +160,33 @@
             self._attempt_failed(now, attempt, outcome)
 
     def _attempt_succeeded(self, now: int, attempt: Attempt, took: int) -> None:
-        b, stats = (
+        backend, stats = (
             attempt.backend,
             self._request_stats.classes[attempt.request.request_class.index],
         )
-        reason = self._ejections.reason[b]
+        reason = self._ejections.reason[backend]
         self._request_stats.succeeded += 1
         smoothing = min(
-            RECENT_SMOOTHING, max(LEVEL_SMOOTHING, (now - self.last_answer_at[b]) / LEVEL_SPAN)
+            RECENT_SMOOTHING,
+            max(LEVEL_SMOOTHING, (now - self.last_answer_at[backend]) / LEVEL_SPAN),
         )
-        self.last_answer_at[b] = now
-        self.error_rate[b] *= 1 - ERROR_SMOOTHING
+        self.last_answer_at[backend] = now
+        self.error_rate[backend] *= 1 - ERROR_SMOOTHING
         alike = took / attempt.request.relative_cost
         ratio = min(RATIO_MOST, max(alike, LATENCY_GRAIN) / max(stats.typical, LATENCY_GRAIN))
-        self.recent_level[b] += (ratio - self.recent_level[b]) * RECENT_SMOOTHING
-        level = max(self.latency_level[b], 1.0)
+        self.recent_level[backend] += (ratio - self.recent_level[backend]) * RECENT_SMOOTHING
+        level = max(self.latency_level[backend], 1.0)
         if reason is None:
-            self.latency_level[b] += (ratio - self.latency_level[b]) * smoothing
+            self.latency_level[backend] += (ratio - self.latency_level[backend]) * smoothing
             self._healthy_answer(now, attempt, stats, alike, ratio)
-            if self.recent_level[b] > SLOW_RATIO * level:
-                self.eject(b, SLOW, now)
-        elif attempt.sent_at < self._ejections.since[b] and reason is not UNRESPONSIVE:
+            if self.recent_level[backend] > SLOW_RATIO * level:
+                self.eject(backend, SLOW, now)
+        elif attempt.sent_at < self._ejections.since[backend] and reason is not UNRESPONSIVE:
             pass  # An answer from before the ejection says nothing about its end.
-        elif ratio <= RECOVERED_RATIO * level and self.error_rate[b] <= ERROR_RATE_RECOVERED:
-            self._recovered(b, now)
+        elif ratio <= RECOVERED_RATIO * level and self.error_rate[backend] <= ERROR_RATE_RECOVERED:
+            self._recovered(backend, now)
         else:
-            self._ejections.admit_trial(b, reason is FAILING)
+            self._ejections.admit_trial(backend, reason is FAILING)
 
     def _healthy_answer(
         self, now: int, attempt: Attempt, stats: RequestClassStats, alike: float, ratio: float
@@ -208,134 +209,146 @@
         )
 
     def _attempt_failed(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        b = attempt.backend
+        backend = attempt.backend
         if outcome in (Outcome.REJECTED_UNPROCESSED, Outcome.CLIENT_ERROR):
-            self.last_answer_at[b] = now
+            self.last_answer_at[backend] = now
         if outcome == Outcome.CLIENT_ERROR:
             return  # What a client got wrong says nothing against the backend.
         # A rejection counts too: whoever says no at once has nothing in flight and would attract work.
-        self.error_rate[b] += (1 - self.error_rate[b]) * (
+        self.error_rate[backend] += (1 - self.error_rate[backend]) * (
             CONNECT_ERROR_SMOOTHING if outcome == Outcome.CONNECT_FAILED else ERROR_SMOOTHING
         )
-        if self._ejections.reason[b] is None:
+        if self._ejections.reason[backend] is None:
             self.loss_rate += (1 - self.loss_rate) * LOSS_SMOOTHING
             if (
                 outcome == Outcome.REJECTED_UNPROCESSED
-                and self._endpoints.state[b] == EndpointState.READY
+                and self._endpoints.state[backend] == EndpointState.READY
             ):
                 self.limit.attempt_rejected(now, attempt.sent_at)
         # What all backends lose alike is no one's outage: left out for it, they would leave no capacity.
         many = ERRORS_IN_A_ROW
         if self._rotation.is_whole_ring():
             many = max(many, log(BY_CHANCE) / log(min(LOSS_MOST, self.loss_rate)) - 0.5)
-        if self.error_rate[b] >= 1 - (1 - ERROR_SMOOTHING) ** many:
-            self.eject(b, FAILING, now)
+        if self.error_rate[backend] >= 1 - (1 - ERROR_SMOOTHING) ** many:
+            self.eject(backend, FAILING, now)
             if attempt.is_trial:
-                self.trial_failed(b, now)
+                self.trial_failed(backend, now)
 
-    def eject(self, b: int, reason: EjectionReason, now: int) -> None:
-        """Backend `b` gets trial requests only from now on, or for another reason than before."""
-        if self._ejections.reason[b] is None:
+    def eject(self, backend: int, reason: EjectionReason, now: int) -> None:
+        """Backend `backend` gets trial requests only from now on, or for another reason than before."""
+        if self._ejections.reason[backend] is None:
             # Slow again before it was well: it has not had the rest that it needs, and gets twice as long.
-            rest = min(SLOW_EJECTION_MOST, self._pause_forecast.mean_pause[b] << self.relapses[b])
-            self._ejections.begin(b, now + rest, now)
-        self._set_reason(b, reason, now)
+            rest = min(
+                SLOW_EJECTION_MOST,
+                self._pause_forecast.mean_pause[backend] << self.relapses[backend],
+            )
+            self._ejections.begin(backend, now + rest, now)
+        self._set_reason(backend, reason, now)
 
-    def _set_reason(self, b: int, reason: EjectionReason | None, now: int) -> None:
-        self._ejections.set_reason(b, reason, now)
+    def _set_reason(self, backend: int, reason: EjectionReason | None, now: int) -> None:
+        self._ejections.set_reason(backend, reason, now)
         self._rotation.rebuild(now)
 
-    def _recovered(self, b: int, now: int) -> None:
+    def _recovered(self, backend: int, now: int) -> None:
         """Its answers are as good as ever."""
-        self._set_reason(b, None, now)
-        self.error_rate[b] = 0.0
-        self.relapses[b] = 0
-        self.recent_level[b] = min(self.recent_level[b], max(self.latency_level[b], 1.0))
-        self._pause_forecast.pause_ended(b, now - self._ejections.since[b])
+        self._set_reason(backend, None, now)
+        self.error_rate[backend] = 0.0
+        self.relapses[backend] = 0
+        self.recent_level[backend] = min(
+            self.recent_level[backend], max(self.latency_level[backend], 1.0)
+        )
+        self._pause_forecast.pause_ended(backend, now - self._ejections.since[backend])
 
-    def _rest_ended(self, b: int, now: int) -> None:
+    def _rest_ended(self, backend: int, now: int) -> None:
         """A slow backend has been left alone for long enough; whether it is well is not known."""
-        self._set_reason(b, None, now)
-        self.error_rate[b] = 0.0
-        self.relapses[b] = min(self.relapses[b] + 1, 8)
-        self.recent_level[b] = RECOVERED_RATIO * max(self.latency_level[b], 1.0)
+        self._set_reason(backend, None, now)
+        self.error_rate[backend] = 0.0
+        self.relapses[backend] = min(self.relapses[backend] + 1, 8)
+        self.recent_level[backend] = RECOVERED_RATIO * max(self.latency_level[backend], 1.0)
 
-    def trial_failed(self, b: int, now: int) -> None:
+    def trial_failed(self, backend: int, now: int) -> None:
         """A trial request or a health check has failed: the next one waits twice as long."""
         ejections, endpoints = self._ejections, self._endpoints
-        ejections.double_trial_interval(b)
+        ejections.double_trial_interval(backend)
         if (
-            ejections.trial_interval[b] == TRIAL_INTERVAL_MOST
-            and endpoints.left_at[b]
-            and endpoints.state[b] == EndpointState.READY
+            ejections.trial_interval[backend] == TRIAL_INTERVAL_MOST
+            and endpoints.left_at[backend]
+            and endpoints.state[backend] == EndpointState.READY
         ):
-            self.endpoint_left(b, EndpointState.REMOVED, now)
+            self.endpoint_left(backend, EndpointState.REMOVED, now)
             self._rotation.rebuild(now)
-        ejections.schedule_trial(b, now)
+        ejections.schedule_trial(backend, now)
 
     def check_ejected(self, now: int) -> None:
         """Ends the rests of slow backends, and has trial requests made that are due."""
         ejections = self._ejections
-        for b in list(ejections.ejected):
-            if self._endpoints.state[b] != EndpointState.READY:
+        for backend in list(ejections.ejected):
+            if self._endpoints.state[backend] != EndpointState.READY:
                 continue
-            slow = ejections.reason[b] is SLOW
-            if slow and now >= ejections.until[b]:
-                self._rest_ended(b, now)
+            slow = ejections.reason[backend] is SLOW
+            if slow and now >= ejections.until[backend]:
+                self._rest_ended(backend, now)
                 continue
             if (
-                not ejections.trial_due[b]
-                and now >= ejections.trial_at[b]
-                and not ejections.trials_in_flight[b]
+                not ejections.trial_due[backend]
+                and now >= ejections.trial_at[backend]
+                and not ejections.trials_in_flight[backend]
             ):
-                ejections.schedule_trial(b, now)
+                ejections.schedule_trial(backend, now)
                 if self._settings.may_check_health and not slow:
-                    self._health_checks.request(b)
+                    self._health_checks.request(backend)
                 else:
-                    ejections.admit_trial(b)
-            if slow or not ejections.trial_due[b]:
+                    ejections.admit_trial(backend)
+            if slow or not ejections.trial_due[backend]:
                 self._wakeup.request(
-                    max(now + SWEEP_INTERVAL, min(ejections.until[b], ejections.trial_at[b]))
+                    max(
+                        now + SWEEP_INTERVAL,
+                        min(ejections.until[backend], ejections.trial_at[backend]),
+                    )
                 )
 
-    def check_unresponsive(self, b: int, now: int) -> int:
+    def check_unresponsive(self, backend: int, now: int) -> int:
         """With attempts in flight and no answer for long, a backend is unresponsive.
 
         What may be is sent elsewhere then. Returns when to check again.
         """
-        attempts = self._ejections.in_flight[b]
-        for attempt in [t for t in attempts if t.outcome and now >= t.timeout_at]:
-            self._ejections.attempt_left(b, attempt, now)
+        attempts = self._ejections.in_flight[backend]
+        for attempt in [
+            attempt for attempt in attempts if attempt.outcome and now >= attempt.timeout_at
+        ]:
+            self._ejections.attempt_left(backend, attempt, now)
         if not attempts:
             return NEVER
         oldest = next(iter(attempts))
-        quiet = now - max(self.last_answer_at[b], oldest.sent_at)
+        quiet = now - max(self.last_answer_at[backend], oldest.sent_at)
         # A light one may wait behind heavy ones, and has no less patience for it.
-        cost = max(1.0, *(t.request.relative_cost for t in attempts))
+        cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
-        typical = max(LATENCY_GRAIN, cost * stats.typical * max(self.latency_level[b], 1.0))
+        typical = max(LATENCY_GRAIN, cost * stats.typical * max(self.latency_level[backend], 1.0))
         # A node with few attempts has one in flight at a time: by the mean alone each heavy one is taken
         # for silence.
         heavy = exp(UNRESPONSIVE_DEVIATIONS / len(attempts) * sqrt(2 * stats.skew) - stats.skew)
-        patience = typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / len(attempts), heavy)
-        if quiet < patience:
+        bearable = typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / len(attempts), heavy)
+        if quiet < bearable:
             return min(
-                int(now - quiet + patience) + 1,
-                *(t.timeout_at for t in attempts if t.outcome),
+                int(now - quiet + bearable) + 1,
+                *(attempt.timeout_at for attempt in attempts if attempt.outcome),
                 NEVER,
             )
-        if self._ejections.reason[b] is not UNRESPONSIVE:
-            self.eject(b, UNRESPONSIVE, now)
-        self._cancel_unanswered(b, now, list(attempts), typical)
+        if self._ejections.reason[backend] is not UNRESPONSIVE:
+            self.eject(backend, UNRESPONSIVE, now)
+        self._cancel_unanswered(backend, now, list(attempts), typical)
         return now
 
-    def _cancel_unanswered(self, b: int, now: int, attempts: list[Attempt], typical: float) -> None:
+    def _cancel_unanswered(
+        self, backend: int, now: int, attempts: list[Attempt], typical: float
+    ) -> None:
         """Cancels what an unresponsive backend has and what may be sent elsewhere in time."""
         left = self._retry_budget.left(now)
         for attempt in attempts:
             request = attempt.request
             if attempt.is_trial and now - attempt.sent_at > UNRESPONSIVE_SUM * typical:
-                self.trial_failed(b, now)
+                self.trial_failed(backend, now)
             if (
                 request.request_class.idempotency != Idempotency.UNSAFE
                 and not attempt.cancelled
--- a/pierglade/balancer/pause_forecast.py
+++ b/pierglade/balancer/pause_forecast.py
@@ -53,10 +53,10 @@
         """The work at which the next pause is due."""
         self.next_pause_at: list[int | None] = []
 
-    def add(self, b: int) -> None:
-        """Begins with nothing for backend `b`: a new index, or a process that has started anew."""
+    def add(self, backend: int) -> None:
+        """Begins with nothing for `backend`: a new index, or a process that has started anew."""
         for name, initial in INITIAL.items():
-            getattr(self, name)[b : b + 1] = [initial]
+            getattr(self, name)[backend : backend + 1] = [initial]
 
     def copy_from(self, before: "PauseForecast") -> None:
         """Takes over what `before` knows; nothing that changes later is shared."""
@@ -66,27 +66,27 @@
         self.pauses = [past and past.copy() for past in before.pauses]
         self.sums = [list(sums) if type(sums) is list else sums for sums in before.sums]
 
-    def set_aside(self, b: int) -> None:
+    def set_aside(self, backend: int) -> None:
         """No pause came when it was due: there is no forecast until the next pause."""
-        self.next_pause_at[b] = self.next_pause_answered[b] = None
-
-    def answer_received(self, b: int, now: int) -> None:
-        """A successful answer of backend `b` enters the regression from work to time."""
-        self.answered[b] += 1
-        if not self.samples[b]:  # In a large fleet most backends are never sent to.
-            self.samples[b], self.sums[b] = deque(), [0, 0, 0, 0]
-        answered, samples, sums = self.answered[b], self.samples[b], self.sums[b]
+        self.next_pause_at[backend] = self.next_pause_answered[backend] = None
+
+    def answer_received(self, backend: int, now: int) -> None:
+        """A successful answer of `backend` enters the regression from work to time."""
+        self.answered[backend] += 1
+        if not self.samples[backend]:  # In a large fleet most backends are never sent to.
+            self.samples[backend], self.sums[backend] = deque(), [0, 0, 0, 0]
+        answered, samples, sums = self.answered[backend], self.samples[backend], self.sums[backend]
         samples.append(now)  # Each is one unit of work after the one before.
         for n, each in enumerate((answered, now, answered * answered, answered * now)):
             sums[n] += each
-        while len(samples) > self.window[b]:
+        while len(samples) > self.window[backend]:
             old_work, old_now = answered - len(samples) + 1, samples.popleft()
             for n, each in enumerate((old_work, old_now, old_work * old_work, old_work * old_now)):
                 sums[n] -= each
-        if self.next_pause_answered[b] is not None:
-            self._forecast_moment(b)
+        if self.next_pause_answered[backend] is not None:
+            self._forecast_moment(backend)
 
-    def pause_ended(self, b: int, lasted: int) -> None:
+    def pause_ended(self, backend: int, lasted: int) -> None:
         """A pause enters the regressions, the band is checked, the next pause is forecast.
 
         One that lasted longer than LONGEST_PAUSE is ignored: hangs, deaths and quick errors last
@@ -94,30 +94,30 @@
         """
         if lasted > LONGEST_PAUSE:
             return
-        self.mean_pause[b] += (lasted - self.mean_pause[b]) // 4
-        pauses = self.pauses[b] = self.pauses[b] or deque(maxlen=PAUSES_KEPT)
-        pauses.append(self.answered[b])
-        self.set_aside(b)
+        self.mean_pause[backend] += (lasted - self.mean_pause[backend]) // 4
+        pauses = self.pauses[backend] = self.pauses[backend] or deque(maxlen=PAUSES_KEPT)
+        pauses.append(self.answered[backend])
+        self.set_aside(backend)
         if len(pauses) < PAUSES_NEEDED:
             return
-        self.window[b] = _window(pauses)
+        self.window[backend] = _window(pauses)
         count = len(pauses)
         numbers, total = count * (count - 1) // 2, sum(pauses)
         slope = (count * sum(n * w for n, w in enumerate(pauses)) - numbers * total) / (
             count * sum(n * n for n in range(count)) - numbers * numbers
         )
-        self.next_pause_answered[b] = (total - slope * numbers) / count + slope * count
-        self._forecast_moment(b)
+        self.next_pause_answered[backend] = (total - slope * numbers) / count + slope * count
+        self._forecast_moment(backend)
 
-    def _forecast_moment(self, b: int) -> None:
+    def _forecast_moment(self, backend: int) -> None:
         """When the work will have been done at which the next pause is due."""
-        count = len(self.samples[b])
-        works, times, squares, products = self.sums[b]
+        count = len(self.samples[backend])
+        works, times, squares, products = self.sums[backend]
         determinant = count * squares - works * works
         if determinant > 0:
             slope = (count * products - works * times) / determinant
-            self.next_pause_at[b] = int(
-                (times - slope * works) / count + slope * self.next_pause_answered[b]
+            self.next_pause_at[backend] = int(
+                (times - slope * works) / count + slope * self.next_pause_answered[backend]
             )
 
 
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -12,7 +12,7 @@
 from pierglade.settings.balancer import BalancerSettings
 
 # Share of the latency objective; queued longer, a request is rejected, as is what is over its quota.
-PATIENCE = 0.3
+QUEUED_MOST = 0.3
 # Share of the latency objective; with an oldest wait beyond it, what is queued is ranked by its gain.
 OVERLOADED_FROM = 0.1
 # Share of the work asked for; so little of it need not wait for capacity.
@@ -96,7 +96,7 @@
         self.light_heap = self.heaps[most] if work[most] <= LIGHT_SHARE * sum(work) else None
         if line:
             self._wakeup.request(now + SWEEP_INTERVAL)
-        if waited <= PATIENCE:
+        if waited <= QUEUED_MOST:
             return []
         return [
             request
--- a/pierglade/balancer/retry.py
+++ b/pierglade/balancer/retry.py
@@ -17,13 +17,13 @@
 # Retries saved up at most, for a burst of losses when a backend dies.
 SAVED_MOST = 20.0
 # Times the usual latency; with less time than this left, too many would come too late.
-HOPELESS = 1.5
+TOO_LATE = 1.5
 # The same while there is capacity: work is uneven, and half of it takes less than this.
-HOPELESS_WITH_CAPACITY = 0.4
+TOO_LATE_WITH_CAPACITY = 0.4
 # Share of the latency objective; what has just come in is worth an attempt.
-HOPELESS_MOST = 0.9
+TOO_LATE_MOST = 0.9
 # 10 ms; a host acts every few ms, and the answer must be out before the deadline.
-HOPELESS_LEAST = 100
+TOO_LATE_LEAST = 100
 # Share; an attempt with this much less time than first ones was cut by the request timeout.
 USUAL_TIME = 0.02
 # Attempts; how many it takes to change what is usual, about a second's worth.
@@ -160,7 +160,7 @@
         """The same of one that came with that time left and `is_shed` before it was taken in."""
         self.unanswered += is_shed and not self.is_repeat(request_class, left)
 
-    def is_hopeless(self, request: Request, now: int) -> bool:
+    def is_too_late(self, request: Request, now: int) -> bool:
         """Whether an attempt sent now would come back too late."""
         return now >= self.last_chance(request)
 
@@ -172,11 +172,11 @@
         request_class = request.request_class
         # Not all of the objective, or what was once slow would never be tried again.
         spare = not self._queue.overloaded and self._rotation.is_whole_ring()
-        times = HOPELESS_WITH_CAPACITY if spare and not sure else HOPELESS
+        times = TOO_LATE_WITH_CAPACITY if spare and not sure else TOO_LATE
         need = request.relative_cost * self._request_stats.classes[request_class.index].typical
         if request.relative_cost <= COST_MOST:
-            need = min(times * need, HOPELESS_MOST * request_class.latency_objective)
-        return request.objective_at - max(HOPELESS_LEAST, int(need))
+            need = min(times * need, TOO_LATE_MOST * request_class.latency_objective)
+        return request.objective_at - max(TOO_LATE_LEAST, int(need))
 
 
 class RetryRules:
@@ -185,7 +185,7 @@
     def __init__(self, max_attempts: int, endpoints: EndpointStats) -> None:
         self._max_attempts, self._endpoints = max_attempts, endpoints
 
-    def may_send(self, request: Request, b: int, now: int) -> bool:
+    def may_send(self, request: Request, backend: int, now: int) -> bool:
         """Whether the request may go to this backend."""
         request_class = request.request_class
         if (
@@ -206,9 +206,9 @@
         return (
             scope == "all"
             or scope == "zone"
-            and endpoints.zone[b] == endpoints.zone[executed.backend]
+            and endpoints.zone[backend] == endpoints.zone[executed.backend]
             or scope == "cell"
-            and endpoints.cell[b] == endpoints.cell[executed.backend]
+            and endpoints.cell[backend] == endpoints.cell[executed.backend]
         )
 
     @staticmethod
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -88,15 +88,15 @@
         """Whether this node sends to all ready backends."""
         return len(self.subset) == len(self.by_rank)
 
-    def add(self, b: int) -> None:
+    def add(self, backend: int) -> None:
         """A backend is ready."""
-        insort(self.by_rank, b, key=self._endpoints.rank.__getitem__)
+        insort(self.by_rank, backend, key=self._endpoints.rank.__getitem__)
 
-    def remove(self, b: int) -> None:
+    def remove(self, backend: int) -> None:
         """A backend is ready no more."""
         rank = self._endpoints.rank
-        self.total_size -= self._endpoints.size[b]
-        del self.by_rank[bisect_left(self.by_rank, rank[b], key=rank.__getitem__)]
+        self.total_size -= self._endpoints.size[backend]
+        del self.by_rank[bisect_left(self.by_rank, rank[backend], key=rank.__getitem__)]
 
     def endpoints_updated(self, now: int) -> None:
         """Backends or their sizes have changed."""
@@ -135,12 +135,17 @@
         self._most_ready = max(self._most_ready, ready)
         if after:
             self._update_warm_rate(now, len(after))
-        self.largest_size = max((self._endpoints.size[b] for b in after), default=1.0)
+        self.largest_size = max((self._endpoints.size[backend] for backend in after), default=1.0)
         if after == before:
             return
         self.subset, kept = after, set(after)
         following = next(
-            (b for b in before[self.position :] + before[: self.position] if b in kept), None
+            (
+                backend
+                for backend in before[self.position :] + before[: self.position]
+                if backend in kept
+            ),
+            None,
         )
         # It starts at random, or all nodes would begin with the same one.
         self.position = (
@@ -166,19 +171,21 @@
         """The subset from that place on, and how many of it count toward the capacity."""
         after, healthy, size = [], 0, 0.0
         sizes, until, reason = self._endpoints.size, self._slow_start.until, self._ejections.reason
-        for b in self.by_rank[begin:] + self.by_rank[:begin]:
+        for backend in self.by_rank[begin:] + self.by_rank[:begin]:
             if enough is not None and size * len(self.by_rank) >= enough:
                 break
-            after.append(b)
-            if now < until[b]:
-                size += sizes[b] * self._settings.slow_start_capacity
+            after.append(backend)
+            if now < until[backend]:
+                size += sizes[backend] * self._settings.slow_start_capacity
                 self.rebuild_at = min(
-                    self.rebuild_at, until[b], NEVER if self.has_quotas else now + LOOK_INTERVAL
+                    self.rebuild_at,
+                    until[backend],
+                    NEVER if self.has_quotas else now + LOOK_INTERVAL,
                 )
                 self._wakeup.request(self.rebuild_at)
-            elif reason[b] in COUNTS_TOWARD_CAPACITY:
-                size += sizes[b]
-            healthy += reason[b] in COUNTS_TOWARD_CAPACITY
+            elif reason[backend] in COUNTS_TOWARD_CAPACITY:
+                size += sizes[backend]
+            healthy += reason[backend] in COUNTS_TOWARD_CAPACITY
         return after, healthy
 
     def _update_warm_rate(self, now: int, in_subset: int) -> None:
--- a/pierglade/balancer/selection.py
+++ b/pierglade/balancer/selection.py
@@ -80,37 +80,39 @@
         self._pause_forecast, self._slow_start = pause_forecast, slow_start
         self._ejections, self._outliers = ejections, outliers
         self._rotation, self._retry_rules = rotation, retry_rules
-        self.turn_credit: list[float] = []
+        self.turn_share: list[float] = []
         """Of each backend the part of a turn that it has saved up."""
 
-    def add(self, b: int, credit: float) -> None:
-        """A new backend has saved up `credit`."""
-        self.turn_credit[b : b + 1] = [credit]
+    def add(self, backend: int, share: float) -> None:
+        """A new backend has saved up `share`."""
+        self.turn_share[backend : backend + 1] = [share]
 
     def copy_from(self, before: "Selection") -> None:
         """Takes over the parts of turns saved up."""
-        self.turn_credit = before.turn_credit.copy()
+        self.turn_share = before.turn_share.copy()
 
     def choose(self, request: Request, now: int) -> int | None:
         """The next in turn that nothing speaks against; the first that may take it if all are skipped."""
-        rotation, sizes, credit = self._rotation, self._endpoints.size, self.turn_credit
+        rotation, sizes, share = self._rotation, self._endpoints.size, self.turn_share
         subset, position, fallback = rotation.subset, rotation.position, None
         count = len(subset)
         # Where a way to another zone is dear, one lap over the own zone's first.
         for step in range(0 if self._home is None else -count, count):
             place = (position + step) % count
-            b = subset[place]
-            if step < 0 and self._endpoints.zone[b] != self._home:
+            backend = subset[place]
+            if step < 0 and self._endpoints.zone[backend] != self._home:
                 continue
-            skip = self.skip_reason(request, b, now)
+            skip = self.skip_reason(request, backend, now)
             if skip is None:
                 # Even turns would overdrive the small machines at a load that the fleet can bear.
-                level = self._outliers.latency_level[b]
-                credit[b] += min(1.0, sizes[b] / (rotation.largest_size * level**self._level_power))
-                if credit[b] >= 1:
-                    credit[b] -= 1
+                level = self._outliers.latency_level[backend]
+                share[backend] += min(
+                    1.0, sizes[backend] / (rotation.largest_size * level**self._level_power)
+                )
+                if share[backend] >= 1:
+                    share[backend] -= 1
                     rotation.position = place + 1 if place + 1 < count else 0
-                    return b
+                    return backend
                 skip = SkipReason.LOW_WEIGHT
             if fallback is None and skip in FALLBACKS:
                 fallback = place
@@ -119,43 +121,43 @@
         rotation.position = fallback + 1 if fallback + 1 < count else 0
         return subset[fallback]
 
-    def skip_reason(self, request: Request, b: int, now: int) -> SkipReason | None:
+    def skip_reason(self, request: Request, backend: int, now: int) -> SkipReason | None:
         """Why the backend is skipped, or None."""
         if request.attempts:
-            if not self._retry_rules.may_send(request, b, now):
+            if not self._retry_rules.may_send(request, backend, now):
                 return SkipReason.RETRY_NOT_ALLOWED
-            if any(t.backend == b for t in request.attempts):
+            if any(attempt.backend == backend for attempt in request.attempts):
                 return SkipReason.ALREADY_TRIED
         rotation, ejections = self._rotation, self._ejections
-        if now < self._slow_start.until[b] and not self._slow_start.allows(
-            b, now, self._endpoints.size[b], len(rotation.by_rank), len(rotation.subset)
+        if now < self._slow_start.until[backend] and not self._slow_start.allows(
+            backend, now, self._endpoints.size[backend], len(rotation.by_rank), len(rotation.subset)
         ):
             return SkipReason.SLOW_START
-        reason = ejections.reason[b]
-        if reason is not None and not self.is_trial(request, b):
+        reason = ejections.reason[backend]
+        if reason is not None and not self.is_trial(request, backend):
             if reason is not EjectionReason.SLOW:
                 return SkipReason.EJECTED
             # Shared slowness: when most backends are slow at once, skipping them all helps nobody.
             if ejections.slow_count * 2 <= len(rotation.subset):
                 return SkipReason.SLOW
-        level = self._outliers.latency_level[b]
+        level = self._outliers.latency_level[backend]
         most = 1 + OVER_MEAN_FLOOR + OVER_MEAN * self.limit.in_flight / self.limit.healthy_backends
-        if (attempts := ejections.in_flight.get(b)) and (len(attempts) + 1) * level > most:
+        if (attempts := ejections.in_flight.get(backend)) and (len(attempts) + 1) * level > most:
             return SkipReason.OVER_MEAN_IN_FLIGHT
-        forecast = self._pause_forecast.next_pause_at[b]
+        forecast = self._pause_forecast.next_pause_at[backend]
         if forecast is not None:
             usual = self._request_stats.classes[request.request_class.index].typical
             if forecast - usual * level <= now:
-                if now <= forecast + self._pause_forecast.mean_pause[b]:
+                if now <= forecast + self._pause_forecast.mean_pause[backend]:
                     return SkipReason.PAUSE_FORECAST
                 # No pause came: set aside until one does, the forecast cannot starve the backend.
-                self._pause_forecast.set_aside(b)
+                self._pause_forecast.set_aside(backend)
         return None
 
-    def is_trial(self, request: Request, b: int) -> bool:
+    def is_trial(self, request: Request, backend: int) -> bool:
         """Whether the request would be the trial request that is due at that backend."""
         return (
-            self._ejections.trial_due[b]
-            and not self._ejections.trials_in_flight[b]
+            self._ejections.trial_due[backend]
+            and not self._ejections.trials_in_flight[backend]
             and request.request_class.idempotency == self._request_stats.least_harmful_kind()
         )
--- a/pierglade/balancer/slow_start.py
+++ b/pierglade/balancer/slow_start.py
@@ -41,11 +41,11 @@
         self.warm_rate = 0.0
         """What this node sends to a warm backend of the subset, for each unit of its size."""
 
-    def add(self, b: int, now: int) -> None:
-        """Begins with a warm backend `b` of which nothing is known."""
+    def add(self, backend: int, now: int) -> None:
+        """Begins with a warm `backend` of which nothing is known."""
         for name, initial in INITIAL.items():
-            getattr(self, name)[b : b + 1] = [initial]
-        self.allowance_at[b] = now
+            getattr(self, name)[backend : backend + 1] = [initial]
+        self.allowance_at[backend] = now
 
     def copy_from(self, before: "SlowStart") -> None:
         """Takes over what `before` knows, by this one's duration; `before` has nothing saved up then.
@@ -58,31 +58,31 @@
             self.until = [started and started + self.duration for started in before.started_at]
         before.allowance = [0.0] * len(before.allowance)
 
-    def process_started(self, b: int, now: int, started_at: int, allowance: float) -> None:
+    def process_started(self, backend: int, now: int, started_at: int, allowance: float) -> None:
         """A process has just started: it is cold for the full duration, whoever else sends to it."""
-        self.started_at[b] = started_at
-        self.until[b] = started_at + self.duration
-        self.allowance[b], self.allowance_at[b] = allowance, now
+        self.started_at[backend] = started_at
+        self.until[backend] = started_at + self.duration
+        self.allowance[backend], self.allowance_at[backend] = allowance, now
 
-    def attempt_sent(self, b: int, now: int) -> None:
-        """An attempt goes to `b`; while that is cold, the attempt uses up its allowance."""
-        if now < self.until[b]:
-            self.allowance[b] -= 1
+    def attempt_sent(self, backend: int, now: int) -> None:
+        """An attempt goes to `backend`; while that is cold, the attempt uses up its allowance."""
+        if now < self.until[backend]:
+            self.allowance[backend] -= 1
 
-    def allows(self, b: int, now: int, size: float, ready: int, in_subset: int) -> bool:
-        """Rule 4: whether cold backend `b` may be sent one more attempt of this node.
+    def allows(self, backend: int, now: int, size: float, ready: int, in_subset: int) -> bool:
+        """Rule 4: whether cold `backend` may be sent one more attempt of this node.
 
         That is this node's part of what a cold backend may be sent, and of what all nodes may have
         saved up. `ready`, `in_subset`: how many backends there are of each.
         """
-        age, warm = max(0, now - self.started_at[b]), self.warm_rate * size
+        age, warm = max(0, now - self.started_at[backend]), self.warm_rate * size
         capacity = self._capacity + (1 - self._capacity) * age / max(1, self.duration)
         bearable = self._overload * capacity
         part = max(MARGIN, capacity) * min(1.0, bearable)
-        saved = self.allowance[b] + part * warm * (now - self.allowance_at[b])
+        saved = self.allowance[backend] + part * warm * (now - self.allowance_at[backend])
         more = (bearable - part) * warm * SAVED_SPAN + (
             SAVED_BY_ALL * ready / in_subset / self._node_count
         )
         saved = min(saved, SAVED_MOST if 1 + more >= SAVED_MOST else more + (saved - more) % 1)
-        self.allowance[b], self.allowance_at[b] = saved, now
+        self.allowance[backend], self.allowance_at[backend] = saved, now
         return saved >= 1
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -59,7 +59,7 @@
     """What was listed as removed and was tried all the same is removed where that binds."""
     endpoints = node.endpoints
     left = (
-        [b for b in node.rotation.by_rank if endpoints.left_at[b]]
+        [backend for backend in node.rotation.by_rank if endpoints.left_at[backend]]
         if node.settings.removal_binds
         else ()
     )
@@ -67,13 +67,13 @@
         now,
         [
             Endpoint(
-                endpoints.names[b],
+                endpoints.names[backend],
                 EndpointState.REMOVED,
-                endpoints.zone[b],
-                endpoints.cell[b],
-                node.slow_start.started_at[b],
+                endpoints.zone[backend],
+                endpoints.cell[backend],
+                node.slow_start.started_at[backend],
             )
-            for b in left
+            for backend in left
         ],
         False,
     )
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -616,7 +616,7 @@
             chance = random.Random(seed)
             scene = Scene([f"b{n}" for n in range(4)], **self.TERMS)
             took, further, broken, early = [], [], 0, 0
-            send, final = scene.node._send, scene.node._final
+            send, final = scene.node.dispatch.send, scene.node.dispatch.final
 
             def sends(request, b, now, send=send):
                 if request.attempts:
@@ -633,11 +633,11 @@
                     len(lost) == 1
                     and request.request_class.idempotency == Idempotency.SAFE
                     and 2 * spent < allowed
-                    and not scene.node.deadlines.is_hopeless(request, scene.now)
+                    and not scene.node.deadlines.is_too_late(request, scene.now)
                 )
                 return final(request)
 
-            scene.node._send, scene.node._final = sends, finals
+            scene.node.dispatch.send, scene.node.dispatch.final = sends, finals
             for n in range(1500):
                 scene.after(chance.choice((1, 5, 20, 400 if n % 300 > 280 else 10)))
                 took.append(scene.now)
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -170,7 +170,7 @@
 
     def check(self, node):
         equal, all_of = self.case.assertEqual, range(len(node.endpoints.names))
-        equal(len(node.selection.turn_credit), len(node.endpoints.names))
+        equal(len(node.selection.turn_share), len(node.endpoints.names))
         for part, names in (
             (node.pause_forecast, pause_forecast.INITIAL),
             (node.slow_start, slow_start.INITIAL),
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -15,6 +15,7 @@
     slow_start,
 )
 from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.dispatch import Dispatch
 from pierglade.balancer.ejections import Ejections
 from pierglade.balancer.endpoint_stats import (
     INITIAL_LATENCY,
@@ -47,6 +48,7 @@
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
 PARTS = (
+    Dispatch,
     Ejections,
     OutlierDetection,
     PendingDecisions,
@@ -154,7 +156,7 @@
             self.assertEqual(getattr(node.ejections, name), getattr(before.ejections, name), name)
         for name in outlier_detection.INITIAL:
             self.assertEqual(getattr(node.outliers, name), getattr(before.outliers, name), name)
-        self.assertEqual(node.selection.turn_credit, before.selection.turn_credit)
+        self.assertEqual(node.selection.turn_share, before.selection.turn_share)
         for name in pause_forecast.INITIAL:
             self.assertEqual(
                 getattr(node.pause_forecast, name), getattr(before.pause_forecast, name), name
