--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -1,9 +1,9 @@
 """The decisions of a balancer: which backend gets a request, what is retried, what is rejected.
 
 A host makes one `Balancer` with a seed and its settings, and reports whatever happens by its inputs
-(`endpoints_updated`, `request_received`, `attempt_ended` and so on); these only update what is known.
-It then pulls `next_decision(now)` until that is None, carries each decision out, and calls again no
-later than `next_wakeup(now)`. The decisions' types are in `pierglade/model/decision.py`;
+(`endpoints_updated`, `request_received`, `attempt_ended` and so on); these only update what is
+known. It then pulls `next_decision(now)` until that is None, carries each decision out, and calls
+again no later than `next_wakeup(now)`. The decisions' types are in `pierglade/model/decision.py`;
 docs/design.md has the reasons. Moments and spans are tenths of a millisecond. No I/O, no clock.
 """
 
@@ -258,8 +258,11 @@
         }
 
     def restore_statistics(self, rows: list[dict], backends: dict[str, dict]) -> None:
-        """The part of it that is still taken for true (`pierglade/snapshot/`); the backends are known."""
-        for stats, stored in zip(self.request_stats.classes, rows):
+        """Takes what of exported statistics is still true (`pierglade/snapshot/`).
+
+        The backends must be known.
+        """
+        for stats, stored in zip(self.request_stats.classes, rows, strict=False):
             vars(stats).update(stored)
         for name, stored in backends.items():
             for key, value in stored.items():
@@ -291,7 +294,8 @@
                     continue
                 backend = self._add_endpoint(e.name, now)
             endpoints.zone[backend], endpoints.cell[backend] = e.zone, e.cell
-            # Live weights are late and would swing all nodes together; the largest seen is the size.
+            # Live weights are late and would swing all nodes together; the largest seen is the
+            # size.
             endpoints.size[backend] = max(endpoints.size[backend], e.weight)
             if e.state != EndpointState.READY:
                 self.outliers.endpoint_left(backend, e.state, now)
@@ -420,7 +424,8 @@
 
     def next_wakeup(self, now: int) -> int | None:
         """When to pull decisions again, if nothing comes in before; None for never."""
-        # A client's repeat may have so little time left that the next sweep would come after its limit.
+        # A client's repeat may have so little time left that the next sweep would come after its
+        # limit.
         first = min([self.wakeup.at, *map(self.deadlines.last_chance, self.queue.first_of_each())])
         return max(now + 1, first) if first < NEVER else None
 
@@ -434,7 +439,10 @@
         return decision
 
     def _sweep(self, now: int) -> None:
-        """Looks after what is due: unresponsive backends, trial requests, polls, what waits too long."""
+        """Looks after all that is due.
+
+        That is unresponsive backends, trial requests, polls and requests that wait too long.
+        """
         wakeup, rotation = self.wakeup, self.rotation
         wakeup.reset()
         if now >= rotation.rebuild_at:
--- a/pierglade/balancer/dispatch.py
+++ b/pierglade/balancer/dispatch.py
@@ -27,7 +27,10 @@
 
 
 class Dispatch:
-    """Takes requests off the queue: decisions made already, retries, queued requests, trial requests."""
+    """Takes requests off the queue.
+
+    In this order: decisions made already, retries, queued requests, trial requests.
+    """
 
     def __init__(
         self,
@@ -99,7 +102,8 @@
                 or now - request.queued_since
                 > QUEUED_MOST * request.request_class.latency_objective
             ):
-                # Queued so long, it would be answered late: an early no leaves capacity for the others.
+                # Queued so long, it would be answered late: an early no leaves capacity for the
+                # others.
                 heappop(heap)
                 return self.final(request)
             full = limit.is_full(now, heap is queue.light_heap)
@@ -171,7 +175,8 @@
 
     def attempt_lost(self, now: int, request: Request, outcome: Outcome) -> None:
         """An attempt came to nothing: a retry, or the final answer at once."""
-        # Where it was lost at every ready backend there is no way back: queued, it would wait in vain.
+        # Where it was lost at every ready backend there is no way back: queued, it would wait in
+        # vain.
         may_retry = (
             self._retry_budget.left(now) >= 1
             and not self._deadlines.is_too_late(request, now)
--- a/pierglade/balancer/health_checks.py
+++ b/pierglade/balancer/health_checks.py
@@ -27,7 +27,10 @@
         self._pending.append(backend)
 
     def attempt_sent(self, subset: list[int], reported_at: list[int]) -> None:
-        """After so many attempts, the backend of the subset that reported longest ago is checked."""
+        """Counts an attempt.
+
+        After so many the backend of the subset that reported longest ago is checked.
+        """
         if self._tell_load:
             self._due += self._per_attempt
             if self._due >= 1:
--- a/pierglade/balancer/load_reports.py
+++ b/pierglade/balancer/load_reports.py
@@ -1,7 +1,7 @@
 """What backends report of their load, and how much more or less is sent for it. No I/O, no clock.
 
-Moments and spans are tenths of a millisecond. A utilization is a share of cores in use, a throughput
-is requests in a second that a backend answers for all nodes.
+Moments and spans are tenths of a millisecond. A utilization is a share of cores in use, a
+throughput is requests in a second that a backend answers for all nodes.
 """
 
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
@@ -178,7 +178,10 @@
         self._look_for_slower_together(now, reported)
 
     def _update_share(self, now: int, reported: list[int], by_rank: list[int], rate: float) -> None:
-        """Without quotas, a node's share of what all are asked for follows from what comes to it."""
+        """Updates this node's share of the traffic of all nodes.
+
+        Without quotas, it follows from what comes to the node.
+        """
         with_throughput = [backend for backend in reported if self.throughput[backend] is not None]
         if not with_throughput:
             return
@@ -188,7 +191,8 @@
         )
         fleet = sum(self.throughput[backend] for backend in with_throughput) * scale / 10000
         if self._request_stats.succeeded >= SHARE_FROM:
-            # Like with like: by all that is asked each node of a full fleet took itself for a busy one.
+            # Like with like: by all that is asked each node of a full fleet took itself for a
+            # busy one.
             own = self._request_stats.success_rate(now)
             own += max(0.0, rate - own) * UNMET
             self.traffic_share = max(
@@ -196,7 +200,10 @@
             )
 
     def _update_growth(self, now: int, reported: list[int], limit: ConcurrencyLimiter) -> None:
-        """Capacity that reports show is used; what is full by them is left to the limiter's rounds."""
+        """Lets the limit grow by the capacity that reports show.
+
+        What is full by them is left to the limiter's rounds.
+        """
         # Checks are few and far between: none vouches for more than was out when it was made.
         fresh = [
             backend
@@ -234,7 +241,8 @@
             and now >= self._next_rest_at
             and now % REST_EACH < REST_BEGINS_WITHIN
         ):
-            # Only all nodes together give the backends a rest, and the clock is all that they share.
+            # Only all nodes together give the backends a rest, and the clock is all that they
+            # share.
             self._rest_until, self._next_rest_at = (
                 now - now % REST_EACH + REST_FOR,
                 now + REST_INTERVAL,
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -49,7 +49,8 @@
 LOSS_LEAST, LOSS_MOST = 0.001, 0.5
 # Share of a new outcome in what healthy backends lose; half a second's worth.
 LOSS_SMOOTHING = 1 / 64
-# Times the usual latency, summed over the attempts in flight; chance silence is rarer if work is alike.
+# Times the usual latency, summed over the attempts in flight; chance silence is rarer if work is
+# alike.
 UNRESPONSIVE_SUM = 6.0
 # Standard deviations of the work, over the attempts in flight; the same where it is not.
 UNRESPONSIVE_DEVIATIONS = 3.3
@@ -119,7 +120,10 @@
         self.loss_rate = before.loss_rate
 
     def process_started(self, backend: int, now: int) -> None:
-        """A process that has started anew pauses anew, and why the one before was ejected is not its own."""
+        """Forgets what was learned of the process before.
+
+        A new process pauses anew, and why the one before was ejected is not its own.
+        """
         if self._ejections.reason[backend] is not None:
             self._set_reason(backend, None, now)
         for name, initial in PROCESS_INITIAL.items():
@@ -127,7 +131,10 @@
         self._pause_forecast.add(backend)
 
     def endpoint_left(self, backend: int, state: EndpointState, now: int) -> None:
-        """Rule 3: from the moment it is listed as draining or removed, it is out of the rotation."""
+        """Takes a backend out of the rotation (rule 3).
+
+        From the moment it is listed as draining or removed, it gets nothing more.
+        """
         endpoints, ejections = self._endpoints, self._ejections
         if endpoints.state[backend] == EndpointState.READY:
             endpoints.left_at[backend] = now
@@ -136,13 +143,15 @@
                 and not self._settings.removal_binds
                 and ejections.trial_interval[backend] < TRIAL_INTERVAL_MOST
             ):
-                # It may be up all the same: trials tell, and one that fails them for long is removed.
+                # It may be up all the same: trials tell, and one that fails them for long is
+                # removed.
                 if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
                     self.eject(backend, FAILING, now)
                 return
             self._rotation.remove(backend)
             if ejections.reason[backend] is SLOW:
-                # Removed, it must not count to the slow ones for ever, or shared slowness would seem to last.
+                # Removed, it must not count to the slow ones for ever, or shared slowness would
+                # seem to last.
                 self._set_reason(backend, None, now)
         endpoints.became_unready(backend, state)
 
@@ -152,7 +161,7 @@
         healthy, succeeded = self._ejections.reason[backend] is None, outcome == Outcome.SUCCESS
         if not succeeded or not healthy:
             self.limit.attempt_lost(request_class.index, attempt.probing_round)
-        if succeeded and healthy or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
+        if (succeeded and healthy) or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self._request_costs.latency_seen(now, attempt.request, took, succeeded)
         if succeeded:
             self._attempt_succeeded(now, attempt, took)
@@ -214,7 +223,8 @@
             self.last_answer_at[backend] = now
         if outcome == Outcome.CLIENT_ERROR:
             return  # What a client got wrong says nothing against the backend.
-        # A rejection counts too: whoever says no at once has nothing in flight and would attract work.
+        # A rejection counts too: whoever says no at once has nothing in flight and would attract
+        # work.
         self.error_rate[backend] += (1 - self.error_rate[backend]) * (
             CONNECT_ERROR_SMOOTHING if outcome == Outcome.CONNECT_FAILED else ERROR_SMOOTHING
         )
@@ -225,7 +235,8 @@
                 and self._endpoints.state[backend] == EndpointState.READY
             ):
                 self.limit.attempt_rejected(now, attempt.sent_at)
-        # What all backends lose alike is no one's outage: left out for it, they would leave no capacity.
+        # What all backends lose alike is no one's outage: left out for it, they would leave no
+        # capacity.
         many = ERRORS_IN_A_ROW
         if self._rotation.is_whole_ring():
             many = max(many, log(BY_CHANCE) / log(min(LOSS_MOST, self.loss_rate)) - 0.5)
@@ -235,9 +246,13 @@
                 self.trial_failed(backend, now)
 
     def eject(self, backend: int, reason: EjectionReason, now: int) -> None:
-        """Backend `backend` gets trial requests only from now on, or for another reason than before."""
+        """The backend gets trial requests only from now on.
+
+        If it was ejected already, only the reason changes.
+        """
         if self._ejections.reason[backend] is None:
-            # Slow again before it was well: it has not had the rest that it needs, and gets twice as long.
+            # Slow again before it was well: it has not had the rest that it needs, and gets twice
+            # as long.
             rest = min(
                 SLOW_EJECTION_MOST,
                 self._pause_forecast.mean_pause[backend] << self.relapses[backend],
@@ -325,8 +340,8 @@
         cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
         typical = max(LATENCY_GRAIN, cost * stats.typical * max(self.latency_level[backend], 1.0))
-        # A node with few attempts has one in flight at a time: by the mean alone each heavy one is taken
-        # for silence.
+        # A node with few attempts has one in flight at a time: by the mean alone each heavy one
+        # is taken for silence.
         heavy = exp(UNRESPONSIVE_DEVIATIONS / len(attempts) * sqrt(2 * stats.skew) - stats.skew)
         bearable = typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / len(attempts), heavy)
         if quiet < bearable:
--- a/pierglade/balancer/pause_forecast.py
+++ b/pierglade/balancer/pause_forecast.py
@@ -123,7 +123,7 @@
 
 def _window(pauses: deque) -> int:
     """How many answers to look back on, by how regularly the pauses came."""
-    gaps = [after - before for before, after in zip(pauses, list(pauses)[1:])]
+    gaps = [after - before for before, after in zip(pauses, list(pauses)[1:], strict=False)]
     mean = sum(gaps) / len(gaps)
     deviation = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
     variation = deviation / mean if mean else VARIATION_IRREGULAR
--- a/pierglade/balancer/polling.py
+++ b/pierglade/balancer/polling.py
@@ -1,4 +1,7 @@
-"""When to poll the endpoint list after a watch was lost. Spans are tenths of a millisecond. No I/O."""
+"""When to poll the endpoint list after a watch was lost.
+
+Spans are tenths of a millisecond. No I/O.
+"""
 
 from collections.abc import Callable
 
@@ -16,7 +19,13 @@
     """The moment of the next poll, and the interval to the one after."""
 
     def __init__(self, polls: bool, now: int, pick: Callable[[int], int]) -> None:
-        """`polls`: whether the host polls at all, at once then; `pick`: random int below its argument."""
+        """Schedules the first poll.
+
+        Args:
+            polls: whether the host polls at all, at once then.
+            now: the moment.
+            pick: gives a random int below its argument.
+        """
         self.pick = pick
         self.next_at: int = now if polls else NEVER
         self._interval = INTERVAL
@@ -24,7 +33,8 @@
     def endpoints_updated(self) -> None:
         """A list has come: later polls may come sooner again.
 
-        Not at once: a call that still waits its turn has its first line, and may yet come to nothing.
+        Not at once: a call that still waits its turn has its first line, and may yet come to
+        nothing.
         """
         self._interval = max(INTERVAL, self._interval // 2)
 
--- a/pierglade/balancer/request_cost.py
+++ b/pierglade/balancer/request_cost.py
@@ -44,7 +44,8 @@
         """Sets the relative cost of a request that has just come in."""
         tenant = request.tenant
         if request.cost_hint:
-            # Few requests cost what their class does in the mean: unweighed, heavy ones look queued.
+            # Few requests cost what their class does in the mean: unweighed, heavy ones look
+            # queued.
             stats.hinted += (request.cost_hint - stats.hinted) * (
                 HINT_SMOOTHING if stats.hinted else 1
             )
@@ -55,7 +56,8 @@
             tenant is not None
             and (slowness := self._slowness(tenant, now) / self.median_slowness) > SLOW_TENANT
         ):
-            # Some go out all the same, or nobody would see that the others are as quick as ever again.
+            # Some go out all the same, or nobody would see that the others are as quick as ever
+            # again.
             tenant.slow_requests += 1
             request.relative_cost = (
                 slowness if tenant.slow_requests % SLOW_TENANT_TRIES else min(slowness, COST_MOST)
@@ -86,7 +88,10 @@
         self.median_slowness = max(1.0, self.slowness.figure(now) or 1.0)
 
     def _slowness(self, tenant: Tenant, now: int) -> float:
-        """Fades by itself, so that what is rejected for it is tried again, one more and one more."""
+        """The tenant's slowness, which fades by itself.
+
+        So what is rejected for it is tried again, one more and one more.
+        """
         return 1 + (tenant.slowness - 1) * max(
             0.0, 1 - (now - tenant.slowness_seen_at) / SLOWNESS_SPAN
         )
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -11,9 +11,11 @@
 from pierglade.model.request import Request, Tenant
 from pierglade.settings.balancer import BalancerSettings
 
-# Share of the latency objective; queued longer, a request is rejected, as is what is over its quota.
+# Share of the latency objective; queued longer, a request is rejected, as is what is over its
+# quota.
 QUEUED_MOST = 0.3
-# Share of the latency objective; with an oldest wait beyond it, what is queued is ranked by its gain.
+# Share of the latency objective; with an oldest wait beyond it, what is queued is ranked by its
+# gain.
 OVERLOADED_FROM = 0.1
 # Share of the work asked for; so little of it need not wait for capacity.
 LIGHT_SHARE = 0.1
@@ -60,7 +62,10 @@
         self._by_arrival.append(request)
 
     def next_heap(self) -> Heap | None:
-        """In overload that of the class that gains most; else whose latency objective comes first."""
+        """The heap whose first request goes next, or None.
+
+        In overload that of the class that gains most; else whose latency objective comes first.
+        """
         best = least = None
         for place, heap in enumerate(self.heaps):
             while heap and heap[0][2].completed:
@@ -80,7 +85,10 @@
         return self.retries + [heap[0][2] for heap in self.heaps if heap]
 
     def update_overload(self, now: int) -> list[Request]:
-        """Overload is told by the oldest wait; returns what tenants asked beyond their quota, to reject."""
+        """Updates `overloaded` by the oldest wait.
+
+        Returns the requests to reject, which tenants sent beyond their quota.
+        """
         line = self._by_arrival
         while line and (line[0].completed or line[0].attempts):
             line.popleft()
@@ -88,8 +96,8 @@
             (now - line[0].queued_since) / line[0].request_class.latency_objective if line else 0.0
         )
         self.overloaded = waited > OVERLOADED_FROM
-        # A node with capacity for two attempts waits long for one to end: what gains most and is little
-        # goes ahead.
+        # A node with capacity for two attempts waits long for one to end: what gains most and is
+        # little goes ahead.
         classes = self._request_stats.classes
         work = [max(each.asked, 1.0) * each.typical for each in classes]
         most = max(range(len(work)), key=lambda place: self._gain(classes[place]))
--- a/pierglade/balancer/retry.py
+++ b/pierglade/balancer/retry.py
@@ -89,7 +89,8 @@
         window, sent_at, received_at = self.window, self.sent_at, self.received_at
         if not window:
             return self.saved
-        # A tenth of a ms on either side: the host's clock is finer, and counts a window's very ends.
+        # A tenth of a ms on either side: the host's clock is finer, and counts a window's very
+        # ends.
         while sent_at and sent_at[0] < now - window - 1:
             sent_at.popleft()
         while received_at and received_at[0] <= now - window + 1:
@@ -131,7 +132,8 @@
         stats.usual_left, stats.usual_votes = (
             (left, 1) if stats.usual_votes < 0 else (usual, min(stats.usual_votes, VOTES_MOST))
         )
-        # Less time than first attempts bring shows a late repeat; beyond those unanswered, less patience.
+        # Less time than first attempts bring shows a late repeat; beyond those unanswered, less
+        # patience.
         spent = 0
         # One of hundreds of nodes gets the repeats of others, and cannot count them.
         if self.is_repeat(request_class, left) and (
@@ -180,7 +182,10 @@
 
 
 class RetryRules:
-    """Rule 2 in one place: what may still be done with a request, after what its attempts have proved."""
+    """Rule 2, in one place.
+
+    It says what may still be done with a request, after what its attempts have proved.
+    """
 
     def __init__(self, max_attempts: int, endpoints: EndpointStats) -> None:
         self._max_attempts, self._endpoints = max_attempts, endpoints
@@ -205,10 +210,8 @@
         scope, endpoints = request_class.deduplication_scope, self._endpoints
         return (
             scope == "all"
-            or scope == "zone"
-            and endpoints.zone[backend] == endpoints.zone[executed.backend]
-            or scope == "cell"
-            and endpoints.cell[backend] == endpoints.cell[executed.backend]
+            or (scope == "zone" and endpoints.zone[backend] == endpoints.zone[executed.backend])
+            or (scope == "cell" and endpoints.cell[backend] == endpoints.cell[executed.backend])
         )
 
     @staticmethod
@@ -218,6 +221,8 @@
         return (
             request.first_possibly_executed is None
             or request_class.idempotency == Idempotency.SAFE
-            or request_class.idempotency == Idempotency.KEYED
-            and request_class.deduplication_scope == "all"
+            or (
+                request_class.idempotency == Idempotency.KEYED
+                and request_class.deduplication_scope == "all"
+            )
         )
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -1,6 +1,6 @@
 """The hash ring of ready backends, the subset of it that this node sends to, and whose turn it is.
 
-Moments and spans are tenths of a millisecond; rates are requests in a tenth of a millisecond. No I/O.
+Moments and spans are tenths of a millisecond; rates are requests in one. No I/O.
 """
 
 from bisect import bisect_left, insort
@@ -44,7 +44,10 @@
         load_reports: LoadReports,
         ejections: Ejections,
     ) -> None:
-        """`learns`: where there are no quotas, what comes and what is reported tell the subset's size."""
+        """Begins with an empty ring.
+
+        `learns`: where there are no quotas, what comes and is reported tells the subset's size.
+        """
         self._settings, self.pick, self.limit, self._wakeup = settings, pick, limit, wakeup
         self._endpoints, self._request_stats = endpoints, request_stats
         self._slow_start, self._load_reports = slow_start, load_reports
@@ -111,7 +114,10 @@
         self.rebuild(now)
 
     def look(self, now: int) -> None:
-        """Without quotas, what comes and what backends report tell the subset's size and the limit."""
+        """Updates the rate, the subset's size and the limit where there are no quotas.
+
+        They follow from what comes and what backends report.
+        """
         self.request_rate = self.limit.demand = max(
             RATE_LEAST, self._request_stats.rate(now, "asked")
         )
@@ -127,7 +133,8 @@
         enough = self.subset_size and self.subset_size * self.total_size
         self.rebuild_at = NEVER
         after, healthy = self._fill(self._begin(now), enough, now)
-        # One at least: a node that was cut off sees all fail, and must still send trials to find them well.
+        # One at least: a node that was cut off sees all fail, and must still send trials to find
+        # them well.
         healthy = max(1, healthy)
         ready = len(self.by_rank)
         factor = self._load_reports.capacity_factor(now)
--- a/pierglade/balancer/selection.py
+++ b/pierglade/balancer/selection.py
@@ -92,7 +92,10 @@
         self.turn_share = before.turn_share.copy()
 
     def choose(self, request: Request, now: int) -> int | None:
-        """The next in turn that nothing speaks against; the first that may take it if all are skipped."""
+        """The next in turn that nothing speaks against.
+
+        If all are skipped, the first that may take it; None if none may.
+        """
         rotation, sizes, share = self._rotation, self._endpoints.size, self.turn_share
         subset, position, fallback = rotation.subset, rotation.position, None
         count = len(subset)
--- a/pierglade/balancer/slow_start.py
+++ b/pierglade/balancer/slow_start.py
@@ -1,6 +1,6 @@
 """How much may be sent to a backend whose process has just started, and is slow until it is warm.
 
-Moments and spans are tenths of a millisecond; rates are attempts in a tenth of a millisecond. No I/O.
+Moments and spans are tenths of a millisecond; rates are attempts in one. No I/O.
 """
 
 # Share of the slow start budget used while colder; the rest is for uneven nodes and work.
@@ -48,7 +48,9 @@
         self.allowance_at[backend] = now
 
     def copy_from(self, before: "SlowStart") -> None:
-        """Takes over what `before` knows, by this one's duration; `before` has nothing saved up then.
+        """Takes over what `before` knows, by this one's duration.
+
+        `before` has nothing saved up then.
 
         Or both would spend what was saved up.
         """
@@ -59,7 +61,10 @@
         before.allowance = [0.0] * len(before.allowance)
 
     def process_started(self, backend: int, now: int, started_at: int, allowance: float) -> None:
-        """A process has just started: it is cold for the full duration, whoever else sends to it."""
+        """A process has just started.
+
+        It is cold for the full duration, whoever else sends to it.
+        """
         self.started_at[backend] = started_at
         self.until[backend] = started_at + self.duration
         self.allowance[backend], self.allowance_at[backend] = allowance, now
--- a/pierglade/balancer/stored_figures.py
+++ b/pierglade/balancer/stored_figures.py
@@ -1,4 +1,7 @@
-"""The figures of a backend that snapshots store: for each stored name, where a balancer keeps it."""
+"""The figures of a backend that snapshots store.
+
+For each stored name, where a balancer keeps it.
+"""
 
 from pierglade.balancer import load_reports, outlier_detection, pause_forecast
 
--- a/pierglade/balancer/wakeup.py
+++ b/pierglade/balancer/wakeup.py
@@ -1,8 +1,12 @@
-"""When the balancer has to look after its periodic work again. Moments are tenths of a millisecond."""
+"""When the balancer has to look after its periodic work again.
+
+Moments are tenths of a millisecond.
+"""
 
 # A moment that does not come.
 NEVER = 1 << 62
-# 50 ms; looking for unresponsive backends costs little at this pace and finds them within one answer.
+# 50 ms; looking for unresponsive backends costs little at this pace and finds them within one
+# answer.
 SWEEP_INTERVAL = 500
 
 
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -1,18 +1,21 @@
-"""What a node has learned, for the one that takes its place as settings change. No I/O, no clock, no choice.
+"""What a balancer has learned, for the one that takes its place as settings change.
 
-Both go on side by side until the earlier one owes nothing, so nothing that changes later is shared, but for
-the moments of further trips (`Balancer`). Trips out, what is held and what was decided stay with the earlier one.
+No I/O, no clock.
+
+Both go on side by side until the earlier one has answered all its requests, so nothing that changes
+later is shared, but for the moments of retries (`RetryBudget`). Attempts in flight, queued requests
+and pending decisions stay with the earlier one.
 
 | what | is kept | not where |
 | --- | --- | --- |
-| backends, their places, levels, troubles, trials to come, the forecast | always | of trips out on trial |
-| what backends report and usually do | same way and fields of reports | else it may mean another thing |
-| an offering's latency, its spread, its hints, what was asked and settled | its name is there | - |
-| the time that clients' first tries bring | and its hard limit is the same | it follows from the limit |
-| place on the ring, part of the mean, limit on trips out | same number and count of nodes | shares of all |
-| the limit on trips out | and both have shares, or neither; an offering is left | it begins otherwise |
-| pace, view and room | both learn their part | else the settings say it |
-| what a cold backend may be sent | always, by the new span; the earlier one begins at nothing | - |
+| backends, turns, levels, ejections, trials due, the forecast | always | of trials in flight |
+| what backends report | same source and fields of reports | else it may mean another thing |
+| a class's latency, its spread, its hints, its counts | its name is there | - |
+| the time that first attempts bring | and the request timeout is the same | it follows from that |
+| place on the ring, traffic share, limit | same number and count of nodes | shares of all |
+| the limit | and both have quotas, or neither; a class is left | it begins otherwise |
+| request rate, subset size and growth by reports | both learn them | else the settings say it |
+| the slow start allowance | always; the earlier one begins at nothing | - |
 """
 
 from pierglade.balancer.balancer import Balancer
@@ -21,7 +24,10 @@
 
 
 def take_over(node: Balancer, before: Balancer, now: int) -> None:
-    """Gives `node`, which was just made, what `before` knows. Both get endpoint lists from then on."""
+    """Gives `node`, which was just made, what `before` knows.
+
+    Both get endpoint lists from then on.
+    """
     settings, were = node.settings, before.settings
     # Of each class of the new settings the place it had, by name.
     places = {request_class.name: request_class.index for request_class in were.request_classes}
@@ -32,8 +38,8 @@
     )
     same_nodes = settings.node_count == were.node_count
     both_learn = node.learns and before.learns
-    _figures(node, before, same_reports)
-    _rows(node, before, places)
+    _copy_parts(node, before, same_reports)
+    _copy_classes(node, before, places)
     node.request_stats.copy_from(before.request_stats)
     if both_learn and same_reports:
         node.load_reports.copy_growth(before.load_reports)
@@ -79,7 +85,7 @@
     )
 
 
-def _figures(node, before, same_reports):
+def _copy_parts(node, before, same_reports):
     """What is known of backends, and of all requests together."""
     node.endpoints.copy_from(before.endpoints)
     node.ejections.copy_from(before.ejections)
@@ -93,18 +99,19 @@
     node.deadlines.copy_from(before.deadlines)
 
 
-def _rows(node, before, places):
-    for row, request_class, place in zip(
-        node.request_stats.classes, node.settings.request_classes, places
+def _copy_classes(node, before, places):
+    """What is known of each class of requests, by its name."""
+    for stats, request_class, place in zip(
+        node.request_stats.classes, node.settings.request_classes, places, strict=True
     ):
         if place is None:
             continue
-        told, was = before.request_stats.classes[place], before.settings.request_classes[place]
-        row.asked, row.got, row.hinted = told.asked, told.got, told.hinted
-        if told.answers > row.answers:
-            row.typical, row.skew, row.answers = told.typical, told.skew, told.answers
+        known, was = before.request_stats.classes[place], before.settings.request_classes[place]
+        stats.asked, stats.got, stats.hinted = known.asked, known.got, known.hinted
+        if known.answers > stats.answers:
+            stats.typical, stats.skew, stats.answers = known.typical, known.skew, known.answers
         if request_class.request_timeout == was.request_timeout:
-            row.usual_left, row.usual_votes = told.usual_left, told.usual_votes
+            stats.usual_left, stats.usual_votes = known.usual_left, known.usual_votes
     came = {request_class.idempotency for request_class in before.settings.request_classes}
     for kind in {request_class.idempotency for request_class in node.settings.request_classes}:
         node.request_stats.last_received[kind] = (
