--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -113,6 +113,7 @@
             self.ejections,
         )
         self._make_rules(before)
+        self._make_choices()
 
     def _make_stats(self, now: int) -> None:
         """The parts that only keep figures."""
@@ -164,8 +165,11 @@
             self.health_checks,
             self.pending,
         )
+
+    def _make_choices(self) -> None:
+        """The parts that choose by these."""
         self.selection = Selection(
-            settings,
+            self.settings,
             self.learns,
             self.limit,
             self.endpoints,
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -340,10 +340,7 @@
         cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
         typical = max(LATENCY_GRAIN, cost * stats.typical * max(self.latency_level[backend], 1.0))
-        # A node with few attempts has one in flight at a time: by the mean alone each heavy one
-        # is taken for silence.
-        heavy = exp(UNRESPONSIVE_DEVIATIONS / len(attempts) * sqrt(2 * stats.skew) - stats.skew)
-        bearable = typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / len(attempts), heavy)
+        bearable = _bearable_quiet(typical, stats.skew, len(attempts))
         if quiet < bearable:
             return min(
                 int(now - quiet + bearable) + 1,
@@ -375,3 +372,13 @@
             ):
                 self._pending.cancel(attempt)
                 left -= self._retry_budget.window > 0
+
+
+def _bearable_quiet(typical: float, skew: float, in_flight: int) -> float:
+    """For how long a backend with so many attempts in flight may give no answer.
+
+    A node with few attempts has one in flight at a time: by the mean alone each heavy one is taken
+    for silence. So the spread of the latency counts too (`skew`).
+    """
+    heavy = exp(UNRESPONSIVE_DEVIATIONS / in_flight * sqrt(2 * skew) - skew)
+    return typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / in_flight, heavy)
