--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -70,7 +70,10 @@
             self.pauses += 1
             for seat in self.seats:
                 node = getattr(seat, "_balancer", None)
-                if node is not None and (b := node.index[self.name]) in node.turn:
+                if (
+                    node is not None
+                    and (b := node.endpoints.index[self.name]) in node.rotation.subset
+                ):
                     self.seen += 1
                     self.forecast += self._expects(node, b)
         if self.by_work:
@@ -92,9 +95,12 @@
             self._pause()
 
     def _expects(self, node, b):
-        forecast, now = node.forecast[b], int(self.clock.now)
-        ahead = node.table[0].typical * node.level[b]
-        return forecast is not None and forecast - ahead <= now <= forecast + node.mean_pause[b]
+        forecast, now = node.pause_forecast.next_pause_at[b], int(self.clock.now)
+        ahead = node.request_stats.classes[0].typical * node.outliers.latency_level[b]
+        return (
+            forecast is not None
+            and forecast - ahead <= now <= forecast + node.pause_forecast.mean_pause[b]
+        )
 
 
 def one(job):
@@ -118,7 +124,11 @@
     summary = played.run()
     backends = list(played.backends.values())
     asked = summary["per_s"]["asked"]
-    view = [len(seat._balancer.turn) for seat in played.policies if hasattr(seat, "_balancer")]
+    view = [
+        len(seat._balancer.rotation.subset)
+        for seat in played.policies
+        if hasattr(seat, "_balancer")
+    ]
     return {
         "in time": summary["per_s"]["in_time"] / asked,
         "p99": summary["p99_ms"],
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -1,215 +1,60 @@
-"""All decisions of a pierglade node: rotation around forecast pauses.
+"""The decisions of a balancer: which backend gets a request, what is retried, what is rejected.
 
-How it is called: a host makes one Balancer for each balancer, with a seed and the Terms of its deployment.
-Whatever comes in is told at once by `listed`, `taken`, `returned`, `streaming`, `abandoned` and `probed`;
-these only update what is known. The host then pulls `decide(now)` until it answers None, carries each
-decision out, and calls again no later than `wake(now)`. A decision is a pair of a kind and its subject.
-The types of this interface, and the kinds, are in `pierglade/model/request.py`; docs/design.md has the reasons.
+A host makes one `Balancer` with a seed and its settings, and reports whatever happens by its inputs
+(`endpoints_updated`, `request_received`, `attempt_ended` and so on); these only update what is
+known. It then pulls `next_decision(now)` until that is None, carries each decision out, and calls
+again no later than `next_wakeup(now)`. The decisions' types are in `pierglade/model/decision.py`;
+docs/design.md has the reasons. Moments and spans are tenths of a millisecond. No I/O, no clock.
 """
 
 import random
-from bisect import bisect_left, insort
-from collections import OrderedDict, deque
-from hashlib import blake2b
-from heapq import heappop, heappush
-from math import exp, log, sqrt
+from collections.abc import Iterable
 from typing import NamedTuple
 
+from pierglade.balancer.dispatch import Dispatch
+from pierglade.balancer.ejections import Ejections
+from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
+from pierglade.balancer.health_checks import HealthChecks
+from pierglade.balancer.load_reports import LoadReports
+from pierglade.balancer.outlier_detection import OutlierDetection
+from pierglade.balancer.pause_forecast import PauseForecast
+from pierglade.balancer.pending_decisions import PendingDecisions
+from pierglade.balancer.polling import PollSchedule
+from pierglade.balancer.request_cost import RequestCosts
+from pierglade.balancer.request_queue import OVERLOADED_FROM, RequestQueue
+from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
+from pierglade.balancer.rotation import RATE_LEAST, Rotation
+from pierglade.balancer.selection import Selection
+from pierglade.balancer.slow_start import SlowStart
+from pierglade.balancer.stored_figures import STORED_FIGURES
+from pierglade.balancer.wakeup import NEVER, SWEEP_INTERVAL, Wakeup
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import (
-    CancelAttempt,
-    CheckHealth,
-    FailRequest,
+    Decision,
     PollEndpoints,
     RejectRequest,
-    SendAttempt,
 )
-from pierglade.model.endpoint import EjectionReason, EndpointState, LoadReportSource
-from pierglade.model.outcome import Outcome
-from pierglade.model.request import Attempt, Idempotency
-from pierglade.tenants.registry import RunningMedian
-
-# Constants. Times are tenths of a millisecond.
-WINDOW_LOW, WINDOW_MEDIUM, WINDOW_HIGH = (
-    3000,
-    300,
-    30,
-)  # samples; the design's forecast windows by band
-BAND_LOW, BAND_HIGH = 0.1, 1.0  # coefficient of variation; the design's band bounds
-PAUSES_KEPT = 30  # pauses; enough to tell a band, few enough to follow a change within a minute
-PAUSES_NEEDED = 3  # pauses; two make a line, the third can contradict it
-LONGEST_PAUSE = 15000  # 1.5 s; a longer stretch is an outage and teaches the forecast nothing
-REST_MOST = 50000  # 5 s; longest that a slow backend is left alone before it is tried in earnest
-FIRST_PAUSE = 2000  # 200 ms; mean pause assumed before one was seen, that of a long collection
-FAR = 2.5  # times; quick latency this far above its smoothed level is a pause, above a wide tail
-GOOD = 2.0  # times; an answer within this of the level ends a pause, under FAR so it cannot flap
-RATIO_CAP = 6.0  # times; one answer counts as no slower, so that one heavy invocation is no pause
-QUICK, LEVEL = 1 / 4, 1 / 32  # shares of a new answer in the quick and in the smoothed level
-LEVEL_SPAN = 30000  # 3 s; the level follows within this where answers are rare
-FIRST_TYPICAL = 0.25  # share of the expected time; leaves room for a further trip
-GRAIN = 50  # 5 ms; a host is held up for as long now and then, so what is quicker tells nothing
-TYPICAL = 1 / 24  # share of a new answer in an offering's typical latency: about a second's worth
-ERRORS = 0.3  # share of a new outcome in the error level
-ERRORS_GOOD = 0.2  # level; after two errors in a row three good answers end an outage
-UNREACHED = 0.51  # the same share where no connection came up; as much as two errors
-IN_A_ROW = (
-    1.43  # errors; so many and over half of one more start an outage where few trips are lost
-)
-BY_CHANCE = (
-    0.0005  # share; where losses are common, as many in a row as are rarer than this by chance
-)
-LOST_LEAST, LOST_MOST = (
-    0.001,
-    0.5,
-)  # shares lost; rarer is not seen within minutes, half is no chance
-COMMON = 1 / 64  # share of a new outcome in what backends that are well lose; half a second's worth
-SILENT = 6.0  # times typical, summed over the trips out; chance silence is rarer if work is alike
-RARE = 3.3  # standard deviations of the work, over the trips out; the same where it is not
-SILENT_LEAST = (
-    2.5  # times typical; one slow service must not look silent however many wait behind it
-)
-COMES = 100  # invocations; a kind that none of these was of comes no more, or too seldom
-TRIAL_GAP, TRIAL_GAP_MOST = 1500, 40000  # 150 ms, 4 s; between trials, doubled after each bad one
-DEAR = 0.05  # of an invocation's worth for each crossing; less is no reason to crowd the own zone
-DRAGS = 2.5  # times what others take; a tenant's work that takes so long is slow wherever it goes
-DRAG_HEED = 1 / 8  # share of a new answer in that
-DRAG_MOST, DRAG_TRIES = 20.0, 16  # times; one in so many goes out though it would come late
-DRAG_SPAN = (
-    50000  # 5 s; a tenant that was slow is as others again within this, unless it is seen slow
+from pierglade.model.endpoint import (
+    EjectionReason,
+    Endpoint,
+    EndpointState,
+    LoadReport,
+    LoadReportSource,
 )
-CROWD = 1.0  # times the mean in flight; far more than chance piles up on one backend
-CROWD_FLOOR = 0.5  # trips; below this much over the mean nothing is crowded
-EXTRA_SHARE = 0.2  # further trips earned by each invocation, so that they cannot feed an overload
-EXTRA_MOST = 20.0  # further trips saved up, for a burst of losses when a backend dies
-HOPELESS = 1.5  # times typical; with less time than this left, too many would come too late
-CHANCE = 0.4  # the same while there is room: work is uneven, and half of it takes less than this
-HOPELESS_MOST = 0.9  # share of the expected time; what has just come in is worth a trip
-HOPELESS_LEAST = 100  # 10 ms; a host acts every few ms, and the answer must be out before the limit
-USUAL = 0.02  # share; a try with this much less time than first ones was cut by the hard limit
-VOTES_MOST = 50  # tries; how many it takes to change what is usual, about a second's worth
-PATIENCE = (
-    0.3  # share of the expected time; held longer, it is bounced, as is what is over its share
-)
-IN_VIEW = 2500  # 0.25 s; of a backend seen less often it is not known how full it is
-TOLD = 1 / 3  # share of a new report; one covers few answers
-TOLD_FOR = 30000  # 3 s; an older report says nothing of now
-BUSY_LEAST = 0.2  # share of cores in use from which what a backend settles tells what it can
-USUALLY = 1 / 32  # share of a new report in what a backend usually does
-USUAL_FROM = 4  # reports that this must rest on
-WELL = 0.9  # of what backends usually do; they had rest enough
-PROBES, BLIND_PROBES = (
-    0.05,
-    0.15,
-)  # probes for each trip, where only they tell the load; and tell no pace
-FIRST_PROBES = 3.0  # at the start; or a node with few trips hears of the first load after seconds
-FIRST_ROOM = 2.0  # times the limit; where reports are that rare it is found too slowly from one
-FULL = 0.9  # share of cores in use; with less, there is room for more trips
-QUEUED = 1.0  # invocations that wait at a backend; with fewer, the same
-ROOM_MORE, ROOM_LESS, ROOM_MOST = (
-    1.1,
-    0.95,
-    4.0,
-)  # times; how the limit grows by reports, look by look
-SHARED = 0.65  # of what backends usually do; less, of all alike, is no chance
-REST_FROM = 0.6  # share of cores in use; with less, backends have their rest already
-SURE_FOR = 20000  # 2 s; so long must it look so, as many spells pass within some seconds
-REST_EACH, REST_IN = 60000, 10000  # 6 s, 1 s; rests begin at multiples of the one, within the other
-REST_FOR, REST_AGAIN = 50000, 110000  # 5 s, 11 s; a rest, and from its start to another
-REST_PART = 0.2  # of the limit; cores are then less than half in use
-ASK_GAP, ASK_GAP_MOST, ASK_SOON, ASK_WITHIN = (
-    20000,
-    160000,
-    6000,
-    44000,
-)  # 2 to 16, 0.6 s; told in 6: 4.4 s
-COST_LEAST, COST_MOST = 0.25, 4.0  # times the mean; hints are not to be trusted beyond
-SOME = 1e-5  # 0.1 a second; a node that nothing has come to yet is asked for that much
-SEEN_LEAST = 5000  # 0.5 s; what came in less is luck
-SEE = 2000  # 0.2 s; how often a node looks how much comes to it
-PART_LEAST, PART_MOST = 0.2, 20.0  # times the mean; a node's part of what all are asked for
-PART_FROM = 8  # trips settled; of fewer nobody can tell a part
-UNMET = 1 / 8  # share of what it cannot settle that counts; a node with too little room finds out
-MOVE = 50000  # 5 s; between moves by one backend towards an even place on the ring
-FEWEST = 2  # backends; with fewer a node could lose all to one outage
-STEEP = 4  # power of the level in turns; nothing else evens out what few links bring by chance
-COLD_MARGIN = (
-    0.5  # share of the cold budget used while colder; the rest is for uneven nodes and work
-)
-COLD_BURST, COLD_MORE, COLD_SPAN = (
-    1.5,
-    2.0,
-    10000,
-)  # trips saved up, by one, by all; 1 s of what it bears
-OVER_SHARE = (
-    1.3  # times its share; nodes see tenants unevenly, and two seconds of a small one are few
-)
-RATE_SPAN = 20000  # 2 s; span over which a tenant's rate is seen
-GHOST = 1.5  # times typical; how long a trip that nobody waits for still counts as in flight
-LIGHT = 0.1  # share of the work asked for; so little of it need not wait for room
-WAITED = 0.1  # share of the expected time; an oldest held wait beyond it ranks what is held by gain
-BEHIND = 1000  # 100 ms; a host that had no rest for so long is short of its core, not held up once
-FADE = 0.999  # share left of what was asked and settled after each 50 ms: about 50 s are seen
-PASSED_OVER = (
-    100  # 10 ms; about an attempt, by which a backend is skipped before its forecast pause
-)
-SWEEP = 500  # 50 ms; looking for silence costs little at this pace and finds it within one answer
-NEVER = 1 << 62  # a moment that does not come
-FORGET = 2  # times the longest hard limit; then a gone backend's index is used again
-COMES_BACK = 20000  # 2 s; a client that was not settled asks again within this or not at all
-COME_SOON = 1000  # 0.1 s; the same where there is none, and what it found full may be free
-COME_BACK = 5000  # 0.5 s; advice to a bounced client under overload, the time a burst takes to pass
-
-# Why a backend takes trials only.
-SLOW, SILENCE, FAILING = EjectionReason.SLOW, EjectionReason.UNRESPONSIVE, EjectionReason.FAILING
-FALLBACKS = ("forecast", SLOW, "crowded", "light")  # skips that give way when all are skipped
-COUNTED = (None, SLOW)  # trips on the others come to nothing and must not use up the limit
+from pierglade.model.outcome import Outcome
+from pierglade.model.request import Attempt, Request, RequestClass
+from pierglade.settings.balancer import BalancerSettings
 
-
-# Of each backend an array, and what a new one begins with. Its process's past: losses, forecast's samples.
-HISTORY = dict(
-    errors=0.0,
-    relapses=0,
-    quick=1.0,
-    work=0,
-    samples=(),
-    sums=(0, 0, 0, 0),
-    window=WINDOW_MEDIUM,
-    pauses=(),
-    mean_pause=FIRST_PAUSE,
-    work_due=None,
-    forecast=None,
-)
-# Who and where it is, its size; when it started, left; what may go to it while cold; level; trouble, trials;
-# what reports say (settled in a second for all nodes, cores in use, usually settled by all cores).
-FIRST = HISTORY | dict(
-    names=None,
-    rank=None,
-    state=EndpointState.REMOVED,
-    zone=None,
-    cell=None,
-    size=0.0,
-    owed=0.0,
-    started=0,
-    left_at=0,
-    cold_until=0,
-    allowance=0.0,
-    allowed_at=0,
-    last_answer=0,
-    level=1.0,
-    trouble=None,
-    since=0,
-    until=0,
-    trial_at=0,
-    trial_gap=TRIAL_GAP,
-    trial_due=False,
-    trials_out=0,
-    told_pace=None,
-    told_busy=0.0,
-    told_queue=0.0,
-    told_at=0,
-    usual=0.0,
-    usual_of=0,
-)
+# Times the usual latency; how long an attempt that nobody waits for still counts as in flight.
+ABANDONED_FOR = 1.5
+# 100 ms; a host that had no rest for so long is short of its core, not held up once.
+LAG_LEAST = 1000
+# 10 ms; about an attempt, by which a backend is skipped before its forecast pause.
+SKIPPED_BEFORE_PAUSE = 100
+# 0.1 s; advice to a rejected client without overload, as what it found full may be free.
+RETRY_SOON = 1000
+# 0.5 s; the same under overload, the time a burst takes to pass.
+RETRY_LATER = 5000
 
 
 class EndpointStatus(NamedTuple):
@@ -228,1145 +73,398 @@
     """Successful answers counted for the forecast."""
 
 
-class Row:
-    """What a node knows of one offering; the table has a row for each."""
-
-    def __init__(self, request_class):
-        self.priority_weight = request_class.priority_weight
-        # Smoothed latency. A first answer alone is a poor guide: by a very quick one all would look silent.
-        self.typical = FIRST_TYPICAL * request_class.latency_objective
-        self.skew = 0.0  # log of the mean answer over the usual one, half the variance of that log
-        self.hinted = 0.0  # smoothed hint of the work
-        self.answers = 2  # how many that rests on; the first guess counts as two
-        self.asked = 0.0  # first tries taken lately
-        self.got = 0.0  # settled lately within the expected time
-        self.usual_left = 0  # the time that a client's first try comes with
-        self.usual_votes = 0  # how sure that is
-
-
 class Balancer:
-    """One balancer: what it knows of its backends, and what it holds."""
-
-    def __init__(self, seed, terms, now, before=None):
-        """`before`: the node whose place this one takes as settings change; both spend one budget."""
-        self.settings = terms
-        chance = random.Random(seed)
-        self.pick = chance.randrange
-        # How many invocations had come when one of the kind last did.
-        self.asked_at = {
-            kind: 0 if any(o.idempotency == kind for o in terms.request_classes) else -COMES
-            for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
-        }
-        self.table = [Row(o) for o in terms.request_classes]
-        # What is known of each backend, under a dense index: the arrays of FIRST.
-        self.index, self.gone = (
-            {},
-            OrderedDict(),
-        )  # by name; those that left, the longest gone first
-        for name in FIRST:
-            setattr(self, name, [])
-        # The rotation: from the ring of ready backends, as many as this node can keep in view.
-        self.done = 0.0  # trips settled lately
-        self.drags, self.drag = (
-            RunningMedian(DRAG_SPAN),
-            1.0,
-        )  # times typical that tenants' work takes
-        self.home = terms.zone if terms.cross_zone_penalty >= DEAR else None
-        self.shares, self.asked = (
-            terms.tenants.total > 0,
-            terms.tenants.total / terms.node_count / 10000,
+    """One balancer: joins the parts that own what is known, and makes the decisions."""
+
+    def __init__(
+        self, seed: int, settings: BalancerSettings, now: int, before: "Balancer | None" = None
+    ) -> None:
+        """`before`: whose place this one takes as settings change; both spend one retry budget."""
+        self.settings = settings
+        self.pick = random.Random(seed).randrange
+        has_quotas = settings.tenants.total > 0
+        # Without a word of what others are asked for, probing rounds find the limit
+        # (docs/notes/limit.md).
+        self.learns = bool(
+            not has_quotas and settings.node_count > 1 and settings.load_report_source
         )
-        self.asked_over = 0.0  # span over which the table's figures are seen, fading with them
-        # Without a word of what others are asked for, rounds of trips find the room (docs/notes/limit.md).
-        self.learns = bool(not self.shares and terms.node_count > 1 and terms.load_report_source)
-        self.in_view = (
-            max(FEWEST, int(self.asked * IN_VIEW)) if self.shares or self.learns else None
-        )
-        self.part = 1.0  # times the mean of all nodes that this one is asked for
-        self.forget, self.most = (
-            FORGET * max(o.request_timeout for o in terms.request_classes),
-            0,
-        )  # ready at once
-        self.warm_pace = 0.0  # what a warm backend in view gets from this node, by size and time
-        self.ranked, self.total, self.redraw_at = [], 0.0, NEVER  # the ring, its size
-        self.turn, self.at, self.anchor, self.move_at = [], 0, b"", now
-        self.largest, self.slow_ones, self.steep = 1.0, 0, STEEP if self.learns else 1
-        # Heaps of (moment of the expected time, count, invocation), one an offering.
-        self.held = [[] for _ in terms.request_classes]
-        self.line = deque()  # the same in order of arrival, some already gone
-        self.again = []  # invocations that wait for a further trip
-        self.finals, self.probes = deque(), deque()  # decisions already made
+        rate = settings.tenants.total / settings.node_count / 10000
         self.limit = ConcurrencyLimiter(
-            terms.node_count,
-            len(terms.request_classes),
+            settings.node_count,
+            len(settings.request_classes),
+            now,
+            RATE_LEAST if self.learns else rate or None,
+        )
+        self.polling = PollSchedule(settings.polls_endpoints, now, self.pick)
+        self.wakeup = Wakeup(self.polling.next_at)
+        self.pending = PendingDecisions(settings.may_cancel)
+        self._make_stats(now)
+        self.rotation = Rotation(
+            settings,
             now,
-            SOME if self.learns else self.asked or None,
+            self.pick,
+            self.learns,
+            self.limit,
+            self.wakeup,
+            self.endpoints,
+            self.request_stats,
+            self.slow_start,
+            self.load_reports,
+            self.ejections,
+        )
+        self._make_rules(before)
+        self._make_choices()
+
+    def _make_stats(self, now: int) -> None:
+        """The parts that only keep figures."""
+        settings, learns = self.settings, self.learns
+        self.endpoints = EndpointStats(
+            max(each.request_timeout for each in settings.request_classes)
+        )
+        self.request_stats = RequestStats(settings.request_classes, now)
+        self.request_costs = RequestCosts(self.request_stats)
+        self.pause_forecast = PauseForecast()
+        self.slow_start = SlowStart(
+            settings.slow_start_duration,
+            settings.slow_start_capacity,
+            settings.slow_start_overload,
+            settings.node_count,
         )
-        self.count, self.extra = 0, EXTRA_MOST
-        # Moments of further trips and of what was taken, as far back as the budget looks.
-        self.spent, self.earned = (before.spent, before.earned) if before else (deque(), deque())
-        self.lost = LOST_LEAST  # share of trips that come to nothing at backends that are well
-        self.unsettled = 0.0  # invocations that their clients may come back with
-        self.overloaded, self.ahead = False, None  # the queue that need not wait for room
-        self.flying, self.ailing = {}, {}  # of backends the trips out; those in trouble
-        self.swept = self.see_at = self.room_at = self.seen_at = now
-        self.ask_at, self.ask_gap = (now if terms.polls_endpoints else NEVER), ASK_GAP
-        self.sweep_at = self.ask_at
-        self.slower_since, self.rest_until, self.rest_again = NEVER, 0, 0
-        # Where a pace is told, it grows soon enough by that.
-        blind = (
-            self.learns
-            and terms.load_report_source == LoadReportSource.HEALTH_CHECKS
-            and "throughput" not in terms.load_report_fields
+        by_checks = learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
+        are_rare = by_checks and "throughput" not in settings.load_report_fields
+        self.load_reports = LoadReports(
+            settings, self.endpoints, self.request_stats, self.slow_start, are_rare, now
+        )
+        self.health_checks = HealthChecks(by_checks and settings.may_check_health, are_rare)
+        self.ejections = Ejections(self.limit, self.wakeup)
+        self.queue = RequestQueue(settings, self.request_stats, self.wakeup)
+
+    def _make_rules(self, before: "Balancer | None") -> None:
+        """The parts that judge by those figures."""
+        settings = self.settings
+        self.retry_budget = RetryBudget(
+            settings.retry_budget_window,
+            settings.retry_budget_minimum,
+            settings.retry_budget_ratio,
+            before.retry_budget if before else None,
+        )
+        self.retry_rules = RetryRules(settings.max_attempts, self.endpoints)
+        self.deadlines = RequestDeadlines(settings, self.request_stats, self.rotation, self.queue)
+        self.outliers = OutlierDetection(
+            settings,
+            self.limit,
+            self.wakeup,
+            self.endpoints,
+            self.request_stats,
+            self.request_costs,
+            self.pause_forecast,
+            self.ejections,
+            self.rotation,
+            self.retry_budget,
+            self.deadlines,
+            self.health_checks,
+            self.pending,
+        )
+
+    def _make_choices(self) -> None:
+        """The parts that choose by these."""
+        self.selection = Selection(
+            self.settings,
+            self.learns,
+            self.limit,
+            self.endpoints,
+            self.request_stats,
+            self.pause_forecast,
+            self.slow_start,
+            self.ejections,
+            self.outliers,
+            self.rotation,
+            self.retry_rules,
         )
-        self.room, self.probe_share = (FIRST_ROOM, BLIND_PROBES) if blind else (1.0, PROBES)
-        self.unprobed = FIRST_PROBES
+
+        self.dispatch = Dispatch(
+            self.limit,
+            self.wakeup,
+            self.pending,
+            self.queue,
+            self.deadlines,
+            self.retry_budget,
+            self.retry_rules,
+            self.selection,
+            self.rotation,
+            self.ejections,
+            self.slow_start,
+            self.health_checks,
+            self.load_reports,
+            self.request_stats,
+        )
+
+    def replace_limit(self, limit: ConcurrencyLimiter) -> None:
+        """All parts go on with that limiter (`pierglade/snapshot/handover.py`)."""
+        self.limit = self.ejections.limit = self.rotation.limit = limit
+        self.outliers.limit = self.selection.limit = self.dispatch.limit = limit
 
     # What hosts and operators may ask.
 
-    def endpoint_name(self, backend):
+    @property
+    def overloaded(self) -> bool:
+        """Whether requests wait for too long."""
+        return self.queue.overloaded
+
+    def endpoint_name(self, backend: int) -> str:
         """The name of the backend with that index."""
-        return self.names[backend]
+        return self.endpoints.names[backend]
 
-    def endpoint_status(self, name, now):
-        """What is known of the backend of that name (`EndpointStatus`); None if nothing is."""
-        b = self.index.get(name)
-        if b is None:
+    def endpoint_status(self, name: str, now: int) -> EndpointStatus | None:
+        """What is known of the backend of that name; None if nothing is."""
+        backend = self.endpoints.index.get(name)
+        if backend is None:
             return None
-        forecast = self.forecast[b]
+        forecast, level = (
+            self.pause_forecast.next_pause_at[backend],
+            self.outliers.latency_level[backend],
+        )
         is_pausing = forecast is not None and (
-            forecast - PASSED_OVER * self.level[b] <= now <= forecast + self.mean_pause[b]
+            forecast - SKIPPED_BEFORE_PAUSE * level
+            <= now
+            <= forecast + self.pause_forecast.mean_pause[backend]
         )
         return EndpointStatus(
-            zone=self.zone[b],
-            is_in_subset=b in self.turn,
-            in_flight=len(self.flying.get(b, ())),
-            ejection_reason=self.trouble[b],
+            zone=self.endpoints.zone[backend],
+            is_in_subset=backend in self.rotation.subset,
+            in_flight=len(self.ejections.in_flight.get(backend, ())),
+            ejection_reason=self.ejections.reason[backend],
             is_pausing=is_pausing,
             next_pause_at=forecast,
-            latency_level=self.level[b],
-            is_in_slow_start=now < self.cold_until[b],
-            answered=self.work[b],
+            latency_level=level,
+            is_in_slow_start=now < self.slow_start.until[backend],
+            answered=self.pause_forecast.answered[backend],
         )
 
-    def queue_length(self):
+    def queue_length(self) -> int:
         """How many requests wait for a backend."""
-        return sum(map(len, self.held))
+        return len(self.queue)
 
-    # Inputs: they update what is known.
+    def retry_after(self, now: int) -> int:
+        """Advice to a rejected client; 0 where clients are given none."""
+        return min(RETRY_LATER if self.overloaded else RETRY_SOON, self.settings.max_retry_after)
 
-    def quotas_updated(self, now):
-        """What tenants may ask has changed; they have shares, and had some before."""
-        self.asked = self.limit.demand = (
-            self.settings.tenants.total / self.settings.node_count / 10000
-        )
-        self.in_view = max(FEWEST, int(self.asked * IN_VIEW))
-        self._draw_turn(now)
+    def export_statistics(self, keys: Iterable[str]) -> tuple[list[dict], dict[str, dict]]:
+        """What a restart would forget: each class's figures, and of each ready backend the `keys`.
 
-    def export_statistics(self, keys):
-        """What a restart would forget: the table's rows, `keys` of FIRST by name of each ready backend."""
-        return [vars(row) for row in self.table], {
-            name: {key: getattr(self, key)[b] for key in keys}
-            for name, b in self.index.items()
-            if self.state[b] == EndpointState.READY
+        `keys` are stored names (`pierglade/balancer/stored_figures.py`).
+        """
+        endpoints, arrays = self.endpoints, {key: self._figures(key) for key in keys}
+        return [vars(each) for each in self.request_stats.classes], {
+            name: {key: array[backend] for key, array in arrays.items()}
+            for name, backend in endpoints.index.items()
+            if endpoints.state[backend] == EndpointState.READY
         }
 
-    def restore_statistics(self, rows, backends):
-        """The part of it that is still taken for true (`pierglade/snapshot/`); the backends are listed."""
-        for row, told in zip(self.table, rows):
-            vars(row).update(told)
-        for name, told in backends.items():
-            for key, value in told.items():
-                getattr(self, key)[self.index[name]] = value
+    def restore_statistics(self, rows: list[dict], backends: dict[str, dict]) -> None:
+        """Takes what of exported statistics is still true (`pierglade/snapshot/`).
 
-    def endpoints_updated(self, now, entries, whole):
-        """The list's word on all backends, or on the changed ones."""
-        # Not at once: a call that still waits its turn has its first line, and may yet come to nothing.
-        self.ask_gap = max(ASK_GAP, self.ask_gap // 2)
+        The backends must be known.
+        """
+        for stats, stored in zip(self.request_stats.classes, rows, strict=False):
+            vars(stats).update(stored)
+        for name, stored in backends.items():
+            for key, value in stored.items():
+                self._figures(key)[self.endpoints.index[name]] = value
+
+    def _figures(self, stored_name: str) -> list:
+        part, array, _ = STORED_FIGURES[stored_name]
+        return getattr(getattr(self, part), array)
+
+    # Inputs: they update what is known.
+
+    def quotas_updated(self, now: int) -> None:
+        """What tenants may ask has changed; they have quotas, and had some before."""
+        self.rotation.quotas_updated(now)
+
+    def endpoints_updated(self, now: int, entries: Iterable[Endpoint], whole: bool) -> None:
+        """The endpoint list: of all backends where it is `whole`, or of the changed ones."""
+        self.polling.endpoints_updated()
+        endpoints = self.endpoints
         if whole:
             named = {e.name for e in entries}
-            for name, b in self.index.items():
+            for name, backend in endpoints.index.items():
                 if name not in named:
-                    self._leave(b, EndpointState.REMOVED, now)
+                    self.outliers.endpoint_left(backend, EndpointState.REMOVED, now)
         for e in entries:
-            b = self.index.get(e.name)
-            if b is None:
+            backend = endpoints.index.get(e.name)
+            if backend is None:
                 if e.state != EndpointState.READY:
                     continue
-                b = self._new_index(e.name, now)
-            self.zone[b], self.cell[b] = e.zone, e.cell
-            # Live weights are late and would swing all nodes together; the largest seen is the size.
-            self.size[b] = max(self.size[b], e.weight)
+                backend = self._add_endpoint(e.name, now)
+            endpoints.zone[backend], endpoints.cell[backend] = e.zone, e.cell
+            # Live weights are late and would swing all nodes together; the largest seen is the
+            # size.
+            endpoints.size[backend] = max(endpoints.size[backend], e.weight)
             if e.state != EndpointState.READY:
-                self._leave(b, e.state, now)
+                self.outliers.endpoint_left(backend, e.state, now)
                 continue
-            if e.started_at > self.started[b]:
-                # A process that has just started is cold until its time is up, whoever else sends to it.
-                self.started[b] = e.started_at
-                self.cold_until[b] = e.started_at + self.settings.slow_start_duration
-                self.allowance[b], self.allowed_at[b] = self.pick(1000) / 1000, now
-                self._forget_history(b, now)
-            self.left_at[b] = 0
-            if self.state[b] != EndpointState.READY:
-                self.state[b] = EndpointState.READY
-                self.gone.pop(b, None)
-                insort(self.ranked, b, key=self.rank.__getitem__)
-        self.total = sum(map(self.size.__getitem__, self.ranked))
-        self._draw_turn(now)
-
-    def discovery_lost(self, now, waited=-NEVER):
-        """The list could not be had, or is followed no more; `waited`: since its last word."""
-        # All nodes lose it at once, and at once they would ask: by chance apart, and as seldom as may be.
-        gap = max(ASK_SOON, min(self.ask_gap, (ASK_WITHIN - waited) * 2 // 3))
-        self.ask_at, self.ask_gap = (
-            now + gap // 2 + self.pick(gap),
-            min(ASK_GAP_MOST, self.ask_gap * 2),
-        )
-        self._due(self.ask_at)
-
-    def _draw_turn(self, now):
-        """The rotation runs over as many of the ring as are enough sound ones; it starts at random."""
-        before, after, sound, size = self.turn, [], 0, 0.0
-        enough = self.in_view and self.in_view * self.total
-        self.redraw_at = NEVER
-        # Evenly round one ring: by chance some were in two thirds more views; each move opens connections.
-        count = len(self.ranked)
-        begin = bisect_left(self.ranked, self.anchor, key=self.rank.__getitem__) % max(1, count)
-        even = count * self.settings.node_number // self.settings.node_count % max(1, count)
-        if begin != even and now >= self.move_at:
-            nearer = 1 if (even - begin) % count <= count // 2 else -1
-            begin = (begin + nearer) % count if self.anchor else even
-            self.anchor, self.move_at = self.rank[self.ranked[begin]], now + MOVE
-        for b in self.ranked[begin:] + self.ranked[:begin]:
-            if enough is not None and size * len(self.ranked) >= enough:
-                break
-            after.append(b)
-            if now < self.cold_until[b]:
-                size += self.size[b] * self.settings.slow_start_capacity
-                self.redraw_at = min(
-                    self.redraw_at, self.cold_until[b], NEVER if self.shares else now + SEE
-                )
-                self._due(self.redraw_at)
-            elif self.trouble[b] in COUNTED:
-                size += self.size[b]
-            sound += self.trouble[b] in COUNTED
-        # One at least: a node that was cut off sees all fail, and must still send trials to find them well.
-        sound = max(1, sound)
-        part = self.part * (REST_PART if now < self.rest_until else self.room)
-        self.limit.update_backends(now, sound, part * sound * len(self.ranked) / max(1, len(after)))
-        self.most = max(self.most, len(self.ranked))
-        if after:
-            # Where tenants have no shares, what was settled lately: what is asked may be an overload. A trip
-            # at a time of all nodes is none; with all cold and nothing settled, nothing at all would be sent.
-            least = (
-                len(self.ranked)
-                / self.settings.node_count
-                / max(o.latency_objective for o in self.settings.request_classes)
-            )
-            asked = self.asked if self.shares else max(least, self._seen(now, "got"))
-            self.warm_pace = asked * len(self.ranked) ** 2 / (self.most * len(after) * self.total)
-        self.largest = max((self.size[b] for b in after), default=1.0)
-        if after == before:
-            return
-        self.turn, kept = after, set(after)
-        following = next((b for b in before[self.at :] + before[: self.at] if b in kept), None)
-        self.at = self.pick(max(1, len(after))) if following is None else after.index(following)
-
-    def _seen(self, now, what):
-        """How many first tries were asked for, or settled, in a tenth of a millisecond of late."""
-        over = self.asked_over + now - self.swept
-        return sum(getattr(row, what) for row in self.table) / max(over, SEEN_LEAST)
-
-    def _see(self, now):
-        """Where tenants have no shares, a node's part of all that is asked follows from what comes to it."""
-        self.asked = self.limit.demand = max(SOME, self._seen(now, "asked"))
-        told = [b for b in self.turn if self.told_at[b] and now >= self.cold_until[b]]
-        paced = [b for b in told if self.told_pace[b] is not None]
-        if paced:
-            size = sum(self.size[b] for b in self.ranked) / sum(self.size[b] for b in paced)
-            fleet = sum(self.told_pace[b] for b in paced) * size / 10000
-            if self.done >= PART_FROM:
-                # Like with like: by all that is asked each node of a full fleet took itself for a busy one.
-                own = self.done / max(self.asked_over + now - self.swept, SEEN_LEAST)
-                own += max(0.0, self.asked - own) * UNMET
-                self.part = max(
-                    PART_LEAST, min(PART_MOST, own * self.settings.node_count / max(fleet, 1e-9))
-                )
-        told = [b for b in told if now - self.told_at[b] < TOLD_FOR]
-        probed = self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-        # Probes are few and far between: none vouches for more than was out when it was made.
-        fresh = [b for b in told if not probed or self.told_at[b] >= self.seen_at]
-        if fresh and self.limit.last_limited_at >= self.seen_at:
-            # Room that reports show is let out; what is full by them is left to strain and rounds.
-            full = sum(self.told_busy[b] / FULL + self.told_queue[b] / QUEUED for b in fresh) / len(
-                fresh
-            )
-            most = ROOM_MORE ** ((now - self.room_at) / SEE)
-            more = min(most, 1 / max(full, BUSY_LEAST)) if probed else ROOM_MORE
-            self.room = max(1.0, min(ROOM_MOST, self.room * (ROOM_LESS if full >= 1 else more)))
-            self.room_at = now
-        self.seen_at = now
-        self._look_for_shared(now, told)
-        in_view = max(FEWEST, int(self.asked * IN_VIEW))
-        if not self.in_view / 1.5 <= in_view <= self.in_view * 1.5:
-            self.in_view = in_view
-        self._draw_turn(now)
-
-    def _look_for_shared(self, now, told):
-        """Where all are slower alike, a rest of all: some such spells end by it."""
-        told = [b for b in told if self.usual_of[b] >= USUAL_FROM]
-        busy = sum(self.told_busy[b] for b in told)
-        does = sum(self.told_pace[b] for b in told)
-        usual = sum(self.told_busy[b] * self.usual[b] for b in told)
-        if now < self.rest_until:
-            if does > WELL * usual:
-                self.rest_until = now
-        elif not told or busy < REST_FROM * len(told) or does > SHARED * usual:
-            self.slower_since = NEVER
-        elif self.slower_since == NEVER:
-            self.slower_since, self.room = now, 1.0
-        elif (
-            now - self.slower_since >= SURE_FOR
-            and now >= self.rest_again
-            and now % REST_EACH < REST_IN
-        ):
-            # Only all nodes together give the backends a rest, and the clock is all that they share.
-            self.rest_until, self.rest_again = now - now % REST_EACH + REST_FOR, now + REST_AGAIN
-
-    def load_reported(self, now, name, load):
-        """What a backend tells of its load, with an answer or a probe's result."""
-        b = self.index.get(name)
-        if b is None or load.throughput is None and load.utilization is None:
-            return
-        heed = TOLD if self.told_at[b] else 1
-        if load.throughput is not None:
-            before = self.told_pace[b] or 0.0
-            self.told_pace[b] = before + (load.throughput - before) * heed
-        self.told_queue[b] += ((load.queue_length or 0.0) - self.told_queue[b]) * heed
-        if load.utilization is not None:
-            self.told_busy[b] += (load.utilization - self.told_busy[b]) * heed
-            if (
-                load.throughput is not None
-                and self.told_busy[b] > BUSY_LEAST
-                and self.rest_until <= now < self.slower_since
-            ):
-                does = self.told_pace[b] / self.told_busy[b]
-                self.usual_of[b] += 1
-                self.usual[b] += (does - self.usual[b]) * max(USUALLY, 1 / self.usual_of[b])
-        self.told_at[b] = now
-
-    def request_received(self, now, request):
-        """An invocation has come in; from here on it is owed one final answer."""
-        self.extra = min(EXTRA_MOST, self.extra + EXTRA_SHARE)
-        if self.settings.retry_budget_window:
-            self.earned.append(now)
-        tenant = request.tenant
-        if tenant is not None:
-            tenant.rate = tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / RATE_SPAN) + 1
-            tenant.last_seen = now
+            if e.started_at > self.slow_start.started_at[backend]:
+                self.slow_start.process_started(backend, now, e.started_at, self.pick(1000) / 1000)
+                self.outliers.process_started(backend, now)
+            endpoints.left_at[backend] = 0
+            if endpoints.state[backend] != EndpointState.READY:
+                endpoints.became_ready(backend)
+                self.rotation.add(backend)
+        self.rotation.endpoints_updated(now)
+
+    def _add_endpoint(self, name: str, now: int) -> int:
+        backend = self.endpoints.add(name, now, self.ejections.in_flight)
+        self.ejections.add(backend)
+        self.outliers.add(backend)
+        self.pause_forecast.add(backend)
+        self.slow_start.add(backend, now)
+        self.load_reports.add(backend)
+        self.selection.add(backend, self.pick(1000) / 1000)
+        return backend
+
+    def discovery_lost(self, now: int, waited: int = -NEVER) -> None:
+        """The list could not be had, or is watched no more; `waited`: since its last update."""
+        self.polling.discovery_lost(now, waited)
+        self.wakeup.request(self.polling.next_at)
+
+    def load_reported(self, now: int, name: str, load: LoadReport) -> None:
+        """A backend reports its load, with an answer or a health check's result."""
+        backend = self.endpoints.index.get(name)
+        if backend is not None:
+            self.load_reports.load_reported(backend, now, load)
+
+    def request_received(self, now: int, request: Request) -> None:
+        """A request has come in; from here on it gets exactly one final answer."""
+        self.retry_budget.request_received(now)
+        self.queue.count_tenant(request.tenant, now)
         request.queued_since = request.arrived_at
-        request.objective_at = request.arrived_at + self._time_left(request)
-        self.count += 1
-        o = request.request_class.index
-        row = self.table[o]
-        row.asked += 1
-        self.asked_at[request.request_class.idempotency] = self.count
-        if request.cost_hint:
-            # Few invocations cost what their offering does in the mean: unweighed, heavy ones look queued.
-            row.hinted += (request.cost_hint - row.hinted) * (TYPICAL if row.hinted else 1)
-            request.relative_cost = max(COST_LEAST, min(COST_MOST, request.cost_hint / row.hinted))
-        elif tenant is not None and (drag := self._drag(tenant, now) / self.drag) > DRAGS:
-            # Some go out all the same, or nobody would see that the others are as quick as ever again.
-            tenant.slow_requests += 1
-            request.relative_cost = (
-                drag if tenant.slow_requests % DRAG_TRIES else min(drag, COST_MOST)
-            )
-        heappush(self.held[o], (request.objective_at, self.count, request))
-        self.line.append(request)
-        self._due(now + SWEEP)
-
-    def _drag(self, tenant, now):
-        """Fades by itself, so that what is bounced for it is tried again, one more and one more."""
-        return 1 + (tenant.slowness - 1) * max(0.0, 1 - (now - tenant.slowness_seen_at) / DRAG_SPAN)
-
-    def _see_drag(self, now, request, took, whole):
-        """A tenant's work may be slow at every backend: no backend is slow or silent for that."""
-        tenant = request.tenant
-        if tenant is None or request.cost_hint:
-            return
-        ratio = min(
-            DRAG_MOST,
-            max(took, GRAIN) / max(self.table[request.request_class.index].typical, GRAIN),
-        )
-        drag = self._drag(tenant, now)
-        if not whole and ratio < drag:
-            return  # So long at least; it tells nothing where that is as usual.
-        tenant.slowness, tenant.slowness_seen_at = drag + (ratio - drag) * DRAG_HEED, now
-        self.drags.see(now, tenant.name, tenant.slowness)
-
-    def _time_left(self, request):
-        """How much of the expected time is left, which runs from the client's first try."""
-        request_class, left = request.request_class, request.deadline - request.arrived_at
-        row = self.table[request_class.index]
-        usual = row.usual_left
-        # A vote, not the longest seen: by repeats with more time all first tries look late.
-        row.usual_votes += 1 if abs(left - usual) <= USUAL * usual else -1
-        row.usual_left, row.usual_votes = (
-            (left, 1) if row.usual_votes < 0 else (usual, min(row.usual_votes, VOTES_MOST))
-        )
-        # Less time than first tries bring shows a late repeat; beyond those not settled, less patience.
-        spent = 0
-        # One of hundreds of nodes gets the repeats of others, and cannot count them.
-        if self._short(request_class, left) and (
-            self.unsettled >= 1 or len(self.turn) < len(self.ranked)
-        ):
-            self.unsettled -= 1
-            spent = request_class.request_timeout - left
-        return min(left, request_class.latency_objective - spent)
-
-    def _short(self, request_class, left):
-        """Whether it came with less time than first tries usually do."""
-        return left < (1 - USUAL) * self.table[request_class.index].usual_left
-
-    def should_shed(self, now, idle, request_class, came, left, refused=False):
-        """Whether what has come is bounced unseen, as the host is short of its core: idle last at `idle`, or
-        `refused` at the door already.
-
-        Taken all the same, all would come late to their turn, and what is left of the core go into bounces.
+        request.objective_at = request.arrived_at + self.deadlines.time_left(request)
+        self.request_costs.assess(now, request, self.request_stats.request_received(request))
+        self.queue.add(request)
+        self.wakeup.request(now + SWEEP_INTERVAL)
+
+    def should_shed(
+        self,
+        now: int,
+        idle: int,
+        request_class: RequestClass,
+        came: int,
+        left: int,
+        refused: bool = False,
+    ) -> bool:
+        """Whether what has come is rejected unseen, as the host is short of its core.
+
+        Taken all the same, all would come late to their turn, and what is left of the core go into
+        rejections. `idle`: when the host was last idle; `refused`: it was shed at the door already.
         """
-        bounced = (
-            refused or now - idle > BEHIND and now - came > WAITED * request_class.latency_objective
+        shed = refused or (
+            now - idle > LAG_LEAST
+            and now - came > OVERLOADED_FROM * request_class.latency_objective
         )
-        self.unsettled += bounced and not self._short(request_class, left)
-        return bounced
-
-    def attempt_ended(self, now, attempt, outcome, took, done):
-        """A trip has ended."""
-        request, b = attempt.request, attempt.backend
+        self.deadlines.shed(request_class, left, shed)
+        return shed
+
+    def attempt_ended(
+        self, now: int, attempt: Attempt, outcome: Outcome, took: int, done: bool
+    ) -> None:
+        """An attempt has ended after `took`; `done`: its answer is the request's."""
+        request, backend = attempt.request, attempt.backend
+        stats = self.request_stats.classes[request.request_class.index]
         attempt.outcome = outcome
         request.in_flight -= 1
-        # A trip that is no longer waited for may still be worked on; filled at once, its place overdrives.
+        # An abandoned attempt may still be worked on; filled at once, its place overdrives.
         if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
-            attempt.timeout_at = now + int(GHOST * self.table[request.request_class.index].typical)
-            self._due(attempt.timeout_at)
+            attempt.timeout_at = now + int(ABANDONED_FOR * stats.typical)
+            self.wakeup.request(attempt.timeout_at)
         else:
-            self._leave_flight(b, attempt, now)
+            self.ejections.attempt_left(backend, attempt, now)
         if attempt.is_trial:
-            self.trials_out[b] -= 1
+            self.ejections.trial_ended(backend)
         if outcome.is_unexecuted and request.first_possibly_executed is attempt:
             request.first_possibly_executed = next(
-                (t for t in request.attempts if not (t.outcome and t.outcome.is_unexecuted)), None
+                (
+                    attempt
+                    for attempt in request.attempts
+                    if not (attempt.outcome and attempt.outcome.is_unexecuted)
+                ),
+                None,
             )
-        self._learn(now, attempt, outcome, took)
+        self.outliers.attempt_ended(now, attempt, outcome, took)
         if request.completed:
             return
         if done:
             request.completed = True
-            self.table[request.request_class.index].got += (
-                outcome == Outcome.SUCCESS and now <= request.objective_at
-            )
-            self._call_off_rest(request)
+            stats.got += outcome == Outcome.SUCCESS and now <= request.objective_at
+            self.pending.cancel_all(request)
         elif not request.in_flight:
-            self._after_loss(now, request, outcome)
-
-    def _leave_flight(self, b, attempt, now):
-        del self.flying[b][attempt]
-        if not self.flying[b]:
-            del self.flying[b]
-        if self.trouble[b] in COUNTED:
-            self.limit.change_in_flight(now, -1)
+            self.dispatch.attempt_lost(now, request, outcome)
 
-    def response_started(self, attempt):
-        """The answer has started; the trip belongs to the client."""
+    def response_started(self, attempt: Attempt) -> None:
+        """The response has started; the attempt belongs to the client."""
         attempt.cancelled = attempt.request.completed = True
 
-    def client_disconnected(self, now, request):
-        """The client has gone; no answer is owed."""
+    def client_disconnected(self, now: int, request: Request) -> None:
+        """The client has gone; no answer is due."""
         if not request.completed:
             request.completed = True
-            self.unsettled += not self._short(
-                request.request_class, request.deadline - request.arrived_at
-            )
-            self._call_off_rest(request)
+            self.deadlines.left_unanswered(request)
+            self.pending.cancel_all(request)
 
-    def health_checked(self, now, name, good, took):
-        """A probe's result. It proves no more than a running process, so it only admits a trial trip."""
-        b = self.index.get(name)
-        if b is None or self.trouble[b] is None:
+    def health_checked(self, now: int, name: str, good: bool, took: int) -> None:
+        """A health check's result.
+
+        It proves no more than a running process, so it only admits a trial request.
+        """
+        backend = self.endpoints.index.get(name)
+        if backend is None or self.ejections.reason[backend] is None:
             return
         if good:
-            self.trial_due[b] = True
+            self.ejections.admit_trial(backend)
         else:
-            self._next_trial(b, now, worse=True)
+            self.outliers.trial_failed(backend, now)
 
     # Decisions: the host pulls them one by one.
 
-    def next_decision(self, now):
+    def next_wakeup(self, now: int) -> int | None:
+        """When to pull decisions again, if nothing comes in before; None for never."""
+        # A client's repeat may have so little time left that the next sweep would come after its
+        # limit.
+        first = min([self.wakeup.at, *map(self.deadlines.last_chance, self.queue.first_of_each())])
+        return max(now + 1, first) if first < NEVER else None
+
+    def next_decision(self, now: int) -> Decision | None:
         """The next decision (`pierglade.model.decision`), or None."""
-        decision = self._decide(now)
+        if now >= self.wakeup.at:
+            self._sweep(now)
+        decision = self.dispatch.next_decision(now)
         if type(decision) is RejectRequest:
             decision.retry_after = self.retry_after(now)
         return decision
 
-    def _decide(self, now):
-        if now >= self.sweep_at:
-            self._sweep(now)
-        if self.finals:
-            return self.finals.popleft()
-        for request in self.again:
-            if request.completed or self._hopeless(request, now):
-                self.again.remove(request)
-                return self._decide(now) if request.completed else self._final(request)
-            # A window that was used up by others since it was lost may have room again in time.
-            may = not self.settings.retry_budget_window or self._left(now) >= 1
-            b = self._choose(request, now) if may else None
-            if b is not None:
-                self.again.remove(request)
-                return self._send(request, b, now)
-        while (queue := self._next_queue()) is not None:
-            request = queue[0][2]
-            if (
-                self._hopeless(request, now)
-                or now - request.queued_since > PATIENCE * request.request_class.latency_objective
-            ):
-                # Held so long, it would come out of the backend late: an early no leaves room for the others.
-                heappop(queue)
-                return self._final(request)
-            full = self.limit.is_full(now, queue is self.ahead)
-            if full and (opens := self.limit.opens_at(now)) is not None:
-                self._due(opens)
-            b = None if full else self._choose(request, now)
-            if b is None:
-                break
-            heappop(queue)
-            return self._send(request, b, now)
-        # A node with others to draw into view keeps to the limit: hundreds beyond it overdrive the fleet.
-        if self.limit.healthy_backends * 2 <= len(self.turn) == len(self.ranked):
-            for b in self.ailing:
-                if (queue := self._held_back(b, now)) is not None:
-                    return self._send(heappop(queue)[2], b, now)
-        for queue in self.held:
-            if queue and self._hopeless(queue[0][2], now):
-                return self._final(heappop(queue)[2])
-        return CheckHealth(self.probes.popleft()) if self.probes else None
-
-    def next_wakeup(self, now):
-        """When to call decide again, if nothing comes in before."""
-        # A client's repeat may have so little time left that the next sweep would come after its limit.
-        waiting = self.again + [queue[0][2] for queue in self.held if queue]
-        first = min([self.sweep_at, *map(self._last_chance, waiting)])
-        return max(now + 1, first) if first < NEVER else None
-
-    def _due(self, moment):
-        self.sweep_at = min(self.sweep_at, moment)
-
-    def retry_after(self, now):
-        """Advice to a bounced client; 0 where clients are told none."""
-        return min(COME_BACK if self.overloaded else COME_SOON, self.settings.max_retry_after)
-
-    # What an invocation may still do.
-
-    def _may_send(self, request, b, now):
-        """Rule 2 in one place: may this invocation go to this backend, after what its trips have proved?"""
-        if (
-            now >= request.deadline
-            or len(request.attempts) >= self.settings.max_attempts
-            or request.in_flight
-        ):
-            return False
-        first_possibly_executed = request.first_possibly_executed
-        if first_possibly_executed is None or request.request_class.idempotency == Idempotency.SAFE:
-            return True
-        if (
-            request.request_class.idempotency == Idempotency.UNSAFE
-            or now >= first_possibly_executed.sent_at + request.request_class.deduplication_window
-        ):
-            return False
-        group = request.request_class.deduplication_scope
-        return (
-            group == "all"
-            or group == "zone"
-            and self.zone[b] == self.zone[first_possibly_executed.backend]
-            or group == "cell"
-            and self.cell[b] == self.cell[first_possibly_executed.backend]
-        )
-
-    def _may_bounce(self, request):
-        """A bounce promises that trying again is harmless."""
-        return (
-            request.first_possibly_executed is None
-            or request.request_class.idempotency == Idempotency.SAFE
-            or request.request_class.idempotency == Idempotency.KEYED
-            and request.request_class.deduplication_scope == "all"
-        )
-
-    def _final(self, request):
-        request.completed = True
-        # Only first tries count: if what was taken for a repeat did, each would make another one look so.
-        self.unsettled += not self._short(
-            request.request_class, request.deadline - request.arrived_at
-        )
-        if self._may_bounce(request):
-            return RejectRequest(request, 0)
-        return FailRequest(request)
-
-    def _hopeless(self, request, now):
-        return now >= self._last_chance(request)
-
-    def _last_chance(self, request, sure=False):
-        """The moment from which a trip would no longer come back by the expected time."""
-        request_class = request.request_class
-        # Not all of the expected time, or what was once slow would never be tried again.
-        room = not self.overloaded and len(self.turn) == len(self.ranked)
-        times = CHANCE if room and not sure else HOPELESS
-        need = request.relative_cost * self.table[request_class.index].typical
-        if request.relative_cost <= COST_MOST:
-            need = min(times * need, HOPELESS_MOST * request_class.latency_objective)
-        return request.objective_at - max(HOPELESS_LEAST, int(need))
-
-    def _after_loss(self, now, request, outcome):
-        """A trip came to nothing: a further one, or the final answer at once."""
-        # Where it was lost at every ready backend there is no way back: held, it would only wait in vain.
-        may = (
-            self._left(now) >= 1
-            and not self._hopeless(request, now)
-            and outcome != Outcome.NOT_SENT
-            and any(self._may_send(request, b, now) for b in self.turn)
-            and not {t.backend for t in request.attempts}.issuperset(self.ranked)
-        )
-        if may:
-            self.extra -= 1
-            request.queued_since = now
-            self.again.append(request)
-            self._due(now + SWEEP)
-        else:
-            self.finals.append(self._final(request))
-
-    def _left(self, now):
-        """How many further trips may go out: where a budget is stated, no window of it may hold more.
-
-        It holds for all that goes out again, whatever ended the trip before. Where none is stated, a share of
-        what comes, saved up. No trip is kept back while the window has room, so nothing is given up for it.
-        """
-        terms = self.settings
-        if not terms.retry_budget_window:
-            return self.extra
-        # A tenth of a ms on either side: the host's clock is finer, and counts a window's very ends.
-        while self.spent and self.spent[0] < now - terms.retry_budget_window - 1:
-            self.spent.popleft()
-        while self.earned and self.earned[0] <= now - terms.retry_budget_window + 1:
-            self.earned.popleft()
-        return (
-            terms.retry_budget_minimum
-            + int(terms.retry_budget_ratio * len(self.earned))
-            - len(self.spent)
-        )
-
-    def _call_off_rest(self, request):
-        for attempt in request.attempts:
-            self._call_off(attempt)
-
-    def _call_off(self, attempt):
-        if attempt.outcome is None and not attempt.cancelled and self.settings.may_cancel:
-            attempt.cancelled = True
-            self.finals.append(CancelAttempt(attempt))
-
-    # Holding.
-
-    def _next_queue(self):
-        """In overload the offering that gains most; else whose expected time comes first."""
-        best = least = None
-        for place, queue in enumerate(self.held):
-            while queue and queue[0][2].completed:
-                heappop(queue)
-            if queue:
-                rank = -self._gain(self.table[place]) if self.overloaded else queue[0][0]
-                if best is None or rank < least:
-                    best, least = queue, rank
-        return best
+    def _sweep(self, now: int) -> None:
+        """Looks after all that is due.
 
-    def _held_back(self, b, now):
-        """Where from to take the trial that is due at b, though the sound backends are full.
-
-        Or a node that took most for silent by mistake would hold all for the one left and learn no better.
+        That is unresponsive backends, trial requests, polls and requests that wait too long.
         """
-        if self.trial_due[b] and not self.trials_out[b] and b in self.turn:
-            for queue in self.held:
-                if (
-                    queue
-                    and self._is_trial(queue[0][2], b)
-                    and not self._hopeless(queue[0][2], now)
-                    and self._skip(queue[0][2], b, now) is None
-                ):
-                    return queue
-        return None
-
-    def _gain(self, row):
-        """What one more settled invocation of an offering adds to the service, for each unit of time."""
-        gain = (
-            (1 - self.settings.worst_class_weight)
-            * row.priority_weight
-            / sum(each.priority_weight * max(each.asked, 1.0) for each in self.table)
-        )
-        if row is min(self.table, key=lambda each: each.got / max(each.asked, 1.0)):
-            gain += self.settings.worst_class_weight / max(row.asked, 1.0)
-        return gain / row.typical
-
-    def _relieve(self, now):
-        """Overload is told by the oldest held wait; what tenants ask beyond their share goes first."""
-        line = self.line
-        while line and (line[0].completed or line[0].attempts):
-            line.popleft()
-        waited = (
-            (now - line[0].queued_since) / line[0].request_class.latency_objective if line else 0.0
-        )
-        self.overloaded = waited > WAITED
-        # A node with room for two trips waits long for one to end: what gains most and is little goes ahead.
-        work = [max(row.asked, 1.0) * row.typical for row in self.table]
-        most = max(range(len(work)), key=lambda o: self._gain(self.table[o]))
-        self.ahead = self.held[most] if work[most] <= LIGHT * sum(work) else None
-        if line:
-            self._due(now + SWEEP)
-        if waited > PATIENCE:
-            for request in line:
-                if not (request.completed or request.attempts) and self._over_share(
-                    request.tenant, now
-                ):
-                    self.finals.append(self._final(request))
-
-    def _over_share(self, tenant, now):
-        if tenant is None or not tenant.quota_per_second:
-            return False
-        rate = (
-            tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / RATE_SPAN) / (RATE_SPAN / 10000)
-        )
-        return rate * self.settings.node_count > OVER_SHARE * tenant.quota_per_second
-
-    # The rotation.
-
-    def _choose(self, request, now):
-        """The next in turn that nothing speaks against; the first that may take it if all are skipped."""
-        turn, at, fallback = self.turn, self.at, None
-        count = len(turn)
-        # Where a way to another zone is dear, one lap over the own zone's first.
-        for step in range(0 if self.home is None else -count, count):
-            place = (at + step) % count
-            b = turn[place]
-            if step < 0 and self.zone[b] != self.home:
-                continue
-            skip = self._skip(request, b, now)
-            if skip is None:
-                # Even turns would overdrive the small machines at a load that the fleet can bear.
-                self.owed[b] += min(
-                    1.0, self.size[b] / (self.largest * self.level[b] ** self.steep)
-                )
-                if self.owed[b] >= 1:
-                    self.owed[b] -= 1
-                    self.at = place + 1 if place + 1 < count else 0
-                    return b
-                skip = "light"
-            if fallback is None and skip in FALLBACKS:
-                fallback = place
-        if fallback is None:
-            return None
-        self.at = fallback + 1 if fallback + 1 < count else 0
-        return turn[fallback]
-
-    def _skip(self, request, b, now):
-        """Why the next in turn is passed over, or None."""
-        if request.attempts:
-            if not self._may_send(request, b, now):
-                return "may not"
-            if any(t.backend == b for t in request.attempts):
-                return "tried"
-        if now < self.cold_until[b] and not self._cold_allows(b, now):
-            return "cold"
-        trouble = self.trouble[b]
-        if trouble is not None and not self._is_trial(request, b):
-            if trouble is not SLOW:
-                return trouble
-            # Shared trouble: when most backends are slow at once, skipping them all helps nobody.
-            if self.slow_ones * 2 <= len(self.turn):
-                return SLOW
-        most = 1 + CROWD_FLOOR + CROWD * self.limit.in_flight / self.limit.healthy_backends
-        if (out := self.flying.get(b)) and (len(out) + 1) * self.level[b] > most:
-            return "crowded"
-        forecast = self.forecast[b]
-        if forecast is not None:
-            threshold = self.table[request.request_class.index].typical * self.level[b]
-            if forecast - threshold <= now:
-                if now <= forecast + self.mean_pause[b]:
-                    return "forecast"
-                # No pause came: the forecast is set aside until one does, so it cannot starve the backend.
-                self.forecast[b] = self.work_due[b] = None
-        return None
-
-    def _is_trial(self, request, b):
-        """Of the kinds that come, the least harmful; a row that nobody asks for would bring no trial ever."""
-        return (
-            self.trial_due[b]
-            and not self.trials_out[b]
-            and request.request_class.idempotency
-            == next(kind for kind, at in self.asked_at.items() if at > self.count - COMES)
-        )
-
-    def _cold_allows(self, b, now):
-        """Rule 4: this node's part of what a cold backend may be sent, and of what all may have saved up."""
-        terms, age, warm = (
-            self.settings,
-            max(0, now - self.started[b]),
-            self.warm_pace * self.size[b],
-        )
-        capacity = terms.slow_start_capacity + (1 - terms.slow_start_capacity) * age / max(
-            1, terms.slow_start_duration
-        )
-        part = max(COLD_MARGIN, capacity) * min(
-            1.0, (bears := terms.slow_start_overload * capacity)
-        )
-        saved = self.allowance[b] + part * warm * (now - self.allowed_at[b])
-        more = (bears - part) * warm * COLD_SPAN + COLD_MORE * len(self.ranked) / len(
-            self.turn
-        ) / terms.node_count
-        saved = min(saved, COLD_BURST if 1 + more >= COLD_BURST else more + (saved - more) % 1)
-        self.allowance[b], self.allowed_at[b] = saved, now
-        return self.allowance[b] >= 1
-
-    def _send(self, request, b, now):
-        trial = self._is_trial(request, b)
-        attempt = Attempt(request, len(request.attempts), b, now, request.deadline, trial)
-        if self.trouble[b] in COUNTED:
-            self.limit.change_in_flight(now, 1)
-            attempt.probing_round = self.limit.attempt_sent(now, request.request_class.index)
-        if trial:
-            self.trials_out[b] += 1
-            self._next_trial(b, now)
-        if now < self.cold_until[b]:
-            self.allowance[b] -= 1
-        if (
-            self.learns
-            and self.settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-            and self.settings.may_check_health
-        ):
-            self.unprobed += self.probe_share
-            if self.unprobed >= 1:
-                self.unprobed -= 1
-                self.probes.append(min(self.turn, key=self.told_at.__getitem__))
-        self.flying.setdefault(b, {})[attempt] = None
-        self._due(
-            now + max(SWEEP, int(SILENT_LEAST * self.table[request.request_class.index].typical))
-        )
-        if request.attempts and self.settings.retry_budget_window:
-            self.spent.append(now)
-        request.attempts.append(attempt)
-        request.in_flight += 1
-        if request.first_possibly_executed is None:
-            request.first_possibly_executed = attempt
-        return SendAttempt(attempt)
-
-    # Server health.
-
-    def _learn(self, now, attempt, outcome, took):
-        b, row = attempt.backend, self.table[attempt.request.request_class.index]
-        if outcome != Outcome.SUCCESS or self.trouble[b] is not None:
-            self.limit.attempt_lost(attempt.request.request_class.index, attempt.probing_round)
-        if (
-            outcome == Outcome.SUCCESS
-            and self.trouble[b] is None
-            or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
-        ):
-            self._see_drag(now, attempt.request, took, outcome == Outcome.SUCCESS)
-        if outcome == Outcome.SUCCESS:
-            self.done += 1
-            heed = min(QUICK, max(LEVEL, (now - self.last_answer[b]) / LEVEL_SPAN))
-            self.last_answer[b] = now
-            self.errors[b] *= 1 - ERRORS
-            alike = took / attempt.request.relative_cost
-            ratio = min(RATIO_CAP, max(alike, GRAIN) / max(row.typical, GRAIN))
-            self.quick[b] += (ratio - self.quick[b]) * QUICK
-            level = max(self.level[b], 1.0)
-            if self.trouble[b] is None:
-                self.lost = max(LOST_LEAST, self.lost * (1 - COMMON))
-                row.answers += 1
-                row.typical += (alike - row.typical) * max(TYPICAL, 1 / row.answers)
-                row.skew = max(
-                    0.0, row.skew - (log(ratio) + row.skew) * max(TYPICAL, 1 / row.answers)
-                )
-                self.level[b] += (ratio - self.level[b]) * heed
-                self._sample(b, now)
-                request_class = attempt.request.request_class
-                self.limit.attempt_answered(
-                    now,
-                    request_class.index,
-                    attempt.probing_round,
-                    attempt.sent_at,
-                    int(alike),
-                    request_class.latency_objective,
-                )
-                if self.quick[b] > FAR * level:
-                    self._begin(b, SLOW, now)
-            elif attempt.sent_at < self.since[b] and self.trouble[b] is not SILENCE:
-                pass  # An answer from before the trouble says nothing about its end.
-            elif ratio <= GOOD * level and self.errors[b] <= ERRORS_GOOD:
-                self._end(b, now)
-            else:
-                self.trial_due[b] = self.trouble[b] is FAILING
-        elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            if outcome in (Outcome.REJECTED_UNPROCESSED, Outcome.CLIENT_ERROR):
-                self.last_answer[b] = now
-            if outcome == Outcome.CLIENT_ERROR:
-                return  # What a client got wrong says nothing against the backend.
-            # Turned away counts too: whoever says no at once has nothing in flight and would attract work.
-            self.errors[b] += (1 - self.errors[b]) * (
-                UNREACHED if outcome == Outcome.CONNECT_FAILED else ERRORS
-            )
-            if self.trouble[b] is None:
-                self.lost += (1 - self.lost) * COMMON
-                if outcome == Outcome.REJECTED_UNPROCESSED and self.state[b] == EndpointState.READY:
-                    self.limit.attempt_rejected(now, attempt.sent_at)
-            # What all backends lose alike is no one's outage: left out for it, they would leave no room.
-            many = IN_A_ROW
-            if len(self.turn) == len(self.ranked):
-                many = max(many, log(BY_CHANCE) / log(min(LOST_MOST, self.lost)) - 0.5)
-            if self.errors[b] >= 1 - (1 - ERRORS) ** many:
-                self._begin(b, FAILING, now)
-                if attempt.is_trial:
-                    self._next_trial(b, now, worse=True)
-
-    def _begin(self, b, why, now):
-        if self.trouble[b] is None:
-            self.since[b] = now
-            # Slow again before it was well: it has not had the rest that it needs, and gets twice as long.
-            self.until[b] = now + min(REST_MOST, self.mean_pause[b] << self.relapses[b])
-            self.trial_gap[b] = TRIAL_GAP
-            self.trial_at[b] = now + TRIAL_GAP
-            self.trial_due[b] = False
-        self._mark(b, why, now)
-
-    def _mark(self, b, trouble, now):
-        """Keeps the counts that depend on which trouble a backend has."""
-        before = self.trouble[b]
-        self.limit.change_in_flight(
-            now, len(self.flying.get(b, ())) * ((trouble in COUNTED) - (before in COUNTED))
-        )
-        self.slow_ones += (trouble is SLOW) - (before is SLOW)
-        self.trouble[b] = trouble
-        if trouble is None:
-            self.ailing.pop(b, None)
-        else:
-            self.ailing[b] = None
-            self._due(now + SWEEP)
-        self._draw_turn(now)
-
-    def _end(self, b, now, well=True):
-        self._mark(b, None, now)
-        self.errors[b] = 0.0
-        if not well:
-            self.relapses[b] = min(self.relapses[b] + 1, 8)
-            self.quick[b] = GOOD * max(self.level[b], 1.0)
-            return
-        self.relapses[b] = 0
-        self.quick[b] = min(self.quick[b], max(self.level[b], 1.0))
-        lasted = now - self.since[b]
-        # Hangs, deaths and quick errors last longer than pauses; kept out, they cannot skew the forecast.
-        if lasted <= LONGEST_PAUSE:
-            self._pause(b, lasted)
-
-    def _next_trial(self, b, now, worse=False):
-        if worse:
-            self.trial_gap[b] = min(TRIAL_GAP_MOST, self.trial_gap[b] * 2)
-            if (
-                self.trial_gap[b] == TRIAL_GAP_MOST
-                and self.left_at[b]
-                and self.state[b] == EndpointState.READY
-            ):
-                self._leave(b, EndpointState.REMOVED, now)
-                self._draw_turn(now)
-        self.trial_due[b] = False
-        self.trial_at[b] = now + self.trial_gap[b]
-        self._due(self.trial_at[b])
-
-    def _sweep(self, now):
-        """Looks after what is due: silence, trials, ends of rests, what is held too long."""
-        self.sweep_at = NEVER
-        if now >= self.redraw_at:
-            self._draw_turn(now)
-        if now >= self.ask_at:
-            self.ask_at = NEVER
-            self.finals.append(PollEndpoints())
-        self._due(self.ask_at)
-        self._due(min(self.redraw_at, now + SWEEP) if self.again else self.redraw_at)
-        self._relieve(now)
-        fade = FADE ** ((now - self.swept) / SWEEP)
-        self.asked_over = (self.asked_over + now - self.swept) * fade
-        self.unsettled = max(0.0, self.unsettled) * max(0.0, 1 - (now - self.swept) / COMES_BACK)
-        self.swept = now
-        self.done *= fade
-        for row in self.table:
-            row.asked, row.got = row.asked * fade, row.got * fade
-        # In the mean of all a large slow tenant hid itself; where all are slow, none is.
-        self.drag = max(1.0, self.drags.figure(now) or 1.0)
-        if self.learns and now >= self.see_at:
-            self.see_at = now + SEE
-            self._see(now)
-        for b in list(self.flying):
-            self._due(max(now + SWEEP, self._listen(b, now)))
-        for b in list(self.ailing):
-            if self.state[b] != EndpointState.READY:
-                continue
-            if self.trouble[b] is SLOW and now >= self.until[b]:
-                self._end(b, now, well=False)
-                continue
-            if not self.trial_due[b] and now >= self.trial_at[b] and not self.trials_out[b]:
-                self._next_trial(b, now)
-                if self.settings.may_check_health and self.trouble[b] is not SLOW:
-                    self.probes.append(b)
-                else:
-                    self.trial_due[b] = True
-            if self.trouble[b] is SLOW or not self.trial_due[b]:
-                self._due(max(now + SWEEP, min(self.until[b], self.trial_at[b])))
-
-    def _listen(self, b, now):
-        """With trips out and no answer for long, a backend is silent; what may be is sent elsewhere.
-
-        Returns when to listen again.
-        """
-        attempts = self.flying[b]
-        for attempt in [t for t in attempts if t.outcome and now >= t.timeout_at]:
-            self._leave_flight(b, attempt, now)
-        if not attempts:
-            return NEVER
-        oldest = next(iter(attempts))
-        quiet = now - max(self.last_answer[b], oldest.sent_at)
-        # A light one may wait behind heavy ones, and has no less patience for it.
-        cost = max(1.0, *(t.request.relative_cost for t in attempts))
-        row = self.table[oldest.request.request_class.index]
-        typical = max(GRAIN, cost * row.typical * max(self.level[b], 1.0))
-        # A node with few trips has one out at a time: by the mean alone each heavy one is taken for silence.
-        heavy = exp(RARE / len(attempts) * sqrt(2 * row.skew) - row.skew)
-        patience = typical * max(SILENT_LEAST, SILENT / len(attempts), heavy)
-        if quiet < patience:
-            return min(
-                int(now - quiet + patience) + 1,
-                *(t.timeout_at for t in attempts if t.outcome),
-                NEVER,
-            )
-        if self.trouble[b] is not SILENCE:
-            self._begin(b, SILENCE, now)
-        left = self._left(now)
-        for attempt in list(attempts):
-            request = attempt.request
-            if attempt.is_trial and now - attempt.sent_at > SILENT * typical:
-                self._next_trial(b, now, worse=True)
-            if (
-                request.request_class.idempotency != Idempotency.UNSAFE
-                and not attempt.cancelled
-                and not request.completed
-                and now - attempt.sent_at > SILENT_LEAST * typical
-                and left >= 1
-                and now < self._last_chance(request, sure=True)
-                and len(request.attempts) < self.settings.max_attempts
-            ):
-                self._call_off(attempt)
-                left -= self.settings.retry_budget_window > 0
-        return now
-
-    # The forecast: two regressions, one from pause to work, one from work to time.
-
-    def _sample(self, b, now):
-        self.work[b] += 1
-        if not self.samples[b]:  # On a large fleet most backends are never sent to.
-            self.samples[b], self.sums[b] = deque(), [0, 0, 0, 0]
-        work, samples, sums = self.work[b], self.samples[b], self.sums[b]
-        samples.append(now)  # Each is one unit of work after the one before.
-        for n, each in enumerate((work, now, work * work, work * now)):
-            sums[n] += each
-        while len(samples) > self.window[b]:
-            old_work, old_now = work - len(samples) + 1, samples.popleft()
-            for n, each in enumerate((old_work, old_now, old_work * old_work, old_work * old_now)):
-                sums[n] -= each
-        if self.work_due[b] is not None:
-            self._project(b)
-
-    def _pause(self, b, lasted):
-        """A pause has ended: it enters the regressions, the band is checked, the next one is forecast."""
-        self.mean_pause[b] += (lasted - self.mean_pause[b]) // 4
-        pauses = self.pauses[b] = self.pauses[b] or deque(maxlen=PAUSES_KEPT)
-        pauses.append(self.work[b])
-        self.forecast[b] = self.work_due[b] = None
-        if len(pauses) < PAUSES_NEEDED:
-            return
-        gaps = [after - before for before, after in zip(pauses, list(pauses)[1:])]
-        mean = sum(gaps) / len(gaps)
-        spread = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
-        varies = spread / mean if mean else BAND_HIGH
-        self.window[b] = (
-            WINDOW_LOW
-            if varies <= BAND_LOW
-            else WINDOW_HIGH
-            if varies >= BAND_HIGH
-            else WINDOW_MEDIUM
-        )
-        count = len(pauses)
-        numbers, total = count * (count - 1) // 2, sum(pauses)
-        slope = (count * sum(n * w for n, w in enumerate(pauses)) - numbers * total) / (
-            count * sum(n * n for n in range(count)) - numbers * numbers
-        )
-        self.work_due[b] = (total - slope * numbers) / count + slope * count
-        self._project(b)
-
-    def _project(self, b):
-        """When the work is reached at which the next pause is due."""
-        count = len(self.samples[b])
-        works, times, squares, products = self.sums[b]
-        ground = count * squares - works * works
-        if ground > 0:
-            slope = (count * products - works * times) / ground
-            self.forecast[b] = int((times - slope * works) / count + slope * self.work_due[b])
-
-    # The list.
-
-    def _new_index(self, name, now):
-        b = next((b for b in self.gone if b not in self.flying), None)
-        if b is None or now - self.left_at[b] <= self.forget:
-            b = len(self.names)
-        else:
-            del self.index[self.names[b]], self.gone[b]
-            self.ailing.pop(b, None)  # What ailed the one before must not cost the new one probes.
-        for array, first in FIRST.items():
-            getattr(self, array)[b : b + 1] = [first]  # appends where b is new
-        self.names[b], self.rank[b] = (
-            name,
-            blake2b(name.encode(), digest_size=8).digest() + name.encode(),
-        )
-        self.left_at[b], self.allowed_at[b], self.owed[b] = now, now, self.pick(1000) / 1000
-        self.index[name] = b
-        return b
-
-    def _forget_history(self, b, now):
-        """A process that has started anew pauses anew, and what ailed the one before is not its own."""
-        if self.trouble[b] is not None:
-            self._mark(b, None, now)
-        for name, first in HISTORY.items():
-            getattr(self, name)[b] = first
-
-    def _leave(self, b, state, now):
-        """Rule 3: from the moment the list says that it drains or is gone, it is out of the rotation."""
-        if self.state[b] == EndpointState.READY:
-            if (
-                state == EndpointState.REMOVED
-                and not self.settings.removal_binds
-                and self.trial_gap[b] < TRIAL_GAP_MOST
-            ):
-                # It may be up all the same: trials tell, and one that fails them for long is gone.
-                self.left_at[b] = now
-                if self.trouble[b] in COUNTED:
-                    self._begin(b, FAILING, now)
-                return
-            self.total -= self.size[b]
-            del self.ranked[bisect_left(self.ranked, self.rank[b], key=self.rank.__getitem__)]
-            self.left_at[b] = now
-            if self.trouble[b] is SLOW:
-                # Gone, it must not count to the slow ones for ever, or shared trouble would seem to last.
-                self._mark(b, None, now)
-        self.state[b] = state
-        (self.gone.setdefault if state == EndpointState.REMOVED else self.gone.pop)(b, None)
+        wakeup, rotation = self.wakeup, self.rotation
+        wakeup.reset()
+        if now >= rotation.rebuild_at:
+            rotation.rebuild(now)
+        if self.polling.take_due(now):
+            self.pending.append(PollEndpoints())
+        wakeup.request(self.polling.next_at)
+        wakeup.request(rotation.rebuild_at)
+        if self.queue.retries:
+            wakeup.request(now + SWEEP_INTERVAL)
+        for request in self.queue.update_overload(now):
+            self.pending.append(self.dispatch.final(request))
+        self.deadlines.fade(now)
+        self.request_stats.fade(now)
+        self.request_costs.update_median(now)
+        if self.learns and self.load_reports.take_due_look(now):
+            rotation.look(now)
+        for backend in list(self.ejections.in_flight):
+            next_check_at = self.outliers.check_unresponsive(backend, now)
+            wakeup.request(max(now + SWEEP_INTERVAL, next_check_at))
+        self.outliers.check_ejected(now)
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -1,127 +1,125 @@
-"""What a node has learned, for the one that takes its place as settings change. No I/O, no clock, no choice.
+"""What a balancer has learned, for the one that takes its place as settings change.
 
-Both go on side by side until the earlier one owes nothing, so nothing that changes later is shared, but for
-the moments of further trips (`Balancer`). Trips out, what is held and what was decided stay with the earlier one.
+No I/O, no clock.
+
+Both go on side by side until the earlier one has answered all its requests, so nothing that changes
+later is shared, but for the moments of retries (`RetryBudget`). Attempts in flight, queued requests
+and pending decisions stay with the earlier one.
 
 | what | is kept | not where |
 | --- | --- | --- |
-| backends, their places, levels, troubles, trials to come, the forecast | always | of trips out on trial |
-| what backends report and usually do | same way and fields of reports | else it may mean another thing |
-| an offering's latency, its spread, its hints, what was asked and settled | its name is there | - |
-| the time that clients' first tries bring | and its hard limit is the same | it follows from the limit |
-| place on the ring, part of the mean, limit on trips out | same number and count of nodes | shares of all |
-| the limit on trips out | and both have shares, or neither; an offering is left | it begins otherwise |
-| pace, view and room | both learn their part | else the settings say it |
-| what a cold backend may be sent | always, by the new span; the earlier one begins at nothing | - |
+| backends, turns, levels, ejections, trials due, the forecast | always | of trials in flight |
+| what backends report | same source and fields of reports | else it may mean another thing |
+| a class's latency, its spread, its hints, its counts | its name is there | - |
+| the time that first attempts bring | and the request timeout is the same | it follows from that |
+| place on the ring, traffic share, limit | same number and count of nodes | shares of all |
+| the limit | and both have quotas, or neither; a class is left | it begins otherwise |
+| request rate, subset size and growth by reports | both learn them | else the settings say it |
+| the slow start allowance | always; the earlier one begins at nothing | - |
 """
 
-from collections import OrderedDict
-
-from pierglade.balancer.balancer import COMES, FIRST
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.endpoint_stats import KIND_SEEN_WITHIN
 from pierglade.model.endpoint import Endpoint, EndpointState
 
-PASTS = ("samples", "pauses")
-REPORTED = ("told_pace", "told_busy", "told_queue", "told_at", "usual", "usual_of")
-# Of the node itself, as they are: counts and shares of lately, and the moments that they go with.
-LATELY = (
-    "count",
-    "extra",
-    "done",
-    "asked_over",
-    "swept",
-    "unsettled",
-    "lost",
-    "drag",
-    "most",
-    "slow_ones",
-    "total",
-    "at",
-)
-ON_THE_RING = ("anchor", "move_at")
-BY_REPORTS = ("room_at", "seen_at", "slower_since", "rest_until", "rest_again", "unprobed", "room")
 
+def take_over(node: Balancer, before: Balancer, now: int) -> None:
+    """Gives `node`, which was just made, what `before` knows.
 
-def take_over(node, before, now):
-    """Gives `node`, which was just made, what `before` knows. Both are told of the list from then on."""
-    terms, were = node.settings, before.settings
-    # Of each row of the new table the one there was, by name.
+    Both get endpoint lists from then on.
+    """
+    settings, were = node.settings, before.settings
+    # Of each class of the new settings the place it had, by name.
     places = {request_class.name: request_class.index for request_class in were.request_classes}
-    places = [places.get(request_class.name) for request_class in terms.request_classes]
-    same_reports = (terms.load_report_source, terms.load_report_fields) == (
+    places = [places.get(request_class.name) for request_class in settings.request_classes]
+    same_reports = (settings.load_report_source, settings.load_report_fields) == (
         were.load_report_source,
         were.load_report_fields,
     )
-    same_ring = (terms.node_number, terms.node_count) == (were.node_number, were.node_count)
-    _backends(node, before, same_reports)
-    _rows(node, before, places)
-    names = (
-        LATELY
-        + same_ring * ON_THE_RING
-        + (node.learns and before.learns and same_reports) * BY_REPORTS
+    same_nodes = settings.node_count == were.node_count
+    both_learn = node.learns and before.learns
+    _copy_parts(node, before, same_reports)
+    _copy_classes(node, before, places)
+    node.request_stats.copy_from(before.request_stats)
+    if both_learn and same_reports:
+        node.load_reports.copy_growth(before.load_reports)
+        node.health_checks.copy_due(before.health_checks)
+    node.rotation.copy_from(
+        before.rotation, same_nodes and settings.node_number == were.node_number, both_learn
     )
-    for name in names:
-        setattr(node, name, getattr(before, name))
-    node.ranked, node.turn = before.ranked.copy(), before.turn.copy()
-    node.drags.newest, node.drags.figures = before.drags.newest.copy(), before.drags.figures.copy()
-    same_nodes = terms.node_count == were.node_count
-    if node.learns and before.learns:
-        node.asked, node.in_view = before.asked, before.in_view
-        node.part = before.part if same_nodes else node.part
+    if both_learn:
+        if same_nodes:
+            node.load_reports.traffic_share = before.load_reports.traffic_share
         node.limit.demand = before.limit.demand
-    same_kind = (node.learns, node.shares) == (before.learns, before.shares)
+    same_kind = (node.learns, node.rotation.has_quotas) == (
+        before.learns,
+        before.rotation.has_quotas,
+    )
     if same_nodes and same_kind and any(place is not None for place in places):
-        node.limit = before.limit.successor(now, places, node.limit.demand)
-    left = [b for b in node.ranked if node.left_at[b]] if terms.removal_binds else ()
-    # What was listed as gone and was tried all the same is gone where that binds.
+        node.replace_limit(before.limit.successor(now, places, node.limit.demand))
+    _remove_where_that_binds(node, now)
+    node.wakeup.request(now)
+
+
+def _remove_where_that_binds(node, now):
+    """What was listed as removed and was tried all the same is removed where that binds."""
+    endpoints = node.endpoints
+    left = (
+        [backend for backend in node.rotation.by_rank if endpoints.left_at[backend]]
+        if node.settings.removal_binds
+        else ()
+    )
     node.endpoints_updated(
         now,
         [
             Endpoint(
-                node.names[b], EndpointState.REMOVED, node.zone[b], node.cell[b], node.started[b]
+                endpoints.names[backend],
+                EndpointState.REMOVED,
+                endpoints.zone[backend],
+                endpoints.cell[backend],
+                node.slow_start.started_at[backend],
             )
-            for b in left
+            for backend in left
         ],
         False,
     )
-    node.sweep_at = min(node.sweep_at, now)
 
 
-def _backends(node, before, same_reports):
-    count = len(before.names)
-    for name, first in FIRST.items():
-        if name == "trials_out" or name in REPORTED and not same_reports:
-            setattr(node, name, [first] * count)
-        else:
-            setattr(node, name, getattr(before, name).copy())
-    for name in PASTS:
-        setattr(node, name, [past and past.copy() for past in getattr(before, name)])
-    node.sums = [list(sums) if type(sums) is list else sums for sums in before.sums]
-    node.index, node.gone, node.ailing = (
-        before.index.copy(),
-        OrderedDict(before.gone),
-        before.ailing.copy(),
-    )
-    span = node.settings.slow_start_duration
-    if span != before.settings.slow_start_duration:
-        node.cold_until = [started and started + span for started in before.started]
-    # Or both would spend what was saved up.
-    before.allowance = [0.0] * count
+def _copy_parts(node, before, same_reports):
+    """What is known of backends, and of all requests together."""
+    node.endpoints.copy_from(before.endpoints)
+    node.ejections.copy_from(before.ejections)
+    node.outliers.copy_from(before.outliers)
+    node.selection.copy_from(before.selection)
+    node.pause_forecast.copy_from(before.pause_forecast)
+    node.slow_start.copy_from(before.slow_start)
+    node.load_reports.copy_reports(before.load_reports, same_reports)
+    node.retry_budget.copy_from(before.retry_budget)
+    node.request_costs.copy_from(before.request_costs)
+    node.deadlines.copy_from(before.deadlines)
 
 
-def _rows(node, before, places):
-    for row, request_class, place in zip(node.table, node.settings.request_classes, places):
+def _copy_classes(node, before, places):
+    """What is known of each class of requests, by its name."""
+    for stats, request_class, place in zip(
+        node.request_stats.classes, node.settings.request_classes, places, strict=True
+    ):
         if place is None:
             continue
-        told, was = before.table[place], before.settings.request_classes[place]
-        row.asked, row.got, row.hinted = told.asked, told.got, told.hinted
-        if told.answers > row.answers:
-            row.typical, row.skew, row.answers = told.typical, told.skew, told.answers
+        known, was = before.request_stats.classes[place], before.settings.request_classes[place]
+        stats.asked, stats.got, stats.hinted = known.asked, known.got, known.hinted
+        if known.answers > stats.answers:
+            stats.typical, stats.skew, stats.answers = known.typical, known.skew, known.answers
         if request_class.request_timeout == was.request_timeout:
-            row.usual_left, row.usual_votes = told.usual_left, told.usual_votes
+            stats.usual_left, stats.usual_votes = known.usual_left, known.usual_votes
     came = {request_class.idempotency for request_class in before.settings.request_classes}
     for kind in {request_class.idempotency for request_class in node.settings.request_classes}:
-        node.asked_at[kind] = before.asked_at[kind] if kind in came else before.count
-    for kind in node.asked_at.keys() - {
+        node.request_stats.last_received[kind] = (
+            before.request_stats.last_received[kind]
+            if kind in came
+            else before.request_stats.received
+        )
+    for kind in node.request_stats.last_received.keys() - {
         request_class.idempotency for request_class in node.settings.request_classes
     }:
-        node.asked_at[kind] = before.count - COMES
+        node.request_stats.last_received[kind] = before.request_stats.received - KIND_SEEN_WITHIN
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -98,7 +98,8 @@
         self.begun = 0  # calls
         self.heard = []  # when each call began, and when its last piece came
         self.desk = Desk(("b0", "b1"), polls_endpoints=asked)
-        self.desk.reducer.balancers.current.pick = mock.Mock(
+        node = self.desk.reducer.balancers.current
+        node.pick = node.polling.pick = node.rotation.pick = mock.Mock(
             side_effect=lambda most: most - 1 if seed is None else seed * most // 4
         )
         self.desk.reducer.endpoints.version = 7
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -5,7 +5,8 @@
 import unittest
 from functools import partial
 
-from pierglade.balancer.balancer import FORGET, Balancer
+from pierglade.balancer.balancer import Balancer
+from pierglade.balancer.endpoint_stats import REUSE_AFTER
 from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.state.effects import LogEvent
 from pierglade.proxy.state.endpoints import NAMED
@@ -14,7 +15,7 @@
 from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
 
 HARD_LIMIT = 1000  # ms; the longest of the scene's offerings
-FORGOTTEN = FORGET * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
+FORGOTTEN = REUSE_AFTER * HARD_LIMIT + 1  # ms after which a gone backend's index is used again
 
 
 def fleet(first, count):
@@ -84,9 +85,11 @@
         def leaves(count):
             node = Balancer(4, balancer_settings(tenants=TenantRegistry()), 0)
             node.endpoints_updated(0, fleet(0, count), True)
-            node.at = count - 1
+            node.rotation.position = count - 1
             node.endpoints_updated(
-                1, [listed(node.names[node.turn[-1]], EndpointState.REMOVED)], False
+                1,
+                [listed(node.endpoints.names[node.rotation.subset[-1]], EndpointState.REMOVED)],
+                False,
             )
             return lambda: node.endpoints_updated(
                 2, [listed(f"b{n}", EndpointState.REMOVED) for n in range(count // 2)], False
@@ -102,20 +105,25 @@
 
     def test_used_again_after_the_time_and_not_before(self):
         scene, node = self.scene()
-        old = node.index["b1"]
+        old = node.endpoints.index["b1"]
         scene.list([listed("b1", EndpointState.REMOVED)])
         scene.after(FORGOTTEN - 1)
         scene.list(["c0"])
-        self.assertEqual((node.index["c0"], len(node.names)), (3, 4))
+        self.assertEqual((node.endpoints.index["c0"], len(node.endpoints.names)), (3, 4))
         scene.after(1)
         scene.list(["c1"])
-        self.assertEqual((node.index["c1"], node.names[old], len(node.names)), (old, "c1", 4))
-        self.assertNotIn("b1", node.index)
-        self.assertEqual(sorted(node.names[b] for b in node.turn), ["b0", "b2", "c0", "c1"])
+        self.assertEqual(
+            (node.endpoints.index["c1"], node.endpoints.names[old], len(node.endpoints.names)),
+            (old, "c1", 4),
+        )
+        self.assertNotIn("b1", node.endpoints.index)
+        self.assertEqual(
+            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b2", "c0", "c1"]
+        )
 
     def test_what_came_back_keeps_its_own(self):
         scene, node = self.scene()
-        old = node.index["b1"]
+        old = node.endpoints.index["b1"]
         for state in (
             EndpointState.REMOVED,
             EndpointState.READY,
@@ -126,14 +134,17 @@
             scene.list([listed("b1", state)])
         scene.after(FORGOTTEN)
         scene.list(["c0"])
-        self.assertEqual((node.index["b1"], node.index["c0"], len(node.gone)), (old, 3, 0))
+        self.assertEqual(
+            (node.endpoints.index["b1"], node.endpoints.index["c0"], len(node.endpoints.removed)),
+            (old, 3, 0),
+        )
 
     def test_what_only_drains_keeps_its_own(self):
         scene, node = self.scene()
         scene.list([listed("b1", EndpointState.DRAINING)])
         scene.after(FORGOTTEN)
         scene.list(["c0"])
-        self.assertEqual(node.index["c0"], 3)
+        self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_gone_again_the_time_begins_anew(self):
         scene, node = self.scene()
@@ -143,39 +154,45 @@
         scene.list([listed("b1", EndpointState.REMOVED)])
         scene.after(1)
         scene.list(["c0"])
-        self.assertEqual(node.index["c0"], 3)
+        self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_not_with_a_trip_out_while_others_are(self):
         """What comes of the trip is learned of the index; another behind it is free all the same."""
         scene, node = self.scene(2)
         request = scene.take("i0", request_class=2, left=100000)
         held = request.attempts[0].backend
-        scene.list([listed(node.names[held], EndpointState.REMOVED)])
-        scene.list([listed(node.names[1 - held], EndpointState.REMOVED)])
+        scene.list([listed(node.endpoints.names[held], EndpointState.REMOVED)])
+        scene.list([listed(node.endpoints.names[1 - held], EndpointState.REMOVED)])
         scene.after(FORGOTTEN)
         scene.list(["c0", "c1"])
-        self.assertEqual((node.index["c0"], node.index["c1"]), (1 - held, 2))
+        self.assertEqual((node.endpoints.index["c0"], node.endpoints.index["c1"]), (1 - held, 2))
         scene.end("i0")
         scene.list(["c2"])
-        self.assertEqual(node.index["c2"], held)
+        self.assertEqual(node.endpoints.index["c2"], held)
 
     def test_many_new_names_after_many_gone(self):
         scene, node = self.scene(300)
         scene.list([], whole=True)
         scene.after(FORGOTTEN)
         scene.list([f"c{n}" for n in range(400)], whole=True)
-        self.assertEqual((len(node.names), len(node.ranked), len(node.index)), (400, 400, 400))
-        self.assertEqual(sorted(node.index.values()), list(range(400)))
-        self.assertEqual(len(node.gone), 0)
-        self.assertEqual([node.rank[b] for b in node.ranked], sorted(node.rank))
+        self.assertEqual(
+            (len(node.endpoints.names), len(node.rotation.by_rank), len(node.endpoints.index)),
+            (400, 400, 400),
+        )
+        self.assertEqual(sorted(node.endpoints.index.values()), list(range(400)))
+        self.assertEqual(len(node.endpoints.removed), 0)
+        self.assertEqual(
+            [node.endpoints.rank[b] for b in node.rotation.by_rank], sorted(node.endpoints.rank)
+        )
 
     def test_half_replaced_leaves_the_rest_in_its_order(self):
         scene, node = self.scene(300)
         scene.list([f"b{n}" for n in range(150, 450)], whole=True)
         self.assertEqual(
-            sorted(node.names[b] for b in node.ranked), sorted(f"b{n}" for n in range(150, 450))
+            sorted(node.endpoints.names[b] for b in node.rotation.by_rank),
+            sorted(f"b{n}" for n in range(150, 450)),
         )
-        ranks = [node.rank[b] for b in node.ranked]
+        ranks = [node.endpoints.rank[b] for b in node.rotation.by_rank]
         self.assertEqual(ranks, sorted(ranks))
 
 
@@ -184,17 +201,28 @@
         node = Balancer(4, balancer_settings(node_count=720), 0)
         node.endpoints_updated(0, fleet(0, 300), True)
         for name in ("samples", "pauses", "sums"):
-            self.assertEqual(len({id(past) for past in getattr(node, name)}), 1, name)
+            self.assertEqual(
+                len({id(past) for past in getattr(node.pause_forecast, name)}), 1, name
+            )
 
     def test_the_past_of_one_is_its_own(self):
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(60)
         node = scene.node
-        self.assertEqual(sum(map(len, node.samples)), 60)
-        self.assertEqual([sums[1] for sums in node.sums], [sum(times) for times in node.samples])
+        self.assertEqual(sum(map(len, node.pause_forecast.samples)), 60)
+        self.assertEqual(
+            [sums[1] for sums in node.pause_forecast.sums],
+            [sum(times) for times in node.pause_forecast.samples],
+        )
         scene.list([listed("b0", started=scene.now)])
-        self.assertEqual((len(node.samples[node.index["b0"]]), node.work[node.index["b0"]]), (0, 0))
-        self.assertEqual(sum(map(len, node.samples)), 40)
+        self.assertEqual(
+            (
+                len(node.pause_forecast.samples[node.endpoints.index["b0"]]),
+                node.pause_forecast.answered[node.endpoints.index["b0"]],
+            ),
+            (0, 0),
+        )
+        self.assertEqual(sum(map(len, node.pause_forecast.samples)), 40)
 
 
 class Told:
@@ -264,7 +292,7 @@
     def test_left_out_and_back_as_it_was(self):
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3"]), [("b4", EndpointState.REMOVED)])
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(self.desk.reducer.balancers.current.ranked), 5)
+        self.assertEqual(len(self.desk.reducer.balancers.current.rotation.by_rank), 5)
         self.assertEqual(len(self.desk.reducer.endpoints.removed), 0)
 
     def test_named_twice_the_last_word_holds(self):
@@ -279,7 +307,9 @@
             self.assertEqual(
                 backend.state, EndpointState.READY if ready else EndpointState.DRAINING
             )
-            self.assertEqual(len(self.desk.reducer.balancers.current.ranked), 5 if ready else 4)
+            self.assertEqual(
+                len(self.desk.reducer.balancers.current.rotation.by_rank), 5 if ready else 4
+            )
 
     def test_refused_nothing_of_it_is_applied(self):
         """Also where the fault stands behind a good difference, or in one that is equal but for it."""
@@ -311,10 +341,11 @@
         self.told = Told(self.desk.reducer.balancers.current)
         self.hear(["b0", "b1", "b2", "b3"])
         self.assertEqual(
-            [older.state[older.index["b4"]], len(older.ranked)], [EndpointState.REMOVED, 4]
+            [older.endpoints.state[older.endpoints.index["b4"]], len(older.rotation.by_rank)],
+            [EndpointState.REMOVED, 4],
         )
         self.assertEqual(self.hear(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(older.ranked), 5)
+        self.assertEqual(len(older.rotation.by_rank), 5)
 
     def test_forgotten_in_time_and_not_while_it_has_links(self):
         reducer = self.desk.reducer
@@ -390,7 +421,7 @@
         desk.reducer.endpoints.records = Unwalked(desk.reducer.endpoints.records)
         for state in ("DRAINING", "DELETED", "SERVING"):
             self.tell(desk, [entry("b7", state)], False)
-        self.assertEqual(len(desk.reducer.balancers.current.ranked), 30)
+        self.assertEqual(len(desk.reducer.balancers.current.rotation.by_rank), 30)
 
     def test_the_whole_again_costs_little_of_the_first(self):
         endpoints = [entry(f"b{n}") for n in range(4000)]
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -291,7 +291,7 @@
     def test_one_share_changes(self):
         """What was learned stays, as the node does; what was taken keeps the share of then."""
         before = self.ask("c0", "north", "/pay")
-        self.first.level[0] = 1.7
+        self.first.outliers.latency_level[0] = 1.7
         self.configure({"north": 5.0, "south": 500.0})
         after = self.ask("c1", "north")
         self.assertEqual(
@@ -301,8 +301,11 @@
             [before.owner, after.owner, self.reducer.balancers.earlier],
             [self.first, self.first, []],
         )
-        self.assertEqual((self.first.level[0], self.first.asked), (1.7, 505.0 / 10000))
-        self.assertEqual(self.first.limit.demand, self.first.asked)
+        self.assertEqual(
+            (self.first.outliers.latency_level[0], self.first.rotation.request_rate),
+            (1.7, 505.0 / 10000),
+        )
+        self.assertEqual(self.first.limit.demand, self.first.rotation.request_rate)
         self.assertEqual(after.tenant.rate, 2.0)
 
     def test_shares_shrink_while_much_is_owed(self):
@@ -347,12 +350,12 @@
     def test_the_first_share_and_the_last_begin_anew(self):
         self.configure({})
         self.assertIsNot(self.reducer.balancers.current, self.first)
-        self.assertFalse(self.reducer.balancers.current.shares)
+        self.assertFalse(self.reducer.balancers.current.rotation.has_quotas)
         second = self.reducer.balancers.current
         self.configure({"north": 0.0})  # a tenant without a share: as before
         self.assertIs(self.reducer.balancers.current, second)
         self.configure({"north": 3.0})
-        self.assertTrue(self.reducer.balancers.current.shares)
+        self.assertTrue(self.reducer.balancers.current.rotation.has_quotas)
 
     def test_other_settings_with_other_shares(self):
         """Both at once: the earlier node ends what it took, the next one knows who asks how much."""
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -144,13 +144,17 @@
         lines += [
             f"{o.name}: typical {row.typical:.6f} of {row.answers}, skew {row.skew:.6f}, "
             f"left {row.usual_left} of {row.usual_votes}"
-            for o, row in zip(desk.reducer.balancers.settings.request_classes, node.table)
+            for o, row in zip(
+                desk.reducer.balancers.settings.request_classes, node.request_stats.classes
+            )
         ]
         for name in ("b0", "b1"):
-            b = node.index[name]
+            b = node.endpoints.index[name]
             lines.append(
-                f"{name}: level {node.level[b]:.6f}, quick {node.quick[b]:.6f}, "
-                f"pause {node.mean_pause[b]}, work {node.work[b]}, window {node.window[b]}"
+                f"{name}: level {node.outliers.latency_level[b]:.6f}, "
+                f"quick {node.outliers.recent_level[b]:.6f}, "
+                f"pause {node.pause_forecast.mean_pause[b]}, "
+                f"work {node.pause_forecast.answered[b]}, window {node.pause_forecast.window[b]}"
             )
         self.check("snapshot_of_13653db", lines)
 
@@ -165,11 +169,12 @@
         except form.UntrustedSnapshotError as fault:
             return str(fault)
         node = desk.reducer.balancers.current
-        b, row = node.index["b0"], node.table[0]
+        b, row = node.endpoints.index["b0"], node.request_stats.classes[0]
         return (
             f"{line}; typical {row.typical:.0f} of {row.answers}, left {row.usual_left}; level "
-            f"{node.level[b]:.2f}, pause {node.mean_pause[b]}, due {node.work_due[b]} at work {node.work[b]}, "
-            f"usual {node.usual[b]:g} of {node.usual_of[b]}; trouble {node.trouble[b]}"
+            f"{node.outliers.latency_level[b]:.2f}, pause {node.pause_forecast.mean_pause[b]}, "
+            f"due {node.pause_forecast.next_pause_answered[b]} at work {node.pause_forecast.answered[b]}, "
+            f"usual {node.load_reports.baseline_throughput[b]:g} of {node.load_reports.baseline_reports[b]}; trouble {node.ejections.reason[b]}"
         )
 
     def test_restored_by_age_and_by_what_still_matches(self):
