--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -35,7 +35,7 @@
     sockets: int
     known: dict
     settings: BalancerSettings
-    told: dict  # the document itself, without its customers and the initial endpoint list
+    document: dict  # the document itself, without its customers and the initial endpoint list
     management: str | None = None  # host:port of the management address; None: there is none
     memory_mb: int = MEMORY
     gives_ids: bool = False  # assigns a trace id to requests that have none
@@ -125,7 +125,7 @@
             known=document.get("known") or {},
             settings=settings_from(document["settings"], shares),
             # Kept for as long as the node runs, without its large parts.
-            told={**document, "known": {}} if document.get("known") is not None else document,
+            document={**document, "known": {}} if document.get("known") is not None else document,
             management=environ.get("BALANCER_MANAGEMENT") or document.get("management"),
         )
     except InvalidSettingsError as fault:
@@ -167,7 +167,7 @@
 def reload_steps(first: NodeConfig) -> Generator:
     """Does the same in steps, between which a node may serve; the initial list is not read."""
     config = yield from _config_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
-    missing = missing_key(config.told, first.told)
+    missing = missing_key(config.document, first.document)
     if missing:
         raise UnusableConfigError(
             f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start"
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -98,15 +98,12 @@
         self._retry_budget, self._deadlines = retry_budget, deadlines
         self._health_checks, self._pending = health_checks, pending
         self.error_rate: list[float] = []
-        self.relapses: list[int] = []
-        """How often it was slow again before it was well."""
-        self.recent_level: list[float] = []
-        """Latency of the last few answers."""
-        self.latency_level: list[float] = []
-        """Smoothed latency."""
+        self.relapses: list[int] = []  # how often it was slow again before it was well
+        self.recent_level: list[float] = []  # latency of the last few answers
+        self.latency_level: list[float] = []  # smoothed latency
         self.last_answer_at: list[int] = []
+        # Share of attempts that come to nothing at healthy backends.
         self.loss_rate = LOSS_LEAST
-        """Share of attempts that come to nothing at healthy backends."""
 
     def add(self, backend: int) -> None:
         """Begins with nothing for `backend`."""
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -8,7 +8,7 @@
 
 from pierglade.balancer.endpoint_stats import RequestClassStats, RequestStats
 from pierglade.balancer.wakeup import SWEEP_INTERVAL, Wakeup
-from pierglade.model.request import Request, Tenant
+from pierglade.model.request import Request, RequestClass, Tenant
 from pierglade.settings.balancer import BalancerSettings
 
 # Share of the latency objective; queued longer, a request is rejected, as is what is over its
@@ -26,6 +26,19 @@
 
 Heap = list[tuple[int, int, Request]]
 
+# 100 ms; a host that had no rest for so long is short of its core, not held up once.
+LAG_LEAST = 1000
+
+
+def is_host_late(now: int, idle: int, request_class: RequestClass, came: int) -> bool:
+    """Whether the host is so short of its core that what came at `came` is rejected unseen.
+
+    Taken all the same, all would come late to their turn, and what is left of the core go into
+    rejections. `idle`: when the host was last idle.
+    """
+    waited = now - came
+    return now - idle > LAG_LEAST and waited > OVERLOADED_FROM * request_class.latency_objective
+
 
 class RequestQueue:
     """What is queued: a heap for each class of requests, and retries apart."""
--- a/pierglade/balancer/retry.py
+++ b/pierglade/balancer/retry.py
@@ -58,6 +58,18 @@
         self.received_at: deque[int] = shared_with.received_at if shared_with else deque()
         """The same of requests."""
 
+    @classmethod
+    def from_settings(
+        cls, settings: BalancerSettings, shared_with: "RetryBudget | None"
+    ) -> "RetryBudget":
+        """As the settings state it."""
+        return cls(
+            settings.retry_budget_window,
+            settings.retry_budget_minimum,
+            settings.retry_budget_ratio,
+            shared_with,
+        )
+
     def copy_from(self, before: "RetryBudget") -> None:
         """Takes over what `before` had saved up."""
         self.saved = before.saved
--- a/pierglade/balancer/slow_start.py
+++ b/pierglade/balancer/slow_start.py
@@ -3,6 +3,8 @@
 Moments and spans are tenths of a millisecond; rates are attempts in one. No I/O.
 """
 
+from pierglade.settings.balancer import BalancerSettings
+
 # Share of the slow start budget used while colder; the rest is for uneven nodes and work.
 MARGIN = 0.5
 # Attempts saved up at most, by one node and by all nodes together.
@@ -41,6 +43,16 @@
         self.warm_rate = 0.0
         """What this node sends to a warm backend of the subset, for each unit of its size."""
 
+    @classmethod
+    def from_settings(cls, settings: BalancerSettings) -> "SlowStart":
+        """As the settings state it."""
+        return cls(
+            settings.slow_start_duration,
+            settings.slow_start_capacity,
+            settings.slow_start_overload,
+            settings.node_count,
+        )
+
     def add(self, backend: int, now: int) -> None:
         """Begins with a warm `backend` of which nothing is known."""
         for name, initial in INITIAL.items():
--- a/pierglade/balancer/stored_figures.py
+++ b/pierglade/balancer/stored_figures.py
@@ -3,7 +3,14 @@
 For each stored name, where a balancer keeps it.
 """
 
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
 from pierglade.balancer import load_reports, outlier_detection, pause_forecast
+from pierglade.model.endpoint import EndpointState
+
+if TYPE_CHECKING:
+    from pierglade.balancer.balancer import Balancer
 
 # Stored name: the balancer's part, its array, and what a new backend begins with.
 STORED_FIGURES = {
@@ -25,3 +32,35 @@
     ),
     "usual_of": ("load_reports", "baseline_reports", load_reports.INITIAL["baseline_reports"]),
 }
+
+
+def export_statistics(
+    balancer: "Balancer", keys: Iterable[str]
+) -> tuple[list[dict], dict[str, dict]]:
+    """What a restart would forget: each class's figures, and of each ready backend the `keys`.
+
+    `keys` are stored names.
+    """
+    endpoints, arrays = balancer.endpoints, {key: _array(balancer, key) for key in keys}
+    return [vars(each) for each in balancer.request_stats.classes], {
+        name: {key: array[backend] for key, array in arrays.items()}
+        for name, backend in endpoints.index.items()
+        if endpoints.state[backend] == EndpointState.READY
+    }
+
+
+def restore_statistics(balancer: "Balancer", rows: list[dict], backends: dict[str, dict]) -> None:
+    """Takes what of exported statistics is still true (`pierglade/snapshot/`).
+
+    The backends must be known.
+    """
+    for stats, stored in zip(balancer.request_stats.classes, rows, strict=False):
+        vars(stats).update(stored)
+    for name, stored in backends.items():
+        for key, value in stored.items():
+            _array(balancer, key)[balancer.endpoints.index[name]] = value
+
+
+def _array(balancer: "Balancer", stored_name: str) -> list:
+    part, array, _ = STORED_FIGURES[stored_name]
+    return getattr(getattr(balancer, part), array)
--- a/pierglade/model/request.py
+++ b/pierglade/model/request.py
@@ -90,6 +90,20 @@
     owner: object = None
     """The host's own: the balancer that took it, under the settings of that moment."""
 
+    def update_possibly_executed(self, ended: "Attempt") -> None:
+        """Looks for another first attempt that may have been executed, if `ended` was none."""
+        is_unexecuted = ended.outcome is not None and ended.outcome.is_unexecuted
+        if not is_unexecuted or self.first_possibly_executed is not ended:
+            return
+        self.first_possibly_executed = next(
+            (
+                attempt
+                for attempt in self.attempts
+                if attempt.outcome is None or not attempt.outcome.is_unexecuted
+            ),
+            None,
+        )
+
 
 @dataclass(slots=True, eq=False)
 class Attempt:
--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -106,7 +106,7 @@
     def run(self):
         """Does nothing."""
 
-    relist = ask = stop = run
+    resync = ask = stop = run
 
 
 class DiscoveryClient:
@@ -125,12 +125,12 @@
         self.last_word = 0.0  # when the watch last delivered anything, or its request began
         self.silent = None  # since when the watch was silent; None: it was not lost by that
         self.is_polled = lambda: False  # whether the balancer decides when to ask again
-        self.asked = Event()
+        self.poll_requested = Event()
 
     def run(self):
         """Follows until `stop`."""
         while not self.stopped:
-            self.asked.clear()
+            self.poll_requested.clear()
             try:
                 if self.index is None:
                     self._whole_list()
@@ -165,15 +165,15 @@
     def _wait(self):
         # Both are bounded: should the settings change meanwhile, nothing else would end the wait.
         if self.is_polled():
-            self.asked.wait(POLL_WAIT_MOST)
+            self.poll_requested.wait(POLL_WAIT_MOST)
         else:
             gevent.sleep(RETRY_INTERVAL)
 
     def ask(self):
         """Ends the wait before the next request."""
-        self.asked.set()
+        self.poll_requested.set()
 
-    def relist(self):
+    def resync(self):
         """Resyncs: what was received does not fit, so the whole list is requested next."""
         self.index = None
         self._close()
@@ -193,7 +193,7 @@
         if self.stopped:
             raise DiscoveryUnavailableError("moved")
         self.last_word = monotonic()
-        # Kept here as well: `stop` and `relist` close it meanwhile, and `self.sock` is None then.
+        # Kept here as well: `stop` and `resync` close it meanwhile, and `self.sock` is None then.
         sock = self.sock = socket.socket()
         sock.settimeout(POLLED_RESPONSE_TIMEOUT if self.is_polled() else RESPONSE_TIMEOUT)
         sock.connect(self.place)
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -306,7 +306,7 @@
             self.pipelined.clear()
         return came
 
-    def let_go(self, reason: str):
+    def close_when_read(self, reason: str):
         """Closes the connection if nothing has arrived that was not taken up."""
         if not self.requests.begun() and not sending.is_readable(self.sock):
             # At once: a request that arrived between check and close would be lost.
--- a/pierglade/proxy/http/reader.py
+++ b/pierglade/proxy/http/reader.py
@@ -151,7 +151,7 @@
         """Notes that `count` bytes were read into what `writable` returned."""
         self.end += count
 
-    def glance(self) -> tuple | None:
+    def preview(self) -> tuple | None:
         """Returns (method, target, fields) of what was read if that needs no parser, else None.
 
         See `head.glanced_request`.
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -99,7 +99,7 @@
             self.clock.now(),
             sockets,
             config.discovery,
-            config.told,
+            config.document,
             self.alone,
         )
         self.reducer.requests.assigns_ids = config.gives_ids
@@ -128,22 +128,22 @@
         self.follow(config.discovery, self.reducer.endpoints.version)
 
     def _bind_effects(self):
-        self.inbox, self.working = deque(), False
+        self._pending_events, self.working = deque(), False
         self.loop_monitor = EventLoopMonitor(self.clock)
         self.admission_queue = AdmissionQueue(self.clock, self.loop_monitor)
         self.carriers = {
             SendResponse: lambda client, head, body, chunked: client.io.answer(
                 head, body, client.last, chunked
             ),
-            CloseWhenRead: lambda client, reason: client.io.let_go(reason),
+            CloseWhenRead: lambda client, reason: client.io.close_when_read(reason),
             AbortConnection: self._end,
             Connect: self._connect,
             SendRequest: lambda link, head, body: link.io.write(head, body),
             CloseUpstream: self._end,
             PollDiscovery: lambda: self.discovery.ask(),
-            ResyncEndpoints: lambda: self.discovery.relist(),
+            ResyncEndpoints: lambda: self.discovery.resync(),
             FollowDiscovery: self._move,
-            OpenListener: self._open_door,
+            OpenListener: self._open_listener,
             CloseListener: self.listener.close,
             ReplyToManagement: lambda call, status, body, allow: call.reply(status, body, allow),
             Exit: self.done.set,
@@ -186,7 +186,7 @@
     def _stop(self):
         self.tell(StopRequested(self.process_lock.successor_is_running()))
 
-    def _open_door(self):
+    def _open_listener(self):
         """Starts to listen; during a takeover not before the endpoint list is current."""
         self.listener.listen()
         self.spawn(self.listener.run)
@@ -223,16 +223,20 @@
     def _read_once(self, reload_config):
         """Reloads once; an unusable file (half written, say) leaves everything as it is."""
         try:
-            place = in_steps(reload_config())
+            config = in_steps(reload_config())
         except ValueError as fault:
             self.note("config_rejected", error=str(fault))
         else:
-            tenants = place.settings.tenants
-            told = in_steps(shares.steps(self.reducer.balancers.settings.tenants, tenants.shares))
-            self.reducer.requests.assigns_ids = place.gives_ids
-            self._set_limits(place.caps)
-            self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, told))
-            fixed = place.known if place.discovery is None else None
+            tenants = config.settings.tenants
+            difference = in_steps(
+                shares.steps(self.reducer.balancers.settings.tenants, tenants.shares)
+            )
+            self.reducer.requests.assigns_ids = config.gives_ids
+            self._set_limits(config.caps)
+            self.tell(
+                ConfigurationLoaded(config.discovery, config.document, config.settings, difference)
+            )
+            fixed = config.known if config.discovery is None else None
             if fixed is not None and fixed != self.fixed:
                 self.tell(EndpointsUpdated(fixed))
             self.fixed = fixed
@@ -285,7 +289,7 @@
 
     def refuse(self, client, requests):
         """Returns the prepared rejection of what a client sent, if load is shed; else None."""
-        return self.reducer.requests.glance(
+        return self.reducer.requests.preview(
             self.clock.now(), client, requests, self.loop_monitor.came, self.loop_monitor.idle
         )
 
@@ -294,13 +298,15 @@
 
         `came`: when it arrived, if before this turn of the loop.
         """
-        self.inbox.append((event, min(came, self.loop_monitor.came), self.loop_monitor.idle))
+        self._pending_events.append(
+            (event, min(came, self.loop_monitor.came), self.loop_monitor.idle)
+        )
         if self.working:
             return
         self.working = True
         try:
-            while self.inbox:
-                event, came, idle = self.inbox.popleft()
+            while self._pending_events:
+                event, came, idle = self._pending_events.popleft()
                 try:
                     effects = self.reducer.apply(self.clock.now(), event, came=came, idle=idle)
                 except Exception as fault:
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -174,7 +174,7 @@
             else None
         )
 
-    def glance(self, now, client, requests, came, idle):
+    def preview(self, now, client, requests, came, idle):
         """The prepared refusal of what `requests` holds, or None if that is to be handled as usual.
 
         No event: nothing is decided, due or noted but the count, so that it costs a tenth of an
@@ -187,7 +187,7 @@
             or client.last
         ):
             return None
-        seen = requests.glance()
+        seen = requests.preview()
         if seen is None:
             return None
         wait = self._shed_unread(now, client, seen, came, idle)
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -120,7 +120,7 @@
                 told = {entry["name"] for entry in document["endpoints"]}
                 self.other = {name: ["DELETED", 0] for name in self.at_first if name not in told}
         elif self.index is None:
-            return self.discovery.relist()
+            return self.discovery.resync()
         for entry in document["endpoints"]:
             if entry["status"] != "SERVING" or entry["since_ms"]:
                 self.other[entry["name"]] = [entry["status"], entry["since_ms"]]
@@ -148,7 +148,12 @@
         place = self.place
         self.timer = Timer(self.clock, lambda late: self.tell(TimerFired()))
         self.reducer = ProxyStateMachine(
-            place.seed, place.settings, self.clock.now(), place.sockets, place.discovery, place.told
+            place.seed,
+            place.settings,
+            self.clock.now(),
+            place.sockets,
+            place.discovery,
+            place.document,
         )
         self.reducer.endpoints.restore(place.known)
         place.known = {}  # as a node does: the reducer has what it needs of it
@@ -162,7 +167,7 @@
             self.list_s.append(took)
         for effect in effects:
             if isinstance(effect, ResyncEndpoints):
-                self.discovery.relist()
+                self.discovery.resync()
             elif isinstance(effect, PollDiscovery):
                 self.discovery.ask()
             elif isinstance(effect, LogEvent) and effect.event == LOADED:
@@ -176,8 +181,8 @@
         difference = in_steps(
             shares.steps(self.reducer.balancers.settings.tenants, place.settings.tenants.shares)
         )
-        self.version = place.told["version"]
-        self.tell(ConfigurationLoaded(place.discovery, place.told, place.settings, difference))
+        self.version = place.document["version"]
+        self.tell(ConfigurationLoaded(place.discovery, place.document, place.settings, difference))
         self.settings_s.append(thread_time() - began)
 
     def wrong(self, changed):
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -37,16 +37,7 @@
     `offerings`: the rows of the settings; `fresh_rows`: what a fresh node knows of them; `listed`: name to
     (address, started) of the backends that are ready. Raises UntrustedSnapshotError.
     """
-    age = now - snapshot.written_at
-    if age < -FUTURE:
-        raise UntrustedSnapshotError(
-            f"it was written {-age / 10000:.0f} s from now: a clock was set back"
-        )
-    age = max(0, age)
-    if age > MOST_HALVES * half_life:
-        raise UntrustedSnapshotError(
-            f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives"
-        )
+    age = _age(snapshot, now, half_life)
     weight = 0.5 ** (age / half_life)
     rows = [
         _row(snapshot.request_classes.get(request_class.name), request_class, fresh, weight)
@@ -58,11 +49,11 @@
         )
     backends = {}
     for name, (address, started) in listed.items():
-        told = snapshot.backends.get(name)
-        if told is not None and told.address == address and told.started_at == started:
+        stored = snapshot.backends.get(name)
+        if stored is not None and stored.address == address and stored.started_at == started:
             # Each backend gets its part of what this node settled; work is counted by that.
             backends[name] = _backend(
-                told.statistics, weight, age * snapshot.request_rate / max(1, len(listed))
+                stored.statistics, weight, age * snapshot.request_rate / max(1, len(listed))
             )
     kept = sum(map(bool, rows))
     return (
@@ -75,43 +66,60 @@
     )
 
 
-def _row(told, request_class, fresh, weight):
+def _age(snapshot, now, half_life):
+    """How old the snapshot is; raises UntrustedSnapshotError where that is too much or less than none."""
+    age = now - snapshot.written_at
+    if age < -FUTURE:
+        raise UntrustedSnapshotError(
+            f"it was written {-age / 10000:.0f} s from now: a clock was set back"
+        )
+    age = max(0, age)
+    if age > MOST_HALVES * half_life:
+        raise UntrustedSnapshotError(
+            f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives"
+        )
+    return age
+
+
+def _row(stored, request_class, fresh, weight):
     """The part of a table's row that is remembered; empty where its offering is another one."""
     same = {
         "expected": request_class.latency_objective,
         "hard_limit": request_class.request_timeout,
         "repeats": STORED_IDEMPOTENCY[request_class.idempotency],
     }
-    if told is None or any(told.get(key) != value for key, value in same.items()):
+    if stored is None or any(stored.get(key) != value for key, value in same.items()):
         return {}
     row = {
-        key: _faded(told[key], fresh[key], weight) for key in ROW_FADING if _number(told.get(key))
+        key: _faded(stored[key], fresh[key], weight)
+        for key in ROW_FADING
+        if _number(stored.get(key))
     }
-    if _number(told.get("answers")):
-        row["answers"] = max(fresh["answers"], int(told["answers"] * weight))
-    if weight >= KEPT_HALF and _number(told.get("usual_left")):
-        row["usual_left"], row["usual_votes"] = told["usual_left"], 0
+    if _number(stored.get("answers")):
+        row["answers"] = max(fresh["answers"], int(stored["answers"] * weight))
+    if weight >= KEPT_HALF and _number(stored.get("usual_left")):
+        row["usual_left"], row["usual_votes"] = stored["usual_left"], 0
     return row
 
 
-def _backend(told, weight, done):
+def _backend(stored, weight, done):
     """The same of a backend; `done`: what it has likely settled for this node while that was away."""
     from pierglade.balancer.stored_figures import STORED_FIGURES
 
     kept = {
-        key: _faded(told[key], STORED_FIGURES[key][-1], weight)
+        key: _faded(stored[key], STORED_FIGURES[key][-1], weight)
         for key in FADING
-        if _number(told.get(key))
+        if _number(stored.get(key))
     }
     kept = {
         key: int(value) if isinstance(STORED_FIGURES[key][-1], int) else value
         for key, value in kept.items()
     }
-    if _number(told.get("usual")) and _number(told.get("usual_of")):
-        kept["usual"], kept["usual_of"] = told["usual"], int(told["usual_of"] * weight)
-    pauses, due = told.get("pauses"), told.get("work_due")
-    if weight >= KEPT_HALF and type(told.get("window")) is int:
-        kept["window"] = told["window"]
+    if _number(stored.get("usual")) and _number(stored.get("usual_of")):
+        kept["usual"], kept["usual_of"] = stored["usual"], int(stored["usual_of"] * weight)
+    pauses, due = stored.get("pauses"), stored.get("work_due")
+    if weight >= KEPT_HALF and type(stored.get("window")) is int:
+        kept["window"] = stored["window"]
     if (
         not isinstance(pauses, list)
         or len(pauses) < 2
@@ -120,8 +128,8 @@
     ):
         return kept
     gap = (pauses[-1] - pauses[0]) / (len(pauses) - 1)
-    if gap > 0 and done <= SURE * gap and _number(told.get("work")):
-        kept["work"] = int(told["work"] + done)
+    if gap > 0 and done <= SURE * gap and _number(stored.get("work")):
+        kept["work"] = int(stored["work"] + done)
         kept["pauses"], kept["work_due"] = deque(map(int, pauses), maxlen=_most_pauses()), due
     return kept
 
@@ -132,8 +140,8 @@
     return PAUSES_KEPT
 
 
-def _faded(told, fresh, weight):
-    return fresh + (told - fresh) * weight
+def _faded(stored, fresh, weight):
+    return fresh + (stored - fresh) * weight
 
 
 def _number(value):
@@ -144,7 +152,7 @@
 def newer_list(snapshot, known):
     """The list to start with: `known` (the configuration's document) or the snapshot's, whichever is newer.
 
-    By the version of discovery where both have one; else the snapshot's, which discovery told this node last.
+    By the version of discovery where both have one; else the snapshot's, which discovery stored this node last.
     """
     if not snapshot.endpoints:
         return known
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -229,14 +229,14 @@
             incoming.writable()[: len(data)] = data
             incoming.filled(len(data))
             desk.open(name)
-            refusal = desk.reducer.requests.glance(
+            refusal = desk.reducer.requests.preview(
                 desk.now, desk.clients[name], incoming, desk.now, desk.now
             )
             lines.append(f"{what}: {'refused' if refusal else 'ordinary'}")
         lines.append(refusal.decode() if refusal else str(desk.reducer.balancers.refusals))
         owed = desk.clients["busy"]
         lines.append(
-            f"one that is owed an answer: {desk.reducer.requests.glance(desk.now, owed, incoming, desk.now, desk.now)}"
+            f"one that is owed an answer: {desk.reducer.requests.preview(desk.now, owed, incoming, desk.now, desk.now)}"
         )
         self.check("admission_glance", lines)
 
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -106,7 +106,7 @@
         self.start = self.desk.now
         self.watch = discovery.DiscoveryClient("127.0.0.1:1", self, index)
         self.watch.is_polled = lambda: asked
-        self.watch.asked = self
+        self.watch.poll_requested = self
         self.asked = False
 
     def run(self):
@@ -155,7 +155,7 @@
             if isinstance(effect, PollDiscovery):
                 self.watch.ask()
             elif isinstance(effect, ResyncEndpoints):
-                self.watch.relist()
+                self.watch.resync()
 
     # In the place of its event.
 
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -700,7 +700,7 @@
     def test_left_while_it_connects(self):
         """A move, a relist: what is open is closed under the one that waits, and nothing of it is told."""
         lines = []
-        for what in ("stop", "relist"):
+        for what in ("stop", "resync"):
             told, gate, peer = [], Event(), Peer(lambda message: answer(200, b'{"index":3}'))
             connect, tries = gevent.socket.socket.connect, []
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -366,7 +366,7 @@
         def tell(event):
             told.append(f"{type(event).__name__} {event[0]}")
             if event[0] == {"index": 9}:
-                watch.relist()
+                watch.resync()
             elif isinstance(event, EndpointsUpdated) and len(told) > 1:
                 ends.set()
 
@@ -516,7 +516,7 @@
             asked.clear()
             lines.append("answered")
             handler.answer(b"HTTP/1.1 200 OK\r\n\r\n", b"", False)
-            handler.let_go("idle")
+            handler.close_when_read("idle")
             asked.wait(0.05)
         reading.join()
         theirs.close()
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -461,7 +461,7 @@
             (place.settings.tenants.shares["tenant-7"], len(place.settings.tenants)),
             (4.0, self.COUNT),
         )
-        self.assertEqual(place.told["settings"]["customers"], [])
+        self.assertEqual(place.document["settings"]["customers"], [])
 
 
 class Lists(unittest.TestCase):
