--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -1,16 +1,17 @@
-"""What of a snapshot is still worth knowing, by its age: one rule a kind of knowledge. No I/O.
-
-| what | rule |
-| --- | --- |
-| typical latency, its spread, a backend's level and quickness | fade towards what a fresh node assumes, by half-lives |
-| how many answers that rests on | fades likewise, so that new answers soon weigh more |
-| mean pause and window of the forecast | fade likewise; the window is one of three and is kept while half is left |
-| when the next pause is due | only if the work done meanwhile is surely under a part of a gap; else nothing |
-| what a backend usually settles, by its reports | kept with fewer reports behind it |
-| trouble, trials, trips out, overload, cold budgets, the rates of tenants, the worst offering | nothing: a restart ends the first ones, and the others tell of two seconds |
-
-Nothing at all of a backend whose process, address or name is another, and of an offering whose limits are.
-Times are tenths of a millisecond.
+"""What of a snapshot still holds, by its age: one rule a kind of knowledge. No I/O.
+
+- Typical latency, its spread, a backend's latency levels: fade towards what a new node assumes, by
+  half-lives.
+- How many answers they rest on: fades likewise, so that new answers soon weigh more.
+- Mean pause of the forecast: fades likewise; its window is one of three, kept while half is left.
+- When the next pause is due: only if the work done meanwhile is surely under a part of the gap
+  between pauses.
+- Throughput that a backend usually reports: kept, with fewer reports behind it.
+- Ejections, trials, attempts in flight, overload, slow-start budgets, rates of tenants, the worst
+  class: nothing; a restart ends the first ones, and the others describe two seconds.
+
+Nothing is kept of a backend whose process, address or name is another, and of a request class whose
+limits are. Times are tenths of a millisecond.
 """
 
 from collections import deque
@@ -32,16 +33,16 @@
 
 
 def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
-    """(rows, backends) for Balancer.remember, and a line that says what was kept.
+    """(rows, backends) for `Balancer.restore_statistics`, and a line that says what was kept.
 
-    `offerings`: the rows of the settings; `fresh_rows`: what a fresh node knows of them; `listed`: name to
-    (address, started) of the backends that are ready. Raises UntrustedSnapshotError.
+    `fresh_rows`: what a new node knows of the `request_classes`; `listed`: name to (address, started)
+    of the backends that are ready. Raises UntrustedSnapshotError.
     """
     age = _age(snapshot, now, half_life)
     weight = 0.5 ** (age / half_life)
     rows = [
         _row(snapshot.request_classes.get(request_class.name), request_class, fresh, weight)
-        for request_class, fresh in zip(request_classes, fresh_rows)
+        for request_class, fresh in zip(request_classes, fresh_rows, strict=False)
     ]
     if not any(rows):
         raise UntrustedSnapshotError(
@@ -51,7 +52,7 @@
     for name, (address, started) in listed.items():
         stored = snapshot.backends.get(name)
         if stored is not None and stored.address == address and stored.started_at == started:
-            # Each backend gets its part of what this node settled; work is counted by that.
+            # Each backend gets its part of what this node answered; work is counted by that.
             backends[name] = _backend(
                 stored.statistics, weight, age * snapshot.request_rate / max(1, len(listed))
             )
@@ -67,7 +68,7 @@
 
 
 def _age(snapshot, now, half_life):
-    """How old the snapshot is; raises UntrustedSnapshotError where that is too much or less than none."""
+    """The snapshot's age; raises UntrustedSnapshotError where it is too old or from the future."""
     age = now - snapshot.written_at
     if age < -FUTURE:
         raise UntrustedSnapshotError(
@@ -82,7 +83,7 @@
 
 
 def _row(stored, request_class, fresh, weight):
-    """The part of a table's row that is remembered; empty where its offering is another one."""
+    """What is kept of a request class; empty where its limits have changed."""
     same = {
         "expected": request_class.latency_objective,
         "hard_limit": request_class.request_timeout,
@@ -103,7 +104,7 @@
 
 
 def _backend(stored, weight, done):
-    """The same of a backend; `done`: what it has likely settled for this node while that was away."""
+    """What is kept of a backend; `done`: what it has likely answered for this node meanwhile."""
     from pierglade.balancer.stored_figures import STORED_FIGURES
 
     kept = {
@@ -145,14 +146,15 @@
 
 
 def _number(value):
-    """Whether it is a figure that arithmetic bears; a file's sum does not tell who wrote it."""
+    """Whether arithmetic can use the value; a checksum does not say who wrote the file."""
     return type(value) in (int, float) and value == value and abs(value) < 1e15
 
 
 def newer_list(snapshot, known):
-    """The list to start with: `known` (the configuration's document) or the snapshot's, whichever is newer.
+    """The list to start with: the configuration's document `known`, or the snapshot's.
 
-    By the version of discovery where both have one; else the snapshot's, which discovery stored this node last.
+    The newer one by discovery's version where both have one; else the snapshot's, which is what
+    discovery sent this node last.
     """
     if not snapshot.endpoints:
         return known
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -4,7 +4,8 @@
 
 All numbers are big-endian. Data that cannot be trusted raises `CorruptSnapshotError`, whatever
 is wrong with it. An older version is migrated by MIGRATIONS, one version at a time; a newer one is
-refused, never guessed at. The stored names of version 1 are mapped to this package's names here and nowhere else.
+refused, never guessed at. The stored names of version 1 are mapped to this package's names here
+and nowhere else.
 """
 
 import struct
