--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -35,8 +35,8 @@
 def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
     """(rows, backends) for `Balancer.restore_statistics`, and a line that says what was kept.
 
-    `fresh_rows`: what a new node knows of the `request_classes`; `listed`: name to (address, started)
-    of the backends that are ready. Raises UntrustedSnapshotError.
+    `fresh_rows`: what a new node knows of the `request_classes`; `listed`: name to (address,
+    started) of the backends that are ready. Raises UntrustedSnapshotError.
     """
     age = _age(snapshot, now, half_life)
     weight = 0.5 ** (age / half_life)
--- a/pierglade/snapshot/store.py
+++ b/pierglade/snapshot/store.py
@@ -145,7 +145,7 @@
 
 
 def find_snapshots(path: str) -> Iterator[tuple[str, Snapshot | CorruptSnapshotError | OSError]]:
-    """Yields each snapshot file of a directory by name, with its snapshot or the error it raised."""
+    """Yields each snapshot file of a directory by name, with its snapshot or its error."""
     for name in sorted(os.listdir(path)):
         if name.endswith((SUFFIX, PREVIOUS_SUFFIX)) or PART.fullmatch(name):
             try:
