--- a/experiments/capacity/derive.py
+++ b/experiments/capacity/derive.py
@@ -11,7 +11,7 @@
 CHANGES, RESTARTS, FAILURES, DAY = 760, 1700, 18, 86400
 LINES = 3  # of the list for a restart: draining, gone, back; a failure has the last two or fewer
 FORCE, BYTES, CORE, CONTROL, ZONES, REGIONS = 13, 9000, 0.022, 3, 10, 3
-IN_VIEW_S, FEWEST = 0.25, 2  # as pierglade/balancer/balancer.py has them
+IN_VIEW_S, FEWEST = 0.25, 2  # as pierglade/balancer/rotation.py has them
 PACKET = 40  # bytes of IP and TCP heads; twice for what is answered by a bare acknowledgement
 LINE_MOST = 1 << 22  # bytes, as pierglade/proxy/discovery.py has it; 1 << 20 at 6b0dd7b
 
--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -180,6 +180,8 @@
     "what, where": "error, traceback; of snapshot_restored summary",
     "bounced": "requests",
     "links": "upstream",
+    "state": "state, with new values: fresh is new, reading is reading_request, owed is "
+    "awaiting_response, writing is writing_response, ended is closed",
 }
 
 
