--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -12,8 +12,7 @@
     """What is wrong with the file at `path`, a line each; empty where a node would start on it."""
     from pierglade.__main__ import UnusableConfigError, config_from_document
     from pierglade.config.platform import to_platform
-    from pierglade.config.read import Unusable as UnusableFileError
-    from pierglade.config.read import read
+    from pierglade.config.read import UnusableFileError, read
 
     try:
         if path.endswith(".json"):
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -8,7 +8,7 @@
 import click
 
 from pierglade.cli import UNSURE, fail
-from pierglade.processes.children import ChildEnded, Children, Stopped, free_port
+from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
 BACKENDS = 8
 PAUSES_EVERY, PAUSE_MS = (
@@ -352,9 +352,9 @@
             if not (_ready(node) and _ready(plain)):
                 fail("a node did not become ready within 5 s", UNSURE)
             result = asyncio.run(_shown(seconds, rate, node, plain, management, children, as_json))
-    except ChildEnded as fault:
+    except ChildExitedError as fault:
         fail(str(fault), UNSURE)
-    except Stopped as fault:
+    except StoppedBySignalError as fault:
         fail(f"stopped by {fault} after {time.monotonic() - began:.0f} s; no result", UNSURE)
     if as_json:
         click.echo(json.dumps(result))
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -110,13 +110,13 @@
 def stopping(play):
     """Runs `play()`; a stop or a failure of it ends the command with 3 and one line."""
     from pierglade.experiment.play import Failed
-    from pierglade.processes.children import Stopped
+    from pierglade.processes.children import StoppedBySignalError
 
     try:
         return play()
     except Failed as fault:
         fail(str(fault), UNSURE)
-    except Stopped as fault:
+    except StoppedBySignalError as fault:
         fail(f"stopped by {fault}; what was seen until then is in its folder, marked so", UNSURE)
 
 
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -23,7 +23,7 @@
     """
     import msgspec
 
-    from pierglade.processes.children import Stopped
+    from pierglade.processes.children import StoppedBySignalError
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
     from pierglade.scale.guard import Over
@@ -47,7 +47,7 @@
         fail(str(fault), fault.status)
     except Over as fault:
         fail(str(fault), UNSURE)
-    except Stopped as fault:
+    except StoppedBySignalError as fault:
         fail(f"stopped by {fault}; nothing is told", UNSURE)
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -78,7 +78,7 @@
 def first_place(path):
     """The same; the line says where all that is wrong is told."""
     from pierglade.__main__ import UnusableConfigError
-    from pierglade.config.read import Unusable as UnusableFileError
+    from pierglade.config.read import UnusableFileError
 
     try:
         return place_from(path)
--- a/pierglade/config/__init__.py
+++ b/pierglade/config/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's file: typed tables of settings in our words, and what they are on the platform's wire.
+"""The operator's TOML file: typed tables, and their places in the platform's JSON document.
 
-Not read by `python -m pierglade`, which takes the platform's JSON alone. `pierglade.config.read.read` is the
-name to start with; docs/operate/configuration.md is made from `structs.py`.
+Not read by `python -m pierglade`, which takes the platform's JSON alone. Start with
+`pierglade.config.read.read`; docs/operate/configuration.md is made from `structs.py`.
 """
--- a/pierglade/config/page.py
+++ b/pierglade/config/page.py
@@ -11,10 +11,11 @@
 
 HEAD = """# The operator's file
 
-Made from `pierglade/config/structs.py` by `python -m pierglade.config.page`; a test holds it to that.
-`pierglade check FILE` tells all that is wrong in a file, a line each, and ends with 2; `pierglade serve FILE`
-starts on it and reads it again on SIGHUP: what can't be used is refused whole, and the old one stays.
-`deploy/pierglade.toml` is an example. Times are in the unit that the key ends with.
+Made from `pierglade/config/structs.py` by `python -m pierglade.config.page`; a test compares both.
+`pierglade check FILE` prints all that is wrong in a file, a line each, and ends with 2.
+`pierglade serve FILE` starts on it and reads it again on SIGHUP: what can't be used is refused as a
+whole, and the settings in force stay. `deploy/pierglade.toml` is an example. Times are in the unit
+that the key ends with.
 
 The platform's JSON document says the same under other names; the last column names the place there.
 """
@@ -22,7 +23,7 @@
 
 def _default(field):
     if field.required:
-        return "must be told"
+        return "required"
     value = field.default
     if value is None or value is UNSET or value is NODEFAULT or value == ():
         return "none"
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -1,7 +1,7 @@
-"""One table of what belongs to what: the operator's file, and the JSON document that the platform gives.
+"""One table of what belongs to what: the operator's file, and the platform's JSON document.
 
-Both ways are made from `PLACES` and the rows beside it, so a node decides alike under either (the platform's
-document is what `pierglade.__main__` reads). The platform counts microseconds.
+Both directions are made from `PLACES` and `ROWS`, so a node decides alike under either (the
+platform's document is what `pierglade.__main__` reads). The platform counts microseconds.
 """
 
 import msgspec
@@ -146,7 +146,7 @@
 def from_platform(document):
     """The structs.File that says the same as a platform's document.
 
-    Raises KeyError, TypeError, ValueError or msgspec.ValidationError where that document is not one.
+    Raises KeyError, TypeError, ValueError or msgspec.ValidationError for any other document.
     """
     raw = {}
     for ours, theirs, (_, back) in PLACES:
--- a/pierglade/config/read.py
+++ b/pierglade/config/read.py
@@ -1,6 +1,7 @@
-"""Reads the operator's file. What can't be used is one line a fault: file, key, what stands there, what may.
+"""Reads the operator's file; what can't be used is one line an error.
 
-`read` raises Unusable with the first of them, `faults` gives all.
+A line names the file, the key, what stands there and what is allowed.
+`read` raises UnusableFileError with the first of them, `faults` gives all.
 """
 
 import ipaddress
@@ -11,11 +12,12 @@
 from msgspec import inspect as types
 
 from pierglade.config.structs import File, value_of
+from pierglade.errors import PiergladeError
 
 SHOWN = 40  # characters of a value that a line shows
 
 
-class Unusable(ValueError):
+class UnusableFileError(PiergladeError, ValueError):
     """A file that can't be used, with a line for each fault: `lines`. Its text is the first."""
 
     def __init__(self, lines):
@@ -24,23 +26,23 @@
 
 
 def read(path):
-    """The file at `path` as structs.File; raises Unusable."""
+    """The file at `path` as structs.File; raises UnusableFileError."""
     raw = load(path)
     lines = [f"{path}: {line}" for line in faults(raw)]
     if lines:
-        raise Unusable(lines)
+        raise UnusableFileError(lines)
     return msgspec.convert(raw, File)
 
 
 def load(path):
-    """The file's tables, not looked into; raises Unusable."""
+    """The file's tables, not looked into; raises UnusableFileError."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
     except OSError as fault:
-        raise Unusable([f"{path}: {fault.strerror}"]) from None
+        raise UnusableFileError([f"{path}: {fault.strerror}"]) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise Unusable([f"{path}: no TOML: {fault}"]) from None
+        raise UnusableFileError([f"{path}: no TOML: {fault}"]) from None
 
 
 def faults(raw):
@@ -67,8 +69,8 @@
         )
     if isinstance(kind, (types.IntType, types.FloatType)):
         words = "a whole number" if isinstance(kind, types.IntType) else "a number"
-        told = ("from", kind.ge), ("over", kind.gt), ("to", kind.le), ("under", kind.lt)
-        bounds = [f"{word} {bound:g}" for word, bound in told if bound is not None]
+        ranges = ("from", kind.ge), ("over", kind.gt), ("to", kind.le), ("under", kind.lt)
+        bounds = [f"{word} {bound:g}" for word, bound in ranges if bound is not None]
         return " ".join([words, *bounds])
     if isinstance(kind, (types.ListType, types.VarTupleType)):
         inner = kind.item_type
@@ -98,7 +100,8 @@
         yield from _of_value(value, fields[key].type, here)
     for key, field in fields.items():
         if field.required and key not in raw:
-            yield f"{f'{place}.{key}' if place else key}: is missing; allowed: {allowed(field.type)}"
+            here = f"{place}.{key}" if place else key
+            yield f"{here}: is missing; allowed: {allowed(field.type)}"
 
 
 def _of_value(value, kind, place):
@@ -166,7 +169,7 @@
 
 
 def _between(file):
-    """What single keys do not show: figures that do not go together, names twice, addresses that are none."""
+    """What single keys do not show: contradictions, names twice, bad addresses."""
     addresses = [
         ("listen.address", file.listen.address),
         ("listen.management", file.listen.management),
@@ -176,32 +179,43 @@
         (f"backends[{n}].address", backend.address) for n, backend in enumerate(file.backends)
     ]
     for place, address in addresses:
-        if address or place != "listen.management":
-            if not is_address(address):
-                yield f"{place}: {address!r} stands there; allowed: host:port"
+        is_set = address or place != "listen.management"
+        if is_set and not is_address(address):
+            yield f"{place}: {address!r} stands there; allowed: host:port"
+    yield from _repeated_names(file)
+    yield from _between_figures(file)
+
+
+def _repeated_names(file):
     for table in ("offerings", "backends", "members"):
         seen = {}
         for number, row in enumerate(value_of(file, table)):
             if row.name in seen:
-                yield f"{table}[{number}].name: {row.name!r} stands at {table}[{seen[row.name]}] already"
+                first = f"{table}[{seen[row.name]}]"
+                yield f"{table}[{number}].name: {row.name!r} stands at {first} already"
             seen.setdefault(row.name, number)
+
+
+def _between_figures(file):
     for number, request_class in enumerate(file.request_classes):
         if request_class.expected_ms > request_class.hard_limit_ms:
             yield (
-                f"offerings[{number}].expected_ms: {request_class.expected_ms:g} stands there; allowed: up to "
-                f"hard_limit_ms, {request_class.hard_limit_ms:g}"
+                f"offerings[{number}].expected_ms: {request_class.expected_ms:g} stands there; "
+                f"allowed: up to hard_limit_ms, {request_class.hard_limit_ms:g}"
             )
     if not file.backends and file.discovery is None:
         yield "backends: there is none, and no [discovery] to tell of any"
     if file.node.number >= file.node.nodes:
-        yield f"node.number: {file.node.number} stands there; allowed: under nodes, {file.node.nodes}"
+        allowed_below = f"allowed: under nodes, {file.node.nodes}"
+        yield f"node.number: {file.node.number} stands there; {allowed_below}"
     if file.rules.further_span_s == 0 and (file.rules.further_most or file.rules.further_share):
         yield "rules.further_span_s: is missing beside further_most or further_share"
     for number, prefix in enumerate(file.admission.known):
         try:
             ipaddress.ip_network(prefix)
         except ValueError:
-            yield f"admission.known[{number}]: {prefix!r} stands there; allowed: a prefix, as 10.1.0.0/16"
+            place = f"admission.known[{number}]"
+            yield f"{place}: {prefix!r} stands there; allowed: a prefix, as 10.1.0.0/16"
     if file.reports.how == "probes" and not file.limits.probes:
         yield "limits.probes: false stands there; reports come with probes"
     if file.reports.how != "none" and not file.reports.fields:
--- a/pierglade/config/structs.py
+++ b/pierglade/config/structs.py
@@ -195,7 +195,7 @@
     reserve: _figure("share of the descriptors that only known clients may use", ge=0, le=0.9) = 0.0
 
 
-class Learning(Table):
+class SnapshotTable(Table):
     """Learned statistics, kept over a restart as snapshots (docs/operate/learning.md)."""
 
     folder: _text("folder of the snapshots, read at the start only; empty: none are kept") = ""
@@ -233,5 +233,5 @@
     rules: Rules = msgspec.field(default_factory=Rules)
     reports: Reports = msgspec.field(default_factory=Reports)
     admission: Admission = msgspec.field(default_factory=Admission)
-    learning: Learning = msgspec.field(default_factory=Learning)
+    learning: SnapshotTable = msgspec.field(default_factory=SnapshotTable)
     log: Log = msgspec.field(default_factory=Log)
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -12,7 +12,7 @@
 from pierglade.audit.settings import settings_of_plan
 from pierglade.experiment import nodes, sums
 from pierglade.load import run as loads
-from pierglade.processes.children import ChildEnded, Children, Stopped, free_port
+from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
 LEAD_S, LEAD_EACH_S = 2.5, 0.4  # from the fleet's start to the load's: processes start, and warm up
 SAMPLE_S = 0.5  # between looks at CPU and memory of the nodes
@@ -29,7 +29,7 @@
     """Plays `plan` (an Experiment) with nodes of `build` into `folder`, which is made; returns the summary.
 
     Left in it: plan.json, summary.json, samples.json, backends.jsonl, clients-N.jsonl, node-N.log. Raises
-    Failed where nothing is to be learned from it, and Stopped with a partial summary written, marked so.
+    Failed where nothing is to be learned from it, and StoppedBySignalError with a partial summary written, marked so.
     """
     os.makedirs(folder, exist_ok=True)
     _write(folder, "plan.json", {**plan.raw, "build": build.label})
@@ -43,11 +43,11 @@
                 one.over.set()
                 if one.worker_pool is not None:
                     one.worker_pool.end()
-    except ChildEnded as fault:
+    except ChildExitedError as fault:
         raise Failed(str(fault)) from None
     except loads.InvalidRunError as fault:
         raise Failed(str(fault)) from None
-    except Stopped as fault:
+    except StoppedBySignalError as fault:
         if one.begins is None or time.monotonic() <= one.begins:
             raise
         one.stopped = str(fault)
--- a/pierglade/processes/children.py
+++ b/pierglade/processes/children.py
@@ -1,4 +1,7 @@
-"""Processes that a command starts: each ends with it, whatever way it ends itself."""
+"""Child processes of a command: each ends with it, whatever way it ends itself.
+
+Start with `Children`.
+"""
 
 import json
 import os
@@ -9,19 +12,24 @@
 import tempfile
 import time
 
-END_IN = 5.0  # s; a child that has not ended by then is killed
-START_IN = 15.0  # s; one that logs to a file and has not said that it started by then is a failure
+from pierglade.errors import PiergladeError
+
+END_TIMEOUT_S = 5.0
+"""A child that has not ended by then is killed."""
+START_TIMEOUT_S = 15.0
+"""A child that logs to a file and has not logged `started` by then has failed."""
+LOOK_INTERVAL_S = 0.02
 
 
-class ChildEnded(Exception):
-    """A child has ended by itself; one line that says which and how."""
+class ChildExitedError(PiergladeError):
+    """A child has ended by itself; its text says which and how."""
 
 
-class Stopped(Exception):
-    """SIGTERM or SIGINT has come."""
+class StoppedBySignalError(PiergladeError):
+    """SIGTERM or SIGINT has come; its text is the signal's name."""
 
 
-def free_port():
+def free_port() -> int:
     """A port of loopback that nobody has now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -29,9 +37,9 @@
 
 
 class Children:
-    """A context: `start` starts a process, and the end of the context ends all of them and their folder.
+    """A context that owns child processes and a folder; its end ends all of them.
 
-    Each child is given a pipe as its standard input and told to end with it, so that none is left where this
+    Each child has a pipe as its standard input and ends with it, so that none is left where this
     process is killed outright.
     """
 
@@ -46,16 +54,18 @@
         return self
 
     def _stop(self, number, frame):
-        for again in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(again, signal.SIG_IGN)  # once is enough: the end must come to its own end
-        raise Stopped(signal.Signals(number).name)
+        # Once is enough: the clean-up must not be interrupted.
+        for each in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(each, signal.SIG_IGN)
+        raise StoppedBySignalError(signal.Signals(number).name)
 
-    def path(self, name):
+    def path(self, name: str) -> str:
+        """A file of that name in the folder of this context."""
         return os.path.join(self.folder.name, name)
 
     def start(self, name, *args):
-        """Starts `python -m ARGS` and returns its first line on standard output, decoded from JSON."""
-        errors = open(self.path(name + ".err"), "wb+")
+        """Starts `python -m ARGS`; returns its first line on standard output, decoded from JSON."""
+        errors = self._open_errors(name)
         process = subprocess.Popen(
             [sys.executable, "-m", *args],
             stdin=subprocess.PIPE,
@@ -69,11 +79,11 @@
             return json.loads(line)
         except ValueError:
             process.wait()
-            raise ChildEnded(self._how(name)) from None
+            raise ChildExitedError(self._how(name)) from None
 
     def start_logged(self, name, words, log, env=(), cwd=None):
-        """Starts `python WORDS` with its standard output in the file `log`; its line `started`, decoded."""
-        errors = open(self.path(name + ".err"), "wb+")
+        """Starts `python WORDS` with standard output in the file `log`; returns its line."""
+        errors = self._open_errors(name)
         with open(log, "wb") as out:
             process = subprocess.Popen(
                 [sys.executable, *words],
@@ -84,25 +94,25 @@
                 env={**os.environ, "TMPDIR": self.folder.name, **dict(env)},
             )
         self.running[name] = process, errors
-        until = time.monotonic() + START_IN
+        until = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < until:
-            with open(log, "rb") as file:
-                for line in file.read().splitlines(keepends=True):
-                    if (
-                        line.endswith(b"\n")
-                        and (told := json.loads(line)).get("event") == "started"
-                    ):
-                        return told
+            started = _started_line(log)
+            if started is not None:
+                return started
             if process.poll() is not None:
-                raise ChildEnded(self._how(name))
-            time.sleep(0.02)
-        raise ChildEnded(f"{name} did not start within {START_IN:g} s")
+                raise ChildExitedError(self._how(name))
+            time.sleep(LOOK_INTERVAL_S)
+        raise ChildExitedError(f"{name} did not start within {START_TIMEOUT_S:g} s")
+
+    def _open_errors(self, name):
+        """The file of a child's standard error; `end` closes it."""
+        return open(self.path(name + ".err"), "wb+")
 
-    def look(self):
-        """Raises ChildEnded if one has ended."""
+    def look(self) -> None:
+        """Raises ChildExitedError if one has ended."""
         for name, (process, _) in self.running.items():
             if process.poll() is not None:
-                raise ChildEnded(self._how(name))
+                raise ChildExitedError(self._how(name))
 
     def _how(self, name):
         process, errors = self.running[name]
@@ -116,7 +126,7 @@
         if process.poll() is None:
             process.terminate()
         try:
-            rest, _ = process.communicate(timeout=END_IN)
+            rest, _ = process.communicate(timeout=END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             rest, _ = process.communicate()
@@ -130,3 +140,15 @@
         for name in list(self.running):
             self.end(name)
         self.folder.cleanup()
+
+
+def _started_line(log):
+    """The whole line `started` of a log so far, decoded; None if there is none."""
+    with open(log, "rb") as file:
+        lines = file.read().splitlines(keepends=True)
+    for line in lines:
+        if line.endswith(b"\n"):
+            fields = json.loads(line)
+            if fields.get("event") == "started":
+                return fields
+    return None
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -16,7 +16,7 @@
 from pierglade.audit.settings import AuditSettings, request_class_rules
 from pierglade.experiment.nodes import HERE, START
 from pierglade.load.recorder import LatencyRecorder
-from pierglade.processes.children import ChildEnded, Children, free_port
+from pierglade.processes.children import ChildExitedError, Children, free_port
 from pierglade.scale import figures
 from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
 from pierglade.scale.plan import (
@@ -52,14 +52,14 @@
     """Plays a Plan; returns plain data (`figures.summary`).
 
     Raises InvalidPlanError before anything is started, Failed where nothing is to be learned, Over where it took
-    more than it may, Stopped by a signal.
+    more than it may, StoppedBySignalError by a signal.
     """
     refuse(plan, path)
     with Children() as children:
         one = _Play(plan, children, say)
         try:
             return one.whole()
-        except ChildEnded as fault:
+        except ChildExitedError as fault:
             # A port that is taken is bad input; any other end is a run not to be trusted.
             raise Failed(str(fault), 2 if " ended with 2" in str(fault) else 3) from None
         except (BrokenPipeError, ConnectionError):
@@ -100,7 +100,7 @@
             raise self.watch.fault
         for name, (process, _) in list(self.children.running.items()):
             if name not in self.passed and process.poll() is not None:
-                raise ChildEnded(self.children._how(name))
+                raise ChildExitedError(self.children._how(name))
         if self.faults:
             raise Failed(self.faults[0])
 
@@ -131,7 +131,7 @@
         line = stdout.readline()
         if not line:
             self.children.running[name][0].wait()
-            raise ChildEnded(self.children._how(name))
+            raise ChildExitedError(self.children._how(name))
         return msgspec.json.decode(line)
 
     def ask(self, name, **command):
@@ -462,7 +462,7 @@
                 self._start_real(number)
                 self.ready_s.append(self._until_ready(number, began))
                 self.downs[number][-1][1] = time.monotonic()
-            except (ChildEnded, Failed, Over) as fault:
+            except (ChildExitedError, Failed, Over) as fault:
                 self.faults.append(str(fault))
 
         thread = threading.Thread(target=again, daemon=True)
