--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -17,12 +17,14 @@
 from pierglade.balancer.balancer import Balancer
 from pierglade.balancer.dispatch import Dispatch
 from pierglade.balancer.ejections import Ejections
+from pierglade.balancer.endpoint_list import EndpointList
 from pierglade.balancer.endpoint_stats import (
     INITIAL_LATENCY,
     EndpointStats,
     RequestClassStats,
     RequestStats,
 )
+from pierglade.balancer.endpoint_status import EndpointObserver
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.load_reports import LoadReports
 from pierglade.balancer.outlier_detection import FAILING, SLOW, UNRESPONSIVE, OutlierDetection
@@ -35,6 +37,7 @@
 from pierglade.balancer.rotation import Rotation
 from pierglade.balancer.selection import Selection
 from pierglade.balancer.slow_start import SlowStart
+from pierglade.balancer.sweep import PeriodicSweep
 from pierglade.balancer.wakeup import Wakeup
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.model.decision import SendAttempt
@@ -50,7 +53,10 @@
 PARTS = (
     Dispatch,
     Ejections,
+    EndpointList,
+    EndpointObserver,
     OutlierDetection,
+    PeriodicSweep,
     PendingDecisions,
     RequestCosts,
     RequestDeadlines,
