--- a/experiments/capacity/beside.py
+++ b/experiments/capacity/beside.py
@@ -135,7 +135,7 @@
                 time.sleep(0.05)
             through, straight = Client(listen), Client(address)
             began, moments = asyncio.run(send(through, straight, change))
-            loaded = slopes.log_count(folder, "settings loaded")
+            loaded = slopes.log_count(folder, "settings_applied")
         finally:
             node.terminate()
             node.wait(15)
--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -205,7 +205,7 @@
     import msgspec
 
     from pierglade.__main__ import GARBAGE, config_from_environ, reloaded_config
-    from pierglade.proxy.state import events as ev
+    from pierglade.proxy.state.events import ConfigurationLoaded, EndpointsUpdated
     from pierglade.proxy.state.machine import ProxyStateMachine
 
     try:
@@ -235,15 +235,19 @@
         gc.freeze()  # as a node does; else collections count among the steps
         gc.set_threshold(GARBAGE, 20, 20)
         reducer = ProxyStateMachine(
-            first.seed, first.settings, NOW, 1000, first.discovery, first.told
+            first.seed, first.settings, NOW, 1000, first.discovery, first.document
+        )
+        _, found["state_list_ms"] = cpu_ms(
+            lambda: reducer.apply(NOW, EndpointsUpdated(orjson.loads(line)))
         )
-        _, found["state_list_ms"] = cpu_ms(lambda: reducer.apply(NOW, ev.HEARD, orjson.loads(line)))
         now, spans = NOW, []
         for k in range(CHANGES):
             entry = dict(whole[k * 7 % backends], status="SERVING" if k % 2 else "DRAINING")
             told = orjson.dumps({"index": k + 2, "snapshot": False, "endpoints": [entry]})
             now += 10
-            spans.append(cpu_ms(lambda: reducer.apply(now, ev.HEARD, orjson.loads(told)))[1])
+            spans.append(
+                cpu_ms(lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(told))))[1]
+            )
         found["state_change_us"] = sum(spans) * 1e3 / CHANGES
         # The whole list heard again as it is, as from a discovery that came back without its history.
         steps = []
@@ -252,7 +256,7 @@
         heard = (
             walked(parsed(again_told), steps) if parsed else timed(steps, orjson.loads, again_told)
         )
-        timed(steps, reducer.apply, now, ev.HEARD, heard)
+        timed(steps, reducer.apply, now, EndpointsUpdated(heard))
         found["list_again_ms"], found["list_again_step_ms"] = sum(steps), max(steps)
         # A zone, one in ten backends, is gone and comes back, each in one message.
         zone = [entry for entry in whole if entry["zone"] == "z3"]
@@ -263,7 +267,9 @@
             now += 10000
             changed = [{**entry, **other} for entry in zone]
             told = orjson.dumps({"index": now, "snapshot": False, "endpoints": changed})
-            _, found[name] = cpu_ms(lambda: reducer.apply(now, ev.HEARD, orjson.loads(told)))
+            _, found[name] = cpu_ms(
+                lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(told)))
+            )
             found["zone_bytes"] = len(told)
 
         def reload(change):
@@ -280,26 +286,20 @@
                     + cpu_ms(
                         reducer.apply,
                         now,
-                        ev.CONFIGURED,
-                        place.discovery,
-                        place.told,
-                        place.settings,
+                        ConfigurationLoaded(place.discovery, place.document, place.settings),
                     )[1]
                 )
                 return sum(steps), steps[0]
             place = walked(reload_steps(first), steps)
             told = walked(
-                shares.steps(reducer.settings.tenants, place.settings.tenants.shares), steps
+                shares.steps(reducer.balancers.settings.tenants, place.settings.tenants.shares),
+                steps,
             )
             steps.append(
                 cpu_ms(
                     reducer.apply,
                     now,
-                    ev.CONFIGURED,
-                    place.discovery,
-                    place.told,
-                    place.settings,
-                    told,
+                    ConfigurationLoaded(place.discovery, place.document, place.settings, told),
                 )[1]
             )
             return sum(steps), max(steps)
@@ -308,7 +308,7 @@
             ("reload", lambda settings: settings["customers"][0].update(quotaPerS=now / 10**9)),
             (
                 "reload_other",
-                lambda settings: settings["offerings"][0].update(priority_weight=now / 10**9),
+                lambda settings: settings["offerings"][0].update(credit=now / 10**9),
             ),
         ):
             spans = [reload(change) for _ in range(RELOADS)]
@@ -446,8 +446,8 @@
                 time.sleep(0.2)
                 node.send_signal(signal.SIGHUP)
                 time.sleep(0.5)
-                while log_count(folder, "configuration read") <= k:
-                    if log_count(folder, "configuration refused") or node.poll() is not None:
+                while log_count(folder, "config_reloaded") <= k:
+                    if log_count(folder, "config_rejected") or node.poll() is not None:
                         raise SystemExit("the node refused a change, or ended")
                     time.sleep(0.05)
                 time.sleep(0.3)
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -47,7 +47,7 @@
     for whole, listed in (
         (True, entries),
         (False, [replace(e, state=EndpointState.REMOVED) for e in zone]),
-        (False, [replace(e, started=now + 2 * AFTER) for e in zone]),
+        (False, [replace(e, started_at=now + 2 * AFTER) for e in zone]),
     ):
         node.endpoints_updated(now, listed, whole)
         views.append({node.endpoints.names[b] for b in node.rotation.subset})
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -30,7 +30,7 @@
     print("backends    bytes  gather ms (most)  write ms (most)  read ms  remember ms")
     for count in (10, 100, 500, 1000):
         desk = Desk([entry(f"b{n}") for n in range(count)])
-        node = desk.reducer.node
+        node = desk.reducer.balancers.current
         for b in range(count):
             node.pause_forecast.pauses[b] = deque(range(0, 9000, 1000))
             node.pause_forecast.next_pause_answered[b] = 9000.0
@@ -38,7 +38,7 @@
             folder = files.SnapshotStore(path, "n1")
 
             def gather():
-                request_classes, backends, _, entries = desk.reducer.kept(
+                request_classes, backends, _, entries = desk.reducer.snapshot.export(
                     ageing.KEYS, ageing.ROW_KEYS
                 )
                 return form.Snapshot(
@@ -59,7 +59,7 @@
                 middle(gather),
                 middle(lambda: folder.write(form.encode(one))),
                 middle(folder.read),
-                middle(lambda: desk.reducer.remember(one, 600000)),
+                middle(lambda: desk.reducer.snapshot.restore(one, 600000)),
             )
         print(
             f"{count:8} {len(data):8}  {rows[0][0]:8.2f} ({rows[0][1]:.2f})  {rows[1][0]:8.2f} "
