--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -2,7 +2,7 @@
 
 from pierglade.model.endpoint import EndpointState
 from pierglade.snapshot.aging import aged
-from pierglade.snapshot.schema import STORED_IDEMPOTENCY
+from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
 
 # Times are tenths of a millisecond.
 STATUSES = {EndpointState.READY: "SERVING", EndpointState.DRAINING: "DRAINING"}
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -16,7 +16,8 @@
 
 from collections import deque
 
-from pierglade.snapshot.schema import STORED_IDEMPOTENCY, UntrustedSnapshotError
+from pierglade.snapshot.errors import UntrustedSnapshotError
+from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
 
 MOST_HALVES = 8  # half-lives after which nothing is kept; the next answers tell more
 FUTURE = 50000  # 5 s; clocks of machines differ so much, and a file from later than that is none
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -5,7 +5,7 @@
 All numbers are big-endian. Data that cannot be trusted raises `CorruptSnapshotError`, whatever
 is wrong with it. An older version is migrated by MIGRATIONS, one version at a time; a newer one is
 refused, never guessed at. The stored names of version 1 are mapped to this package's names here
-and nowhere else.
+and in `stored_names.py`, and nowhere else.
 """
 
 import struct
@@ -15,9 +15,19 @@
 import msgspec
 import xxhash
 
-from pierglade.errors import PiergladeError
-from pierglade.model.request import Idempotency
 from pierglade.model.ticks import Ticks
+from pierglade.snapshot.errors import CorruptSnapshotError, UntrustedSnapshotError
+from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
+
+__all__ = [
+    "STORED_IDEMPOTENCY",
+    "CorruptSnapshotError",
+    "Snapshot",
+    "StoredBackend",
+    "UntrustedSnapshotError",
+    "decode",
+    "encode",
+]
 
 MAGIC = b"PGLE"
 HEAD = struct.Struct(">4sHIQ")
@@ -27,22 +37,6 @@
 MIGRATIONS: dict[int, Callable[[Any], Any]] = {}
 
 
-class CorruptSnapshotError(PiergladeError, ValueError):
-    """Bytes that are no snapshot that this build can use; one line that says why."""
-
-
-class UntrustedSnapshotError(PiergladeError, ValueError):
-    """A well-formed snapshot of which nothing may be restored; one line that says why."""
-
-
-# What a stored file calls the idempotency of a request class.
-STORED_IDEMPOTENCY = {
-    Idempotency.SAFE: "harmless",
-    Idempotency.KEYED: "stamped",
-    Idempotency.UNSAFE: "one-shot",
-}
-
-
 class StoredBackend(msgspec.Struct):
     """What was known of one backend, and which process it was."""
 
