--- a/pierglade/concurrency/__init__.py
+++ b/pierglade/concurrency/__init__.py
@@ -1,6 +1,6 @@
-"""How many attempts a node may have in flight at once, found from how long answers take.
+"""Limits how many attempts a node may have in flight at once, from the latency of answers.
 
-It knows no backend by name and does no I/O. Not for the choice of a backend, retries or rejections:
-those are `pierglade/balancer/`. Start with `pierglade.concurrency.limiter`;
-docs/notes/limit.md has the reasons.
+Backends are not distinguished and no I/O is done. The choice of a backend, retries and rejections
+are in `pierglade/balancer/`. Start with `pierglade.concurrency.limiter`; docs/notes/limit.md has
+the reasons.
 """
--- a/pierglade/concurrency/capacity_estimate.py
+++ b/pierglade/concurrency/capacity_estimate.py
@@ -1,7 +1,8 @@
-"""What is known of the fleet: unhurried latencies, strained answers, and queues at the backends.
+"""Estimates the unloaded latency of each request class and the queues at the backends.
 
-Shifts are natural logarithms of a latency over the unhurried one. Spans are whole tenths of a
-millisecond.
+The unloaded latency is that of an answer which did not wait in a queue. A shift is the natural
+logarithm of a latency over the unloaded latency. A strained answer took most of its latency
+objective. Spans are ticks (tenths of a millisecond).
 """
 
 from copy import copy
@@ -12,188 +13,233 @@
 from pierglade.concurrency.probing_round import MAX_SIZE, ProbingRound
 from pierglade.model.ticks import Ticks
 
-# Constants.
-STRAIN = 0.75  # share of the latency objective; slower answers mean that the fleet is filling up
-NOISY = 0.3  # spread of shifts beyond which answers differ
-SURE = 1.5  # standard errors; one wrong increment in fifteen is taken back a round later
-MEDIAN = 1.25  # times the standard error of a mean; that of a median
-LOW_PART = 0.16  # share of a round's answers; up to the median they span one standard deviation
-CLEAR = 0.25  # shift over unhurried answers up to which no queue is seen, whatever its cause
-# Times the root of how many are worked on may wait while the limit grows; chance fills it.
-QUEUE_SOME = 1.0
-QUEUE = 3.0  # the same before the limit is halved to see whether it is a queue
-# Worked on at each backend; with fewer, strain shows soon enough that a few wait.
-QUEUE_SEEN = 6.0
-BLIND = 25.0  # times unhurried answers; strain that begins there comes too late to show a queue
-BASE_SPAN: Ticks = 100000  # 10 s; the unhurried latency follows slower answers within this
-BASE_FIRST = 32  # answers until a request class's unhurried latency is known
-RESTS_STEP = (
-    16  # attempts in whole rounds until an increment; the spread of one round of four is luck
-)
-BASE_RESTS = 64  # attempts in whole rounds until the unhurried latency is known
-DOUBT: Ticks = 50000  # 5 s; where there is capacity twice as many are in flight within it
+# Fraction of the latency objective. Slower answers are strained: the fleet is filling up.
+STRAIN_RATIO = 0.75
+# Spread of shifts above which answers count as noisy.
+NOISY_SPREAD = 0.3
+# Standard errors. One increment in fifteen is accepted wrongly and reverted a round later.
+SIGNIFICANCE_ERRORS = 1.5
+# Standard error of a median, as a multiple of that of a mean.
+MEDIAN_ERROR_RATIO = 1.25
+# Fraction of a round's answers. From this quantile to the median is one standard deviation.
+LOW_QUANTILE = 0.16
+# Largest shift that does not count as a queue, whatever its cause.
+MAX_CLEAR_SHIFT = 0.25
+# Multiple of the square root of the attempts in service. More waiting attempts are a queue, and
+# the limit stops growing; random arrivals alone make this many wait.
+QUEUE_RATIO = 1.0
+# The same unit. With more waiting attempts the limit is halved to check that they are a queue.
+DEEP_QUEUE_RATIO = 3.0
+# Attempts in service per backend. With fewer, strained answers show a short queue soon enough.
+MIN_IN_SERVICE_FOR_QUEUE = 6.0
+# Multiple of the unloaded latency. Strain that begins beyond it comes too late to show a queue.
+LATE_STRAIN_RATIO = 25.0
+# Ticks (10 s). The unloaded latency follows slower answers within this span.
+BASE_LATENCY_SPAN: Ticks = 100000
+# Answers after which the unloaded latency of a request class is known.
+MIN_CLASS_ANSWERS = 32
+# Answers in whole rounds before an increment; the spread of one round of four is random.
+MIN_STEP_ANSWERS = 16
+# Answers in whole rounds after which the unloaded latency is known.
+MIN_BASE_ANSWERS = 64
+# Ticks (5 s). Where there is capacity, the attempts in flight double within this span.
+UNCERTAINTY_SPAN: Ticks = 50000
 
 
 @dataclass(slots=True)
 class RoundResult:
-    """What the answers of a round showed."""
+    """The statistics of one round's answers."""
 
     shift: float
     """The median shift."""
     error: float
-    """By how much it may be wrong."""
+    """The error margin of the median shift."""
     answers: float
-    """How many answers of equal weight it rests on."""
+    """The number of answers of equal weight that the median is based on."""
 
 
 @dataclass(slots=True)
 class Assessment:
-    """A steady round seen against all that is known."""
+    """A steady round compared with the estimate."""
 
     shift: float
-    """The median shift over the unhurried latency as it is known now."""
-    sure_shift: float
-    """The part of it that is no chance."""
+    """The median shift over the current unloaded latency."""
+    significant_shift: float
+    """The part of the shift that is statistically significant."""
     answers: float
     span: Ticks
-    busy: float
-    worked: float
-    """How many of `busy` are worked on; others wait."""
+    mean_in_flight: float
+    in_service: float
+    """The part of `mean_in_flight` that backends work on; the others wait."""
 
     def is_queue_deep(self) -> bool:
-        """Whether so many wait that the limit is to be halved."""
-        return self.busy - self.worked > QUEUE * sqrt(self.worked)
+        """Whether so many attempts wait that the limit is to be halved."""
+        return self.mean_in_flight - self.in_service > DEEP_QUEUE_RATIO * sqrt(self.in_service)
 
 
 class CapacityEstimate:
-    """Unhurried latencies and queues, learned from single answers and from steady rounds."""
+    """Unloaded latencies and queues, learned from single answers and from steady rounds."""
 
     def __init__(self, request_classes: int, now: Ticks, is_uncertain: bool) -> None:
-        self.base = [0.0] * request_classes  # log of the unhurried latency
-        self.answers = [0] * request_classes  # how many that rests on, up to BASE_FIRST
-        self.round_answers = 0  # answers of whole rounds that it rests on
-        self.work = 0.0  # unhurried latency, in the mean of what is requested
-        self.strain = 0.0  # latency from which on an answer strains, in the same mean
-        self.spread = NOISY / 2  # of shifts, as of a standard deviation
-        self.mean_shift, self.mean_answers = 0.0, 0  # of steady rounds, and what it rests on
-        # Whether unhurried answers may have been slow from a queue all along.
+        # Natural logarithm of the unloaded latency of each request class.
+        self.log_base_latencies = [0.0] * request_classes
+        # Answers that each of them is based on, up to MIN_CLASS_ANSWERS.
+        self.class_answers = [0] * request_classes
+        # Answers in whole rounds that the unloaded latencies are based on.
+        self.round_answers = 0
+        # Moving averages over requests: unloaded latency, and latency of a strained answer.
+        self.mean_base_latency = 0.0
+        self.mean_strain_latency = 0.0
+        self.spread = NOISY_SPREAD / 2  # of shifts, as a standard deviation
+        # Mean shift of steady rounds, and the answers that it is based on.
+        self.mean_shift, self.mean_shift_answers = 0.0, 0
+        # Whether the unloaded latencies may include a queue that was there from the start.
         self.is_uncertain = is_uncertain
-        # How few were in flight since unhurried answers are known.
-        self.first_busy, self.doubt_at = None, now
-        self.is_clear = False  # rounds are sure that no queue is there
-        self.is_queued = False  # more wait at the backends than chance makes wait
-
-    def successor(self, places: list[int | None]) -> "CapacityEstimate":
-        """Returns a copy for other request classes; `places` has the old place of each, or None."""
-        heir = copy(self)
-        heir.base = [0.0 if place is None else self.base[place] for place in places]
-        heir.answers = [0 if place is None else self.answers[place] for place in places]
-        return heir
+        # Attempts in flight per backend when the unloaded latencies became known.
+        self.first_in_flight, self.doubtful_from = None, now
+        self.is_queue_free = False  # rounds show significantly that there is no queue
+        self.is_queued = False  # more attempts wait at the backends than random arrivals explain
+
+    def successor(self, previous_indexes: list[int | None]) -> "CapacityEstimate":
+        """Returns a copy for other request classes, given the old index of each or None."""
+        successor = copy(self)
+        successor.log_base_latencies = [
+            0.0 if index is None else self.log_base_latencies[index] for index in previous_indexes
+        ]
+        successor.class_answers = [
+            0 if index is None else self.class_answers[index] for index in previous_indexes
+        ]
+        return successor
 
     def add_answer(
         self, request_class: int, log_latency: float, objective: Ticks, is_steady: bool
     ) -> float:
-        """Takes in one answer; returns its weight, the unhurried latency of its class."""
-        seen = self.answers[request_class]
-        if seen < BASE_FIRST and is_steady:
-            self.answers[request_class] = seen + 1
-            self.base[request_class] += (log_latency - self.base[request_class]) / (seen + 1)
-        # By time, not by answers: the request classes that fill the backends show what waits.
-        weight = exp(self.base[request_class])
-        self.work += (weight - self.work) / BASE_FIRST
-        self.strain += (STRAIN * objective - self.strain) / BASE_FIRST
+        """Records one answer; returns its weight, the unloaded latency of its class."""
+        count = self.class_answers[request_class]
+        if count < MIN_CLASS_ANSWERS and is_steady:
+            self.class_answers[request_class] = count + 1
+            self.log_base_latencies[request_class] += (
+                log_latency - self.log_base_latencies[request_class]
+            ) / (count + 1)
+        # Weighted by time, not by count: the request classes that fill the backends show queues.
+        weight = exp(self.log_base_latencies[request_class])
+        self.mean_base_latency += (weight - self.mean_base_latency) / MIN_CLASS_ANSWERS
+        self.mean_strain_latency += (
+            STRAIN_RATIO * objective - self.mean_strain_latency
+        ) / MIN_CLASS_ANSWERS
         return weight
 
     def evaluate(
-        self, now: Ticks, probe: ProbingRound, is_late: bool, needs_all: bool
+        self, now: Ticks, probing_round: ProbingRound, is_overdue: bool, needs_all: bool
     ) -> RoundResult | None:
-        """Returns what a round showed; None if not enough (yet, where it is not late).
+        """Returns the result of a round, or None where too few attempts are answered.
 
-        With `needs_all` those answered in time prove nothing: they are the quick ones.
+        A round that is not overdue may be evaluated again later. With `needs_all`, the attempts
+        answered in time are not enough: they are the quick ones.
         """
-        whole = probe.total_weight(self.base)
-        if 2 * probe.answered_weight < whole or not probe.shifts:
+        total_weight = probing_round.total_weight(self.log_base_latencies)
+        if 2 * probing_round.answered_weight < total_weight or not probing_round.shifts:
             return None
-        shift, low = probe.shift_at(whole / 2), probe.shift_at(whole * LOW_PART)
-        slow_until = probe.slow_until(self.base, shift)
+        shift, low_shift = (
+            probing_round.shift_at(total_weight / 2),
+            probing_round.shift_at(total_weight * LOW_QUANTILE),
+        )
+        slow_until = probing_round.slow_until(self.log_base_latencies, shift)
         if slow_until is not None and slow_until > now:
-            if not is_late:
-                probe.judge_at = slow_until
+            if not is_overdue:
+                probing_round.evaluate_at = slow_until
                 return None
             if needs_all:
                 return None
-        # A wider spread counts at once.
-        spread = shift - low
+        # A wider spread applies at once, a narrower one gradually.
+        spread = shift - low_shift
         self.spread = max(spread, self.spread + (spread - self.spread) / 4)
-        answers = probe.effective_answers(self.base, whole)
+        answers = probing_round.effective_answers(self.log_base_latencies, total_weight)
         return RoundResult(shift, self.standard_error(answers), answers)
 
     def standard_error(self, answers: float) -> float:
-        """By how much the median shift of so many answers may be wrong, at SURE."""
-        return SURE * MEDIAN * self.spread / sqrt(answers)
+        """Returns the error margin of the median shift, at SIGNIFICANCE_ERRORS."""
+        return SIGNIFICANCE_ERRORS * MEDIAN_ERROR_RATIO * self.spread / sqrt(answers)
 
     def attempts_needed(self, step: float) -> float:
-        """Returns how many attempts can distinguish a step, as a logarithm, from none at all."""
-        return 1 + (2 * SURE * MEDIAN * self.spread / step) ** 2
+        """Returns how many attempts distinguish a step, as a logarithm, from no step."""
+        return 1 + (2 * SIGNIFICANCE_ERRORS * MEDIAN_ERROR_RATIO * self.spread / step) ** 2
 
     def base_answers_needed(self, has_demand: bool) -> float:
-        """Attempts until the unhurried latency is known; without quotas, by the spread."""
+        """Returns after how many answers the unloaded latency is known.
+
+        Without quotas this depends on the spread.
+        """
         if has_demand:
-            return BASE_RESTS
-        return max(RESTS_STEP, min(MAX_SIZE, self.attempts_needed(CLEAR)))
+            return MIN_BASE_ANSWERS
+        return max(MIN_STEP_ANSWERS, min(MAX_SIZE, self.attempts_needed(MAX_CLEAR_SHIFT)))
 
     def shift_base(self, shift: float) -> None:
-        """Moves all unhurried latencies by a shift."""
-        self.base = [base + shift for base in self.base]
+        """Moves all unloaded latencies by a shift."""
+        self.log_base_latencies = [log_latency + shift for log_latency in self.log_base_latencies]
 
     def assess(self, result: RoundResult, usage: RoundUsage, has_demand: bool) -> Assessment:
-        """Takes in a steady round: the unhurried latency follows, and a queue is seen or not."""
-        shift, answers, busy = result.shift, result.answers, usage.busy
-        # Of a low shift only what is sure: all of it would let the base sink by chance.
-        lower = min(0.0, shift + result.error)
+        """Records a steady round: adjusts the unloaded latency and detects a queue."""
+        shift, answers, mean_in_flight = result.shift, result.answers, usage.mean_in_flight
+        # Of a negative shift only the significant part counts: all of it would let the unloaded
+        # latency drift down at random.
+        correction = min(0.0, shift + result.error)
         if self.round_answers < self.base_answers_needed(has_demand):
-            lower = shift * answers / (self.round_answers + answers)
+            correction = shift * answers / (self.round_answers + answers)
             self.round_answers += answers
-        elif not lower and shift > 0 and usage.is_at_ease:
-            lower = shift * min(1.0, usage.span / BASE_SPAN)
-        self.shift_base(lower)
-        shift -= lower
-        # One round shows a sudden queue, many show one that a round's noise would hide.
-        self.mean_shift -= lower
-        self.mean_shift += (shift - self.mean_shift) * answers / (self.mean_answers + answers)
-        self.mean_answers = min(MAX_SIZE, self.mean_answers + answers)
-        mean_error = self.standard_error(self.mean_answers)
-        sure = max(0.0, shift - result.error, self.mean_shift - mean_error)
-        worked = busy * exp(-sure)
-        sees = not has_demand or worked > QUEUE_SEEN or self.strain > BLIND * self.work
-        self.is_queued = sees and busy - worked > QUEUE_SOME * sqrt(worked)
-        self.is_clear = (
-            not has_demand and not self.is_uncertain and self.mean_shift + mean_error <= CLEAR
+        elif not correction and shift > 0 and usage.is_unloaded:
+            correction = shift * min(1.0, usage.span / BASE_LATENCY_SPAN)
+        self.shift_base(correction)
+        shift -= correction
+        # One round shows a sudden queue; many show one that the noise of a single round hides.
+        self.mean_shift -= correction
+        self.mean_shift += (shift - self.mean_shift) * answers / (self.mean_shift_answers + answers)
+        self.mean_shift_answers = min(MAX_SIZE, self.mean_shift_answers + answers)
+        mean_error = self.standard_error(self.mean_shift_answers)
+        significant_shift = max(0.0, shift - result.error, self.mean_shift - mean_error)
+        in_service = mean_in_flight * exp(-significant_shift)
+        can_detect_queue = (
+            not has_demand
+            or in_service > MIN_IN_SERVICE_FOR_QUEUE
+            or self.mean_strain_latency > LATE_STRAIN_RATIO * self.mean_base_latency
+        )
+        self.is_queued = can_detect_queue and mean_in_flight - in_service > QUEUE_RATIO * sqrt(
+            in_service
+        )
+        self.is_queue_free = (
+            not has_demand
+            and not self.is_uncertain
+            and self.mean_shift + mean_error <= MAX_CLEAR_SHIFT
         )
-        return Assessment(shift, sure, answers, usage.span, busy, worked)
+        return Assessment(shift, significant_shift, answers, usage.span, mean_in_flight, in_service)
 
     def is_doubtful(self, now: Ticks, is_deep: bool, is_stuck: bool) -> bool:
-        """Whether unhurried answers may have been slow from a queue, if the limit always bound."""
+        """Whether the unloaded latencies probably include a queue, if the limit always bound."""
         return (
             self.is_uncertain
-            and self.first_busy is not None
-            and (is_deep or (now >= self.doubt_at and is_stuck))
+            and self.first_in_flight is not None
+            and (is_deep or (now >= self.doubtful_from and is_stuck))
         )
 
-    def check_certainty(self, now: Ticks, view: Assessment, has_demand: bool) -> None:
-        """Ends the doubt in unhurried latencies once twice as many in flight were no slower."""
+    def check_certainty(self, now: Ticks, assessment: Assessment, has_demand: bool) -> None:
+        """Marks the unloaded latencies certain once doubled attempts in flight were no slower."""
         if self.is_uncertain and self.round_answers >= min(
-            BASE_RESTS, self.base_answers_needed(has_demand)
+            MIN_BASE_ANSWERS, self.base_answers_needed(has_demand)
         ):
-            if self.first_busy is None:
-                self.first_busy, self.doubt_at = view.busy, now + DOUBT
+            if self.first_in_flight is None:
+                self.first_in_flight, self.doubtful_from = (
+                    assessment.mean_in_flight,
+                    now + UNCERTAINTY_SPAN,
+                )
             elif (
-                view.busy > 2 * self.first_busy and view.shift <= CLEAR and self.mean_shift <= CLEAR
+                assessment.mean_in_flight > 2 * self.first_in_flight
+                and assessment.shift <= MAX_CLEAR_SHIFT
+                and self.mean_shift <= MAX_CLEAR_SHIFT
             ):
-                # With a queue, twice as many in flight would have been as much slower.
+                # With a queue, twice the attempts in flight would have taken twice as long.
                 self.is_uncertain = False
 
 
 def log_latency(latency: Ticks) -> float:
-    """Returns the natural logarithm of a latency of one tick or more."""
+    """Returns the natural logarithm of a latency, which counts as one tick or more."""
     return log(max(1, latency))
--- a/pierglade/concurrency/capacity_search.py
+++ b/pierglade/concurrency/capacity_search.py
@@ -1,10 +1,10 @@
-"""Searches, in probing rounds, for how many attempts the fleet can work on.
+"""Searches, in probing rounds, for the number of attempts that the fleet can work on.
 
-A round that shows no queue is followed by an increment of the limit, which is taken back where it
-made answers slower. A deep queue halves the limit, to see whether what is slow is a queue at all.
-Where half as many are no quicker the backends rest for some seconds: overloaded ones recover from
-it, and are not sent as much again. A node that was full from its first moment on drains once, to
-see answers that did not wait.
+A steady round that shows no queue is followed by an increment of the limit, which is reverted where
+it made answers slower. A deep queue halves the limit, to verify that the slow answers are due to a
+queue. Where half as many attempts are no quicker, the backends rest for some seconds: overloaded
+ones recover and are not sent as many attempts again. A node whose limit bound from the start drains
+once, to measure answers that did not wait in a queue.
 """
 
 from copy import copy
@@ -12,47 +12,58 @@
 from math import exp, log
 
 from pierglade.concurrency.capacity_estimate import (
-    CLEAR,
-    DOUBT,
-    RESTS_STEP,
+    MAX_CLEAR_SHIFT,
+    MIN_STEP_ANSWERS,
+    UNCERTAINTY_SPAN,
     Assessment,
     CapacityEstimate,
     RoundResult,
 )
-from pierglade.concurrency.in_flight_budget import UNUSED, InFlightBudget
+from pierglade.concurrency.in_flight_budget import MAX_UNUSED_RATIO, InFlightBudget
 from pierglade.concurrency.increment import (
-    HOLD,
-    STEP_LEAST,
-    STEP_NOISY,
+    MAX_NOISY_STEP,
+    MIN_HOLD_SPAN,
+    MIN_STEP,
     Increment,
 )
 from pierglade.concurrency.overload_history import OverloadHistory
 from pierglade.concurrency.probing_round import MAX_SIZE, MIN_SIZE, ProbingRound
 from pierglade.model.ticks import Ticks
 
-# Constants. Times are tenths of a millisecond; shifts are natural logarithms of times answers took.
-# As sure as of such a step must it be that half as many in flight are no quicker.
-STEP_HALF = log(2) / 2
-STEADY_SPAN: Ticks = 5000  # 0.5 s; a round that waits for the next increment
-# 1 s; a steady round takes no more, as far as the one before shows.
-ROUND_SPAN: Ticks = 10000
-# 0.8 s; an increment not known good by then is taken back: backends bear that long.
+# Spans are ticks (tenths of a millisecond); shifts and steps are natural logarithms of ratios.
+# A round at half the limit must be able to distinguish a step of this size.
+HALVING_STEP = log(2) / 2
+# Ticks (0.5 s). Minimum length of a steady round that waits for the next increment.
+STEADY_SPAN: Ticks = 5000
+# Ticks (1 s). Maximum length of a steady round, at the rate of the one before.
+MAX_ROUND_SPAN: Ticks = 10000
+# Ticks (0.8 s). Backends tolerate an overload this long; an increment that is not confirmed within
+# it is reverted.
 STEP_SPAN: Ticks = 8000
-SETTLE: Ticks = 10000  # 1 s; the other nodes see the same queue and halve within it
-GIVEN = 1.5  # times what quotas keep in flight unhurried; no more capacity than that is sought
-REST = 0.15  # of what was in flight when half as many were no quicker; mostly idle, they recover
-TWICE = log(2)  # shift from which a rest is tried at once where half as many could not be judged
-HALF_SPAN: Ticks = 20000  # 2 s; half as many for longer costs more than it shows
-DRAIN = 0.3  # of what is in flight; unhurried, and enough to be judged by
-REST_WORKED = 0.5  # of how many are worked on, by what they answer; the same
-REST_SPAN: Ticks = 45000  # 4.5 s; overloaded backends recover after some three seconds of it
-REST_MORE: Ticks = 15000  # 1.5 s; with other nodes, which may begin theirs so much later
-# 2 s; what was only a queue is gone sooner, even where others halve later.
-OVERLOADED_REST: Ticks = 20000
+# Ticks (1 s). Within it the other nodes detect the same queue and halve their limits as well.
+SETTLE_SPAN: Ticks = 10000
+# Multiple of the unloaded attempts in flight that quotas allow. No more capacity is searched for.
+MAX_DEMAND_RATIO = 1.5
+# Fraction of the attempts in flight before the halving. Mostly idle, overloaded backends recover.
+REST_RATIO = 0.15
+# Shift from which a rest is tried at once where a halving could not be evaluated.
+DOUBLING_SHIFT = log(2)
+# Ticks (2 s). A longer time at half the limit loses more than it shows.
+HALVED_SPAN: Ticks = 20000
+# Fraction of the attempts in flight. Few enough for no queue, enough to be evaluated.
+DRAIN_RATIO = 0.3
+# Fraction of the attempts in service, as latencies show them. Bounds a rest like REST_RATIO.
+REST_IN_SERVICE_RATIO = 0.5
+# Ticks (4.5 s). Overloaded backends recover after some three seconds of it.
+REST_SPAN: Ticks = 45000
+# Ticks (1.5 s). Added with several nodes, which may begin their rest that much later.
+REST_EXTRA_SPAN: Ticks = 15000
+# Ticks (2 s). A rest that helps sooner has ended a mere queue, even where other nodes halve later.
+MIN_OVERLOAD_SPAN: Ticks = 20000
 
 
 class SearchMode(Enum):
-    """What the current probing round is for."""
+    """The purpose of the current probing round."""
 
     STEADY = "steady"
     STEPPED = "stepped"
@@ -65,9 +76,9 @@
 
 
 class CapacitySearch:
-    """Moves the limit of a budget, round by round.
+    """Adjusts the limit of a budget, round by round.
 
-    `demand` is what quotas let come to this node in a tenth of a millisecond; None: no quotas.
+    `demand` is how many requests quotas allow for this node per tick; None without quotas.
     """
 
     def __init__(
@@ -75,288 +86,345 @@
     ) -> None:
         self.budget, self.demand = budget, demand
         self.estimate = CapacityEstimate(request_classes, now, is_uncertain=demand is None)
-        self.rate = MAX_SIZE  # attempts in a tenth of a millisecond, in steady rounds
+        self.rate = MAX_SIZE  # attempts per tick in steady rounds
         self.mode = STEADY
-        self.before, self.shift_before, self.busy_before = budget.per_backend, 0.0, 0.0
-        self.rested = now
+        self.previous_limit, self.previous_shift, self.previous_in_flight = (
+            budget.per_backend,
+            0.0,
+            0.0,
+        )
+        self.rest_began_at = now
         self.increment, self.overload = Increment(now), OverloadHistory(now)
         self.round = ProbingRound(1, now, MIN_SIZE, request_classes)
 
     def successor(
-        self, budget: InFlightBudget, now: Ticks, places: list[int | None], demand: float | None
+        self,
+        budget: InFlightBudget,
+        now: Ticks,
+        previous_indexes: list[int | None],
+        demand: float | None,
     ) -> "CapacitySearch":
-        """Returns a copy for another budget and other request classes, with a new round."""
-        heir = copy(self)
-        heir.budget, heir.demand = budget, demand
-        heir.estimate = self.estimate.successor(places)
-        heir.increment, heir.overload = copy(self.increment), copy(self.overload)
-        heir.round = ProbingRound(self.round.number, now, self.round.size, len(places))
-        heir.begin_round(now, self.round.size)
-        return heir
+        """Returns a copy for another budget and other request classes, with a new round.
+
+        `previous_indexes` has the old index of each request class, or None.
+        """
+        successor = copy(self)
+        successor.budget, successor.demand = budget, demand
+        successor.estimate = self.estimate.successor(previous_indexes)
+        successor.increment, successor.overload = copy(self.increment), copy(self.overload)
+        successor.round = ProbingRound(
+            self.round.number, now, self.round.size, len(previous_indexes)
+        )
+        successor.begin_round(now, self.round.size)
+        return successor
 
     def begin_round(self, now: Ticks, attempts: float) -> None:
-        """Begins a round of about so many attempts."""
+        """Begins a round of about that many attempts."""
         self.budget.used = 0.0
-        self.round = ProbingRound(self.round.number + 1, now, attempts, len(self.round.missing))
+        self.round = ProbingRound(self.round.number + 1, now, attempts, len(self.round.pending))
 
-    def judge(self, now: Ticks) -> None:
-        """Ends the round if it has shown enough."""
-        probe = self.round
-        late = self._is_late(now)
-        if probe.unsent > 0 and not late:
+    def evaluate_round(self, now: Ticks) -> None:
+        """Ends the round if enough of it is answered, or its time is over."""
+        probing_round = self.round
+        is_overdue = self._is_overdue(now)
+        if probing_round.unsent > 0 and not is_overdue:
             return
-        is_held = self.mode is STEADY and now < self.increment.hold_until
-        if is_held and now - probe.began < STEADY_SPAN:
+        is_on_hold = self.mode is STEADY and now < self.increment.hold_until
+        if is_on_hold and now - probing_round.began_at < STEADY_SPAN:
             return
-        if now < probe.judge_at and not late:
+        if now < probing_round.evaluate_at and not is_overdue:
             return
         needs_all = self.mode in (RESTED, DRAINED)
-        result = self.estimate.evaluate(now, probe, late, needs_all)
+        result = self.estimate.evaluate(now, probing_round, is_overdue, needs_all)
         if result is not None:
             self._end_round(now, result)
-        elif late:
+        elif is_overdue:
             self._abandon_round(now)
 
-    def take_back_step(self, now: Ticks) -> None:
-        """Goes back to the limit before an increment, and waits before the next."""
+    def revert_step(self, now: Ticks) -> None:
+        """Restores the limit before an increment, and delays the next one."""
         budget = self.budget
-        self.increment.failed(now, budget.per_backend / self.before)
-        budget.per_backend = min(budget.per_backend, self.before)
-        self._become_steady(now, self.shift_before)
+        self.increment.record_failure(now, budget.per_backend / self.previous_limit)
+        budget.per_backend = min(budget.per_backend, self.previous_limit)
+        self._become_steady(now, self.previous_shift)
 
     def begin_rest(self, now: Ticks, mode: SearchMode, shift: float) -> None:
-        """Lets so few out that backends recover (RESTED) or answer unhurried (DRAINED)."""
+        """Lowers the limit until backends recover (RESTED) or have no queue (DRAINED)."""
         budget = self.budget
-        self.mode, self.rested = mode, now
-        # An overloaded backend works on one a core, and answers as if it had part of them.
+        self.mode, self.rest_began_at = mode, now
+        # An overloaded backend works on one attempt per core, as slowly as if it had fewer cores.
         limit = (
-            DRAIN * self.busy_before
+            DRAIN_RATIO * self.previous_in_flight
             if mode is DRAINED
             else min(
-                REST * self.busy_before,
-                REST_WORKED * budget.per_backend * budget.nodes * exp(-shift),
+                REST_RATIO * self.previous_in_flight,
+                REST_IN_SERVICE_RATIO * budget.per_backend * budget.nodes * exp(-shift),
             )
         )
-        budget.per_backend, self.shift_before = limit / budget.nodes, shift
+        budget.per_backend, self.previous_shift = limit / budget.nodes, shift
         self.begin_round(
-            now + (SETTLE if mode is DRAINED and budget.nodes > 1 else 0),
-            self.estimate.attempts_needed(TWICE if mode is DRAINED else shift / 2),
+            now + (SETTLE_SPAN if mode is DRAINED and budget.nodes > 1 else 0),
+            self.estimate.attempts_needed(DOUBLING_SHIFT if mode is DRAINED else shift / 2),
         )
 
-    # The end of a round, by its mode.
+    # The end of a round, by search mode.
 
     def _end_round(self, now: Ticks, result: RoundResult) -> None:
-        rise = result.shift - self.shift_before
-        tolerated = log(self.budget.per_backend / self.before) / 2
+        increase = result.shift - self.previous_shift
+        tolerance = log(self.budget.per_backend / self.previous_limit) / 2
         if self.mode is STEADY:
             self._end_steady(now, result)
         elif self.mode is HALVED:
-            self._end_halved(now, result.shift, rise <= tolerated)
+            self._end_halved(now, result.shift, increase <= tolerance)
         elif self.mode is DRAINED:
-            self._end_drained(now, result, rise)
+            self._end_drained(now, result, increase)
         elif self.mode is RESTED:
             self._end_rested(now, result.shift)
-        elif rise <= tolerated:
+        elif increase <= tolerance:
             self._keep_step(now, result)
         else:
-            self.take_back_step(now)
+            self.revert_step(now)
 
     def _end_halved(self, now: Ticks, shift: float, is_quicker: bool) -> None:
         if is_quicker:
-            self._limit_to_worked(self.shift_before)
+            self._limit_to_in_service(self.previous_shift)
             self._become_steady(now, shift)
-        elif now < self.overload.useless_until:
+        elif now < self.overload.next_rest_at:
             self._accept_slower(now, shift)
         else:
-            # Half as many, no quicker: overloaded, or others have not halved, or slower for good.
+            # Half as many, no quicker: the backends are overloaded or permanently slower, or the
+            # other nodes have not halved.
             self.begin_rest(now, RESTED, shift)
 
-    def _end_drained(self, now: Ticks, result: RoundResult, rise: float) -> None:
+    def _end_drained(self, now: Ticks, result: RoundResult, increase: float) -> None:
         estimate, shift = self.estimate, result.shift
-        # A deep queue is not gone at a part of it: once more, until a drain shows little new.
-        estimate.is_uncertain, estimate.doubt_at = shift <= -2 * CLEAR, now + DOUBT
-        # Answers under load would only raise it again, round by round.
+        # A deep queue remains at a fraction of the attempts: drains are repeated until one shows
+        # little change.
+        estimate.is_uncertain, estimate.doubtful_from = (
+            shift <= -2 * MAX_CLEAR_SHIFT,
+            now + UNCERTAINTY_SPAN,
+        )
+        # Answers under load would raise the unloaded latency again, round by round.
         estimate.round_answers = MAX_SIZE
-        self.budget.per_backend = self.before
-        if rise <= -CLEAR:
-            # It was slow from a queue all along.
-            self._limit_to_worked(-rise)
-        lower = (
-            shift if rise <= -CLEAR or self.budget.nodes == 1 else max(0.0, shift - result.error)
+        self.budget.per_backend = self.previous_limit
+        if increase <= -MAX_CLEAR_SHIFT:
+            # The answers were slow because of a queue from the start.
+            self._limit_to_in_service(-increase)
+        correction = (
+            shift
+            if increase <= -MAX_CLEAR_SHIFT or self.budget.nodes == 1
+            else max(0.0, shift - result.error)
         )
-        estimate.shift_base(lower)
-        self._become_steady(now, shift - lower)
+        estimate.shift_base(correction)
+        self._become_steady(now, shift - correction)
 
     def _end_rested(self, now: Ticks, shift: float) -> None:
-        if shift <= self.shift_before / 2:
-            if now - self.rested < OVERLOADED_REST:
-                self._limit_to_worked(self.shift_before)
+        if shift <= self.previous_shift / 2:
+            if now - self.rest_began_at < MIN_OVERLOAD_SPAN:
+                self._limit_to_in_service(self.previous_shift)
             else:
-                self.budget.per_backend = self.overload.recovered(now, self.before)
-                self.increment.step = STEP_LEAST
-            self.overload.rest_helped()
+                self.budget.per_backend = self.overload.record_overload(now, self.previous_limit)
+                self.increment.step = MIN_STEP
+            self.overload.record_successful_rest()
             self._become_steady(now, shift)
-        elif now - self.rested < self._rest_span():
-            self.begin_round(now, self.estimate.attempts_needed(self.shift_before / 2))
+        elif now - self.rest_began_at < self._rest_span():
+            self.begin_round(now, self.estimate.attempts_needed(self.previous_shift / 2))
         else:
-            self.overload.rest_was_useless(now)
+            self.overload.record_failed_rest(now)
             self._accept_slower(now, shift)
 
     def _keep_step(self, now: Ticks, result: RoundResult) -> None:
         budget = self.budget
-        self.increment.succeeded()
+        self.increment.record_success()
         self.mode = STEADY
-        if budget.last_limited_at < self.round.began and self.demand is None:
-            # Capacity that is not used is not known to be there, and all of it would be when
-            # backends go.
+        if budget.last_limited_at < self.round.began_at and self.demand is None:
+            # Unused capacity is unproven, and all of it would be used when backends are removed.
             budget.spend(now)
-            busy = budget.used / max(1, now - self.round.began) / budget.fleet
-            budget.per_backend = max(self.before, min(budget.per_backend, UNUSED * busy))
+            mean_in_flight = budget.used / max(1, now - self.round.began_at) / budget.fleet_size
+            budget.per_backend = max(
+                self.previous_limit, min(budget.per_backend, MAX_UNUSED_RATIO * mean_in_flight)
+            )
         self._end_steady(now, result)
 
     def _abandon_round(self, now: Ticks) -> None:
-        """Ends a round of which most is not answered in time."""
+        """Ends a round most of which was not answered in time."""
         if self.mode is STEPPED:
-            self.take_back_step(now)
+            self.revert_step(now)
         elif self.mode is RESTED:
-            self.overload.rest_was_useless(now)
-            self._accept_slower(now, self.shift_before)
+            self.overload.record_failed_rest(now)
+            self._accept_slower(now, self.previous_shift)
         else:
             estimate = self.estimate
             estimate.is_uncertain = estimate.is_uncertain and self.mode is not DRAINED
-            self.budget.per_backend = self.before
-            self._become_steady(now, self.shift_before)
+            self.budget.per_backend = self.previous_limit
+            self._become_steady(now, self.previous_shift)
 
     def _accept_slower(self, now: Ticks, shift: float) -> None:
-        """Takes it that there is no queue: the backends are that much slower than they were."""
+        """Concludes that there is no queue: the backends have become slower by `shift`."""
         self.estimate.shift_base(shift)
-        self.budget.per_backend = self.before
+        self.budget.per_backend = self.previous_limit
         self._become_steady(now, 0.0)
 
-    def _limit_to_worked(self, shift: float) -> None:
-        """Lets out what is worked on and chance makes wait, when answers took `shift` longer."""
-        limit = self.budget.limit_for_worked(self.busy_before * exp(-shift))
-        self.budget.per_backend = min(self.before, limit)
+    def _limit_to_in_service(self, shift: float) -> None:
+        """Limits to the attempts in service and a random queue; answers took `shift` longer."""
+        limit = self.budget.limit_for_in_service(self.previous_in_flight * exp(-shift))
+        self.budget.per_backend = min(self.previous_limit, limit)
 
     def _become_steady(self, now: Ticks, shift: float) -> None:
         estimate, limit = self.estimate, self.budget.per_backend
         if self.mode is not STEADY:
-            estimate.mean_answers = 0
+            estimate.mean_shift_answers = 0
         elif not estimate.is_queued:
             self.overload.healthy_limit = limit
-        self.mode, self.shift_before, self.before = STEADY, shift, limit
-        needed = estimate.attempts_needed(min(STEP_NOISY, self.increment.step))
-        self.begin_round(now, min(needed, self.rate * ROUND_SPAN))
+        self.mode, self.previous_shift, self.previous_limit = STEADY, shift, limit
+        needed = estimate.attempts_needed(min(MAX_NOISY_STEP, self.increment.step))
+        self.begin_round(now, min(needed, self.rate * MAX_ROUND_SPAN))
 
     # What follows a steady round.
 
     def _end_steady(self, now: Ticks, result: RoundResult) -> None:
-        """Lets the estimate follow, and takes a step if there is one."""
-        view = self._assess(now, result)
+        """Updates the estimate, and begins a rest, a halving or an increment where needed."""
+        assessment = self._assess(now, result)
         estimate = self.estimate
         if estimate.is_queued:
-            self.budget.lower_while_queued(view.busy, view.worked, self.demand is not None)
-        largest = self.increment.largest(estimate.spread)
+            self.budget.lower_while_queued(
+                assessment.mean_in_flight, assessment.in_service, self.demand is not None
+            )
+        max_step = self.increment.max_step(estimate.spread)
         # Answers that an increment has time for.
-        within = min(MAX_SIZE, self._step_span() * view.answers / view.span)
-        estimate.check_certainty(now, view, self.demand is not None)
-        can_step = estimate.attempts_needed(largest) <= within
-        is_deep = estimate.is_queued and view.is_queue_deep()
-        has_bound = self.budget.has_bound_since(self.round.began)
-        is_stuck = view.shift > CLEAR or self.increment.hold > HOLD or not can_step
+        max_answers = min(MAX_SIZE, self._step_span() * assessment.answers / assessment.span)
+        estimate.check_certainty(now, assessment, self.demand is not None)
+        can_step = estimate.attempts_needed(max_step) <= max_answers
+        is_deep = estimate.is_queued and assessment.is_queue_deep()
+        has_bound = self.budget.has_bound_since(self.round.began_at)
+        is_stuck = (
+            assessment.shift > MAX_CLEAR_SHIFT
+            or self.increment.hold_span > MIN_HOLD_SPAN
+            or not can_step
+        )
         is_doubtful = has_bound and estimate.is_doubtful(now, is_deep, is_stuck)
-        can_halve = estimate.attempts_needed(STEP_HALF) <= within * HALF_SPAN / self._step_span()
+        can_halve = (
+            estimate.attempts_needed(HALVING_STEP) <= max_answers * HALVED_SPAN / self._step_span()
+        )
         needs_rest = is_doubtful or (
             is_deep
-            and view.sure_shift > TWICE
+            and assessment.significant_shift > DOUBLING_SHIFT
             and not can_halve
-            and now >= self.overload.useless_until
+            and now >= self.overload.next_rest_at
         )
-        if needs_rest and self._try_rest(now, view, is_doubtful):
+        if needs_rest and self._try_rest(now, assessment, is_doubtful):
             return
         if is_deep and can_halve:
-            if self._try_halving(now, view):
+            if self._try_halving(now, assessment):
                 return
-        elif can_step and self._may_step(now, view) and self._try_step(now, view, within, largest):
+        elif (
+            can_step
+            and self._may_step(now, assessment)
+            and self._try_step(now, assessment, max_answers, max_step)
+        ):
             return
-        self._become_steady(now, view.shift)
+        self._become_steady(now, assessment.shift)
 
     def _assess(self, now: Ticks, result: RoundResult) -> Assessment:
-        budget, probe = self.budget, self.round
-        # Not until it was judged.
-        self.rate = probe.size / max(1, probe.last_sent_at - probe.began)
-        usage = budget.usage_since(now, probe.began)
+        budget, probing_round = self.budget, self.round
+        # Updated only once the round has been evaluated.
+        self.rate = probing_round.size / max(1, probing_round.last_sent_at - probing_round.began_at)
+        usage = budget.usage_since(now, probing_round.began_at)
         return self.estimate.assess(result, usage, self.demand is not None)
 
-    def _try_rest(self, now: Ticks, view: Assessment, is_doubtful: bool) -> bool:
-        expected, part = (TWICE, DRAIN) if is_doubtful else (view.sure_shift / 2, REST)
+    def _try_rest(self, now: Ticks, assessment: Assessment, is_doubtful: bool) -> bool:
+        expected_shift, ratio = (
+            (DOUBLING_SHIFT, DRAIN_RATIO)
+            if is_doubtful
+            else (assessment.significant_shift / 2, REST_RATIO)
+        )
         # Answers that a rest has time for.
-        within = self._rest_span() * part * exp(expected) * view.answers / view.span
-        if self.estimate.attempts_needed(expected) > within:
+        max_answers = (
+            self._rest_span() * ratio * exp(expected_shift) * assessment.answers / assessment.span
+        )
+        if self.estimate.attempts_needed(expected_shift) > max_answers:
             return False
-        self.before, self.busy_before = self.budget.per_backend, view.busy
+        self.previous_limit, self.previous_in_flight = (
+            self.budget.per_backend,
+            assessment.mean_in_flight,
+        )
         if is_doubtful:
-            self.begin_rest(now, DRAINED, view.shift)
+            self.begin_rest(now, DRAINED, assessment.shift)
         else:
-            self.begin_rest(now, RESTED, view.sure_shift)
+            self.begin_rest(now, RESTED, assessment.significant_shift)
         return True
 
-    def _try_halving(self, now: Ticks, view: Assessment) -> bool:
+    def _try_halving(self, now: Ticks, assessment: Assessment) -> bool:
         budget = self.budget
-        half = min(budget.per_backend, view.busy / budget.nodes) / 2
+        halved_limit = min(budget.per_backend, assessment.mean_in_flight / budget.nodes) / 2
         if self.demand is not None:
-            half = max(budget.least_per_backend(), half)
-        if half >= budget.per_backend:
+            halved_limit = max(budget.min_per_backend(), halved_limit)
+        if halved_limit >= budget.per_backend:
             return False
-        self._move(HALVED, half, view.sure_shift, view.busy)
-        needed = self.estimate.attempts_needed(STEP_HALF)
-        self.begin_round(now if budget.nodes == 1 else now + SETTLE, needed)
+        self._change_limit(
+            HALVED, halved_limit, assessment.significant_shift, assessment.mean_in_flight
+        )
+        needed = self.estimate.attempts_needed(HALVING_STEP)
+        self.begin_round(now if budget.nodes == 1 else now + SETTLE_SPAN, needed)
         return True
 
-    def _may_step(self, now: Ticks, view: Assessment) -> bool:
+    def _may_step(self, now: Ticks, assessment: Assessment) -> bool:
         estimate = self.estimate
         return (
             now >= self.increment.hold_until
-            and self.budget.has_bound_since(self.round.began)
-            and view.shift <= CLEAR
-            # Tenants may ask for more than the limit, as far as quotas say.
-            and (self.demand is None or self.budget.limit() < GIVEN * self.demand * estimate.work)
+            and self.budget.has_bound_since(self.round.began_at)
+            and assessment.shift <= MAX_CLEAR_SHIFT
+            # Tenants may send more than the limit, within their quotas.
+            and (
+                self.demand is None
+                or self.budget.limit() < MAX_DEMAND_RATIO * self.demand * estimate.mean_base_latency
+            )
             and (
                 self.demand is not None
-                or (not estimate.is_queued and estimate.round_answers >= RESTS_STEP)
+                or (not estimate.is_queued and estimate.round_answers >= MIN_STEP_ANSWERS)
             )
         )
 
-    def _try_step(self, now: Ticks, view: Assessment, within: float, largest: float) -> bool:
+    def _try_step(
+        self, now: Ticks, assessment: Assessment, max_answers: float, max_step: float
+    ) -> bool:
         estimate, budget = self.estimate, self.budget
-        step = self.increment.choose(estimate, within, largest)
+        step = self.increment.choose(estimate, max_answers, max_step)
         limit = self.overload.bounded(budget.per_backend * exp(step), budget.spare_at)
-        if log(limit / budget.per_backend) <= STEP_LEAST / 2:
+        if log(limit / budget.per_backend) <= MIN_STEP / 2:
             return False
-        self._move(STEPPED, limit, view.shift, view.busy)
-        # The first ones sent are ahead in any queue: all that an increment lets out must
-        # be judged.
-        more = min((limit - self.before) * budget.fleet, self.rate * STEP_SPAN / 2)
-        self.begin_round(now, max(estimate.attempts_needed(step), more))
+        self._change_limit(STEPPED, limit, assessment.shift, assessment.mean_in_flight)
+        # The attempts sent first are first in any queue: all that an increment adds must be
+        # evaluated.
+        added = min((limit - self.previous_limit) * budget.fleet_size, self.rate * STEP_SPAN / 2)
+        self.begin_round(now, max(estimate.attempts_needed(step), added))
         return True
 
-    def _move(self, mode: SearchMode, limit: float, shift: float, busy: float) -> None:
-        self.mode, self.before, self.budget.per_backend = mode, self.budget.per_backend, limit
-        self.estimate.mean_answers = 0
-        self.shift_before, self.busy_before = shift, busy
+    def _change_limit(
+        self, mode: SearchMode, limit: float, shift: float, mean_in_flight: float
+    ) -> None:
+        self.mode, self.previous_limit, self.budget.per_backend = (
+            mode,
+            self.budget.per_backend,
+            limit,
+        )
+        self.estimate.mean_shift_answers = 0
+        self.previous_shift, self.previous_in_flight = shift, mean_in_flight
 
     # Spans.
 
-    def _is_late(self, now: Ticks) -> bool:
-        """Whether the round has had its time."""
+    def _is_overdue(self, now: Ticks) -> bool:
+        """Whether the time for the round is over."""
         if self.mode is STEPPED:
-            return now - self.round.began > self._step_span()
+            return now - self.round.began_at > self._step_span()
         if self.mode is HALVED:
-            return now - self.round.began > HALF_SPAN + 2 * self.estimate.work
-        return self.mode is not STEADY and now - self.rested > self._rest_span() + HALF_SPAN
+            return now - self.round.began_at > HALVED_SPAN + 2 * self.estimate.mean_base_latency
+        return (
+            self.mode is not STEADY and now - self.rest_began_at > self._rest_span() + HALVED_SPAN
+        )
 
     def _rest_span(self) -> Ticks:
-        return REST_SPAN + (REST_MORE if self.budget.nodes > 1 else 0)
+        return REST_SPAN + (REST_EXTRA_SPAN if self.budget.nodes > 1 else 0)
 
     def _step_span(self) -> float:
-        return STEP_SPAN + 2 * self.estimate.work
+        return STEP_SPAN + 2 * self.estimate.mean_base_latency
--- a/pierglade/concurrency/in_flight_budget.py
+++ b/pierglade/concurrency/in_flight_budget.py
@@ -1,43 +1,54 @@
-"""Holds the limit in the mean of a short span: a node's part may be half an attempt."""
+"""Enforces the limit on attempts in flight as the mean over a short span.
+
+The limit of one node may be less than a whole attempt.
+"""
 
 from dataclasses import dataclass
 from math import sqrt
 
 from pierglade.model.ticks import Ticks
 
-# Constants.
-FIRST = 4.0  # attempts a backend, of all nodes together; before anything was learned
-# Attempts a backend, of all nodes together; it works on some while others wait or travel.
-LEAST = 2.0
-OWN = 1.0  # attempts a backend more, in full where there are two backends for each node
-# 0.5 s; the limit holds in the mean of about this, as a node's part may be under one.
-SPAN: Ticks = 5000
-# Times a limit of an attempt or two, and one more: in flight at once while the mean allows.
-PEAK_SMALL = 1.5
-# Times a limit of some attempts, and attempts; from 15 on the limit itself.
-PEAK_LARGE, PEAK_MORE = 0.8, 3
-EASE = 0.5  # share of the limit in use up to which answers are unhurried
-QUEUE_KEPT = 2.0  # times the root of how many are worked on; left waiting, halved round by round
-UNUSED = 1.25  # times what is in flight; no more is kept open while a queue is seen
-AHEAD = 2.0  # times that peak; what goes ahead is little, and more than this is no burst of it
+# Attempts per backend, of all nodes together, before anything is learned.
+INITIAL_LIMIT = 4.0
+# Attempts per backend, of all nodes together. A backend works on some while others wait or travel.
+MIN_LIMIT = 2.0
+# Attempts per backend on top of MIN_LIMIT, in full where there are two backends for each node.
+MIN_LIMIT_EXTRA = 1.0
+# Ticks (0.5 s). The limit applies to the mean over about this span, as a node's may be under one.
+AVERAGING_SPAN: Ticks = 5000
+# Multiple of a limit of one or two attempts, plus one attempt: the most in flight at once while
+# the mean is within the limit.
+SMALL_PEAK_RATIO = 1.5
+# Multiple of a larger limit, and attempts on top of it. From a limit of 15 on, the peak is the
+# limit.
+LARGE_PEAK_RATIO, LARGE_PEAK_EXTRA = 0.8, 3
+# Fraction of the limit in use up to which answers are unloaded.
+MAX_UNLOADED_RATIO = 0.5
+# Multiple of the square root of the attempts in service. The queue that is tolerated; the excess
+# is halved round by round.
+TOLERATED_QUEUE_RATIO = 2.0
+# Multiple of the attempts in flight. Bounds the limit while there is a queue.
+MAX_UNUSED_RATIO = 1.25
+# Multiple of the peak. Few requests may borrow; more than this is not a burst of them.
+BORROWING_PEAK_RATIO = 2.0
 
 
 @dataclass(slots=True)
 class RoundUsage:
-    """How busy the backends were in a round."""
+    """The load on the backends during a round."""
 
     span: Ticks
-    busy: float
-    """Attempts in flight for each backend, of all nodes together, in the mean."""
-    is_at_ease: bool
-    """So few in flight that answers were unhurried."""
+    mean_in_flight: float
+    """Mean attempts in flight per backend, of all nodes together."""
+    is_unloaded: bool
+    """Whether so few were in flight that no answer waited in a queue."""
 
 
 class InFlightBudget:
     """Attempts in flight against the limit, as a budget of attempts times ticks."""
 
     __slots__ = (
-        "fleet",
+        "fleet_size",
         "healthy_backends",
         "in_flight",
         "last_limited_at",
@@ -50,69 +61,84 @@
 
     def __init__(self, nodes: int, now: Ticks) -> None:
         self.nodes = nodes
-        self.per_backend = FIRST / nodes  # the limit of this node for each healthy backend
-        self.healthy_backends, self.fleet = 1, 1.0
+        self.per_backend = INITIAL_LIMIT / nodes  # this node's limit for each healthy backend
+        self.healthy_backends, self.fleet_size = 1, 1.0
         self.in_flight = 0
-        self.spare, self.spare_at = 0.0, now  # attempts x ticks that the limit has left over
-        self.used = 0.0  # attempts x ticks, in this probing round
-        self.last_limited_at = -1  # when something last waited because of the limit
+        self.spare, self.spare_at = 0.0, now  # attempts x ticks that the limit left unused
+        self.used = 0.0  # attempts x ticks in the current probing round
+        self.last_limited_at = -1  # when a request last waited because of the limit
 
     def limit(self) -> float:
-        """Returns how many attempts this node may have in flight, in the mean."""
-        return self.per_backend * self.fleet
+        """Returns how many attempts this node may have in flight on average."""
+        return self.per_backend * self.fleet_size
 
-    def least_per_backend(self) -> float:
+    def min_per_backend(self) -> float:
         """Returns the lowest limit for each backend.
 
-        With many attempts of its own a node evens them out, and may fill backends more than one of
+        A node with many attempts of its own evens them out, and may load backends more than one of
         many nodes.
         """
-        return (LEAST + OWN * min(1.0, self.fleet / self.nodes / 2)) / self.nodes
+        return (
+            MIN_LIMIT + MIN_LIMIT_EXTRA * min(1.0, self.fleet_size / self.nodes / 2)
+        ) / self.nodes
 
     def spend(self, now: Ticks) -> None:
-        """Accounts for what was in flight up to now."""
-        limit, span = self.per_backend * self.fleet, now - self.spare_at
+        """Accounts for the attempts in flight up to now."""
+        limit, span = self.per_backend * self.fleet_size, now - self.spare_at
         self.used += self.in_flight * span
-        self.spare = min(limit * SPAN, self.spare + (limit - self.in_flight) * span)
+        self.spare = min(limit * AVERAGING_SPAN, self.spare + (limit - self.in_flight) * span)
         self.spare_at = now
 
-    def usage_since(self, now: Ticks, began: Ticks) -> RoundUsage:
-        """Returns how busy the backends were in the round that began then."""
-        span = max(1, now - began)
+    def usage_since(self, now: Ticks, began_at: Ticks) -> RoundUsage:
+        """Returns the load on the backends in the round that began at `began_at`."""
+        span = max(1, now - began_at)
         self.spend(now)
-        # A short round of a node with half an attempt shows one in flight all along; in the mean it
-        # keeps to its part.
-        busy = min(self.used / span / self.fleet, self.per_backend) * self.nodes
-        return RoundUsage(span, busy, busy < EASE * self.per_backend * self.nodes)
-
-    def limit_for_worked(self, worked: float) -> float:
-        """Returns a limit a backend for what is worked on and what chance makes wait."""
-        return max(LEAST / self.nodes, (worked + sqrt(worked)) / self.nodes)
-
-    def lower_while_queued(self, busy: float, worked: float, has_demand: bool) -> None:
-        """Lowers the limit towards what is worked on, of `busy` attempts a backend of all nodes."""
-        least, nodes = self.least_per_backend(), self.nodes
-        # What others fill must not be open to this node as well: unused, its part goes back.
-        limit = min(self.per_backend, max(least, UNUSED * busy / nodes))
-        kept = (worked + QUEUE_KEPT * sqrt(worked)) / nodes
-        if not has_demand and kept < limit:
-            limit = max(min(limit, least), (limit + kept) / 2)
+        # A node with a limit of half an attempt has one in flight for all of a short round, but
+        # keeps to its limit on average.
+        mean_in_flight = min(self.used / span / self.fleet_size, self.per_backend) * self.nodes
+        return RoundUsage(
+            span,
+            mean_in_flight,
+            mean_in_flight < MAX_UNLOADED_RATIO * self.per_backend * self.nodes,
+        )
+
+    def limit_for_in_service(self, in_service: float) -> float:
+        """Returns a limit per backend for the attempts in service and a random queue."""
+        return max(MIN_LIMIT / self.nodes, (in_service + sqrt(in_service)) / self.nodes)
+
+    def lower_while_queued(
+        self, mean_in_flight: float, in_service: float, has_demand: bool
+    ) -> None:
+        """Lowers the limit towards the attempts in service per backend, of all nodes together."""
+        minimum, nodes = self.min_per_backend(), self.nodes
+        # What other nodes fill must not be open to this one as well: it gives up what it left
+        # unused.
+        limit = min(self.per_backend, max(minimum, MAX_UNUSED_RATIO * mean_in_flight / nodes))
+        tolerated = (in_service + TOLERATED_QUEUE_RATIO * sqrt(in_service)) / nodes
+        if not has_demand and tolerated < limit:
+            limit = max(min(limit, minimum), (limit + tolerated) / 2)
         self.per_backend = limit
 
     def has_bound_since(self, moment: Ticks) -> bool:
-        """Whether something had to wait for the limit since then."""
+        """Whether a request had to wait for the limit at or after that moment."""
         return moment <= self.last_limited_at
 
-    def is_full(self, now: Ticks, ahead: bool) -> bool:
-        """Whether what waits has to wait; `ahead` borrows from what waits behind it."""
+    def is_full(self, now: Ticks, may_borrow: bool) -> bool:
+        """Whether a queued request has to wait; `may_borrow` uses budget of those behind it."""
         self.spend(now)
-        limit = self.per_backend * self.fleet
-        peak = min(PEAK_SMALL * limit + 1, max(limit, PEAK_LARGE * limit + PEAK_MORE))
-        if ahead and self.spare > -limit * SPAN and self.in_flight < AHEAD * peak:
+        limit = self.per_backend * self.fleet_size
+        peak = min(
+            SMALL_PEAK_RATIO * limit + 1, max(limit, LARGE_PEAK_RATIO * limit + LARGE_PEAK_EXTRA)
+        )
+        if (
+            may_borrow
+            and self.spare > -limit * AVERAGING_SPAN
+            and self.in_flight < BORROWING_PEAK_RATIO * peak
+        ):
             return False
         if self.spare >= 0 and self.in_flight < peak:
             return False
-        # A burst that meets the peak while the mean has capacity is not caused by the limit.
+        # A burst that reaches the peak while the mean is within the limit is not due to the limit.
         if self.spare <= 0 or peak <= limit:
             self.last_limited_at = now
         return True
--- a/pierglade/concurrency/increment.py
+++ b/pierglade/concurrency/increment.py
@@ -1,44 +1,48 @@
-"""How large the next increment of the limit is, and when it may be tried."""
+"""Chooses how large the next increment of the limit is, and when it may be tried."""
 
 from math import log
 
-from pierglade.concurrency.capacity_estimate import NOISY, CapacityEstimate
+from pierglade.concurrency.capacity_estimate import NOISY_SPREAD, CapacityEstimate
 from pierglade.model.ticks import Ticks
 
-# Constants. Steps are natural logarithms of how many times as many are let out.
-STEP_MOST = log(3)  # where answers hardly differ, an increment is judged by the first ones
-STEP_NOISY = log(1.5)  # else; overshoot by half for a round fills no queue that lasts
-STEP_LEAST = log(1.15)  # a smaller one gains little
-HOLD, HOLD_MOST = 10000, 80000  # 1 s, 8 s; between increments that failed, doubled
+# Steps are natural logarithms of the factor by which the limit grows.
+# Where the spread is low, an increment is judged by its first answers.
+MAX_STEP = log(3)
+# Where the spread is high. Exceeding the capacity by half for a round leaves no lasting queue.
+MAX_NOISY_STEP = log(1.5)
+# A smaller step gains little.
+MIN_STEP = log(1.15)
+# Ticks (1 s, 8 s). Between failed increments; doubled after each.
+MIN_HOLD_SPAN, MAX_HOLD_SPAN = 10000, 80000
 
 
 class Increment:
-    """The next increment, by how those before it went."""
+    """The next increment, derived from the results of earlier ones."""
 
-    __slots__ = ("hold", "hold_until", "step")
+    __slots__ = ("hold_span", "hold_until", "step")
 
     def __init__(self, now: Ticks) -> None:
-        self.step = STEP_MOST
-        self.hold, self.hold_until = HOLD, now
-
-    def succeeded(self) -> None:
-        """Doubles the step after one that made answers no slower."""
-        self.step, self.hold = min(STEP_MOST, 2 * self.step), HOLD
-
-    def failed(self, now: Ticks, growth: float) -> None:
-        """Halves the step after one to `growth` times the limit, and waits before the next."""
-        self.step = max(STEP_LEAST, log(max(1.0, growth)) / 2)
-        self.hold_until = now + self.hold
-        self.hold = min(HOLD_MOST, 2 * self.hold)
-
-    def largest(self, spread: float) -> float:
-        """Returns the largest step where shifts have that spread."""
-        return STEP_NOISY if spread > NOISY else STEP_MOST
-
-    def choose(self, estimate: CapacityEstimate, within: float, largest: float) -> float:
-        """Returns the step to take, where a round has time for `within` answers."""
-        # As small as the last failed one allows, but not too small to be seen in the noise.
+        self.step = MAX_STEP
+        self.hold_span, self.hold_until = MIN_HOLD_SPAN, now
+
+    def record_success(self) -> None:
+        """Doubles the step after an increment that made answers no slower."""
+        self.step, self.hold_span = min(MAX_STEP, 2 * self.step), MIN_HOLD_SPAN
+
+    def record_failure(self, now: Ticks, growth: float) -> None:
+        """Halves the step of an increment to `growth` times the limit, and delays the next."""
+        self.step = max(MIN_STEP, log(max(1.0, growth)) / 2)
+        self.hold_until = now + self.hold_span
+        self.hold_span = min(MAX_HOLD_SPAN, 2 * self.hold_span)
+
+    def max_step(self, spread: float) -> float:
+        """Returns the largest step for shifts with that spread."""
+        return MAX_NOISY_STEP if spread > NOISY_SPREAD else MAX_STEP
+
+    def choose(self, estimate: CapacityEstimate, max_answers: float, max_step: float) -> float:
+        """Returns the step to take in a round that has time for `max_answers` answers."""
+        # As small as the last failure requires, but large enough to be distinguished from noise.
         step = self.step
-        while estimate.attempts_needed(step) > within:
+        while estimate.attempts_needed(step) > max_answers:
             step *= 1.25
-        return min(step, largest)
+        return min(step, max_step)
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -1,31 +1,33 @@
-"""The limit on attempts in flight, found from how long answers take while it binds.
+"""The limit on attempts in flight, derived from the latency of answers while the limit binds.
 
-A ConcurrencyLimiter is told when attempts are sent, answered and over; it says whether one more may
-be in flight. Moments and spans are whole tenths of a millisecond.
+A ConcurrencyLimiter is notified when attempts are sent, answered and ended; it decides whether one
+more may be in flight. Moments and spans are ticks (tenths of a millisecond).
 
-Two things move the limit. Answers near their latency objective lower it and others raise it gently,
-answer by answer. And in probing rounds it searches for capacity (`capacity_search`).
+The limit changes in two ways. Each answer lowers it slightly if it took most of its latency
+objective, and raises it slightly otherwise. Probing rounds search for capacity (`capacity_search`).
 """
 
 from copy import copy
 
-from pierglade.concurrency.capacity_estimate import STRAIN, log_latency
+from pierglade.concurrency.capacity_estimate import STRAIN_RATIO, log_latency
 from pierglade.concurrency.capacity_search import STEADY, STEPPED, CapacitySearch, SearchMode
-from pierglade.concurrency.in_flight_budget import FIRST, InFlightBudget
+from pierglade.concurrency.in_flight_budget import INITIAL_LIMIT, InFlightBudget
 from pierglade.model.ticks import Ticks
 
-# Constants.
-STRAINED = 0.05  # share of answers that may strain before the limit is lowered
-# The same where rounds are sure of no queue: a lower limit would not make answers quicker.
-STRAINED_CLEAR = 0.15
-FOLLOWS = 0.5  # attempts; how fast the limit follows single answers
-FOLLOWS_SHARE = 0.2  # share of the limit; the same where it is an attempt or two
+# Fraction of the answers that may be strained before the limit is lowered.
+MAX_STRAINED_RATIO = 0.05
+# The same where rounds show that there is no queue: a lower limit would not make answers quicker.
+MAX_STRAINED_RATIO_WITHOUT_QUEUE = 0.15
+# Attempts. By how much one answer can change the limit.
+ADJUSTMENT_ATTEMPTS = 0.5
+# Fraction of the limit. Bounds that change where the limit is one or two attempts.
+MAX_ADJUSTMENT_RATIO = 0.2
 
 
 class ConcurrencyLimiter:
-    """How many attempts one of `nodes` balancers that share the fleet may have in flight.
+    """Limits the attempts in flight of one of `nodes` balancers that share the fleet.
 
-    `demand` is what quotas let come to this node in a tenth of a millisecond; None: no quotas.
+    `demand` is how many requests quotas allow for this node per tick; None without quotas.
     """
 
     def __init__(
@@ -35,34 +37,34 @@
         self._search = CapacitySearch(self._budget, request_classes, now, demand)
 
     def successor(
-        self, now: Ticks, places: list[int | None], demand: float | None
+        self, now: Ticks, previous_indexes: list[int | None], demand: float | None
     ) -> "ConcurrencyLimiter":
-        """Returns another node's limiter that knows what this one does, with nothing in flight.
+        """Returns a copy with what this limiter has learned and nothing in flight.
 
-        `places` has, for each of its request classes, the place of the class here or None.
+        `previous_indexes` has the index here of each request class of the copy, or None.
         """
         self._budget.spend(now)
-        heir = copy(self)
-        heir._budget = copy(self._budget)
-        heir._budget.in_flight = 0
-        heir._search = self._search.successor(heir._budget, now, places, demand)
-        return heir
+        successor = copy(self)
+        successor._budget = copy(self._budget)
+        successor._budget.in_flight = 0
+        successor._search = self._search.successor(successor._budget, now, previous_indexes, demand)
+        return successor
 
-    # What is known.
+    # State.
 
     @property
     def demand(self) -> float | None:
-        """Requests that quotas let come to this node in a tenth of a millisecond, or None."""
+        """Requests per tick that quotas allow for this node, or None."""
         return self._search.demand
 
     @demand.setter
     def demand(self, demand: float | None) -> None:
-        """Takes what changed quotas let come to this node."""
+        """Sets the demand after a change of quotas."""
         self._search.demand = demand
 
     @property
     def nodes(self) -> int:
-        """How many balancers share the fleet."""
+        """The number of balancers that share the fleet."""
         return self._budget.nodes
 
     @property
@@ -72,46 +74,46 @@
 
     @property
     def healthy_backends(self) -> int:
-        """How many backends that this node sends to are healthy."""
+        """The number of healthy backends that this node sends to."""
         return self._budget.healthy_backends
 
     @property
     def in_flight(self) -> int:
-        """How many attempts count against the limit."""
+        """The number of attempts that count against the limit."""
         return self._budget.in_flight
 
     @property
     def last_limited_at(self) -> Ticks:
-        """When something last waited because of the limit; -1 for never."""
+        """The moment when a request last waited because of the limit; -1 for never."""
         return self._budget.last_limited_at
 
     @property
     def base(self) -> list[float]:
-        """The log of the unhurried latency of each request class."""
-        return self._search.estimate.base
+        """The natural logarithm of the unloaded latency of each request class."""
+        return self._search.estimate.log_base_latencies
 
     @property
     def answers(self) -> list[int]:
-        """How many answers each unhurried latency rests on."""
-        return self._search.estimate.answers
+        """The number of answers that each unloaded latency is based on."""
+        return self._search.estimate.class_answers
 
     @property
     def missing(self) -> list[int]:
-        """Attempts of the probing round in flight, by request class."""
-        return self._search.round.missing
+        """The attempts of the probing round in flight, by request class."""
+        return self._search.round.pending
 
     @property
     def mode(self) -> SearchMode:
-        """What the current probing round is for."""
+        """The purpose of the current probing round."""
         return self._search.mode
 
-    def update_backends(self, now: Ticks, healthy: int, fleet: float) -> None:
-        """Sets how many backends are healthy here, and how many all nodes have."""
+    def update_backends(self, now: Ticks, healthy: int, fleet_size: float) -> None:
+        """Sets how many backends are healthy here, and the number of backends of all nodes."""
         self._budget.spend(now)
-        self._budget.healthy_backends, self._budget.fleet = healthy, fleet
+        self._budget.healthy_backends, self._budget.fleet_size = healthy, fleet_size
 
     def change_in_flight(self, now: Ticks, change: int) -> None:
-        """Counts so many more attempts in flight, or fewer."""
+        """Adds `change`, which may be negative, to the attempts in flight."""
         self._budget.spend(now)
         self._budget.in_flight += change
 
@@ -119,69 +121,73 @@
         """Counts an attempt that was sent; returns the round that it is part of, 0 for none."""
         return self._search.round.attempt_sent(now, request_class)
 
-    def attempt_lost(self, request_class: int, number: int) -> None:
-        """Takes out an attempt of round `number` that has no answer, or one that says nothing."""
-        probe = self._search.round
-        if number == probe.number:
-            probe.missing[request_class] -= 1
+    def attempt_lost(self, request_class: int, round_number: int) -> None:
+        """Removes an attempt of a round that has no answer, or none with a usable latency."""
+        probing_round = self._search.round
+        if round_number == probing_round.number:
+            probing_round.pending[request_class] -= 1
 
     def attempt_answered(
         self,
         now: Ticks,
         request_class: int,
-        number: int,
+        round_number: int,
         sent_at: Ticks,
         latency: Ticks,
         objective: Ticks,
     ) -> None:
-        """Takes in an answer from a healthy backend to an attempt of round `number`."""
+        """Records an answer from a healthy backend to an attempt of a round."""
         search = self._search
-        estimate, probe = search.estimate, search.round
-        part = STRAINED_CLEAR if estimate.is_clear else STRAINED
-        self._follow(sent_at, latency > STRAIN * objective, part)
-        taken = log_latency(latency)
-        weight = estimate.add_answer(request_class, taken, objective, search.mode is STEADY)
-        if number == probe.number:
-            probe.attempt_answered(request_class, taken - estimate.base[request_class], weight)
-        search.judge(now)
+        estimate, probing_round = search.estimate, search.round
+        max_ratio = (
+            MAX_STRAINED_RATIO_WITHOUT_QUEUE if estimate.is_queue_free else MAX_STRAINED_RATIO
+        )
+        self._adjust_limit(sent_at, latency > STRAIN_RATIO * objective, max_ratio)
+        latency_log = log_latency(latency)
+        weight = estimate.add_answer(request_class, latency_log, objective, search.mode is STEADY)
+        if round_number == probing_round.number:
+            probing_round.attempt_answered(
+                request_class, latency_log - estimate.log_base_latencies[request_class], weight
+            )
+        search.evaluate_round(now)
 
     def attempt_rejected(self, now: Ticks, sent_at: Ticks) -> None:
-        """Takes in that a healthy backend rejected an attempt unprocessed: it is full."""
+        """Records that a healthy backend rejected an attempt unprocessed: it is full."""
         budget = self._budget
-        # Up to the first limit it is rather one slow machine, with others that have capacity.
-        if budget.per_backend * budget.nodes > FIRST:
-            self._follow(sent_at, True, STRAINED)
+        # Up to the initial limit one slow machine is more likely; the others have capacity.
+        if budget.per_backend * budget.nodes > INITIAL_LIMIT:
+            self._adjust_limit(sent_at, True, MAX_STRAINED_RATIO)
         if self._search.mode is STEPPED:
-            self._search.take_back_step(now)
+            self._search.revert_step(now)
 
-    # What is asked.
+    # Queries.
 
     def current_limit(self) -> float:
-        """Returns how many attempts this node may have in flight, in the mean."""
+        """Returns how many attempts this node may have in flight on average."""
         return self._budget.limit()
 
-    def is_full(self, now: Ticks, ahead: bool = False) -> bool:
-        """Whether what waits has to go on waiting; `ahead` borrows from what waits behind it."""
-        return self._budget.is_full(now, ahead)
+    def is_full(self, now: Ticks, may_borrow: bool = False) -> bool:
+        """Whether a queued request has to wait; `may_borrow` uses budget of those behind it."""
+        return self._budget.is_full(now, may_borrow)
 
     def opens_at(self, now: Ticks) -> Ticks | None:
         """Returns when the mean has capacity again if no attempt ends before, or None."""
         return self._budget.opens_at(now)
 
-    def _follow(self, sent_at: Ticks, is_strained: bool, part: float) -> None:
-        """Lowers the limit when more answers than `part` strain, and raises it when fewer do."""
+    def _adjust_limit(self, sent_at: Ticks, is_strained: bool, max_ratio: float) -> None:
+        """Lowers the limit if more than `max_ratio` of answers are strained, else raises it."""
         budget, search = self._budget, self._search
-        follows = min(FOLLOWS_SHARE, FOLLOWS / budget.limit())
+        adjustment = min(MAX_ADJUSTMENT_RATIO, ADJUSTMENT_ATTEMPTS / budget.limit())
         if is_strained:
-            lower = budget.per_backend * (1 - follows * (1 - part))
-            budget.per_backend = min(budget.per_backend, max(budget.least_per_backend(), lower))
+            lowered = budget.per_backend * (1 - adjustment * (1 - max_ratio))
+            budget.per_backend = min(budget.per_backend, max(budget.min_per_backend(), lowered))
         elif (
             (budget.spare <= 0 or sent_at <= budget.last_limited_at)
             and search.mode is STEADY
             and not search.estimate.is_queued
         ):
-            # A limit under one is used up by one attempt: that shows no demand, but capacity for
-            # it all the same.
+            # A single attempt uses up a limit under one. That does not prove demand, but it proves
+            # capacity.
             budget.per_backend = search.overload.bounded(
-                budget.per_backend * (1 + follows * part), budget.spare_at
+                budget.per_backend * (1 + adjustment * max_ratio), budget.spare_at
             )
--- a/pierglade/concurrency/overload_history.py
+++ b/pierglade/concurrency/overload_history.py
@@ -1,50 +1,55 @@
-"""What rests have shown: the limit that overloaded the backends, and rests that did not help."""
+"""Records what rests showed: the limit that overloaded the backends, and rests that failed."""
 
 from math import exp, log
 
 from pierglade.model.ticks import Ticks
 
-# Constants. Times are tenths of a millisecond.
-BACK = 0.5  # of what was in flight before; what a limit begins with after a rest that helped
-OVERLOADED = 0.85  # of what was in flight before; no more than that is let out for long after
-FORGIVES = log(1.07) / 600000  # in a tenth of a millisecond; this bound grows by 7% a minute
-# 1 min, 10 min; no rest again after one that did not help, doubled each time.
-USELESS, USELESS_MOST = 600000, 6000000
+# Fraction of the limit before the overload, with which a node resumes after a rest that helped.
+RECOVERY_RATIO = 0.5
+# Fraction of the limit before the overload, which is not exceeded for long afterwards.
+OVERLOAD_BOUND_RATIO = 0.85
+# Logarithm per tick. That bound grows by 7% a minute.
+OVERLOAD_BOUND_GROWTH = log(1.07) / 600000
+# Ticks (1 min, 10 min). Delay of the next rest after one that did not help; doubled each time.
+MIN_REST_DELAY, MAX_REST_DELAY = 600000, 6000000
 
 
 class OverloadHistory:
-    """Bounds the limit after an overload, and keeps rests that do not help apart."""
+    """Bounds the limit after an overload, and delays the next rest after one that failed."""
 
-    __slots__ = ("healthy_limit", "overload_limit", "overloaded_at", "useless", "useless_until")
+    __slots__ = ("healthy_limit", "next_rest_at", "overload_limit", "overloaded_at", "rest_delay")
 
     def __init__(self, now: Ticks) -> None:
-        self.healthy_limit = 0.0  # a backend, when the last round without a queue was over
-        # The limit a backend that overloaded them, less a part.
+        self.healthy_limit = 0.0  # per backend, at the end of the last round without a queue
+        # Limit per backend that overloaded the backends, reduced by OVERLOAD_BOUND_RATIO.
         self.overload_limit, self.overloaded_at = None, now
-        self.useless, self.useless_until = USELESS, now
+        self.rest_delay, self.next_rest_at = MIN_REST_DELAY, now
 
     def bounded(self, limit: float, now: Ticks) -> float:
-        """Returns a limit a backend, at most what once overloaded the backends, for some time."""
+        """Returns a limit per backend, for some time bounded by what overloaded the backends."""
         if self.overload_limit is None:
             return limit
-        return min(limit, self.overload_limit * exp(FORGIVES * (now - self.overloaded_at)))
+        return min(
+            limit, self.overload_limit * exp(OVERLOAD_BOUND_GROWTH * (now - self.overloaded_at))
+        )
 
-    def recovered(self, now: Ticks, before: float) -> float:
-        """Takes in that a rest helped; returns the limit to begin with again.
+    def record_overload(self, now: Ticks, previous_limit: float) -> float:
+        """Records that a rest ended an overload; returns the limit to resume with.
 
-        Never back to what was too much: a second overload would be caused by this node. By the
-        limit when all was well: since then it has fallen, maybe to the least.
+        The limit that was too high is never restored: this node would cause a second overload. The
+        bound is derived from the limit of the last healthy round, as the limit may have fallen to
+        its minimum since.
         """
-        overload = max(before, self.healthy_limit)
-        self.overload_limit, self.overloaded_at = OVERLOADED * overload, now
-        self.healthy_limit = BACK * overload
+        overload = max(previous_limit, self.healthy_limit)
+        self.overload_limit, self.overloaded_at = OVERLOAD_BOUND_RATIO * overload, now
+        self.healthy_limit = RECOVERY_RATIO * overload
         return self.healthy_limit
 
-    def rest_was_useless(self, now: Ticks) -> None:
-        """Puts off the next rest, for twice as long each time."""
-        self.useless_until = now + self.useless
-        self.useless = min(USELESS_MOST, 2 * self.useless)
+    def record_failed_rest(self, now: Ticks) -> None:
+        """Delays the next rest, twice as long each time."""
+        self.next_rest_at = now + self.rest_delay
+        self.rest_delay = min(MAX_REST_DELAY, 2 * self.rest_delay)
 
-    def rest_helped(self) -> None:
-        """Ends the doubling after rests that did not help."""
-        self.useless = USELESS
+    def record_successful_rest(self) -> None:
+        """Resets the delay that failed rests doubled."""
+        self.rest_delay = MIN_REST_DELAY
