--- a/pierglade/errors.py
+++ b/pierglade/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that this package raises on purpose."""
+"""The base class of the errors that this package raises."""
 
 
 class PiergladeError(Exception):
-    """Something that pierglade found wrong; its text is one plain line that names the place."""
+    """An error detected by pierglade; its text is a single line that says where the fault is."""
--- a/pierglade/model/__init__.py
+++ b/pierglade/model/__init__.py
@@ -1,4 +1,4 @@
-"""The field's nouns as types: requests, attempts, endpoints, outcomes and decisions.
+"""The domain model: requests, attempts, endpoints, outcomes and decisions.
 
-No decision is made here and nothing is read or written. Start with `pierglade.model.request`.
+The package has no decision logic and does no I/O. Start with `pierglade.model.request`.
 """
--- a/pierglade/model/decision.py
+++ b/pierglade/model/decision.py
@@ -1,4 +1,4 @@
-"""What the balancer decides: one type a kind, pulled by the host one by one."""
+"""The decisions of the balancer: one type for each kind, pulled by the caller one by one."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
@@ -9,44 +9,44 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send the attempt's request to its backend."""
+    """Sends the attempt's request to its backend."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Wait no longer for the attempt."""
+    """Stops waiting for the attempt."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Answer that the request was not executed, or may be sent again without harm."""
+    """Responds that the request was not executed, or is safe to send again."""
 
     request: Request
     retry_after: Ticks = 0
-    """When the client may come back; 0 where clients are told nothing."""
+    """Wait before the client may retry; 0 if none is sent to clients."""
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Answer that the request failed; it may have been executed."""
+    """Responds that the request failed; it may have been executed."""
 
     request: Request
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Check the health of a backend, by its index in the balancer."""
+    """Checks the health of a backend, given by its index in the balancer."""
 
     backend: int
 
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask discovery for the endpoint list."""
+    """Requests the endpoint list from discovery."""
 
 
 Decision: TypeAlias = (
--- a/pierglade/model/endpoint.py
+++ b/pierglade/model/endpoint.py
@@ -1,4 +1,4 @@
-"""Backends as the endpoint list names them, and what they report of their load."""
+"""Backends as listed by discovery, and the load that they report."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list says of a backend."""
+    """State of a backend on the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -15,7 +15,7 @@
 
 
 class EjectionReason(StrEnum):
-    """Why a backend gets trial requests only."""
+    """Why a backend is ejected and gets trial requests only."""
 
     SLOW = "slow"
     UNRESPONSIVE = "unresponsive"
@@ -24,28 +24,28 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A backend as the endpoint list names it."""
+    """An entry of the endpoint list."""
 
     name: str
     state: EndpointState
     zone: str | None
     cell: object
     started_at: Ticks
-    """When its process started; 0: long ago."""
+    """Start time of its process; 0 if long ago."""
     weight: float = 1.0
-    """What it can bear beside others, as far as the list knows."""
+    """Capacity relative to other backends, according to the list."""
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a backend reports of its load from all nodes, a little late. None: not reported."""
+    """The load of a backend from all nodes, slightly delayed; None for a value not reported."""
 
     throughput: float | None = None
-    """Requests answered in a second."""
+    """Requests answered per second."""
     queue_length: float | None = None
-    """Requests that wait at the backend."""
+    """Requests queued at the backend."""
     utilization: float | None = None
-    """Share of its cores in use."""
+    """Fraction of its cores in use."""
 
 
 class LoadReportSource(StrEnum):
--- a/pierglade/model/request.py
+++ b/pierglade/model/request.py
@@ -8,18 +8,18 @@
 
 
 class Idempotency(StrEnum):
-    """What a second execution of a request does."""
+    """The effect of executing a request a second time."""
 
     SAFE = "safe"
-    """Nothing: it may be executed any number of times."""
+    """None: the request may be executed any number of times."""
     KEYED = "keyed"
-    """Nothing within the deduplication scope and window: it carries an idempotency key."""
+    """None within the deduplication scope and window: the request has an idempotency key."""
     UNSAFE = "unsafe"
-    """Harm: it must never be executed twice."""
+    """Harmful: the request must never be executed twice."""
 
 
 class DeduplicationScope(StrEnum):
-    """Which backends together drop a second execution of a keyed request."""
+    """The backends that jointly prevent a second execution of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,70 +28,70 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """What is known from the settings of one kind of request."""
+    """A class of requests, as configured."""
 
     index: int
     name: str
     idempotency: Idempotency
     deduplication_scope: str
-    """Keyed: a `DeduplicationScope`."""
+    """For keyed requests, a `DeduplicationScope`."""
     deduplication_window: Ticks
-    """Keyed: for how long, from the first attempt that may have been executed."""
+    """For keyed requests, its length from the first attempt that may have been executed."""
     latency_objective: Ticks
-    """An answer within this span counts."""
+    """Time within which an answer is useful."""
     request_timeout: Ticks
-    """The client gives up after this span."""
+    """Time after which the client gives up."""
     priority_weight: float
-    """What an answer is worth beside those of other classes."""
+    """Weight of an answer relative to those of other classes."""
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A customer that shares the fleet, while requests of it come."""
+    """A customer that shares the fleet; exists while it sends requests."""
 
     name: str
     quota_per_second: float
-    """Over all nodes; 0: none is stated."""
+    """Quota over all nodes; 0 if there is none."""
     rate: float = 0.0
-    """Requests of late, in what the balancer counts them by."""
+    """Recent requests, as a decaying count of the balancer."""
     last_seen: Ticks = 0
     slowness: float = 1.0
-    """Times that its requests take as long as others of their class."""
+    """Latency of its requests as a multiple of that of others in their class."""
     slowness_seen_at: Ticks = 0
     slow_requests: int = 0
-    """How many of its requests came while it was slow."""
+    """Number of its requests received while it was slow."""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request taken from a client; it is owed one final answer."""
+    """A request accepted from a client; it gets exactly one final answer."""
 
     host_context: object
-    """The host's own, never read by the decisions."""
+    """Data of the caller, never read by the decisions."""
     request_class: RequestClass
     tenant: Tenant | None
     arrived_at: Ticks
     deadline: Ticks
-    """When the client gives up."""
+    """Moment when the client gives up."""
     cost_hint: int = 0
-    """How much work it is, as far as the client can tell; 0: not told."""
+    """Amount of work according to the client; 0 if not stated."""
     relative_cost: float = 1.0
-    """The work over the mean of its class."""
+    """Amount of work relative to the mean of its class."""
     objective_at: Ticks = 0
-    """By when an answer counts, as the balancer judges it."""
+    """Moment by which an answer is useful, as estimated by the balancer."""
     attempts: "list[Attempt]" = field(default_factory=list)
     in_flight: int = 0
-    """Attempts without an outcome."""
+    """Number of attempts without an outcome."""
     first_possibly_executed: "Attempt | None" = None
     queued_since: Ticks = 0
-    """Since when it has waited with no attempt in flight."""
+    """Moment since which it has waited with no attempt in flight."""
     completed: bool = False
-    """It has its final answer."""
+    """Whether it has its final answer."""
     owner: object = None
-    """The host's own: the balancer that took it, under the settings of that moment."""
+    """Data of the caller: the balancer that accepted it, with the settings of that moment."""
 
     def update_possibly_executed(self, ended: "Attempt") -> None:
-        """Looks for another first attempt that may have been executed, if `ended` was none."""
+        """Updates `first_possibly_executed` if `ended` was that attempt but was not executed."""
         is_unexecuted = ended.outcome is not None and ended.outcome.is_unexecuted
         if not is_unexecuted or self.first_possibly_executed is not ended:
             return
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to a backend."""
+    """One transmission of a request to a backend."""
 
     request: Request
     number: int
@@ -116,8 +116,8 @@
     sent_at: Ticks
     timeout_at: Ticks
     is_trial: bool = False
-    """It goes to an ejected backend, to see whether that has recovered."""
+    """Whether it goes to an ejected backend, to test whether that has recovered."""
     probing_round: int = 0
-    """Which round of the concurrency limit it belongs to, 0 for none."""
+    """Number of the concurrency limiter's probing round that it is part of; 0 for none."""
     cancelled: bool = False
     outcome: Outcome | None = None
