--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -1,8 +1,8 @@
-"""The JSON of a configuration, or of a list, read in steps.
+"""Parses the JSON of a configuration, or of an endpoint list, in steps.
 
-One call of a parser on tens of thousands of rows takes some 35 ms, in which a node answers nothing.
-Where a cut may be made is guessed, and the parser itself decides whether it was right: no JSON is
-read by code of this package.
+Parsing tens of thousands of rows at once takes some 35 ms, during which a node answers nothing. The
+text is cut where a row probably ends, and the JSON parser decides whether the cut was right: this
+module does not interpret JSON itself.
 """
 
 import re
@@ -12,156 +12,179 @@
 
 import orjson
 
-from pierglade.settings.platform import shares_from
+from pierglade.settings.platform import quotas_from_rows
 from pierglade.settings.validation import InvalidSettingsError
 
-# Constants.
-WHOLE = 1 << 16  # bytes that are parsed at once
-PIECE = 1 << 13  # bytes of a step beside requests, under half a ms
-LARGE = 1 << 16  # the same of a list, that nothing may be sent by as it was for long; 2 ms
-TRIES = 8  # cuts tried at one brace after the other, before the piece is taken for one long row
-CUSTOMERS = ("settings", "customers")
-KNOWN = ("known", "endpoints")
-OPENS = rb'"%b"[ \t\r\n]*:[ \t\r\n]*\['
-BEHIND = re.compile(rb"[ \t\r\n]*([],])")
+# Bytes. A text up to this size is parsed at once.
+MAX_UNSPLIT_BYTES = 1 << 16
+# Bytes parsed in one step between requests, which takes under half a millisecond.
+CHUNK_BYTES = 1 << 13
+# Bytes of an endpoint list parsed in one step, which takes 2 ms. Larger than other steps, as the
+# list that it replaces must not be used for long.
+LIST_CHUNK_BYTES = 1 << 16
+# Cuts tried, at successive braces, before the chunk is extended as it may be a single long row.
+CUTS_PER_EXTENSION = 8
+CUSTOMERS_PATH = ("settings", "customers")
+KNOWN_ENDPOINTS_PATH = ("known", "endpoints")
+ARRAY_START = rb'"%b"[ \t\r\n]*:[ \t\r\n]*\['
+ROW_SEPARATOR = re.compile(rb"[ \t\r\n]*([],])")
 
 
 class LargeArray(NamedTuple):
-    """An array that is read in steps, outside of its document."""
+    """An array that is parsed in steps, separately from its document."""
 
     path: tuple[str, ...]
-    """The keys that lead to it."""
-    take: Callable[[list, int], None]
-    """Takes some of its rows, and the place of the first."""
+    """Keys from the root of the document to the array."""
+    add_rows: Callable[[list, int], None]
+    """Receives some of its rows and the index of the first."""
     replacement: list
-    """Stands in the document in its place."""
+    """Value that replaces it in the document."""
 
 
-def steps(text: bytes, known: bool = True) -> Generator[None, None, tuple[Any, dict[str, float]]]:
-    """Yields after each step; returns the document without customers, and their quotas by name.
+def steps(
+    text: bytes, with_known_endpoints: bool = True
+) -> Generator[None, None, tuple[Any, dict[str, float]]]:
+    """Yields after each step; returns the document without customers, and quotas by customer.
 
     Quotas are in requests a second.
 
     Args:
-        text: The JSON.
-        known: Whether the endpoint list that is known is kept; else it is left empty.
+        text: The JSON document.
+        with_known_endpoints: Whether to return the known endpoint list; else it is left empty.
 
     Raises:
-        ValueError: The text is no JSON.
+        ValueError: The text is not JSON.
         InvalidSettingsError: A customer cannot be used.
     """
-    shares, errors, rows = {}, [], []
+    quotas, errors, known_endpoints = {}, [], []
 
-    def _take(some, first):
+    def _add_customers(rows, first_index):
         try:
-            shares.update(shares_from(some, first))
+            quotas.update(quotas_from_rows(rows, first_index))
         except InvalidSettingsError as error:
-            errors.append(error)  # raised once it is sure that it stands among the customers
-
-    def _keep(some, _):
-        rows.extend(some if known else ())
-
-    document = yield from _without(
-        text, (LargeArray(CUSTOMERS, _take, []), LargeArray(KNOWN, _keep, rows)), PIECE
+            errors.append(error)  # raised once it is certain that the rows are the customers
+
+    def _add_endpoints(rows, _):
+        known_endpoints.extend(rows if with_known_endpoints else ())
+
+    document = yield from _parse_without(
+        text,
+        (
+            LargeArray(CUSTOMERS_PATH, _add_customers, []),
+            LargeArray(KNOWN_ENDPOINTS_PATH, _add_endpoints, known_endpoints),
+        ),
+        CHUNK_BYTES,
     )
     if document is None:
-        # Rows that stand elsewhere under the same key; rare enough to be read at once.
+        # The rows were found under the same key elsewhere; rare enough to parse all at once.
         document, errors = orjson.loads(text), []
-        shares.clear()
+        quotas.clear()
     if errors:
         raise errors[0]
-    document = without_customers(document, shares)
-    if not known and isinstance(document, dict) and document.get("known") is not None:
+    document = without_customers(document, quotas)
+    if (
+        not with_known_endpoints
+        and isinstance(document, dict)
+        and document.get("known") is not None
+    ):
         document["known"] = {}
-    return document, shares
+    return document, quotas
 
 
 def parsed(text: bytes) -> Generator[None, None, Any]:
-    """Yields after each step; returns the endpoint list, or whatever else the JSON holds."""
+    """Yields after each step; returns the endpoint list, or any other value in the JSON."""
     rows = []
-    document = yield from _without(
-        text, (LargeArray(("endpoints",), lambda some, _: rows.extend(some), rows),), LARGE
+    document = yield from _parse_without(
+        text,
+        (LargeArray(("endpoints",), lambda some_rows, _: rows.extend(some_rows), rows),),
+        LIST_CHUNK_BYTES,
     )
     return orjson.loads(text) if document is None else document
 
 
-def without_customers(document: Any, shares: dict[str, float]) -> Any:
-    """Returns the document without its customers; adds their quotas to `shares`."""
+def without_customers(document: Any, quotas: dict[str, float]) -> Any:
+    """Returns the document without its customers; adds their quotas to `quotas`."""
     settings = document.get("settings") if isinstance(document, dict) else None
     if isinstance(settings, dict) and settings.get("customers") is not None:
-        shares.update(shares_from(settings["customers"]))
+        quotas.update(quotas_from_rows(settings["customers"]))
         document = {**document, "settings": {**settings, "customers": []}}
     return document
 
 
-def _without(text: bytes, arrays: Iterable[LargeArray], piece: int) -> Generator[None, None, Any]:
-    """Yields after each step; returns the document, its large arrays read and replaced.
+def _parse_without(
+    text: bytes, arrays: Iterable[LargeArray], chunk_bytes: int
+) -> Generator[None, None, Any]:
+    """Yields after each step; returns the document, its large arrays parsed and replaced.
 
-    None if one of them was not what its key made it look like.
+    Returns None if an array was found under the right key in the wrong place.
     """
-    marks = []
-    for path, take, replacement in arrays:
-        opens = re.search(OPENS % path[-1].encode(), text) if len(text) > WHOLE else None
-        if opens is not None:
-            end = yield from _rows(text, opens.end(), take, piece)
-            # A mark that no text holds: what holds it later is what the rows stood in.
-            mark = uuid.uuid4().hex
-            marks.append((path, mark, replacement))
-            text = b'%b"%b"%b' % (text[: opens.end() - 1], mark.encode(), text[end:])
+    placeholders = []
+    for path, add_rows, replacement in arrays:
+        array_start = (
+            re.search(ARRAY_START % path[-1].encode(), text)
+            if len(text) > MAX_UNSPLIT_BYTES
+            else None
+        )
+        if array_start is not None:
+            end = yield from _read_rows(text, array_start.end(), add_rows, chunk_bytes)
+            # No other text has the placeholder, so it shows where the rows were in the document.
+            placeholder = uuid.uuid4().hex
+            placeholders.append((path, placeholder, replacement))
+            text = b'%b"%b"%b' % (text[: array_start.end() - 1], placeholder.encode(), text[end:])
             yield
     document = orjson.loads(text)
-    for (*way, last), mark, replacement in marks:
-        place = document
-        for key in way:
-            place = place.get(key) if isinstance(place, dict) else None
-        if not isinstance(place, dict) or place.get(last) != mark:
+    for (*parent_keys, last_key), placeholder, replacement in placeholders:
+        parent = document
+        for key in parent_keys:
+            parent = parent.get(key) if isinstance(parent, dict) else None
+        if not isinstance(parent, dict) or parent.get(last_key) != placeholder:
             return None
-        place[last] = replacement
+        parent[last_key] = replacement
     return document
 
 
-def _rows(text, at, take, piece):
-    """Reads an array whose first row begins `at`; returns where the text goes on behind it.
+def _read_rows(text, start, add_rows, chunk_bytes):
+    """Parses an array whose first row begins at `start`; returns the position after its end.
 
-    A cut that falls into a row or into a text leaves no whole JSON: then it is tried further on.
-    One behind the array's end does neither, and the parser says where the array was over.
+    A cut within a row or a string leaves invalid JSON, and a later one is tried. After a cut beyond
+    the end of the array, the parser reports where the array ended.
     """
-    count, tries, cut = 0, 0, at + piece
+    count, cuts, cut = 0, 0, start + chunk_bytes
     while True:
         cut = text.find(b"}", cut) + 1
-        part = b"[%b]" % text[at : cut or len(text)]
+        part = b"[%b]" % text[start : cut or len(text)]
         try:
             rows, end = orjson.loads(part), None
         except orjson.JSONDecodeError as error:
-            rows, end = _closed(part, error.pos)
+            rows, end = _parse_complete_array(part, error.pos)
             if rows is None:
                 if not cut:
                     raise
-                tries += 1
-                if tries % TRIES == 0:
-                    cut += cut - at  # a row as long as this piece and more
+                cuts += 1
+                if cuts % CUTS_PER_EXTENSION == 0:
+                    cut += cut - start  # the row is probably longer than this chunk
                 yield
                 continue
         if count and not rows:
-            raise ValueError("a comma stands behind the last row")
-        take(rows, count)
+            raise ValueError("trailing comma after the last row of an array; expected another row")
+        add_rows(rows, count)
         count += len(rows)
         yield
         if end is not None:
-            return at - 1 + end
-        behind = BEHIND.match(text, cut)
-        if behind is None:
-            raise ValueError("no comma stands between two rows")
-        at, tries = behind.end(), 0
-        if behind[1] == b"]":
-            return at
-        cut = at + piece
-
-
-def _closed(part, pos):
-    """Returns rows and length of the array that `part` begins with, if it ends before `pos`."""
+            return start - 1 + end
+        separator = ROW_SEPARATOR.match(text, cut)
+        if separator is None:
+            raise ValueError("missing comma after a row of an array; expected ',' or ']'")
+        start, cuts = separator.end(), 0
+        if separator[1] == b"]":
+            return start
+        cut = start + chunk_bytes
+
+
+def _parse_complete_array(part, error_position):
+    """Returns rows and length of the array at the start of `part`, if it ends before the error."""
     try:
-        array = part.decode()[:pos].rstrip(" \t\r\n").encode()
+        array = part.decode()[:error_position].rstrip(" \t\r\n").encode()
         return (orjson.loads(array), len(array)) if array[-1:] == b"]" else (None, None)
     except ValueError:
         return None, None
--- a/pierglade/reconfiguration/quota_changes.py
+++ b/pierglade/reconfiguration/quota_changes.py
@@ -1,52 +1,54 @@
-"""What later quotas say otherwise than those in force, compared in steps."""
+"""Compares new quotas with the current ones, in steps."""
 
 from collections.abc import Collection, Generator, Iterator
 
 from pierglade.tenants.registry import QuotaDelta, TenantRegistry
 
-# Constants.
-AT_ONCE = 1000  # names in one step, under half a ms
+# Names compared in one step, which takes under half a millisecond.
+BATCH_SIZE = 1000
 
 
-def steps(before: TenantRegistry, after: dict[str, float]) -> Generator[None, None, QuotaDelta]:
-    """Yields after each step; returns the difference from `before` to the quotas `after`.
+def steps(
+    current: TenantRegistry, new_quotas: dict[str, float]
+) -> Generator[None, None, QuotaDelta]:
+    """Yields after each step; returns the difference from `current` to `new_quotas`.
 
-    It fits `before` only as it was at the first step: a change meanwhile makes it conflict.
+    The difference is based on the version at the first step; it conflicts with later changes.
     """
-    base, changed, seen = before.version, {}, 0
-    for names in _batches(after):
+    base, changed, common = current.version, {}, 0
+    for names in _batches(new_quotas):
         for name in names:
-            share = before.shares.get(name)
-            seen += share is not None
-            if share != after[name]:
-                changed[name] = after[name]
+            quota = current.shares.get(name)
+            common += quota is not None
+            if quota != new_quotas[name]:
+                changed[name] = new_quotas[name]
         yield
-    gone = []
-    if seen < len(before.shares):
-        for names in _batches(before.shares):
-            gone += [name for name in names if name not in after]
+    removed = []
+    if common < len(current.shares):
+        for names in _batches(current.shares):
+            removed += [name for name in names if name not in new_quotas]
             yield
-    return QuotaDelta(base, base + 1, changed, gone)
+    return QuotaDelta(base, base + 1, changed, removed)
 
 
-def clear(shares: dict[str, float]) -> Iterator[None]:
-    """Yields after each step; empties a table of no more use. At once it would delay requests."""
-    while shares:
-        for _ in range(min(AT_ONCE, len(shares))):
-            shares.popitem()
+def clear(quotas: dict[str, float]) -> Iterator[None]:
+    """Yields after each step; empties an unused table. In one step it would delay requests."""
+    while quotas:
+        for _ in range(min(BATCH_SIZE, len(quotas))):
+            quotas.popitem()
         yield
 
 
-def fits_in_place(before: TenantRegistry, after: dict[str, float]) -> bool:
-    """Whether a node can go on with other quotas.
+def fits_in_place(current: TenantRegistry, new_quotas: dict[str, float]) -> bool:
+    """Whether a node can apply new quotas without being replaced.
 
-    With the first quota, or the last one gone, other figures say what demand comes to it, and the
-    limit on attempts in flight begins anew.
+    When the first quota is added or the last one removed, its demand is derived from other figures,
+    and its limit on attempts in flight is reset.
     """
-    return (before.total > 0) == (sum(after.values()) > 0)
+    return (current.total > 0) == (sum(new_quotas.values()) > 0)
 
 
 def _batches(names: Collection[str]) -> Iterator[list[str]]:
     names = list(names)
-    for at in range(0, len(names), AT_ONCE):
-        yield names[at : at + AT_ONCE]
+    for start in range(0, len(names), BATCH_SIZE):
+        yield names[start : start + BATCH_SIZE]
--- a/pierglade/settings/__init__.py
+++ b/pierglade/settings/__init__.py
@@ -1,4 +1,5 @@
-"""Checked settings of the balancer, and the platform's names for them.
+"""Validated settings of the balancer, and their names on the platform.
 
-Not for the operator's TOML file (`pierglade.config`). Start with `pierglade.settings.platform`.
+The operator's TOML file is read elsewhere (`pierglade.config`). Start with
+`pierglade.settings.platform`.
 """
--- a/pierglade/settings/balancer.py
+++ b/pierglade/settings/balancer.py
@@ -1,4 +1,4 @@
-"""The settings that the decisions rest on, checked and typed."""
+"""The settings that the balancing decisions depend on, validated and typed."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -10,55 +10,56 @@
 if TYPE_CHECKING:
     from pierglade.tenants.registry import TenantRegistry
 
-# Where the settings name none.
-DEFAULT_CONNECT_TIMEOUT: Ticks = 10000  # 1 s; a connection on a local network comes up within it
-DEFAULT_IDLE_TIMEOUT: Ticks = 100000  # 10 s; common servers keep an idle connection for longer
+# Ticks (1 s). A connection on a local network is established within it.
+DEFAULT_CONNECT_TIMEOUT: Ticks = 10000
+# Ticks (10 s). Common servers keep an idle connection open for longer.
+DEFAULT_IDLE_TIMEOUT: Ticks = 100000
 
 
 @dataclass(slots=True)
 class BalancerSettings:
-    """What a balancer is told of its deployment."""
+    """The settings of a balancer for its deployment."""
 
     request_classes: list[RequestClass]
     tenants: "TenantRegistry"
     node_number: int
-    """The node's own number among `node_count`, from 0 on."""
+    """Number of this node among `node_count`, from 0."""
     node_count: int
     max_attempts: int
-    """The most attempts for a request."""
+    """Maximum number of attempts per request."""
     may_cancel: bool
     may_check_health: bool
     max_retry_after: Ticks
-    """The longest wait that clients follow; 0 where they are told none."""
+    """Longest `Retry-After` that clients follow; 0 if none is sent."""
     slow_start_duration: Ticks
-    """A backend is in slow start for so long after its process started."""
+    """Time after the start of its process during which a backend is in slow start."""
     slow_start_capacity: float
-    """Share of its capacity that it has right after the start."""
+    """Fraction of its capacity that a backend has right after the start."""
     slow_start_overload: float
-    """In slow start it collapses beyond so many times what it can do."""
+    """Multiple of its current capacity above which a backend in slow start collapses."""
     worst_class_weight: float
-    """Weight of the worst-served request class in what counts as service."""
+    """Weight of the worst-served request class in the service objective."""
     connect_timeout: Ticks = DEFAULT_CONNECT_TIMEOUT
-    """A connection that is not up by then never will be."""
+    """Time after which a connection attempt is given up."""
     idle_timeout: Ticks = DEFAULT_IDLE_TIMEOUT
-    """Backends close a connection that was idle for so long."""
+    """Time after which backends close an idle connection."""
     drain_grace: Ticks = 0
-    """How long a draining or removed backend may be sent to; a node never does."""
+    """Time for which requests may still go to a draining or removed backend; nodes send none."""
     removal_binds: bool = True
-    """A removed backend is not sent to; else only one that was seen draining is not."""
+    """Whether a removed backend gets no requests; else only one that was draining gets none."""
     polls_endpoints: bool = False
-    """The endpoint list comes only when asked for."""
+    """Whether the endpoint list has to be polled."""
     load_report_source: LoadReportSource | None = None
     """None where backends report nothing that the decisions use."""
     load_report_fields: tuple[str | None, ...] = ()
-    """Fields of `LoadReport` in the order of a report; None for one that is not used."""
+    """Fields of `LoadReport` in the order of a report; None for an unused one."""
     retry_budget_window: Ticks = 0
-    """In any such span retries keep to the budget; 0: none is stated."""
+    """Window to which the retry budget applies; 0 without a budget."""
     retry_budget_minimum: int = 0
-    """So many retries in the window in any case."""
+    """Retries that are always allowed within the window."""
     retry_budget_ratio: float = 0.0
-    """And such a share of the requests taken in it."""
+    """Retries allowed on top, as a fraction of the requests received within the window."""
     zone: str | None = None
-    """The node's own."""
+    """Zone of this node."""
     cross_zone_penalty: float = 0.0
-    """What each crossing between zones costs, as a share of a request's worth."""
+    """Cost of sending a request to another zone, as a fraction of the request's value."""
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -1,7 +1,7 @@
-"""Maps the platform's settings, from the simulator's wire or a node's configuration, to typed ones.
+"""Maps the platform's settings, from the simulator or a node's configuration, to typed ones.
 
-Settings count microseconds; the balancer counts whole tenths of a millisecond. Limits round down
-and spans that must have passed round up, so no limit is ever seen later than it is.
+The platform's settings are in microseconds, the balancer's in ticks (tenths of a millisecond).
+Limits are rounded down and minimum waiting times up, so that no limit is exceeded by rounding.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 from pierglade.settings.validation import InvalidSettingsError
 from pierglade.tenants.registry import TenantRegistry
 
-# Names of load figures, as settings have them and as backends on sockets may.
+# Names of load values in settings and in the reports of backends, to fields of LoadReport.
 LOAD_FIELDS = {
     "throughput": "throughput",
     "qps": "throughput",
@@ -39,37 +39,37 @@
     "single_shot": Idempotency.UNSAFE,
 }
 RETRY_BUDGET_KEYS = ("lookBackUs", "extraFloor", "resendRatio")
-# Quotas by themselves: most of many thousand tenants have one of a few.
+# Interned quotas, in requests a second: most of many thousand tenants have one of a few values.
 _COMMON_QUOTAS: dict[float, float] = {}
 _MAX_COMMON_QUOTAS = 1000
 
 
 def down(microseconds: float) -> Ticks:
-    """Returns microseconds as ticks, rounded down; for limits."""
+    """Converts microseconds to ticks, rounded down; for limits."""
     return int(microseconds) // 100
 
 
 def up(microseconds: float) -> Ticks:
-    """Returns microseconds as ticks, rounded up; for spans that must have passed."""
+    """Converts microseconds to ticks, rounded up; for minimum waiting times."""
     return -(-int(microseconds) // 100)
 
 
-def settings_from(settings: dict, shares: dict[str, float] | None = None) -> BalancerSettings:
-    """Maps the platform's settings; keys that are not known are skipped.
+def settings_from(settings: dict, quotas: dict[str, float] | None = None) -> BalancerSettings:
+    """Maps the platform's settings; unknown keys are ignored.
 
     Args:
         settings: The platform's `settings` object.
-        shares: Quotas by tenant, where `customers` was read already.
+        quotas: Requests a second by tenant, if `customers` was read before.
 
     Raises:
         InvalidSettingsError: A setting cannot be used.
     """
     request_classes = _request_classes(settings)
     tenants = TenantRegistry(
-        shares_from(settings.get("customers") or []) if shares is None else shares
+        quotas_from_rows(settings.get("customers") or []) if quotas is None else quotas
     )
     limits = settings["limits"]
-    settings["contract"]  # required, also where each of its keys is optional
+    settings["contract"]  # required, although each of its keys is optional
     return BalancerSettings(
         request_classes=request_classes,
         tenants=tenants,
@@ -86,49 +86,49 @@
         **_contract(settings),
         polls_endpoints=validation.one_of(("push", "ask"), settings, "membershipMode") == "ask",
         zone=settings.get("zone"),
-        cross_zone_penalty=float(validation.figure(settings, "deductions.crossZone")),
+        cross_zone_penalty=float(validation.number(settings, "deductions.crossZone")),
         **_retry_budget(settings),
     )
 
 
-def shares_from(rows: Any, first: int = 0) -> dict[str, float]:
-    """Returns quotas by tenant, of rows of `customers` of which the first has the place `first`.
+def quotas_from_rows(rows: Any, first_index: int = 0) -> dict[str, float]:
+    """Returns quotas by tenant from rows of `customers`, the first of which has `first_index`.
 
     Raises:
-        InvalidSettingsError: A row names no tenant, or its quota is no figure.
+        InvalidSettingsError: A row has no name, or its quota is not a number of 0 or more.
     """
     if not isinstance(rows, list):
-        raise InvalidSettingsError("customers", rows, "no list of rows")
-    shares = {}
-    for place, row in enumerate(rows, first):
+        raise InvalidSettingsError("customers", rows, "a list of objects")
+    quotas = {}
+    for i, row in enumerate(rows, first_index):
         if not isinstance(row, dict) or not isinstance(row.get("name"), str):
-            raise InvalidSettingsError(f"customers.{place}", row, "no tenant with a name")
-        share = row.get("quotaPerS") or 0
-        if not validation.is_figure(share):
-            raise InvalidSettingsError(f"customers.{place}.quotaPerS", share, "no figure from 0 on")
-        shares[row["name"]] = (
-            _COMMON_QUOTAS.setdefault(share, float(share))
+            raise InvalidSettingsError(f"customers.{i}", row, "an object with a name")
+        quota = row.get("quotaPerS") or 0
+        if not validation.is_non_negative(quota):
+            raise InvalidSettingsError(f"customers.{i}.quotaPerS", quota, "a number of 0 or more")
+        quotas[row["name"]] = (
+            _COMMON_QUOTAS.setdefault(quota, float(quota))
             if len(_COMMON_QUOTAS) < _MAX_COMMON_QUOTAS
-            else float(share)
+            else float(quota)
         )
-    return shares
+    return quotas
 
 
-def load_from(fields: Iterable[str | None], figures: Iterable[float | None]) -> LoadReport:
-    """Returns a load report of figures that stand in the order of the settings' fields."""
+def load_from(fields: Iterable[str | None], values: Iterable[float | None]) -> LoadReport:
+    """Returns a load report of values in the order of the configured fields."""
     return LoadReport(
         **{
             name: float(value)
-            for name, value in zip(fields, figures)  # noqa: B905 (a report may be shorter)
+            for name, value in zip(fields, values)  # noqa: B905 (a report may be shorter)
             if name and value is not None
         }
     )
 
 
 def load_from_text(text: str) -> LoadReport | None:
-    """Returns the report in a header or a health check's body, "TEXT qps=71, queue=2".
+    """Parses the report in a header or a health check's body, such as "TEXT qps=71, queue=2".
 
-    None where it cannot be read.
+    Returns None if it is malformed.
     """
     try:
         pairs = [pair.split("=") for pair in text.removeprefix("TEXT").split(",")]
@@ -145,33 +145,36 @@
 
 def _request_classes(settings: dict) -> list[RequestClass]:
     rows = validation.required(
-        settings, "offerings", lambda value: isinstance(value, list) and value, "no list of rows"
+        settings,
+        "offerings",
+        lambda value: isinstance(value, list) and value,
+        "a non-empty list of objects",
     )
     classes = [_request_class(i, row) for i, row in enumerate(rows)]
     if len({each.name for each in classes}) < len(classes):
-        message = "settings.offerings holds a name twice"
-        raise InvalidSettingsError("offerings", rows, "a name twice", message)
+        message = "settings.offerings has a duplicate name; expected unique names"
+        raise InvalidSettingsError("offerings", rows, "unique names", message)
     return classes
 
 
 def _request_class(i: int, row: Any) -> RequestClass:
-    """Maps a row; half a row is none: its requests would all be past their deadline."""
+    """Maps a row. Each time is required: without it all requests would be past their deadline."""
 
     def _setting(key, accepts, expected):
         settings = {"offerings": {str(i): row}}
         return validation.required(settings, f"offerings.{i}.{key}", accepts, expected)
 
     def _span(key):
-        return down(_setting(key, validation.is_positive_figure, "no figure over 0"))
+        return down(_setting(key, validation.is_positive, "a number above 0"))
 
     return RequestClass(
         i,
-        _setting("name", lambda value: isinstance(value, str) and value, "no name"),
+        _setting("name", lambda value: isinstance(value, str) and value, "a non-empty string"),
         IDEMPOTENCY[
             _setting(
                 "idempotency",
                 lambda value: value in list(IDEMPOTENCY),
-                f"none of {', '.join(IDEMPOTENCY)}",
+                f"one of {', '.join(IDEMPOTENCY)}",
             )
         ],
         row.get("group") or "all",
@@ -183,15 +186,15 @@
 
 
 def _load_reports(settings: dict) -> dict[str, Any]:
-    word = validation.one_of(LOAD_REPORT_SOURCES, settings, "loadInfo.via") or "silent"
+    source = validation.one_of(LOAD_REPORT_SOURCES, settings, "loadInfo.via") or "silent"
     names = validation.optional(
-        settings, "loadInfo.fields", validation.is_list_of_names, "no list of names", []
+        settings, "loadInfo.fields", validation.is_list_of_strings, "a list of strings", []
     )
     fields = tuple(LOAD_FIELDS.get(name) for name in names)
-    # Without throughput and utilization nothing rests on reports, and reading each would cost.
+    # Without throughput and utilization no decision uses reports, and reading them is wasted.
     is_used = {"throughput", "utilization"} & set(fields)
     return {
-        "load_report_source": LOAD_REPORT_SOURCES[word] if is_used else None,
+        "load_report_source": LOAD_REPORT_SOURCES[source] if is_used else None,
         "load_report_fields": fields,
     }
 
@@ -213,15 +216,15 @@
 
 
 def _retry_budget(settings: dict) -> dict[str, Any]:
-    """Maps window, minimum and ratio of retries; one of the three alone is half a rule."""
+    """Maps window, minimum and ratio of retries; minimum and ratio require the window."""
     contract = settings.get("contract") or {}
     given = [key for key in RETRY_BUDGET_KEYS if contract.get(key) is not None]
     if given and "lookBackUs" not in given:
-        place = f"contract.{given[0]}"
-        message = f"settings.{place} stands without lookBackUs"
-        raise InvalidSettingsError(place, contract[given[0]], "without lookBackUs", message)
+        path = f"contract.{given[0]}"
+        message = f"settings.{path} requires settings.contract.lookBackUs, which is missing"
+        raise InvalidSettingsError(path, contract[given[0]], "lookBackUs beside it", message)
     return {
-        "retry_budget_window": up(validation.figure(settings, "contract.lookBackUs")),
-        "retry_budget_minimum": int(validation.figure(settings, "contract.extraFloor")),
-        "retry_budget_ratio": float(validation.figure(settings, "contract.resendRatio")),
+        "retry_budget_window": up(validation.number(settings, "contract.lookBackUs")),
+        "retry_budget_minimum": int(validation.number(settings, "contract.extraFloor")),
+        "retry_budget_ratio": float(validation.number(settings, "contract.resendRatio")),
     }
--- a/pierglade/tenants/__init__.py
+++ b/pierglade/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants, their quotas, and what is known of those with traffic.
+"""Tenants, their quotas, and the state of those with traffic.
 
-Not for deciding which request is rejected. Start with `pierglade.tenants.registry`.
+The decision which request is rejected is made elsewhere. Start with `pierglade.tenants.registry`.
 """
