--- a/pierglade/concurrency/capacity_estimate.py
+++ b/pierglade/concurrency/capacity_estimate.py
@@ -17,7 +17,7 @@
 STRAIN_RATIO = 0.75
 # Spread of shifts above which answers count as noisy.
 NOISY_SPREAD = 0.3
-# Standard errors. One increment in fifteen is accepted wrongly and reverted a round later.
+# Standard errors. One wrong increment in fifteen passes, and is reverted a round later.
 SIGNIFICANCE_ERRORS = 1.5
 # Standard error of a median, as a multiple of that of a mean.
 MEDIAN_ERROR_RATIO = 1.25
@@ -28,7 +28,7 @@
 # Multiple of the square root of the attempts in service. More waiting attempts are a queue, and
 # the limit stops growing; random arrivals alone make this many wait.
 QUEUE_RATIO = 1.0
-# The same unit. With more waiting attempts the limit is halved to check that they are a queue.
+# The same unit. With more waiting attempts the limit is halved, to check whether they are a queue.
 DEEP_QUEUE_RATIO = 3.0
 # Attempts in service per backend. With fewer, strained answers show a short queue soon enough.
 MIN_IN_SERVICE_FOR_QUEUE = 6.0
--- a/pierglade/concurrency/capacity_search.py
+++ b/pierglade/concurrency/capacity_search.py
@@ -149,7 +149,7 @@
         self._become_steady(now, self.previous_shift)
 
     def begin_rest(self, now: Ticks, mode: SearchMode, shift: float) -> None:
-        """Lowers the limit until backends recover (RESTED) or have no queue (DRAINED)."""
+        """Lowers the limit so that backends recover (RESTED) or have no queue (DRAINED)."""
         budget = self.budget
         self.mode, self.rest_began_at = mode, now
         # An overloaded backend works on one attempt per core, as slowly as if it had fewer cores.
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -222,7 +222,9 @@
     if given and "lookBackUs" not in given:
         path = f"contract.{given[0]}"
         message = f"settings.{path} requires settings.contract.lookBackUs, which is missing"
-        raise InvalidSettingsError(path, contract[given[0]], "lookBackUs beside it", message)
+        raise InvalidSettingsError(
+            path, contract[given[0]], "lookBackUs to be set as well", message
+        )
     return {
         "retry_budget_window": up(validation.number(settings, "contract.lookBackUs")),
         "retry_budget_minimum": int(validation.number(settings, "contract.extraFloor")),
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -131,7 +131,7 @@
             ],
         )
 
-    def test_drains_to_learn_unloaded_latency(self):
+    def test_drain_finds_unloaded_latency(self):
         """Guards against queueing time being learned as unloaded latency.
 
         A node whose limit binds from the start sees only answers that waited in a queue, so it has
