--- a/pierglade/balancer/__init__.py
+++ b/pierglade/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Which backend gets an attempt, whether it is retried, and what is rejected.
+"""Selects the backend of each attempt, and decides on retries and rejections.
 
-Not for sockets, clocks or settings files. Start with `pierglade.balancer.balancer`.
+Contains no sockets, clocks or settings files. The entry point is `pierglade.balancer.balancer`.
 """
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -1,10 +1,11 @@
-"""The decisions of a balancer: which backend gets a request, what is retried, what is rejected.
-
-A host makes one `Balancer` with a seed and its settings, and reports whatever happens by its inputs
-(`endpoints_updated`, `request_received`, `attempt_ended` and so on); these only update what is
-known. It then pulls `next_decision(now)` until that is None, carries each decision out, and calls
-again no later than `next_wakeup(now)`. The decisions' types are in `pierglade/model/decision.py`;
-docs/design.md has the reasons. Moments and spans are tenths of a millisecond. No I/O, no clock.
+"""Decides which backend receives a request, what is retried and what is rejected.
+
+The caller creates one `Balancer` from a seed and its settings, and reports all events through its
+inputs (`endpoints_updated`, `request_received`, `attempt_ended` and so on), which only update the
+state. It then calls `next_decision(now)` until that returns None, carries out each decision, and
+calls again no later than `next_wakeup(now)`. The types of decisions are in
+`pierglade/model/decision.py`; docs/design.md gives the reasons. Times and durations are in ticks
+(tenths of a millisecond). No I/O, no clock.
 """
 
 import random
@@ -24,7 +25,7 @@
 from pierglade.balancer.request_cost import RequestCosts
 from pierglade.balancer.request_queue import RequestQueue, is_host_late
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
-from pierglade.balancer.rotation import RATE_LEAST, Rotation
+from pierglade.balancer.rotation import MIN_REQUEST_RATE, Rotation
 from pierglade.balancer.selection import Selection
 from pierglade.balancer.slow_start import SlowStart
 from pierglade.balancer.stored_figures import export_statistics, restore_statistics
@@ -44,31 +45,31 @@
 from pierglade.model.request import Attempt, Request, RequestClass
 from pierglade.settings.balancer import BalancerSettings
 
-# Times the usual latency; how long an attempt that nobody waits for still counts as in flight.
-ABANDONED_FOR = 1.5
-# 0.1 s; advice to a rejected client without overload, as what it found full may be free.
-RETRY_SOON = 1000
-# 0.5 s; the same under overload, the time a burst takes to pass.
-RETRY_LATER = 5000
+# Multiple of the typical latency. An abandoned attempt counts as in flight for this long.
+ABANDONED_LATENCY_RATIO = 1.5
+# Ticks (0.1 s). Retry advice to a rejected client without overload, when capacity may soon be free.
+RETRY_AFTER_NORMAL = 1000
+# Ticks (0.5 s). Retry advice under overload, the time that a burst takes to pass.
+RETRY_AFTER_OVERLOADED = 5000
 
 
 class Balancer:
-    """One balancer: joins the parts that own what is known, and makes the decisions."""
+    """One balancer: connects the components that own its state, and makes the decisions."""
 
     def __init__(
-        self, seed: int, settings: BalancerSettings, now: int, before: "Balancer | None" = None
+        self, seed: int, settings: BalancerSettings, now: int, previous: "Balancer | None" = None
     ) -> None:
-        """`before`: whose place this one takes as settings change; both spend one retry budget."""
+        """`previous` is the balancer replaced by new settings; both share one retry budget."""
         self.settings = settings
         self.pick = random.Random(seed).randrange
         has_quotas = settings.tenants.total > 0
-        # Without a word of what others are asked for, probing rounds find the limit
+        # Without a report of what other nodes receive, probing rounds find the limit
         # (docs/notes/limit.md).
         self.learns = bool(
             not has_quotas and settings.node_count > 1 and settings.load_report_source
         )
         rate = settings.tenants.total / settings.node_count / 10000
-        demand = RATE_LEAST if self.learns else rate or None
+        demand = MIN_REQUEST_RATE if self.learns else rate or None
         class_count = len(settings.request_classes)
         self.limit = ConcurrencyLimiter(settings.node_count, class_count, now, demand)
         self.polling = PollSchedule(settings.polls_endpoints, now, self.pick)
@@ -88,12 +89,12 @@
             self.load_reports,
             self.ejections,
         )
-        self._make_rules(before)
-        self._make_choices()
-        self._make_fronts()
+        self._make_rules(previous)
+        self._make_selection()
+        self._make_facades()
 
     def _make_stats(self, now: int) -> None:
-        """The parts that only keep figures."""
+        """Creates the components that only record figures."""
         settings, learns = self.settings, self.learns
         longest_timeout = max(each.request_timeout for each in settings.request_classes)
         self.endpoints = EndpointStats(longest_timeout)
@@ -101,19 +102,23 @@
         self.request_costs = RequestCosts(self.request_stats)
         self.pause_forecast = PauseForecast()
         self.slow_start = SlowStart.from_settings(settings)
-        by_checks = learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-        are_rare = by_checks and "throughput" not in settings.load_report_fields
+        from_health_checks = (
+            learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
+        )
+        reports_are_rare = from_health_checks and "throughput" not in settings.load_report_fields
         self.load_reports = LoadReports(
-            settings, self.endpoints, self.request_stats, self.slow_start, are_rare, now
+            settings, self.endpoints, self.request_stats, self.slow_start, reports_are_rare, now
+        )
+        self.health_checks = HealthChecks(
+            from_health_checks and settings.may_check_health, reports_are_rare
         )
-        self.health_checks = HealthChecks(by_checks and settings.may_check_health, are_rare)
         self.ejections = Ejections(self.limit, self.wakeup)
         self.queue = RequestQueue(settings, self.request_stats, self.wakeup)
 
-    def _make_rules(self, before: "Balancer | None") -> None:
-        """The parts that judge by those figures."""
+    def _make_rules(self, previous: "Balancer | None") -> None:
+        """Creates the components that evaluate those figures."""
         settings = self.settings
-        self.retry_budget = RetryBudget.from_settings(settings, before and before.retry_budget)
+        self.retry_budget = RetryBudget.from_settings(settings, previous and previous.retry_budget)
         self.retry_rules = RetryRules(settings.max_attempts, self.endpoints)
         self.deadlines = RequestDeadlines(settings, self.request_stats, self.rotation, self.queue)
         self.outliers = OutlierDetection(
@@ -132,8 +137,8 @@
             self.pending,
         )
 
-    def _make_choices(self) -> None:
-        """The parts that choose by these."""
+    def _make_selection(self) -> None:
+        """Creates the components that select backends and requests."""
         self.selection = Selection(
             self.settings,
             self.learns,
@@ -164,8 +169,8 @@
             self.request_stats,
         )
 
-    def _make_fronts(self) -> None:
-        """The parts that join others for one input or question."""
+    def _make_facades(self) -> None:
+        """Creates the components that join others for one input or query."""
         self._endpoint_list = EndpointList(
             self.pick,
             self.endpoints,
@@ -202,65 +207,71 @@
         )
 
     def replace_limit(self, limit: ConcurrencyLimiter) -> None:
-        """All parts go on with that limiter (`pierglade/snapshot/handover.py`)."""
+        """Replaces the limiter of all components (`pierglade/snapshot/handover.py`)."""
         self.limit = self.ejections.limit = self.rotation.limit = limit
         self.outliers.limit = self.selection.limit = self.dispatch.limit = limit
 
-    # What hosts and operators may ask.
+    # Queries of callers and operators.
 
     @property
     def overloaded(self) -> bool:
-        """Whether requests wait for too long."""
+        """Whether requests are queued for too long."""
         return self.queue.overloaded
 
     def endpoint_name(self, backend: int) -> str:
-        """The name of the backend with that index."""
+        """Returns the name of the backend with that index."""
         return self.endpoints.names[backend]
 
     def endpoint_status(self, name: str, now: int) -> EndpointStatus | None:
-        """What is known of the backend of that name; None if nothing is."""
+        """Returns the status of the backend with that name, or None if it is unknown."""
         return self._observer.status(name, now)
 
     def queue_length(self) -> int:
-        """How many requests wait for a backend."""
+        """Returns the number of requests queued for a backend."""
         return len(self.queue)
 
     def retry_after(self, now: int) -> int:
-        """Advice to a rejected client; 0 where clients are given none."""
-        return min(RETRY_LATER if self.overloaded else RETRY_SOON, self.settings.max_retry_after)
+        """Returns the retry advice to a rejected client in ticks; 0 where none is given."""
+        return min(
+            RETRY_AFTER_OVERLOADED if self.overloaded else RETRY_AFTER_NORMAL,
+            self.settings.max_retry_after,
+        )
 
     def export_statistics(self, keys: Iterable[str]) -> tuple[list[dict], dict[str, dict]]:
-        """What a restart would forget; see `stored_figures.export_statistics`."""
+        """Exports the statistics to store; see `stored_figures.export_statistics`."""
         return export_statistics(self, keys)
 
     def restore_statistics(self, rows: list[dict], backends: dict[str, dict]) -> None:
-        """Takes back exported statistics; see `stored_figures.restore_statistics`."""
+        """Restores exported statistics; see `stored_figures.restore_statistics`."""
         restore_statistics(self, rows, backends)
 
-    # Inputs: they update what is known.
+    # Inputs: they update the state.
 
     def quotas_updated(self, now: int) -> None:
-        """What tenants may ask has changed; they have quotas, and had some before."""
+        """Applies changed quotas of tenants that had quotas before."""
         self.rotation.quotas_updated(now)
 
-    def endpoints_updated(self, now: int, entries: Iterable[Endpoint], whole: bool) -> None:
-        """The endpoint list: of all backends where it is `whole`, or of the changed ones."""
+    def endpoints_updated(self, now: int, entries: Iterable[Endpoint], is_whole: bool) -> None:
+        """Applies the endpoint list: all backends if `is_whole`, else the changed ones."""
         self.polling.endpoints_updated()
-        self._endpoint_list.apply(now, entries, whole)
+        self._endpoint_list.apply(now, entries, is_whole)
 
-    def discovery_lost(self, now: int, waited: int = -NEVER) -> None:
-        """The list could not be had, or is watched no more; `waited`: since its last update."""
-        self.polling.discovery_lost(now, waited)
+    def discovery_lost(self, now: int, since_update: int = -NEVER) -> None:
+        """Schedules a poll after the endpoint list failed to load or its watch ended.
+
+        `since_update` is the time since the last update of the list.
+        """
+        self.polling.discovery_lost(now, since_update)
         self.wakeup.request(self.polling.next_at)
 
     def load_reported(self, now: int, name: str, load: LoadReport) -> None:
-        """A backend reports its load, with an answer or a health check's result."""
+        """Records a load report that came with an answer or with a health check."""
         backend = self.endpoints.index.get(name)
         if backend is not None:
             self.load_reports.load_reported(backend, now, load)
 
     def request_received(self, now: int, request: Request) -> None:
-        """A request has come in; from here on it gets exactly one final answer."""
+        """Queues a request, which gets exactly one final answer from here on."""
         self.retry_budget.request_received(now)
         self.queue.count_tenant(request.tenant, now)
         request.queued_since = request.arrived_at
@@ -272,41 +283,43 @@
     def should_shed(
         self,
         now: int,
-        idle: int,
+        last_idle_at: int,
         request_class: RequestClass,
-        came: int,
-        left: int,
-        refused: bool = False,
+        arrived_at: int,
+        time_left: int,
+        already_rejected: bool = False,
     ) -> bool:
-        """Whether what has come is rejected unseen, as the host is short of its core.
+        """Returns whether an arriving request is rejected unread for lack of CPU time.
 
-        `idle`: when the host was last idle; `refused`: it was shed at the door already.
+        `last_idle_at` is when the process was last idle; `already_rejected` means that admission
+        control has shed the request.
         """
-        shed = refused or is_host_late(now, idle, request_class, came)
-        self.deadlines.shed(request_class, left, shed)
-        return shed
+        is_shed = already_rejected or is_host_late(now, last_idle_at, request_class, arrived_at)
+        self.deadlines.request_shed(request_class, time_left, is_shed)
+        return is_shed
 
     def attempt_ended(
-        self, now: int, attempt: Attempt, outcome: Outcome, took: int, done: bool
+        self, now: int, attempt: Attempt, outcome: Outcome, latency: int, is_final: bool
     ) -> None:
-        """An attempt has ended after `took`; `done`: its answer is the request's."""
+        """Records the end of an attempt; `is_final` means that its answer is the request's."""
         request, backend = attempt.request, attempt.backend
         stats = self.request_stats.classes[request.request_class.index]
         attempt.outcome = outcome
         request.in_flight -= 1
-        # An abandoned attempt may still be worked on; filled at once, its place overdrives.
+        # The backend may still be working on an abandoned attempt; filling its place at once would
+        # overload the backend.
         if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
-            attempt.timeout_at = now + int(ABANDONED_FOR * stats.typical)
+            attempt.timeout_at = now + int(ABANDONED_LATENCY_RATIO * stats.typical)
             self.wakeup.request(attempt.timeout_at)
         else:
             self.ejections.attempt_left(backend, attempt, now)
         if attempt.is_trial:
             self.ejections.trial_ended(backend)
         request.update_possibly_executed(attempt)
-        self.outliers.attempt_ended(now, attempt, outcome, took)
+        self.outliers.attempt_ended(now, attempt, outcome, latency)
         if request.completed:
             return
-        if done:
+        if is_final:
             request.completed = True
             stats.got += outcome == Outcome.SUCCESS and now <= request.objective_at
             self.pending.cancel_all(request)
@@ -314,38 +327,40 @@
             self.dispatch.attempt_lost(now, request, outcome)
 
     def response_started(self, attempt: Attempt) -> None:
-        """The response has started; the attempt belongs to the client."""
+        """Records that the response has started; the attempt then belongs to the client."""
         attempt.cancelled = attempt.request.completed = True
 
     def client_disconnected(self, now: int, request: Request) -> None:
-        """The client has gone; no answer is due."""
+        """Records that the client has disconnected and needs no answer."""
         if not request.completed:
             request.completed = True
-            self.deadlines.left_unanswered(request)
+            self.deadlines.request_unanswered(request)
             self.pending.cancel_all(request)
 
-    def health_checked(self, now: int, name: str, good: bool, took: int) -> None:
-        """A health check's result.
+    def health_checked(self, now: int, name: str, is_healthy: bool, latency: int) -> None:
+        """Applies the result of a health check.
 
-        It proves no more than a running process, so it only admits a trial request.
+        It proves only that the process is running, so it admits no more than a trial request.
         """
         backend = self.endpoints.index.get(name)
         if backend is None or self.ejections.reason[backend] is None:
             return
-        if good:
+        if is_healthy:
             self.ejections.admit_trial(backend)
         else:
             self.outliers.trial_failed(backend, now)
 
     def next_wakeup(self, now: int) -> int | None:
-        """When to pull decisions again, if nothing comes in before; None for never."""
-        # A client's repeat may have so little time left that the next sweep would come after its
+        """Returns when to request decisions again if nothing happens before; None for never."""
+        # A client's repeat may have so little time left that the next sweep would be past its
         # limit.
-        first = min([self.wakeup.at, *map(self.deadlines.last_chance, self.queue.first_of_each())])
-        return max(now + 1, first) if first < NEVER else None
+        earliest = min(
+            [self.wakeup.at, *map(self.deadlines.latest_send_time, self.queue.next_requests())]
+        )
+        return max(now + 1, earliest) if earliest < NEVER else None
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision (`pierglade.model.decision`), or None."""
+        """Returns the next decision (`pierglade.model.decision`), or None."""
         if now >= self.wakeup.at:
             self._sweep.run(now)
         decision = self.dispatch.next_decision(now)
--- a/pierglade/balancer/dispatch.py
+++ b/pierglade/balancer/dispatch.py
@@ -1,4 +1,4 @@
-"""Which request is sent, rejected or failed next, and where an attempt goes. No I/O, no clock."""
+"""Decides which request is sent, rejected or failed next, and where to. No I/O, no clock."""
 
 from heapq import heappop
 
@@ -6,9 +6,9 @@
 from pierglade.balancer.endpoint_stats import RequestStats
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.load_reports import LoadReports
-from pierglade.balancer.outlier_detection import UNRESPONSIVE_LEAST
+from pierglade.balancer.outlier_detection import MIN_UNRESPONSIVE_RATIO
 from pierglade.balancer.pending_decisions import PendingDecisions
-from pierglade.balancer.request_queue import QUEUED_MOST, RequestQueue
+from pierglade.balancer.request_queue import MAX_QUEUED_RATIO, RequestQueue
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
 from pierglade.balancer.rotation import Rotation
 from pierglade.balancer.selection import Selection
@@ -29,7 +29,7 @@
 class Dispatch:
     """Takes requests off the queue.
 
-    In this order: decisions made already, retries, queued requests, trial requests.
+    The order is: pending decisions, retries, queued requests, trial requests.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._request_stats = request_stats
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision, or None; a rejection's advice is the caller's to set."""
+        """Returns the next decision, or None; the caller sets the retry advice of a rejection."""
         if (decision := self._pending.take()) is not None:
             return decision
         is_decided, decision = self._decide_retry(now)
@@ -75,17 +75,19 @@
             return decision
         for heap in self._queue.heaps:
             if heap and self._deadlines.is_too_late(heap[0][2], now):
-                return self.final(heappop(heap)[2])
+                return self.final_answer(heappop(heap)[2])
         backend = self._health_checks.take()
         return None if backend is None else CheckHealth(backend)
 
     def _decide_retry(self, now: int) -> tuple[bool, Decision | None]:
-        """Whether that is the decision, and the decision, which may be None all the same."""
+        """Returns whether a retry determines the next decision, and that decision or None."""
         retries = self._queue.retries
         for request in retries:
             if request.completed or self._deadlines.is_too_late(request, now):
                 retries.remove(request)
-                return True, self.next_decision(now) if request.completed else self.final(request)
+                return True, self.next_decision(now) if request.completed else self.final_answer(
+                    request
+                )
             allowed = self._retry_budget.allows_granted(now)
             backend = self._selection.choose(request, now) if allowed else None
             if backend is not None:
@@ -100,16 +102,16 @@
             if (
                 self._deadlines.is_too_late(request, now)
                 or now - request.queued_since
-                > QUEUED_MOST * request.request_class.latency_objective
+                > MAX_QUEUED_RATIO * request.request_class.latency_objective
             ):
-                # Queued so long, it would be answered late: an early no leaves capacity for the
-                # others.
+                # After so long in the queue it would be answered late: an early rejection leaves
+                # the capacity to others.
                 heappop(heap)
-                return self.final(request)
-            full = limit.is_full(now, heap is queue.light_heap)
-            if full and (opens := limit.opens_at(now)) is not None:
-                self._wakeup.request(opens)
-            backend = None if full else self._selection.choose(request, now)
+                return self.final_answer(request)
+            is_full = limit.is_full(now, heap is queue.light_heap)
+            if is_full and (opens_at := limit.opens_at(now)) is not None:
+                self._wakeup.request(opens_at)
+            backend = None if is_full else self._selection.choose(request, now)
             if backend is None:
                 break
             heappop(heap)
@@ -117,11 +119,11 @@
         return None
 
     def _decide_trial(self, now: int) -> Decision | None:
-        """A trial request that is due, though the healthy backends are full.
+        """Returns a due trial request, even if the healthy backends are full.
 
-        Or a node that took most for unresponsive by mistake would queue all for the one left and
-        learn no better. One with others to draw into its subset keeps to the limit: hundreds beyond
-        it overdrive the fleet.
+        Otherwise a node that wrongly ejected most backends as unresponsive would queue everything
+        for the remaining one and could not correct the mistake. A node that can add other backends
+        to its subset keeps to the limit: hundreds of nodes beyond it overload the fleet.
         """
         rotation, ejections = self._rotation, self._ejections
         if not self.limit.healthy_backends * 2 <= len(rotation.subset) == len(rotation.by_rank):
@@ -142,21 +144,21 @@
         return None
 
     def send(self, request: Request, backend: int, now: int) -> SendAttempt:
-        """An attempt goes to that backend."""
+        """Sends an attempt of the request to the backend."""
         ejections, class_index = self._ejections, request.request_class.index
-        trial = self._selection.is_trial(request, backend)
-        attempt = Attempt(request, len(request.attempts), backend, now, request.deadline, trial)
+        is_trial = self._selection.is_trial(request, backend)
+        attempt = Attempt(request, len(request.attempts), backend, now, request.deadline, is_trial)
         if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
             self.limit.change_in_flight(now, 1)
             attempt.probing_round = self.limit.attempt_sent(now, class_index)
-        if trial:
+        if is_trial:
             ejections.trial_sent(backend)
             ejections.schedule_trial(backend, now)
         self._slow_start.attempt_sent(backend, now)
         self._health_checks.attempt_sent(self._rotation.subset, self._load_reports.reported_at)
         ejections.attempt_sent(backend, attempt)
-        quiet = int(UNRESPONSIVE_LEAST * self._request_stats.classes[class_index].typical)
-        self._wakeup.request(now + max(SWEEP_INTERVAL, quiet))
+        silence = int(MIN_UNRESPONSIVE_RATIO * self._request_stats.classes[class_index].typical)
+        self._wakeup.request(now + max(SWEEP_INTERVAL, silence))
         if request.attempts:
             self._retry_budget.retry_sent(now)
         request.attempts.append(attempt)
@@ -165,20 +167,20 @@
             request.first_possibly_executed = attempt
         return SendAttempt(attempt)
 
-    def final(self, request: Request) -> RejectRequest | FailRequest:
-        """The final answer of a request that gets no response."""
+    def final_answer(self, request: Request) -> RejectRequest | FailRequest:
+        """Returns the final answer of a request that gets no response."""
         request.completed = True
-        self._deadlines.left_unanswered(request)
+        self._deadlines.request_unanswered(request)
         if self._retry_rules.may_reject(request):
             return RejectRequest(request, 0)
         return FailRequest(request)
 
     def attempt_lost(self, now: int, request: Request, outcome: Outcome) -> None:
-        """An attempt came to nothing: a retry, or the final answer at once."""
-        # Where it was lost at every ready backend there is no way back: queued, it would wait in
-        # vain.
+        """Queues a retry of a request whose attempt was lost, or decides its final answer."""
+        # A request that was lost at every ready backend has nowhere to go: in the queue it would
+        # wait in vain.
         may_retry = (
-            self._retry_budget.left(now) >= 1
+            self._retry_budget.remaining(now) >= 1
             and not self._deadlines.is_too_late(request, now)
             and outcome != Outcome.NOT_SENT
             and any(
@@ -195,4 +197,4 @@
             self._queue.retries.append(request)
             self._wakeup.request(now + SWEEP_INTERVAL)
         else:
-            self._pending.append(self.final(request))
+            self._pending.append(self.final_answer(request))
--- a/pierglade/balancer/ejections.py
+++ b/pierglade/balancer/ejections.py
@@ -1,6 +1,6 @@
-"""Which backends are ejected, when each gets its next trial request, and what is in flight where.
+"""Ejected backends, their trial requests, and the attempts in flight at each backend.
 
-Moments and spans are tenths of a millisecond. No I/O, no clock.
+Times and durations are in ticks (tenths of a millisecond). No I/O, no clock.
 """
 
 from pierglade.balancer.wakeup import SWEEP_INTERVAL, Wakeup
@@ -8,12 +8,13 @@
 from pierglade.model.endpoint import EjectionReason
 from pierglade.model.request import Attempt
 
-# 150 ms, 4 s; between trial requests, doubled after each bad one.
-TRIAL_INTERVAL, TRIAL_INTERVAL_MOST = 1500, 40000
-# Attempts at backends ejected for another reason come to nothing and must not use up the limit.
+# Ticks (150 ms, 4 s). Initial and longest interval between trial requests, doubled after each
+# failure.
+TRIAL_INTERVAL, MAX_TRIAL_INTERVAL = 1500, 40000
+# Attempts at backends ejected for another reason are lost and must not use up the limit.
 COUNTS_TOWARD_CAPACITY = (None, EjectionReason.SLOW)
 
-# The arrays of `Ejections`, by name, and what a new backend begins with.
+# Arrays of `Ejections`, with the values for a new backend.
 INITIAL = dict(
     reason=None,
     since=0,
@@ -26,9 +27,9 @@
 
 
 class Ejections:
-    """The ejections of all backends: one array for each figure, under the backends' dense index.
+    """The ejections of all backends, one array per figure, indexed by backend.
 
-    Other parts may read the arrays and change nothing in them.
+    Other modules read the arrays and never modify them.
     """
 
     def __init__(self, limit: ConcurrencyLimiter, wakeup: Wakeup) -> None:
@@ -36,47 +37,51 @@
         self.reason: list[EjectionReason | None] = []
         self.since: list[int] = []
         self.until: list[int] = []
-        """Until when a slow backend is left alone before it is tried in earnest."""
+        """When the ejection of a slow backend ends and it receives regular requests again."""
         self.trial_at: list[int] = []
         self.trial_interval: list[int] = []
         self.trial_due: list[bool] = []
         self.trials_in_flight: list[int] = []
         self.in_flight: dict[int, dict[Attempt, None]] = {}
-        """Of each backend that has any, the attempts in flight, the oldest first."""
+        """Attempts in flight of each backend that has any, oldest first."""
         self.ejected: dict[int, None] = {}
-        """The backends that are ejected, in the order of their ejection."""
+        """The ejected backends, in the order of their ejection."""
         self.slow_count = 0
-        """How many are ejected as slow."""
+        """Number of backends ejected as slow."""
 
     def add(self, backend: int) -> None:
-        """Begins with a backend that is not ejected; why the one before was, costs it no checks."""
+        """Adds a backend that is not ejected.
+
+        The ejection of the backend that had the index before must not cost the new one its health
+        checks.
+        """
         for name, initial in INITIAL.items():
             getattr(self, name)[backend : backend + 1] = [initial]
         self.ejected.pop(backend, None)
 
-    def copy_from(self, before: "Ejections") -> None:
-        """Takes over the ejections; attempts in flight, also trial requests, stay with `before`."""
+    def copy_from(self, previous: "Ejections") -> None:
+        """Copies the ejections; attempts in flight and trial requests stay with `previous`."""
         for name in INITIAL:
-            setattr(self, name, getattr(before, name).copy())
-        self.trials_in_flight = [0] * len(before.trials_in_flight)
-        self.ejected, self.slow_count = before.ejected.copy(), before.slow_count
+            setattr(self, name, getattr(previous, name).copy())
+        self.trials_in_flight = [0] * len(previous.trials_in_flight)
+        self.ejected, self.slow_count = previous.ejected.copy(), previous.slow_count
 
     def begin(self, backend: int, until: int, now: int) -> None:
-        """Sets the moments of an ejection that begins now."""
+        """Sets the times of an ejection that begins now."""
         self.since[backend], self.until[backend] = now, until
         self.trial_interval[backend] = TRIAL_INTERVAL
         self.trial_at[backend] = now + TRIAL_INTERVAL
         self.trial_due[backend] = False
 
     def set_reason(self, backend: int, reason: EjectionReason | None, now: int) -> None:
-        """Keeps the counts that depend on why a backend is ejected."""
-        before = self.reason[backend]
+        """Sets the reason for the ejection and updates the counts that depend on it."""
+        previous = self.reason[backend]
         self.limit.change_in_flight(
             now,
             len(self.in_flight.get(backend, ()))
-            * ((reason in COUNTS_TOWARD_CAPACITY) - (before in COUNTS_TOWARD_CAPACITY)),
+            * ((reason in COUNTS_TOWARD_CAPACITY) - (previous in COUNTS_TOWARD_CAPACITY)),
         )
-        self.slow_count += (reason is EjectionReason.SLOW) - (before is EjectionReason.SLOW)
+        self.slow_count += (reason is EjectionReason.SLOW) - (previous is EjectionReason.SLOW)
         self.reason[backend] = reason
         if reason is None:
             self.ejected.pop(backend, None)
@@ -85,33 +90,33 @@
             self._wakeup.request(now + SWEEP_INTERVAL)
 
     def double_trial_interval(self, backend: int) -> None:
-        """A trial request or a health check has failed."""
-        self.trial_interval[backend] = min(TRIAL_INTERVAL_MOST, self.trial_interval[backend] * 2)
+        """Doubles the trial interval after a failed trial request or health check."""
+        self.trial_interval[backend] = min(MAX_TRIAL_INTERVAL, self.trial_interval[backend] * 2)
 
     def schedule_trial(self, backend: int, now: int) -> None:
-        """The next trial request is due after the interval."""
+        """Schedules the next trial request after the trial interval."""
         self.trial_due[backend] = False
         self.trial_at[backend] = now + self.trial_interval[backend]
         self._wakeup.request(self.trial_at[backend])
 
-    def admit_trial(self, backend: int, due: bool = True) -> None:
-        """The next request that may be a trial is sent to the backend, if `due`."""
-        self.trial_due[backend] = due
+    def admit_trial(self, backend: int, is_due: bool = True) -> None:
+        """Sets whether the next suitable request is sent to the backend as a trial request."""
+        self.trial_due[backend] = is_due
 
     def attempt_sent(self, backend: int, attempt: Attempt) -> None:
-        """An attempt goes out."""
+        """Records an attempt that is sent."""
         self.in_flight.setdefault(backend, {})[attempt] = None
 
     def trial_sent(self, backend: int) -> None:
-        """It is a trial request."""
+        """Records that a trial request is sent."""
         self.trials_in_flight[backend] += 1
 
     def trial_ended(self, backend: int) -> None:
-        """A trial request has ended."""
+        """Records that a trial request has ended."""
         self.trials_in_flight[backend] -= 1
 
     def attempt_left(self, backend: int, attempt: Attempt, now: int) -> None:
-        """An attempt is in flight no more."""
+        """Removes an attempt that is no longer in flight."""
         in_flight = self.in_flight
         del in_flight[backend][attempt]
         if not in_flight[backend]:
--- a/pierglade/balancer/endpoint_list.py
+++ b/pierglade/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Applies the endpoint list to the parts that keep figures of backends."""
+"""Applies the endpoint list to the components that store figures of backends."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,12 +12,12 @@
 from pierglade.balancer.slow_start import SlowStart
 from pierglade.model.endpoint import Endpoint, EndpointState
 
-# Draws of a share: 0 to 0.999.
-SHARE_STEPS = 1000
+# Number of different random fractions, from 0 to 0.999.
+FRACTION_STEPS = 1000
 
 
 class EndpointList:
-    """Tells the parts which backends there are; `pick` is the balancer's generator."""
+    """Registers listed backends with all components; `pick` is the balancer's random generator."""
 
     def __init__(
         self,
@@ -37,9 +37,9 @@
         self._selection, self._rotation = selection, rotation
 
     def apply(self, now: int, entries: Iterable[Endpoint], is_whole: bool) -> None:
-        """The list of all backends where it `is_whole`, or of the changed ones."""
+        """Applies the list: all backends if `is_whole`, else the changed ones."""
         if is_whole:
-            self._remove_unnamed(now, entries)
+            self._remove_unlisted(now, entries)
         for entry in entries:
             backend = self._endpoints.index.get(entry.name)
             if backend is None:
@@ -49,23 +49,24 @@
             self._update(backend, entry, now)
         self._rotation.endpoints_updated(now)
 
-    def _remove_unnamed(self, now, entries):
-        named = {entry.name for entry in entries}
+    def _remove_unlisted(self, now, entries):
+        listed = {entry.name for entry in entries}
         for name, backend in self._endpoints.index.items():
-            if name not in named:
-                self._outliers.endpoint_left(backend, EndpointState.REMOVED, now)
+            if name not in listed:
+                self._outliers.take_out_of_rotation(backend, EndpointState.REMOVED, now)
 
     def _update(self, backend, entry, now):
         endpoints, slow_start = self._endpoints, self._slow_start
         endpoints.zone[backend], endpoints.cell[backend] = entry.zone, entry.cell
-        # Live weights are late and would swing all nodes together; the largest seen is the size.
+        # Current weights arrive late and would make all nodes swing together; the largest one
+        # received is the size.
         endpoints.size[backend] = max(endpoints.size[backend], entry.weight)
         if entry.state != EndpointState.READY:
-            self._outliers.endpoint_left(backend, entry.state, now)
+            self._outliers.take_out_of_rotation(backend, entry.state, now)
             return
         if entry.started_at > slow_start.started_at[backend]:
-            share = self._draw_share()
-            slow_start.process_started(backend, now, entry.started_at, share)
+            allowance = self._draw_fraction()
+            slow_start.process_started(backend, now, entry.started_at, allowance)
             self._outliers.process_started(backend, now)
         endpoints.left_at[backend] = 0
         if endpoints.state[backend] != EndpointState.READY:
@@ -79,8 +80,8 @@
         self._pause_forecast.add(backend)
         self._slow_start.add(backend, now)
         self._load_reports.add(backend)
-        self._selection.add(backend, self._draw_share())
+        self._selection.add(backend, self._draw_fraction())
         return backend
 
-    def _draw_share(self):
-        return self._pick(SHARE_STEPS) / SHARE_STEPS
+    def _draw_fraction(self):
+        return self._pick(FRACTION_STEPS) / FRACTION_STEPS
--- a/pierglade/balancer/endpoint_stats.py
+++ b/pierglade/balancer/endpoint_stats.py
@@ -1,6 +1,6 @@
-"""Who the backends are, under a dense index, and what is known of each class of requests. No I/O.
+"""Identity of the backends under a dense index, and statistics of request classes. No I/O.
 
-Moments and spans are tenths of a millisecond.
+Times and durations are in ticks (tenths of a millisecond).
 """
 
 from collections import OrderedDict
@@ -10,18 +10,18 @@
 from pierglade.model.endpoint import EndpointState
 from pierglade.model.request import Idempotency, Request, RequestClass
 
-# Times the longest request timeout; a removed backend's index is used again after that.
+# Multiple of the longest request timeout. A removed backend's index is reused after that.
 REUSE_AFTER = 2
-# Share of the latency objective assumed as usual latency; leaves enough time for a retry.
+# Fraction of the latency objective assumed as typical latency; leaves enough time for a retry.
 INITIAL_LATENCY = 0.25
-# Requests; an idempotency that none of these had comes no more, or too seldom.
+# Requests. A kind of idempotency that none of the last ones had no longer occurs, or too rarely.
 KIND_SEEN_WITHIN = 100
-# 0.5 s; what came in a shorter span is luck.
-RATE_SPAN_LEAST = 5000
-# Share left of the recent counts after each FADE_SPAN (50 ms): about 50 s are seen.
-FADE, FADE_SPAN = 0.999, 500
+# Ticks (0.5 s). A rate over a shorter span is random.
+MIN_RATE_SPAN = 5000
+# Factor applied to the recent counts per DECAY_INTERVAL (50 ms), so that they cover about 50 s.
+DECAY_FACTOR, DECAY_INTERVAL = 0.999, 500
 
-# The arrays of `EndpointStats`, by name, and what a new backend begins with.
+# Arrays of `EndpointStats`, with the values for a new backend.
 INITIAL = dict(
     names=None,
     rank=None,
@@ -34,56 +34,56 @@
 
 
 class EndpointStats:
-    """Identity of all backends: one array for each figure, under a dense index.
+    """Identity of all backends, one array per figure, under a dense index.
 
-    Other parts may read the arrays and change nothing in them but by `endpoints_updated`.
+    Other modules read the arrays and modify them only through `endpoints_updated`.
     """
 
     def __init__(self, longest_timeout: int) -> None:
         self.index: dict[str, int] = {}
-        """The index of each name, also of removed backends until it is used again."""
+        """The index of each name; a removed backend keeps it until it is reused."""
         self.removed: OrderedDict[int, None] = OrderedDict()
-        """Removed backends, the one that left first in front."""
+        """Removed backends, the one removed first in front."""
         self._reuse_after = REUSE_AFTER * longest_timeout
         self.names: list[str] = []
         self.rank: list[bytes] = []
-        """Place on the hash ring."""
+        """Position on the hash ring."""
         self.state: list[EndpointState] = []
         self.zone: list[str | None] = []
         self.cell: list[str | None] = []
         self.size: list[float] = []
-        """The largest weight seen."""
+        """The largest weight received."""
         self.left_at: list[int] = []
-        """When it drained or was removed; 0 while it is listed as ready."""
+        """When it started draining or was removed; 0 while it is listed as ready."""
 
     def add(self, name: str, now: int, in_flight: Container[int]) -> int:
-        """An index for a new backend: a removed one's that has no attempts left, or the next."""
+        """Returns an index for a new backend, reusing one of a removed backend without attempts."""
         backend = next((backend for backend in self.removed if backend not in in_flight), None)
         if backend is None or now - self.left_at[backend] <= self._reuse_after:
             backend = len(self.names)
         else:
             del self.index[self.names[backend]], self.removed[backend]
         for array, initial in INITIAL.items():
-            getattr(self, array)[backend : backend + 1] = [initial]  # appends where backend is new
+            getattr(self, array)[backend : backend + 1] = [initial]  # appends if the index is new
         self.names[backend] = name
         self.rank[backend] = blake2b(name.encode(), digest_size=8).digest() + name.encode()
         self.left_at[backend] = now
         self.index[name] = backend
         return backend
 
-    def copy_from(self, before: "EndpointStats") -> None:
-        """Takes over what `before` knows; nothing that changes later is shared."""
+    def copy_from(self, previous: "EndpointStats") -> None:
+        """Copies the state of `previous`; shares no mutable data with it."""
         for name in INITIAL:
-            setattr(self, name, getattr(before, name).copy())
-        self.index, self.removed = before.index.copy(), OrderedDict(before.removed)
+            setattr(self, name, getattr(previous, name).copy())
+        self.index, self.removed = previous.index.copy(), OrderedDict(previous.removed)
 
     def became_ready(self, backend: int) -> None:
-        """The backend is listed as ready."""
+        """Marks the backend as ready."""
         self.state[backend] = EndpointState.READY
         self.removed.pop(backend, None)
 
     def became_unready(self, backend: int, state: EndpointState) -> None:
-        """The backend drains or was removed."""
+        """Marks the backend as draining or removed."""
         self.state[backend] = state
         (self.removed.setdefault if state == EndpointState.REMOVED else self.removed.pop)(
             backend, None
@@ -91,39 +91,40 @@
 
 
 class RequestClassStats:
-    """What a balancer knows of one class of requests.
+    """Statistics of one request class.
 
-    The names of its fields are those that snapshots store.
+    Snapshots store the fields under these names.
     """
 
     def __init__(self, request_class: RequestClass) -> None:
         self.priority_weight = request_class.priority_weight
-        # A first answer alone is a poor guide: by a very quick one all would look unresponsive.
+        # The first answer alone is a poor estimate: after a very fast one, all backends would look
+        # unresponsive.
         self.typical = INITIAL_LATENCY * request_class.latency_objective
         """Smoothed latency."""
         self.skew = 0.0
-        """Log of the mean latency over the usual one, half the variance of that log."""
+        """Log of the ratio of mean to typical latency, half the variance of the log latency."""
         self.hinted = 0.0
         """Smoothed cost hint."""
         self.answers = 2
-        """How many answers `typical` rests on; the first guess counts as two."""
+        """Number of answers behind `typical`; the initial estimate counts as two."""
         self.asked = 0.0
-        """First attempts of clients received lately."""
+        """First attempts of clients received recently."""
         self.got = 0.0
-        """Requests answered lately within the latency objective."""
+        """Requests answered recently within the latency objective."""
         self.usual_left = 0
-        """The time that a client's first attempt comes with."""
+        """The time left with which first attempts of clients usually arrive."""
         self.usual_votes = 0
-        """How sure that is."""
+        """Votes for `usual_left`, its confidence."""
 
 
 class RequestStats:
-    """What a balancer knows of all classes of requests, and how many came lately."""
+    """Statistics of all request classes, and recent counts of requests."""
 
     def __init__(self, request_classes: list[RequestClass], now: int) -> None:
         self.classes = [RequestClassStats(each) for each in request_classes]
         self.received = 0
-        """Requests received in all."""
+        """Total number of requests received."""
         self.last_received = {
             kind: (
                 0
@@ -132,48 +133,48 @@
             )
             for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
         }
-        """How many requests had come when one of the kind last did."""
+        """Value of `received` at the last request of each kind of idempotency."""
         self.succeeded = 0.0
-        """Successful attempts lately."""
+        """Recent successful attempts."""
         self.span = 0.0
-        """The span over which the recent counts are seen, fading with them."""
-        self.faded_at = now
+        """Time span covered by the recent counts; decays with them."""
+        self.decayed_at = now
 
     def request_received(self, request: Request) -> RequestClassStats:
-        """Counts a request; what is known of its class."""
+        """Counts a request and returns the statistics of its class."""
         self.received += 1
         stats = self.classes[request.request_class.index]
         stats.asked += 1
         self.last_received[request.request_class.idempotency] = self.received
         return stats
 
-    def least_harmful_kind(self) -> Idempotency:
-        """Of the kinds that come, the least harmful to send as a trial request.
+    def safest_idempotency(self) -> Idempotency:
+        """Returns the safest kind of idempotency among recent requests, for trial requests.
 
-        One that nobody asks for would bring no trial ever.
+        A kind that clients no longer send would never provide a trial request.
         """
-        since = self.received - KIND_SEEN_WITHIN
-        return next(kind for kind, at in self.last_received.items() if at > since)
+        oldest_recent = self.received - KIND_SEEN_WITHIN
+        return next(kind for kind, number in self.last_received.items() if number > oldest_recent)
 
     def rate(self, now: int, field: str) -> float:
-        """Requests received (`asked`) or answered in time (`got`) lately, in a tenth of a ms."""
-        over = self.span + now - self.faded_at
-        return sum(getattr(each, field) for each in self.classes) / max(over, RATE_SPAN_LEAST)
+        """Returns the recent requests received (`asked`) or answered in time (`got`) per tick."""
+        span = self.span + now - self.decayed_at
+        return sum(getattr(each, field) for each in self.classes) / max(span, MIN_RATE_SPAN)
 
     def success_rate(self, now: int) -> float:
-        """Successful attempts lately, in a tenth of a ms."""
-        return self.succeeded / max(self.span + now - self.faded_at, RATE_SPAN_LEAST)
-
-    def fade(self, now: int) -> None:
-        """The recent counts fade with time."""
-        fade = FADE ** ((now - self.faded_at) / FADE_SPAN)
-        self.span = (self.span + now - self.faded_at) * fade
-        self.faded_at = now
-        self.succeeded *= fade
+        """Returns the recent successful attempts per tick."""
+        return self.succeeded / max(self.span + now - self.decayed_at, MIN_RATE_SPAN)
+
+    def decay(self, now: int) -> None:
+        """Decays the recent counts."""
+        factor = DECAY_FACTOR ** ((now - self.decayed_at) / DECAY_INTERVAL)
+        self.span = (self.span + now - self.decayed_at) * factor
+        self.decayed_at = now
+        self.succeeded *= factor
         for each in self.classes:
-            each.asked, each.got = each.asked * fade, each.got * fade
+            each.asked, each.got = each.asked * factor, each.got * factor
 
-    def copy_from(self, before: "RequestStats") -> None:
-        """Takes over the counts of all classes together; those of each class are taken by name."""
-        self.received, self.succeeded = before.received, before.succeeded
-        self.span, self.faded_at = before.span, before.faded_at
+    def copy_from(self, previous: "RequestStats") -> None:
+        """Copies the counts across classes; those of each class are copied by class name."""
+        self.received, self.succeeded = previous.received, previous.succeeded
+        self.span, self.decayed_at = previous.span, previous.decayed_at
--- a/pierglade/balancer/endpoint_status.py
+++ b/pierglade/balancer/endpoint_status.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of a backend, for operators."""
+"""Status of a backend as the balancer sees it, for operators."""
 
 from typing import NamedTuple
 
@@ -10,12 +10,13 @@
 from pierglade.balancer.slow_start import SlowStart
 from pierglade.model.endpoint import EjectionReason
 
-# 10 ms; about an attempt, by which a backend is skipped before its forecast pause.
-SKIPPED_BEFORE_PAUSE = 100
+# Ticks (10 ms). About the latency of an attempt; a backend is skipped this long before its forecast
+# pause.
+PAUSE_LEAD_TIME = 100
 
 
 class EndpointStatus(NamedTuple):
-    """What a balancer knows of a backend, for operators."""
+    """Status of a backend as the balancer sees it."""
 
     zone: str | None
     is_in_subset: bool
@@ -24,14 +25,14 @@
     is_pausing: bool
     next_pause_at: int | None
     latency_level: float
-    """Times the usual latency."""
+    """Multiple of the typical latency."""
     is_in_slow_start: bool
     answered: int
-    """Successful answers counted for the forecast."""
+    """Successful answers counted for the pause forecast."""
 
 
 class EndpointObserver:
-    """Joins what the balancer's parts know of a backend; changes nothing."""
+    """Collects the status of a backend from the balancer's components; changes nothing."""
 
     def __init__(
         self,
@@ -47,14 +48,14 @@
         self._slow_start = slow_start
 
     def status(self, name: str, now: int) -> EndpointStatus | None:
-        """What is known of the backend of that name; None if nothing is."""
+        """Returns the status of the backend with that name, or None if it is unknown."""
         backend = self._endpoints.index.get(name)
         if backend is None:
             return None
         forecast = self._pause_forecast.next_pause_at[backend]
         level = self._outliers.latency_level[backend]
         is_pausing = forecast is not None and (
-            forecast - SKIPPED_BEFORE_PAUSE * level
+            forecast - PAUSE_LEAD_TIME * level
             <= now
             <= forecast + self._pause_forecast.mean_pause[backend]
         )
--- a/pierglade/balancer/health_checks.py
+++ b/pierglade/balancer/health_checks.py
@@ -1,42 +1,43 @@
-"""Which backends to check next. No I/O, no clock."""
+"""Selects the backends whose health is checked next. No I/O, no clock."""
 
 from collections import deque
 
-# Health checks for each attempt, where only they tell the load; more where they tell no throughput.
+# Health checks per attempt where only they report the load; more where they report no throughput.
 CHECKS_PER_ATTEMPT, CHECKS_PER_ATTEMPT_RARE = 0.05, 0.15
-# Checks due at the start; or a node with few attempts learns of the first load after seconds.
+# Health checks due at the start; without them, a node with few attempts would wait seconds for the
+# first load report.
 INITIAL_DUE = 3.0
 
 
 class HealthChecks:
-    """Health checks to be made: of ejected backends, and of loads that only checks tell."""
+    """Health checks to make: of ejected backends, and for load reports that only checks provide."""
 
-    def __init__(self, tell_load: bool, are_rare: bool) -> None:
-        """`tell_load`: only checks tell the load; `are_rare`: and they tell no throughput."""
+    def __init__(self, provides_load: bool, reports_are_rare: bool) -> None:
+        """`provides_load`: only checks report the load; `reports_are_rare`: without throughput."""
         self._pending: deque[int] = deque()
-        self._tell_load = tell_load
-        self._per_attempt = CHECKS_PER_ATTEMPT_RARE if are_rare else CHECKS_PER_ATTEMPT
+        self._provides_load = provides_load
+        self._per_attempt = CHECKS_PER_ATTEMPT_RARE if reports_are_rare else CHECKS_PER_ATTEMPT
         self._due = INITIAL_DUE
 
-    def copy_due(self, before: "HealthChecks") -> None:
-        """Takes over how soon the next check for the load is due."""
-        self._due = before._due
+    def copy_due(self, previous: "HealthChecks") -> None:
+        """Copies how soon the next check for a load report is due."""
+        self._due = previous._due
 
     def request(self, backend: int) -> None:
-        """Backend `backend` is to be checked."""
+        """Requests a health check of `backend`."""
         self._pending.append(backend)
 
     def attempt_sent(self, subset: list[int], reported_at: list[int]) -> None:
         """Counts an attempt.
 
-        After so many the backend of the subset that reported longest ago is checked.
+        After a number of attempts, the backend of the subset with the oldest report is checked.
         """
-        if self._tell_load:
+        if self._provides_load:
             self._due += self._per_attempt
             if self._due >= 1:
                 self._due -= 1
                 self._pending.append(min(subset, key=reported_at.__getitem__))
 
     def take(self) -> int | None:
-        """The next backend to check, or None."""
+        """Returns the next backend to check, or None."""
         return self._pending.popleft() if self._pending else None
--- a/pierglade/balancer/load_reports.py
+++ b/pierglade/balancer/load_reports.py
@@ -1,7 +1,7 @@
-"""What backends report of their load, and how much more or less is sent for it. No I/O, no clock.
+"""Load reports of backends, and the capacity derived from them. No I/O, no clock.
 
-Moments and spans are tenths of a millisecond. A utilization is a share of cores in use, a
-throughput is requests in a second that a backend answers for all nodes.
+Times and durations are in ticks (tenths of a millisecond). A utilization is the fraction of cores
+in use; a throughput is the number of requests per second that a backend answers for all nodes.
 """
 
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
@@ -10,48 +10,51 @@
 from pierglade.model.endpoint import LoadReport, LoadReportSource
 from pierglade.settings.balancer import BalancerSettings
 
-# Share of a new report in the smoothed figures; one covers few answers.
+# Weight of a new report in the smoothed figures; one report covers few answers.
 SMOOTHING = 1 / 3
-# 3 s; an older report says nothing of now.
-FRESH_FOR = 30000
-# Utilization from which the throughput tells what a backend can do.
-UTILIZATION_LEAST = 0.2
-# Share of a new report in the baseline throughput.
+# Ticks (3 s). An older report does not describe the present.
+MAX_REPORT_AGE = 30000
+# Utilization from which the throughput indicates the capacity of a backend.
+MIN_UTILIZATION = 0.2
+# Weight of a new report in the baseline throughput.
 BASELINE_SMOOTHING = 1 / 32
-# Reports that a baseline must rest on.
-BASELINE_FROM = 4
-# Share of the baseline from which backends are well again; they had rest enough.
-RECOVERED = 0.9
-# Utilization and waiting requests at a backend from which it is full; with less, more may be sent.
+# Reports that a baseline needs to be used.
+MIN_BASELINE_REPORTS = 4
+# Fraction of the baseline throughput from which the backends have recovered and a back-off ends.
+RECOVERED_THROUGHPUT_RATIO = 0.9
+# Utilization and queue length from which a backend is full; below, more may be sent.
 FULL_UTILIZATION, FULL_QUEUE = 0.9, 1.0
-# Times; how the limit grows and shrinks by reports, look by look, and at most.
-GROWTH, SHRINKAGE, GROWTH_MOST = 1.1, 0.95, 4.0
-# Times the limit; where reports are rare and tell no throughput, growth from one would be too slow.
+# Multiples of the limit: its growth and shrinkage per evaluation of the reports, and the maximum.
+GROWTH, SHRINKAGE, MAX_GROWTH = 1.1, 0.95, 4.0
+# Multiple of the limit. Where reports are rare and have no throughput, growth from 1 would be too
+# slow.
 INITIAL_GROWTH_RARE = 2.0
-# 0.2 s; how often a balancer looks at the reports.
-LOOK_INTERVAL = 2000
-# Times the mean; bounds of a node's share of what all nodes are asked for.
-SHARE_LEAST, SHARE_MOST = 0.2, 20.0
-# Attempts answered; of fewer nobody can tell a share.
-SHARE_FROM = 8
-# Share that counts of what it cannot answer; a node with too low a limit finds out.
-UNMET = 1 / 8
-# Share of the baseline; less, of all backends alike, is no chance.
-SLOWER_TOGETHER = 0.65
-# Utilization; with less, backends have their rest already.
-REST_FROM = 0.6
-# 2 s; so long must all look slower, as many such spells pass within some seconds.
-SURE_AFTER = 20000
-# 6 s, 1 s; rests begin at multiples of the one, within the other.
-REST_EACH, REST_BEGINS_WITHIN = 60000, 10000
-# 5 s, 11 s; a rest, and from its start to another one.
-REST_FOR, REST_INTERVAL = 50000, 110000
-# Share of the limit during a rest; cores are then less than half in use.
-REST_SHARE = 0.2
-# A moment that does not come.
+# Ticks (0.2 s). Interval between evaluations of the reports.
+EVALUATION_INTERVAL = 2000
+# Multiples of the mean. Bounds of a node's share of the traffic of all nodes.
+MIN_TRAFFIC_SHARE, MAX_TRAFFIC_SHARE = 0.2, 20.0
+# Attempts answered; fewer do not determine a traffic share.
+MIN_SHARE_ATTEMPTS = 8
+# Fraction of the unanswered rate that counts toward the traffic share, so that a node with too low
+# a limit can raise it.
+UNMET_DEMAND_WEIGHT = 1 / 8
+# Fraction of the baseline throughput. A lower throughput of all backends together is not random.
+SLOWDOWN_THROUGHPUT_RATIO = 0.65
+# Utilization. Below it, the backends have spare capacity without a back-off.
+MIN_BACKOFF_UTILIZATION = 0.6
+# Ticks (2 s). Duration of a common slowdown before a back-off; many end by themselves within
+# seconds.
+SLOWDOWN_CONFIRMATION_SPAN = 20000
+# Ticks (6 s, 1 s). Back-offs begin at multiples of the first, within the second after them.
+BACKOFF_ALIGNMENT, BACKOFF_START_SPAN = 60000, 10000
+# Ticks (5 s, 11 s). Duration of a back-off, and time from its start to the next one.
+BACKOFF_DURATION, BACKOFF_INTERVAL = 50000, 110000
+# Fraction of the limit used during a back-off; less than half of the cores are then in use.
+BACKOFF_LIMIT_RATIO = 0.2
+# A time that never comes.
 NEVER = 1 << 62
 
-# The arrays of `LoadReports`, by name, and what a new backend begins with.
+# Arrays of `LoadReports`, with the values for a new backend.
 INITIAL = dict(
     throughput=None,
     utilization=0.0,
@@ -63,9 +66,9 @@
 
 
 class LoadReports:
-    """The reports of all backends: one array for each figure, under the backends' dense index.
+    """The load reports of all backends, one array per figure, indexed by backend.
 
-    Other parts may read the arrays and change nothing in them.
+    Other modules read the arrays and never modify them.
     """
 
     def __init__(
@@ -74,10 +77,10 @@
         endpoints: EndpointStats,
         request_stats: RequestStats,
         slow_start: SlowStart,
-        are_rare: bool,
+        reports_are_rare: bool,
         now: int,
     ) -> None:
-        """`are_rare`: reports come with health checks alone, and tell no throughput."""
+        """`reports_are_rare`: they come only with health checks and have no throughput."""
         self._node_count = settings.node_count
         self._by_health_checks = settings.load_report_source == LoadReportSource.HEALTH_CHECKS
         self._endpoints, self._request_stats = endpoints, request_stats
@@ -87,41 +90,44 @@
         self.queue_length: list[float] = []
         self.reported_at: list[int] = []
         self.baseline_throughput: list[float] = []
-        """What the backend usually answers when all its cores are in use."""
+        """Typical throughput of the backend with all cores in use."""
         self.baseline_reports: list[int] = []
-        """Reports that the baseline rests on."""
+        """Number of reports behind the baseline."""
         self.traffic_share = 1.0
-        """Times the mean of all nodes that this one is asked for."""
-        # Where a throughput is reported, the limit grows soon enough by that.
-        self._growth = INITIAL_GROWTH_RARE if are_rare else 1.0
-        self._grown_at = self._looked_at = self._next_look_at = now
-        self._slower_since, self._rest_until, self._next_rest_at = NEVER, 0, 0
+        """Rate at this node as a multiple of the mean of all nodes."""
+        # Where reports have a throughput, the limit grows fast enough from it.
+        self._growth = INITIAL_GROWTH_RARE if reports_are_rare else 1.0
+        self._grown_at = self._evaluated_at = self._next_evaluation_at = now
+        self._slowdown_since, self._backoff_until, self._next_backoff_at = NEVER, 0, 0
 
     def add(self, backend: int) -> None:
-        """Begins with nothing for `backend`."""
+        """Resets all figures of `backend`."""
         for name, initial in INITIAL.items():
             getattr(self, name)[backend : backend + 1] = [initial]
 
-    def copy_reports(self, before: "LoadReports", same_reports: bool) -> None:
-        """Takes over what backends reported; where it was reported in another way, nothing."""
+    def copy_reports(self, previous: "LoadReports", same_reports: bool) -> None:
+        """Copies the load reports, or resets them where they were reported in another way."""
         for name, initial in INITIAL.items():
-            reported = getattr(before, name)
+            reported = getattr(previous, name)
             setattr(self, name, reported.copy() if same_reports else [initial] * len(reported))
 
-    def copy_growth(self, before: "LoadReports") -> None:
-        """Takes over how far the limit has grown by reports, and the rests of all backends."""
-        self._growth, self._grown_at = before._growth, before._grown_at
-        self._looked_at, self._slower_since = before._looked_at, before._slower_since
-        self._rest_until, self._next_rest_at = before._rest_until, before._next_rest_at
+    def copy_growth(self, previous: "LoadReports") -> None:
+        """Copies the growth of the limit and the state of the common back-off."""
+        self._growth, self._grown_at = previous._growth, previous._grown_at
+        self._evaluated_at, self._slowdown_since = previous._evaluated_at, previous._slowdown_since
+        self._backoff_until, self._next_backoff_at = (
+            previous._backoff_until,
+            previous._next_backoff_at,
+        )
 
     def load_reported(self, backend: int, now: int, load: LoadReport) -> None:
-        """A backend reports its load, with an answer or a health check's result."""
+        """Records a load report that came with an answer or with a health check."""
         if load.throughput is None and load.utilization is None:
             return
         smoothing = SMOOTHING if self.reported_at[backend] else 1
         if load.throughput is not None:
-            before = self.throughput[backend] or 0.0
-            self.throughput[backend] = before + (load.throughput - before) * smoothing
+            previous = self.throughput[backend] or 0.0
+            self.throughput[backend] = previous + (load.throughput - previous) * smoothing
         self.queue_length[backend] += (
             (load.queue_length or 0.0) - self.queue_length[backend]
         ) * smoothing
@@ -129,28 +135,30 @@
             self.utilization[backend] += (load.utilization - self.utilization[backend]) * smoothing
             if (
                 load.throughput is not None
-                and self.utilization[backend] > UTILIZATION_LEAST
-                and self._rest_until <= now < self._slower_since
+                and self.utilization[backend] > MIN_UTILIZATION
+                and self._backoff_until <= now < self._slowdown_since
             ):
-                does = self.throughput[backend] / self.utilization[backend]
+                full_throughput = self.throughput[backend] / self.utilization[backend]
                 self.baseline_reports[backend] += 1
                 self.baseline_throughput[backend] += (
-                    does - self.baseline_throughput[backend]
+                    full_throughput - self.baseline_throughput[backend]
                 ) * max(BASELINE_SMOOTHING, 1 / self.baseline_reports[backend])
         self.reported_at[backend] = now
 
     def capacity_factor(self, now: int) -> float:
-        """Times the even share of the limit that this node may use."""
-        return self.traffic_share * (REST_SHARE if now < self._rest_until else self._growth)
+        """Returns the multiple of the even share of the limit that this node may use."""
+        return self.traffic_share * (
+            BACKOFF_LIMIT_RATIO if now < self._backoff_until else self._growth
+        )
 
-    def take_due_look(self, now: int) -> bool:
-        """Whether a look is due now; it counts as made."""
-        if now < self._next_look_at:
+    def take_due_evaluation(self, now: int) -> bool:
+        """Returns whether an evaluation is due, and schedules the next one."""
+        if now < self._next_evaluation_at:
             return False
-        self._next_look_at = now + LOOK_INTERVAL
+        self._next_evaluation_at = now + EVALUATION_INTERVAL
         return True
 
-    def look(
+    def evaluate(
         self,
         now: int,
         subset: list[int],
@@ -158,29 +166,31 @@
         rate: float,
         limit: ConcurrencyLimiter,
     ) -> None:
-        """What follows from the reports of the `subset` for this node's share and its limit.
+        """Updates this node's traffic share and limit from the reports of the `subset`.
 
         Args:
-            now: the moment.
+            now: the current time.
             subset: the backends that this node sends to.
             by_rank: all ready backends.
-            rate: requests that come to this node, in a tenth of a millisecond.
-            limit: asked for the moment when it last held requests back.
+            rate: requests per tick received by this node.
+            limit: the limiter, for the time at which it last queued a request.
         """
         until = self._slow_start.until
         reported = [
             backend for backend in subset if self.reported_at[backend] and now >= until[backend]
         ]
         self._update_share(now, reported, by_rank, rate)
-        reported = [backend for backend in reported if now - self.reported_at[backend] < FRESH_FOR]
+        reported = [
+            backend for backend in reported if now - self.reported_at[backend] < MAX_REPORT_AGE
+        ]
         self._update_growth(now, reported, limit)
-        self._looked_at = now
-        self._look_for_slower_together(now, reported)
+        self._evaluated_at = now
+        self._detect_common_slowdown(now, reported)
 
     def _update_share(self, now: int, reported: list[int], by_rank: list[int], rate: float) -> None:
         """Updates this node's share of the traffic of all nodes.
 
-        Without quotas, it follows from what comes to the node.
+        Without quotas, it follows from the requests that the node receives.
         """
         with_throughput = [backend for backend in reported if self.throughput[backend] is not None]
         if not with_throughput:
@@ -189,61 +199,77 @@
         scale = sum(size[backend] for backend in by_rank) / sum(
             size[backend] for backend in with_throughput
         )
-        fleet = sum(self.throughput[backend] for backend in with_throughput) * scale / 10000
-        if self._request_stats.succeeded >= SHARE_FROM:
-            # Like with like: by all that is asked each node of a full fleet took itself for a
-            # busy one.
-            own = self._request_stats.success_rate(now)
-            own += max(0.0, rate - own) * UNMET
+        fleet_rate = sum(self.throughput[backend] for backend in with_throughput) * scale / 10000
+        if self._request_stats.succeeded >= MIN_SHARE_ATTEMPTS:
+            # Both rates count answers: by all requests received, each node of an overloaded fleet
+            # would take its own traffic share for a large one.
+            own_rate = self._request_stats.success_rate(now)
+            own_rate += max(0.0, rate - own_rate) * UNMET_DEMAND_WEIGHT
             self.traffic_share = max(
-                SHARE_LEAST, min(SHARE_MOST, own * self._node_count / max(fleet, 1e-9))
+                MIN_TRAFFIC_SHARE,
+                min(MAX_TRAFFIC_SHARE, own_rate * self._node_count / max(fleet_rate, 1e-9)),
             )
 
     def _update_growth(self, now: int, reported: list[int], limit: ConcurrencyLimiter) -> None:
-        """Lets the limit grow by the capacity that reports show.
+        """Raises the limit by the spare capacity that the reports show.
 
-        What is full by them is left to the limiter's rounds.
+        Backends without spare capacity are left to the probing rounds of the limiter.
         """
-        # Checks are few and far between: none vouches for more than was out when it was made.
+        # Health checks are rare: a report vouches only for the load in flight when it was made.
         fresh = [
             backend
             for backend in reported
-            if not self._by_health_checks or self.reported_at[backend] >= self._looked_at
+            if not self._by_health_checks or self.reported_at[backend] >= self._evaluated_at
         ]
-        if not fresh or limit.last_limited_at < self._looked_at:
+        if not fresh or limit.last_limited_at < self._evaluated_at:
             return
-        full = sum(
+        fullness = sum(
             self.utilization[backend] / FULL_UTILIZATION + self.queue_length[backend] / FULL_QUEUE
             for backend in fresh
         ) / len(fresh)
-        most = GROWTH ** ((now - self._grown_at) / LOOK_INTERVAL)
-        more = min(most, 1 / max(full, UTILIZATION_LEAST)) if self._by_health_checks else GROWTH
-        self._growth = max(1.0, min(GROWTH_MOST, self._growth * (SHRINKAGE if full >= 1 else more)))
+        max_factor = GROWTH ** ((now - self._grown_at) / EVALUATION_INTERVAL)
+        factor = (
+            min(max_factor, 1 / max(fullness, MIN_UTILIZATION))
+            if self._by_health_checks
+            else GROWTH
+        )
+        self._growth = max(
+            1.0, min(MAX_GROWTH, self._growth * (SHRINKAGE if fullness >= 1 else factor))
+        )
         self._grown_at = now
 
-    def _look_for_slower_together(self, now: int, reported: list[int]) -> None:
-        """Where all backends are slower alike, a rest of all: some such spells end by it."""
-        known = [backend for backend in reported if self.baseline_reports[backend] >= BASELINE_FROM]
-        busy = sum(self.utilization[backend] for backend in known)
-        does = sum(self.throughput[backend] for backend in known)
-        usual = sum(
-            self.utilization[backend] * self.baseline_throughput[backend] for backend in known
+    def _detect_common_slowdown(self, now: int, reported: list[int]) -> None:
+        """Starts a back-off where all backends are slower alike; some such slowdowns end by it."""
+        with_baseline = [
+            backend
+            for backend in reported
+            if self.baseline_reports[backend] >= MIN_BASELINE_REPORTS
+        ]
+        total_utilization = sum(self.utilization[backend] for backend in with_baseline)
+        throughput = sum(self.throughput[backend] for backend in with_baseline)
+        expected_throughput = sum(
+            self.utilization[backend] * self.baseline_throughput[backend]
+            for backend in with_baseline
         )
-        if now < self._rest_until:
-            if does > RECOVERED * usual:
-                self._rest_until = now
-        elif not known or busy < REST_FROM * len(known) or does > SLOWER_TOGETHER * usual:
-            self._slower_since = NEVER
-        elif self._slower_since == NEVER:
-            self._slower_since, self._growth = now, 1.0
+        if now < self._backoff_until:
+            if throughput > RECOVERED_THROUGHPUT_RATIO * expected_throughput:
+                self._backoff_until = now
+        elif (
+            not with_baseline
+            or total_utilization < MIN_BACKOFF_UTILIZATION * len(with_baseline)
+            or throughput > SLOWDOWN_THROUGHPUT_RATIO * expected_throughput
+        ):
+            self._slowdown_since = NEVER
+        elif self._slowdown_since == NEVER:
+            self._slowdown_since, self._growth = now, 1.0
         elif (
-            now - self._slower_since >= SURE_AFTER
-            and now >= self._next_rest_at
-            and now % REST_EACH < REST_BEGINS_WITHIN
+            now - self._slowdown_since >= SLOWDOWN_CONFIRMATION_SPAN
+            and now >= self._next_backoff_at
+            and now % BACKOFF_ALIGNMENT < BACKOFF_START_SPAN
         ):
-            # Only all nodes together give the backends a rest, and the clock is all that they
+            # Only all nodes together can relieve the backends, and the clock is all that they
             # share.
-            self._rest_until, self._next_rest_at = (
-                now - now % REST_EACH + REST_FOR,
-                now + REST_INTERVAL,
+            self._backoff_until, self._next_backoff_at = (
+                now - now % BACKOFF_ALIGNMENT + BACKOFF_DURATION,
+                now + BACKOFF_INTERVAL,
             )
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -1,17 +1,17 @@
-"""Which backends fail, are slow or do not respond, from the outcomes of attempts. No I/O, no clock.
+"""Detects failing, slow and unresponsive backends by the outcomes of attempts. No I/O, no clock.
 
-Moments and spans are tenths of a millisecond; latencies are compared as times the usual one of the
-request's class.
+Times and durations are in ticks (tenths of a millisecond). Latencies are compared as multiples of
+the typical latency of the request's class.
 """
 
 from math import exp, log, sqrt
 
-from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY, TRIAL_INTERVAL_MOST, Ejections
+from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY, MAX_TRIAL_INTERVAL, Ejections
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestClassStats, RequestStats
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.pause_forecast import PauseForecast
 from pierglade.balancer.pending_decisions import PendingDecisions
-from pierglade.balancer.request_cost import LATENCY_GRAIN, RequestCosts
+from pierglade.balancer.request_cost import LATENCY_RESOLUTION, RequestCosts
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget
 from pierglade.balancer.rotation import Rotation
 from pierglade.balancer.wakeup import NEVER, SWEEP_INTERVAL, Wakeup
@@ -21,45 +21,53 @@
 from pierglade.model.request import Attempt, Idempotency
 from pierglade.settings.balancer import BalancerSettings
 
-# 5 s; longest that a slow backend is left alone before it is tried in earnest.
-SLOW_EJECTION_MOST = 50000
-# Times; recent latency this far above its smoothed level is a pause, above a wide tail.
+# Ticks (5 s). Longest ejection of a slow backend before it receives regular requests again.
+MAX_SLOW_EJECTION = 50000
+# Multiple of the smoothed latency level. A recent latency above it is a pause; a wide latency tail
+# stays below it.
 SLOW_RATIO = 2.5
-# Times; an answer within this of the level ends a pause, under SLOW_RATIO so it cannot flap.
+# Multiple of the smoothed latency level. An answer within it ends a pause; it is below SLOW_RATIO
+# to prevent flapping.
 RECOVERED_RATIO = 2.0
-# Times; one answer counts as no slower, so that one heavy request is no pause.
-RATIO_MOST = 6.0
-# Shares of a new answer in the recent and in the smoothed latency level.
+# Multiple of the typical latency. One answer counts as no slower, so that a single heavy request
+# does not look like a pause.
+MAX_LATENCY_RATIO = 6.0
+# Weights of a new answer in the recent and in the smoothed latency level.
 RECENT_SMOOTHING, LEVEL_SMOOTHING = 1 / 4, 1 / 32
-# 3 s; the level follows within this where answers are rare.
-LEVEL_SPAN = 30000
-# Share of a new answer in a class's usual latency: about a second's worth.
+# Ticks (3 s). Time in which the smoothed level follows the latency where answers are rare.
+LEVEL_SMOOTHING_SPAN = 30000
+# Weight of a new answer in the typical latency of a class; averages over about a second.
 LATENCY_SMOOTHING = 1 / 24
-# Share of a new outcome in the error rate.
+# Weight of a new outcome in the error rate.
 ERROR_SMOOTHING = 0.3
-# Error rate; after two errors in a row three good answers end an outage.
-ERROR_RATE_RECOVERED = 0.2
-# The same share where no connection came up; as much as two errors.
+# Error rate. After two consecutive errors, three successful answers end an outage.
+MAX_RECOVERED_ERROR_RATE = 0.2
+# Weight of a failure to establish a connection in the error rate; it counts as two errors.
 CONNECT_ERROR_SMOOTHING = 0.51
-# Errors; so many and over half of one more start an outage where few attempts are lost.
-ERRORS_IN_A_ROW = 1.43
-# Share; where losses are common, as many errors in a row as are rarer than this by chance.
-BY_CHANCE = 0.0005
-# Shares lost; rarer is not seen within minutes, half is no chance.
-LOSS_LEAST, LOSS_MOST = 0.001, 0.5
-# Share of a new outcome in what healthy backends lose; half a second's worth.
+# Consecutive errors. An error rate that corresponds to this many, one and nearly half of a second,
+# ejects a backend where few attempts are lost.
+MIN_CONSECUTIVE_ERRORS = 1.43
+# Probability. Where losses are common, only a run of errors less likely than this to be random
+# ejects a backend.
+MAX_ERROR_RUN_PROBABILITY = 0.0005
+# Fractions of attempts lost. Lower rates are not observable within minutes; losing half of all
+# attempts is not random.
+MIN_LOSS_RATE, MAX_LOSS_RATE = 0.001, 0.5
+# Weight of a new outcome in the loss rate of healthy backends; averages over half a second.
 LOSS_SMOOTHING = 1 / 64
-# Times the usual latency, summed over the attempts in flight; chance silence is rarer if work is
-# alike.
-UNRESPONSIVE_SUM = 6.0
-# Standard deviations of the work, over the attempts in flight; the same where it is not.
-UNRESPONSIVE_DEVIATIONS = 3.3
-# Times the usual latency; one slow class must not look unresponsive however many wait behind it.
-UNRESPONSIVE_LEAST = 2.5
-
-# The arrays of `OutlierDetection` that tell of a process, and what a new one begins with.
-PROCESS_INITIAL = dict(error_rate=0.0, relapses=0, recent_level=1.0)
-# All its arrays, by name.
+# Multiple of the typical latency, summed over the attempts in flight: the silence that makes a
+# backend unresponsive where requests take similar times. Random silence is rarer there.
+UNRESPONSIVE_LATENCY_SUM = 6.0
+# Standard deviations of the request latency, divided by the attempts in flight: the same bound
+# where latencies vary.
+UNRESPONSIVE_STANDARD_DEVIATIONS = 3.3
+# Multiple of the typical latency. A single slow class must not look unresponsive, however many
+# requests wait behind it.
+MIN_UNRESPONSIVE_RATIO = 2.5
+
+# Arrays of `OutlierDetection` that describe a process, with the values for a new one.
+PROCESS_INITIAL = dict(error_rate=0.0, repeated_slow_ejections=0, recent_level=1.0)
+# All arrays of `OutlierDetection`, with the values for a new backend.
 INITIAL = PROCESS_INITIAL | dict(last_answer_at=0, latency_level=1.0)
 
 SLOW, UNRESPONSIVE, FAILING = (
@@ -70,9 +78,9 @@
 
 
 class OutlierDetection:
-    """Latency and errors of all backends: one array a figure, under the backends' dense index.
+    """Latency and errors of all backends, one array per figure, indexed by backend.
 
-    Other parts may read the arrays and change nothing in them.
+    Other modules read the arrays and never modify them.
     """
 
     def __init__(
@@ -98,28 +106,29 @@
         self._retry_budget, self._deadlines = retry_budget, deadlines
         self._health_checks, self._pending = health_checks, pending
         self.error_rate: list[float] = []
-        self.relapses: list[int] = []  # how often it was slow again before it was well
+        self.repeated_slow_ejections: list[int] = []  # ejected again before recovery
         self.recent_level: list[float] = []  # latency of the last few answers
         self.latency_level: list[float] = []  # smoothed latency
         self.last_answer_at: list[int] = []
-        # Share of attempts that come to nothing at healthy backends.
-        self.loss_rate = LOSS_LEAST
+        # Fraction of attempts at healthy backends that get no response.
+        self.loss_rate = MIN_LOSS_RATE
 
     def add(self, backend: int) -> None:
-        """Begins with nothing for `backend`."""
+        """Resets all figures of `backend`."""
         for name, initial in INITIAL.items():
             getattr(self, name)[backend : backend + 1] = [initial]
 
-    def copy_from(self, before: "OutlierDetection") -> None:
-        """Takes over what `before` knows; nothing that changes later is shared."""
+    def copy_from(self, previous: "OutlierDetection") -> None:
+        """Copies the state of `previous`; shares no mutable data with it."""
         for name in INITIAL:
-            setattr(self, name, getattr(before, name).copy())
-        self.loss_rate = before.loss_rate
+            setattr(self, name, getattr(previous, name).copy())
+        self.loss_rate = previous.loss_rate
 
     def process_started(self, backend: int, now: int) -> None:
-        """Forgets what was learned of the process before.
+        """Resets what was learned about the previous process of the backend.
 
-        A new process pauses anew, and why the one before was ejected is not its own.
+        A new process has its own pauses, and the reason for ejecting the previous one does not
+        apply to it.
         """
         if self._ejections.reason[backend] is not None:
             self._set_reason(backend, None, now)
@@ -127,10 +136,10 @@
             getattr(self, name)[backend] = initial
         self._pause_forecast.add(backend)
 
-    def endpoint_left(self, backend: int, state: EndpointState, now: int) -> None:
+    def take_out_of_rotation(self, backend: int, state: EndpointState, now: int) -> None:
         """Takes a backend out of the rotation (rule 3).
 
-        From the moment it is listed as draining or removed, it gets nothing more.
+        A backend listed as draining or removed receives no further attempts.
         """
         endpoints, ejections = self._endpoints, self._ejections
         if endpoints.state[backend] == EndpointState.READY:
@@ -138,34 +147,33 @@
             if (
                 state == EndpointState.REMOVED
                 and not self._settings.removal_binds
-                and ejections.trial_interval[backend] < TRIAL_INTERVAL_MOST
+                and ejections.trial_interval[backend] < MAX_TRIAL_INTERVAL
             ):
-                # It may be up all the same: trials tell, and one that fails them for long is
-                # removed.
+                # The process may still be running: trial requests find out, and the backend is
+                # removed after they have failed for long.
                 if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
                     self.eject(backend, FAILING, now)
                 return
             self._rotation.remove(backend)
             if ejections.reason[backend] is SLOW:
-                # Removed, it must not count to the slow ones for ever, or shared slowness would
-                # seem to last.
+                # A removed backend must not count as slow, or shared slowness would seem to last.
                 self._set_reason(backend, None, now)
         endpoints.became_unready(backend, state)
 
-    def attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome, took: int) -> None:
-        """Learns from the outcome of an attempt that took that long."""
+    def attempt_ended(self, now: int, attempt: Attempt, outcome: Outcome, latency: int) -> None:
+        """Updates the figures from the outcome of an attempt that took `latency`."""
         backend, request_class = attempt.backend, attempt.request.request_class
         healthy, succeeded = self._ejections.reason[backend] is None, outcome == Outcome.SUCCESS
         if not succeeded or not healthy:
             self.limit.attempt_lost(request_class.index, attempt.probing_round)
         if (succeeded and healthy) or outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
-            self._request_costs.latency_seen(now, attempt.request, took, succeeded)
+            self._request_costs.record_latency(now, attempt.request, latency, succeeded)
         if succeeded:
-            self._attempt_succeeded(now, attempt, took)
+            self._attempt_succeeded(now, attempt, latency)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             self._attempt_failed(now, attempt, outcome)
 
-    def _attempt_succeeded(self, now: int, attempt: Attempt, took: int) -> None:
+    def _attempt_succeeded(self, now: int, attempt: Attempt, latency: int) -> None:
         backend, stats = (
             attempt.backend,
             self._request_stats.classes[attempt.request.request_class.index],
@@ -174,43 +182,58 @@
         self._request_stats.succeeded += 1
         smoothing = min(
             RECENT_SMOOTHING,
-            max(LEVEL_SMOOTHING, (now - self.last_answer_at[backend]) / LEVEL_SPAN),
+            max(LEVEL_SMOOTHING, (now - self.last_answer_at[backend]) / LEVEL_SMOOTHING_SPAN),
         )
         self.last_answer_at[backend] = now
         self.error_rate[backend] *= 1 - ERROR_SMOOTHING
-        alike = took / attempt.request.relative_cost
-        ratio = min(RATIO_MOST, max(alike, LATENCY_GRAIN) / max(stats.typical, LATENCY_GRAIN))
+        normalized_latency = latency / attempt.request.relative_cost
+        ratio = min(
+            MAX_LATENCY_RATIO,
+            max(normalized_latency, LATENCY_RESOLUTION) / max(stats.typical, LATENCY_RESOLUTION),
+        )
         self.recent_level[backend] += (ratio - self.recent_level[backend]) * RECENT_SMOOTHING
         level = max(self.latency_level[backend], 1.0)
         if reason is None:
             self.latency_level[backend] += (ratio - self.latency_level[backend]) * smoothing
-            self._healthy_answer(now, attempt, stats, alike, ratio)
+            self._record_healthy_answer(now, attempt, stats, normalized_latency, ratio)
             if self.recent_level[backend] > SLOW_RATIO * level:
                 self.eject(backend, SLOW, now)
         elif attempt.sent_at < self._ejections.since[backend] and reason is not UNRESPONSIVE:
-            pass  # An answer from before the ejection says nothing about its end.
-        elif ratio <= RECOVERED_RATIO * level and self.error_rate[backend] <= ERROR_RATE_RECOVERED:
-            self._recovered(backend, now)
+            pass  # An attempt sent before the ejection is no evidence of recovery.
+        elif (
+            ratio <= RECOVERED_RATIO * level
+            and self.error_rate[backend] <= MAX_RECOVERED_ERROR_RATE
+        ):
+            self._end_ejection(backend, now)
         else:
             self._ejections.admit_trial(backend, reason is FAILING)
 
-    def _healthy_answer(
-        self, now: int, attempt: Attempt, stats: RequestClassStats, alike: float, ratio: float
+    def _record_healthy_answer(
+        self,
+        now: int,
+        attempt: Attempt,
+        stats: RequestClassStats,
+        normalized_latency: float,
+        ratio: float,
     ) -> None:
-        """`alike`: what it had taken at the mean cost; `ratio`: times the usual latency."""
-        self.loss_rate = max(LOSS_LEAST, self.loss_rate * (1 - LOSS_SMOOTHING))
+        """Updates the figures from a successful answer of a healthy backend.
+
+        `normalized_latency` is the latency scaled to a request of mean cost; `ratio` is its
+        multiple of the typical latency.
+        """
+        self.loss_rate = max(MIN_LOSS_RATE, self.loss_rate * (1 - LOSS_SMOOTHING))
         stats.answers += 1
         smoothing = max(LATENCY_SMOOTHING, 1 / stats.answers)
-        stats.typical += (alike - stats.typical) * smoothing
+        stats.typical += (normalized_latency - stats.typical) * smoothing
         stats.skew = max(0.0, stats.skew - (log(ratio) + stats.skew) * smoothing)
-        self._pause_forecast.answer_received(attempt.backend, now)
+        self._pause_forecast.record_answer(attempt.backend, now)
         request_class = attempt.request.request_class
         self.limit.attempt_answered(
             now,
             request_class.index,
             attempt.probing_round,
             attempt.sent_at,
-            int(alike),
+            int(normalized_latency),
             request_class.latency_objective,
         )
 
@@ -219,9 +242,9 @@
         if outcome in (Outcome.REJECTED_UNPROCESSED, Outcome.CLIENT_ERROR):
             self.last_answer_at[backend] = now
         if outcome == Outcome.CLIENT_ERROR:
-            return  # What a client got wrong says nothing against the backend.
-        # A rejection counts too: whoever says no at once has nothing in flight and would attract
-        # work.
+            return  # A client's error is no evidence against the backend.
+        # A rejection counts too: a backend that rejects at once has nothing in flight and would
+        # attract more requests.
         self.error_rate[backend] += (1 - self.error_rate[backend]) * (
             CONNECT_ERROR_SMOOTHING if outcome == Outcome.CONNECT_FAILED else ERROR_SMOOTHING
         )
@@ -232,74 +255,77 @@
                 and self._endpoints.state[backend] == EndpointState.READY
             ):
                 self.limit.attempt_rejected(now, attempt.sent_at)
-        # What all backends lose alike is no one's outage: left out for it, they would leave no
-        # capacity.
-        many = ERRORS_IN_A_ROW
-        if self._rotation.is_whole_ring():
-            many = max(many, log(BY_CHANCE) / log(min(LOSS_MOST, self.loss_rate)) - 0.5)
-        if self.error_rate[backend] >= 1 - (1 - ERROR_SMOOTHING) ** many:
+        # Losses that all backends share are no outage of one of them; ejecting backends for these
+        # would leave no capacity.
+        min_errors = MIN_CONSECUTIVE_ERRORS
+        if self._rotation.uses_all_backends():
+            min_errors = max(
+                min_errors,
+                log(MAX_ERROR_RUN_PROBABILITY) / log(min(MAX_LOSS_RATE, self.loss_rate)) - 0.5,
+            )
+        if self.error_rate[backend] >= 1 - (1 - ERROR_SMOOTHING) ** min_errors:
             self.eject(backend, FAILING, now)
             if attempt.is_trial:
                 self.trial_failed(backend, now)
 
     def eject(self, backend: int, reason: EjectionReason, now: int) -> None:
-        """The backend gets trial requests only from now on.
+        """Ejects the backend, which receives only trial requests from now on.
 
-        If it was ejected already, only the reason changes.
+        If it is already ejected, only the reason changes.
         """
         if self._ejections.reason[backend] is None:
-            # Slow again before it was well: it has not had the rest that it needs, and gets twice
-            # as long.
-            rest = min(
-                SLOW_EJECTION_MOST,
-                self._pause_forecast.mean_pause[backend] << self.relapses[backend],
+            # A backend that was ejected again before it recovered needed a longer ejection: each
+            # further one lasts twice as long.
+            duration = min(
+                MAX_SLOW_EJECTION,
+                self._pause_forecast.mean_pause[backend] << self.repeated_slow_ejections[backend],
             )
-            self._ejections.begin(backend, now + rest, now)
+            self._ejections.begin(backend, now + duration, now)
         self._set_reason(backend, reason, now)
 
     def _set_reason(self, backend: int, reason: EjectionReason | None, now: int) -> None:
         self._ejections.set_reason(backend, reason, now)
         self._rotation.rebuild(now)
 
-    def _recovered(self, backend: int, now: int) -> None:
-        """Its answers are as good as ever."""
+    def _end_ejection(self, backend: int, now: int) -> None:
+        """Readmits a backend whose answers are as fast and as successful as before."""
         self._set_reason(backend, None, now)
         self.error_rate[backend] = 0.0
-        self.relapses[backend] = 0
+        self.repeated_slow_ejections[backend] = 0
         self.recent_level[backend] = min(
             self.recent_level[backend], max(self.latency_level[backend], 1.0)
         )
         self._pause_forecast.pause_ended(backend, now - self._ejections.since[backend])
 
-    def _rest_ended(self, backend: int, now: int) -> None:
-        """A slow backend has been left alone for long enough; whether it is well is not known."""
+    def _end_slow_ejection(self, backend: int, now: int) -> None:
+        """Readmits a slow backend at the end of its ejection; its recovery is not confirmed yet."""
         self._set_reason(backend, None, now)
         self.error_rate[backend] = 0.0
-        self.relapses[backend] = min(self.relapses[backend] + 1, 8)
+        self.repeated_slow_ejections[backend] = min(self.repeated_slow_ejections[backend] + 1, 8)
         self.recent_level[backend] = RECOVERED_RATIO * max(self.latency_level[backend], 1.0)
 
     def trial_failed(self, backend: int, now: int) -> None:
-        """A trial request or a health check has failed: the next one waits twice as long."""
+        """Records a failed trial request or health check, and doubles the trial interval."""
         ejections, endpoints = self._ejections, self._endpoints
         ejections.double_trial_interval(backend)
         if (
-            ejections.trial_interval[backend] == TRIAL_INTERVAL_MOST
+            ejections.trial_interval[backend] == MAX_TRIAL_INTERVAL
             and endpoints.left_at[backend]
             and endpoints.state[backend] == EndpointState.READY
         ):
-            self.endpoint_left(backend, EndpointState.REMOVED, now)
+            self.take_out_of_rotation(backend, EndpointState.REMOVED, now)
             self._rotation.rebuild(now)
         ejections.schedule_trial(backend, now)
 
     def check_ejected(self, now: int) -> None:
-        """Ends the rests of slow backends, and has trial requests made that are due."""
+        """Ends expired ejections of slow backends and admits due trial requests."""
         ejections = self._ejections
         for backend in list(ejections.ejected):
             if self._endpoints.state[backend] != EndpointState.READY:
                 continue
-            slow = ejections.reason[backend] is SLOW
-            if slow and now >= ejections.until[backend]:
-                self._rest_ended(backend, now)
+            is_slow = ejections.reason[backend] is SLOW
+            if is_slow and now >= ejections.until[backend]:
+                self._end_slow_ejection(backend, now)
                 continue
             if (
                 not ejections.trial_due[backend]
@@ -307,11 +333,11 @@
                 and not ejections.trials_in_flight[backend]
             ):
                 ejections.schedule_trial(backend, now)
-                if self._settings.may_check_health and not slow:
+                if self._settings.may_check_health and not is_slow:
                     self._health_checks.request(backend)
                 else:
                     ejections.admit_trial(backend)
-            if slow or not ejections.trial_due[backend]:
+            if is_slow or not ejections.trial_due[backend]:
                 self._wakeup.request(
                     max(
                         now + SWEEP_INTERVAL,
@@ -320,9 +346,10 @@
                 )
 
     def check_unresponsive(self, backend: int, now: int) -> int:
-        """With attempts in flight and no answer for long, a backend is unresponsive.
+        """Ejects a backend that has attempts in flight and has not answered for too long.
 
-        What may be is sent elsewhere then. Returns when to check again.
+        Its attempts that may be retried in time are then cancelled. Returns the time of the next
+        check.
         """
         attempts = self._ejections.in_flight[backend]
         for attempt in [
@@ -332,50 +359,55 @@
         if not attempts:
             return NEVER
         oldest = next(iter(attempts))
-        quiet = now - max(self.last_answer_at[backend], oldest.sent_at)
-        # A light one may wait behind heavy ones, and has no less patience for it.
+        silence = now - max(self.last_answer_at[backend], oldest.sent_at)
+        # A light request may wait behind heavy ones, so a cost below the mean does not shorten the
+        # permitted silence.
         cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
-        typical = max(LATENCY_GRAIN, cost * stats.typical * max(self.latency_level[backend], 1.0))
-        bearable = _bearable_quiet(typical, stats.skew, len(attempts))
-        if quiet < bearable:
+        typical = max(
+            LATENCY_RESOLUTION, cost * stats.typical * max(self.latency_level[backend], 1.0)
+        )
+        max_silence = _max_silence(typical, stats.skew, len(attempts))
+        if silence < max_silence:
             return min(
-                int(now - quiet + bearable) + 1,
+                int(now - silence + max_silence) + 1,
                 *(attempt.timeout_at for attempt in attempts if attempt.outcome),
                 NEVER,
             )
         if self._ejections.reason[backend] is not UNRESPONSIVE:
             self.eject(backend, UNRESPONSIVE, now)
-        self._cancel_unanswered(backend, now, list(attempts), typical)
+        self._cancel_unresponsive(backend, now, list(attempts), typical)
         return now
 
-    def _cancel_unanswered(
+    def _cancel_unresponsive(
         self, backend: int, now: int, attempts: list[Attempt], typical: float
     ) -> None:
-        """Cancels what an unresponsive backend has and what may be sent elsewhere in time."""
-        left = self._retry_budget.left(now)
+        """Cancels the attempts at an unresponsive backend that may be retried elsewhere in time."""
+        retries_left = self._retry_budget.remaining(now)
         for attempt in attempts:
             request = attempt.request
-            if attempt.is_trial and now - attempt.sent_at > UNRESPONSIVE_SUM * typical:
+            if attempt.is_trial and now - attempt.sent_at > UNRESPONSIVE_LATENCY_SUM * typical:
                 self.trial_failed(backend, now)
             if (
                 request.request_class.idempotency != Idempotency.UNSAFE
                 and not attempt.cancelled
                 and not request.completed
-                and now - attempt.sent_at > UNRESPONSIVE_LEAST * typical
-                and left >= 1
-                and now < self._deadlines.last_chance(request, sure=True)
+                and now - attempt.sent_at > MIN_UNRESPONSIVE_RATIO * typical
+                and retries_left >= 1
+                and now < self._deadlines.latest_send_time(request, conservative=True)
                 and len(request.attempts) < self._settings.max_attempts
             ):
                 self._pending.cancel(attempt)
-                left -= self._retry_budget.window > 0
+                retries_left -= self._retry_budget.window > 0
 
 
-def _bearable_quiet(typical: float, skew: float, in_flight: int) -> float:
-    """For how long a backend with so many attempts in flight may give no answer.
+def _max_silence(typical: float, skew: float, in_flight: int) -> float:
+    """Returns how long a backend with `in_flight` attempts may be silent, in ticks.
 
-    A node with few attempts has one in flight at a time: by the mean alone each heavy one is taken
-    for silence. So the spread of the latency counts too (`skew`).
+    A node with few attempts has one in flight at a time. By the mean latency alone, each heavy
+    request would look like silence, so the spread of the latency (`skew`) counts too.
     """
-    heavy = exp(UNRESPONSIVE_DEVIATIONS / in_flight * sqrt(2 * skew) - skew)
-    return typical * max(UNRESPONSIVE_LEAST, UNRESPONSIVE_SUM / in_flight, heavy)
+    uneven_work_ratio = exp(UNRESPONSIVE_STANDARD_DEVIATIONS / in_flight * sqrt(2 * skew) - skew)
+    return typical * max(
+        MIN_UNRESPONSIVE_RATIO, UNRESPONSIVE_LATENCY_SUM / in_flight, uneven_work_ratio
+    )
--- a/pierglade/balancer/pause_forecast.py
+++ b/pierglade/balancer/pause_forecast.py
@@ -1,30 +1,31 @@
-"""When each backend is likely to pause next, from its past pauses and the work done between them.
+"""Forecasts the next pause of each backend from its past pauses and the work between them.
 
-Two regressions: one from the number of a pause to the work done until it, one from work to time.
-Moments and spans are tenths of a millisecond; the unit of work is one successful answer. No I/O.
+Two regressions are used: one from the number of a pause to the work completed before it, one from
+work to time. Times and durations are in ticks (tenths of a millisecond); the unit of work is one
+successful answer. No I/O.
 """
 
 from collections import deque
 
-# Answers that the regression from work to time rests on, by how regularly a backend pauses.
-WINDOW_REGULAR, WINDOW_MEDIUM, WINDOW_IRREGULAR = 3000, 300, 30
-# Coefficients of variation of the work between pauses that bound these three bands.
-VARIATION_REGULAR, VARIATION_IRREGULAR = 0.1, 1.0
-# Enough pauses to tell a band, few enough to follow a change within a minute.
+# Answers used by the regression from work to time, by how regularly a backend pauses.
+REGULAR_WINDOW, MEDIUM_WINDOW, IRREGULAR_WINDOW = 3000, 300, 30
+# Coefficients of variation of the work between pauses that separate these three windows.
+MAX_REGULAR_VARIATION, MIN_IRREGULAR_VARIATION = 0.1, 1.0
+# Enough pauses to determine the variation, few enough to follow a change within a minute.
 PAUSES_KEPT = 30
-# Two pauses make a line, the third can contradict it.
-PAUSES_NEEDED = 3
-# 1.5 s; a longer stretch is an outage and teaches the forecast nothing.
-LONGEST_PAUSE = 15000
-# 200 ms; mean pause assumed before one was seen, that of a long garbage collection.
+# Two pauses define a line; the third can contradict it.
+MIN_PAUSES = 3
+# Ticks (1.5 s). A longer silence is an outage and is not used for the forecast.
+MAX_PAUSE = 15000
+# Ticks (200 ms). Mean pause assumed before the first one, that of a long garbage collection.
 INITIAL_PAUSE = 2000
 
-# The arrays of `PauseForecast`, by name, and what a process that nothing is known of begins with.
+# Arrays of `PauseForecast`, with the values for a process without history.
 INITIAL = dict(
     answered=0,
     samples=(),
     sums=(0, 0, 0, 0),
-    window=WINDOW_MEDIUM,
+    window=MEDIUM_WINDOW,
     pauses=(),
     mean_pause=INITIAL_PAUSE,
     next_pause_answered=None,
@@ -33,84 +34,88 @@
 
 
 class PauseForecast:
-    """The forecast of all backends: one array for each figure, under the backends' dense index.
+    """The pause forecasts of all backends, one array per figure, indexed by backend.
 
-    Other parts may read the arrays and change nothing in them.
+    Other modules read the arrays and never modify them.
     """
 
     def __init__(self) -> None:
         self.answered: list[int] = []
-        """Successful answers of the process: the work it has done."""
+        """Successful answers of the process: the work that it has completed."""
         self.samples: list = []
-        """Moments of the last answers, at most `window` of them."""
+        """Times of the last answers, at most `window` of them."""
         self.sums: list = []
         """Sums over the samples: work, time, work squared, work times time."""
         self.window: list[int] = []
         self.pauses: list = []
-        """The work that had been done when each of the last pauses ended."""
+        """Work completed at the end of each of the last pauses."""
         self.mean_pause: list[int] = []
         self.next_pause_answered: list[float | None] = []
-        """The work at which the next pause is due."""
+        """Work at which the next pause is due."""
         self.next_pause_at: list[int | None] = []
 
     def add(self, backend: int) -> None:
-        """Begins with nothing for `backend`: a new index, or a process that has started anew."""
+        """Resets the forecast of `backend`, for a new index or a restarted process."""
         for name, initial in INITIAL.items():
             getattr(self, name)[backend : backend + 1] = [initial]
 
-    def copy_from(self, before: "PauseForecast") -> None:
-        """Takes over what `before` knows; nothing that changes later is shared."""
+    def copy_from(self, previous: "PauseForecast") -> None:
+        """Copies the state of `previous`; shares no mutable data with it."""
         for name in INITIAL:
-            setattr(self, name, getattr(before, name).copy())
-        self.samples = [past and past.copy() for past in before.samples]
-        self.pauses = [past and past.copy() for past in before.pauses]
-        self.sums = [list(sums) if type(sums) is list else sums for sums in before.sums]
+            setattr(self, name, getattr(previous, name).copy())
+        self.samples = [values and values.copy() for values in previous.samples]
+        self.pauses = [values and values.copy() for values in previous.pauses]
+        self.sums = [list(sums) if type(sums) is list else sums for sums in previous.sums]
 
-    def set_aside(self, backend: int) -> None:
-        """No pause came when it was due: there is no forecast until the next pause."""
+    def discard_forecast(self, backend: int) -> None:
+        """Discards the forecast until the next pause, because a forecast pause did not occur."""
         self.next_pause_at[backend] = self.next_pause_answered[backend] = None
 
-    def answer_received(self, backend: int, now: int) -> None:
-        """A successful answer of `backend` enters the regression from work to time."""
+    def record_answer(self, backend: int, now: int) -> None:
+        """Adds a successful answer of `backend` to the regression from work to time."""
         self.answered[backend] += 1
-        if not self.samples[backend]:  # In a large fleet most backends are never sent to.
+        if not self.samples[
+            backend
+        ]:  # Allocated on demand: in a large fleet most backends receive no attempts.
             self.samples[backend], self.sums[backend] = deque(), [0, 0, 0, 0]
         answered, samples, sums = self.answered[backend], self.samples[backend], self.sums[backend]
-        samples.append(now)  # Each is one unit of work after the one before.
+        samples.append(now)  # Each answer is one unit of work after the previous one.
         for n, each in enumerate((answered, now, answered * answered, answered * now)):
             sums[n] += each
         while len(samples) > self.window[backend]:
-            old_work, old_now = answered - len(samples) + 1, samples.popleft()
-            for n, each in enumerate((old_work, old_now, old_work * old_work, old_work * old_now)):
+            oldest_work, oldest_at = answered - len(samples) + 1, samples.popleft()
+            for n, each in enumerate(
+                (oldest_work, oldest_at, oldest_work * oldest_work, oldest_work * oldest_at)
+            ):
                 sums[n] -= each
         if self.next_pause_answered[backend] is not None:
-            self._forecast_moment(backend)
+            self._forecast_next_pause(backend)
 
-    def pause_ended(self, backend: int, lasted: int) -> None:
-        """A pause enters the regressions, the band is checked, the next pause is forecast.
+    def pause_ended(self, backend: int, duration: int) -> None:
+        """Adds a pause to the regressions, updates the window and forecasts the next pause.
 
-        One that lasted longer than LONGEST_PAUSE is ignored: hangs, deaths and quick errors last
-        longer than pauses; kept out, they cannot skew the forecast.
+        A pause longer than MAX_PAUSE is ignored: hangs, crashes and periods of fast errors last
+        longer than pauses and would distort the forecast.
         """
-        if lasted > LONGEST_PAUSE:
+        if duration > MAX_PAUSE:
             return
-        self.mean_pause[backend] += (lasted - self.mean_pause[backend]) // 4
+        self.mean_pause[backend] += (duration - self.mean_pause[backend]) // 4
         pauses = self.pauses[backend] = self.pauses[backend] or deque(maxlen=PAUSES_KEPT)
         pauses.append(self.answered[backend])
-        self.set_aside(backend)
-        if len(pauses) < PAUSES_NEEDED:
+        self.discard_forecast(backend)
+        if len(pauses) < MIN_PAUSES:
             return
-        self.window[backend] = _window(pauses)
+        self.window[backend] = _regression_window(pauses)
         count = len(pauses)
         numbers, total = count * (count - 1) // 2, sum(pauses)
-        slope = (count * sum(n * w for n, w in enumerate(pauses)) - numbers * total) / (
-            count * sum(n * n for n in range(count)) - numbers * numbers
-        )
+        slope = (
+            count * sum(number * work for number, work in enumerate(pauses)) - numbers * total
+        ) / (count * sum(number * number for number in range(count)) - numbers * numbers)
         self.next_pause_answered[backend] = (total - slope * numbers) / count + slope * count
-        self._forecast_moment(backend)
+        self._forecast_next_pause(backend)
 
-    def _forecast_moment(self, backend: int) -> None:
-        """When the work will have been done at which the next pause is due."""
+    def _forecast_next_pause(self, backend: int) -> None:
+        """Computes the time at which the work before the next pause will be completed."""
         count = len(self.samples[backend])
         works, times, squares, products = self.sums[backend]
         determinant = count * squares - works * works
@@ -121,12 +126,12 @@
             )
 
 
-def _window(pauses: deque) -> int:
-    """How many answers to look back on, by how regularly the pauses came."""
-    gaps = [after - before for before, after in zip(pauses, list(pauses)[1:], strict=False)]
+def _regression_window(pauses: deque) -> int:
+    """Returns how many answers the regression uses, by how regularly the pauses occurred."""
+    gaps = [later - earlier for earlier, later in zip(pauses, list(pauses)[1:], strict=False)]
     mean = sum(gaps) / len(gaps)
     deviation = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
-    variation = deviation / mean if mean else VARIATION_IRREGULAR
-    if variation <= VARIATION_REGULAR:
-        return WINDOW_REGULAR
-    return WINDOW_IRREGULAR if variation >= VARIATION_IRREGULAR else WINDOW_MEDIUM
+    variation = deviation / mean if mean else MIN_IRREGULAR_VARIATION
+    if variation <= MAX_REGULAR_VARIATION:
+        return REGULAR_WINDOW
+    return IRREGULAR_WINDOW if variation >= MIN_IRREGULAR_VARIATION else MEDIUM_WINDOW
--- a/pierglade/balancer/pending_decisions.py
+++ b/pierglade/balancer/pending_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions that were made while inputs came, and that the host has not pulled yet."""
+"""Decisions made while inputs were processed, which the caller has not taken yet."""
 
 from collections import deque
 
@@ -10,25 +10,25 @@
     """A queue of decisions, in the order in which they were made."""
 
     def __init__(self, may_cancel: bool) -> None:
-        """`may_cancel`: whether the host can cancel attempts."""
+        """`may_cancel`: whether the caller can cancel attempts."""
         self._decisions: deque = deque()
         self._may_cancel = may_cancel
 
     def append(self, decision: object) -> None:
-        """That decision was made."""
+        """Appends a decision."""
         self._decisions.append(decision)
 
     def take(self) -> object | None:
-        """The next decision, or None."""
+        """Returns the next decision, or None."""
         return self._decisions.popleft() if self._decisions else None
 
     def cancel(self, attempt: Attempt) -> None:
-        """The attempt is cancelled, if it still runs and attempts can be cancelled at all."""
+        """Cancels the attempt if it is still in flight and attempts can be cancelled."""
         if attempt.outcome is None and not attempt.cancelled and self._may_cancel:
             attempt.cancelled = True
             self._decisions.append(CancelAttempt(attempt))
 
     def cancel_all(self, request: Request) -> None:
-        """All attempts of the request that still run are cancelled."""
+        """Cancels all attempts of the request that are still in flight."""
         for attempt in request.attempts:
             self.cancel(attempt)
--- a/pierglade/balancer/polling.py
+++ b/pierglade/balancer/polling.py
@@ -1,55 +1,57 @@
-"""When to poll the endpoint list after a watch was lost.
+"""Schedules polls of the endpoint list after its watch has ended.
 
-Spans are tenths of a millisecond. No I/O.
+Times and durations are in ticks (tenths of a millisecond). No I/O.
 """
 
 from collections.abc import Callable
 
-# 2 s and 16 s; the interval, doubled by each loss up to the second and halved by each list.
-INTERVAL, INTERVAL_MOST = 20000, 160000
-# 0.6 s; no poll comes sooner after a loss.
+# Ticks (2 s, 16 s). The polling interval, doubled by each loss up to the second and halved by each
+# list.
+INTERVAL, MAX_INTERVAL = 20000, 160000
+# Ticks (0.6 s). Minimum time from a loss to a poll.
 INTERVAL_LEAST = 6000
-# 4.4 s; what is listed must be known 6 s after it was published, and a poll itself takes time.
-KNOWN_WITHIN = 44000
-# A moment that does not come.
+# Ticks (4.4 s). A listed change must be known 6 s after it was published, and a poll itself takes
+# time.
+MAX_LIST_AGE = 44000
+# A time that never comes.
 NEVER = 1 << 62
 
 
 class PollSchedule:
-    """The moment of the next poll, and the interval to the one after."""
+    """The time of the next poll, and the interval to the one after."""
 
     def __init__(self, polls: bool, now: int, pick: Callable[[int], int]) -> None:
         """Schedules the first poll.
 
         Args:
-            polls: whether the host polls at all, at once then.
-            now: the moment.
-            pick: gives a random int below its argument.
+            polls: whether the caller polls at all; the first poll is then due at once.
+            now: the current time.
+            pick: returns a random integer below its argument.
         """
         self.pick = pick
         self.next_at: int = now if polls else NEVER
         self._interval = INTERVAL
 
     def endpoints_updated(self) -> None:
-        """A list has come: later polls may come sooner again.
+        """Shortens the polling interval after a list has been received.
 
-        Not at once: a call that still waits its turn has its first line, and may yet come to
-        nothing.
+        It does not return to the minimum at once: a watch call that is still queued has already
+        delivered its first line and may yet fail.
         """
         self._interval = max(INTERVAL, self._interval // 2)
 
-    def discovery_lost(self, now: int, waited: int) -> None:
-        """The list could not be had, or is watched no more; `waited`: since its last update.
+    def discovery_lost(self, now: int, since_update: int) -> None:
+        """Schedules a poll after the list failed to load or its watch ended.
 
-        All nodes lose it at once and would poll at once: the moment is drawn by chance, and polls
-        are as rare as they may be.
+        `since_update` is the time since the last update. All nodes lose the list at the same time:
+        the time of the poll is random, and polls are as rare as permitted.
         """
-        interval = max(INTERVAL_LEAST, min(self._interval, (KNOWN_WITHIN - waited) * 2 // 3))
+        interval = max(INTERVAL_LEAST, min(self._interval, (MAX_LIST_AGE - since_update) * 2 // 3))
         self.next_at = now + interval // 2 + self.pick(interval)
-        self._interval = min(INTERVAL_MOST, self._interval * 2)
+        self._interval = min(MAX_INTERVAL, self._interval * 2)
 
     def take_due(self, now: int) -> bool:
-        """Whether a poll is due now; it counts as made."""
+        """Returns whether a poll is due, and marks it as made."""
         if now < self.next_at:
             return False
         self.next_at = NEVER
--- a/pierglade/balancer/request_cost.py
+++ b/pierglade/balancer/request_cost.py
@@ -1,97 +1,102 @@
-"""How much work a request is, by its hint or by how slow its tenant's requests are everywhere.
+"""Estimates the work of a request by its hint or by the slowness of its tenant's requests.
 
-Moments and spans are tenths of a millisecond; costs are times the mean of the request's class.
+Times and durations are in ticks (tenths of a millisecond); costs are multiples of the mean of the
+request's class.
 """
 
 from pierglade.balancer.endpoint_stats import RequestClassStats, RequestStats
 from pierglade.model.request import Request, Tenant
 from pierglade.tenants.registry import RunningMedian
 
-# Times the mean; hints are not to be trusted beyond.
-COST_LEAST, COST_MOST = 0.25, 4.0
-# Share of a new hint in a class's smoothed hint.
+# Multiples of the mean; cost hints are not trusted beyond these bounds.
+MIN_COST, MAX_COST = 0.25, 4.0
+# Weight of a new hint in the smoothed hint of a class.
 HINT_SMOOTHING = 1 / 24
-# Times what others take; a tenant's work that takes so long is slow wherever it goes.
-SLOW_TENANT = 2.5
-# Share of a new latency in a tenant's slowness.
+# Multiple of the latency of other tenants. Work this slow is slow at every backend.
+SLOW_TENANT_RATIO = 2.5
+# Weight of a new latency in a tenant's slowness.
 SLOWNESS_SMOOTHING = 1 / 8
-# Times the usual latency; one answer counts as no slower.
-SLOWNESS_MOST = 20.0
-# One in so many requests of a slow tenant goes out though it would come late.
-SLOW_TENANT_TRIES = 16
-# 5 s; a tenant that was slow is as others again within this, unless it is seen slow.
-SLOWNESS_SPAN = 50000
-# 5 ms; a host is held up for as long now and then, so what is quicker tells nothing.
-LATENCY_GRAIN = 50
+# Multiple of the typical latency. One answer counts as no slower.
+MAX_SLOWNESS = 20.0
+# One in this many requests of a slow tenant is sent although it would be answered late.
+REQUESTS_PER_SLOW_TENANT_TRIAL = 16
+# Ticks (5 s). A slow tenant counts as normal again after this time without further slow requests.
+SLOWNESS_DECAY_SPAN = 50000
+# Ticks (5 ms). The process is delayed this long now and then, so lower latencies are not
+# distinguished.
+LATENCY_RESOLUTION = 50
 
 
 class RequestCosts:
-    """The relative cost of requests, and how slow the work of tenants is in the median."""
+    """The relative cost of requests, and the median slowness of tenants."""
 
     def __init__(self, request_stats: RequestStats) -> None:
         self._request_stats = request_stats
-        self.slowness = RunningMedian(SLOWNESS_SPAN)
-        """Times the usual latency that each tenant's requests take."""
+        self.slowness = RunningMedian(SLOWNESS_DECAY_SPAN)
+        """Each tenant's latency as a multiple of the typical latency."""
         self.median_slowness = 1.0
 
-    def copy_from(self, before: "RequestCosts") -> None:
-        """Takes over what `before` knows; nothing that changes later is shared."""
-        self.median_slowness = before.median_slowness
-        self.slowness.newest = before.slowness.newest.copy()
-        self.slowness.figures = before.slowness.figures.copy()
+    def copy_from(self, previous: "RequestCosts") -> None:
+        """Copies the state of `previous`; shares no mutable data with it."""
+        self.median_slowness = previous.median_slowness
+        self.slowness.newest = previous.slowness.newest.copy()
+        self.slowness.figures = previous.slowness.figures.copy()
 
     def assess(self, now: int, request: Request, stats: RequestClassStats) -> None:
-        """Sets the relative cost of a request that has just come in."""
+        """Sets the relative cost of a request that has just arrived."""
         tenant = request.tenant
         if request.cost_hint:
-            # Few requests cost what their class does in the mean: unweighed, heavy ones look
+            # Few requests cost the mean of their class: without weights, heavy ones would look
             # queued.
             stats.hinted += (request.cost_hint - stats.hinted) * (
                 HINT_SMOOTHING if stats.hinted else 1
             )
-            request.relative_cost = max(
-                COST_LEAST, min(COST_MOST, request.cost_hint / stats.hinted)
-            )
+            request.relative_cost = max(MIN_COST, min(MAX_COST, request.cost_hint / stats.hinted))
         elif (
             tenant is not None
-            and (slowness := self._slowness(tenant, now) / self.median_slowness) > SLOW_TENANT
+            and (slowness := self._slowness(tenant, now) / self.median_slowness) > SLOW_TENANT_RATIO
         ):
-            # Some go out all the same, or nobody would see that the others are as quick as ever
-            # again.
+            # Some are sent all the same; otherwise it would never be observed that the tenant has
+            # recovered.
             tenant.slow_requests += 1
             request.relative_cost = (
-                slowness if tenant.slow_requests % SLOW_TENANT_TRIES else min(slowness, COST_MOST)
+                slowness
+                if tenant.slow_requests % REQUESTS_PER_SLOW_TENANT_TRIAL
+                else min(slowness, MAX_COST)
             )
 
-    def latency_seen(self, now: int, request: Request, took: int, whole: bool) -> None:
-        """A tenant's work may be slow at every backend: no backend is slow for that.
+    def record_latency(self, now: int, request: Request, latency: int, is_complete: bool) -> None:
+        """Updates the slowness of a tenant whose work may be slow at every backend.
 
-        `whole`: it took just `took`; else it was given up then, and took so long at least.
+        Backends do not count as slow for it. `is_complete`: the attempt took exactly `latency`;
+        otherwise it was abandoned then and would have taken at least as long.
         """
         tenant = request.tenant
         if tenant is None or request.cost_hint:
             return
         typical = self._request_stats.classes[request.request_class.index].typical
-        ratio = min(SLOWNESS_MOST, max(took, LATENCY_GRAIN) / max(typical, LATENCY_GRAIN))
+        ratio = min(
+            MAX_SLOWNESS, max(latency, LATENCY_RESOLUTION) / max(typical, LATENCY_RESOLUTION)
+        )
         slowness = self._slowness(tenant, now)
-        if not whole and ratio < slowness:
-            return  # It tells nothing where so long a latency is as usual.
+        if not is_complete and ratio < slowness:
+            return  # Such a latency is normal for this tenant and gives no information.
         tenant.slowness = slowness + (ratio - slowness) * SLOWNESS_SMOOTHING
         tenant.slowness_seen_at = now
         self.slowness.see(now, tenant.name, tenant.slowness)
 
     def update_median(self, now: int) -> None:
-        """Which slowness is usual among tenants.
+        """Updates the slowness that is normal among tenants.
 
-        In the mean of all, a large slow tenant hid itself; where all are slow, none is.
+        A mean would hide a large slow tenant; if all tenants are slow, none counts as slow.
         """
         self.median_slowness = max(1.0, self.slowness.figure(now) or 1.0)
 
     def _slowness(self, tenant: Tenant, now: int) -> float:
-        """The tenant's slowness, which fades by itself.
+        """Returns the tenant's slowness, which decays over time.
 
-        So what is rejected for it is tried again, one more and one more.
+        Thus requests rejected for it are gradually tried again.
         """
         return 1 + (tenant.slowness - 1) * max(
-            0.0, 1 - (now - tenant.slowness_seen_at) / SLOWNESS_SPAN
+            0.0, 1 - (now - tenant.slowness_seen_at) / SLOWNESS_DECAY_SPAN
         )
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -1,6 +1,6 @@
-"""Requests that wait for a backend, and which of them goes first under overload. No I/O, no clock.
+"""Requests queued for a backend, and their order under overload. No I/O, no clock.
 
-Moments and spans are tenths of a millisecond.
+Times and durations are in ticks (tenths of a millisecond).
 """
 
 from collections import deque
@@ -11,59 +11,64 @@
 from pierglade.model.request import Request, RequestClass, Tenant
 from pierglade.settings.balancer import BalancerSettings
 
-# Share of the latency objective; queued longer, a request is rejected, as is what is over its
-# quota.
-QUEUED_MOST = 0.3
-# Share of the latency objective; with an oldest wait beyond it, what is queued is ranked by its
-# gain.
-OVERLOADED_FROM = 0.1
-# Share of the work asked for; so little of it need not wait for capacity.
-LIGHT_SHARE = 0.1
-# Times its quota; nodes see tenants unevenly, and two seconds of a small one are few requests.
-OVER_QUOTA = 1.3
-# 2 s; span over which a tenant's rate is seen.
+# Fraction of the latency objective. A request queued for longer is rejected, as are requests over
+# their tenant's quota.
+MAX_QUEUED_RATIO = 0.3
+# Fraction of the latency objective. If the oldest request has waited longer, queued requests are
+# ordered by their gain.
+OVERLOAD_WAIT_RATIO = 0.1
+# Fraction of the work of all requests received; a class with no more need not wait for capacity.
+MAX_LIGHT_WORK_RATIO = 0.1
+# Multiple of the quota. Nodes receive uneven traffic of a tenant, and two seconds of a small
+# tenant's are few requests.
+MAX_QUOTA_RATIO = 1.3
+# Ticks (2 s). Time span of a tenant's request rate.
 TENANT_RATE_SPAN = 20000
 
 Heap = list[tuple[int, int, Request]]
 
-# 100 ms; a host that had no rest for so long is short of its core, not held up once.
-LAG_LEAST = 1000
+# Ticks (100 ms). A process that has not been idle for so long is short of CPU time, not merely
+# delayed once.
+MIN_HOST_LAG = 1000
 
 
-def is_host_late(now: int, idle: int, request_class: RequestClass, came: int) -> bool:
-    """Whether the host is so short of its core that what came at `came` is rejected unseen.
+def is_host_late(now: int, last_idle_at: int, request_class: RequestClass, arrived_at: int) -> bool:
+    """Returns whether a request is rejected unread because the process is short of CPU time.
 
-    Taken all the same, all would come late to their turn, and what is left of the core go into
-    rejections. `idle`: when the host was last idle.
+    If all were accepted, all would be processed late, and the remaining CPU time would go into
+    rejections. `last_idle_at` is when the process was last idle.
     """
-    waited = now - came
-    return now - idle > LAG_LEAST and waited > OVERLOADED_FROM * request_class.latency_objective
+    waited = now - arrived_at
+    return (
+        now - last_idle_at > MIN_HOST_LAG
+        and waited > OVERLOAD_WAIT_RATIO * request_class.latency_objective
+    )
 
 
 class RequestQueue:
-    """What is queued: a heap for each class of requests, and retries apart."""
+    """The queue: one heap per request class, and a separate list of retries."""
 
     def __init__(
         self, settings: BalancerSettings, request_stats: RequestStats, wakeup: Wakeup
     ) -> None:
         self._settings, self._request_stats, self._wakeup = settings, request_stats, wakeup
         self.heaps: list[Heap] = [[] for _ in settings.request_classes]
-        """Of each class (moment of the latency objective, number, request)."""
+        """For each class, tuples of latency objective as a time, sequence number and request."""
         self._by_arrival: deque[Request] = deque()
-        """The same in order of arrival, some already gone."""
+        """The same requests in order of arrival, including some that have left the queue."""
         self.retries: list[Request] = []
         """Requests that wait for a further attempt."""
         self.overloaded = False
         self.light_heap: Heap | None = None
-        """The one that need not wait for capacity."""
+        """The heap whose requests need not wait for capacity."""
 
     def __len__(self) -> int:
         return sum(map(len, self.heaps))
 
     def count_tenant(self, tenant: Tenant | None, now: int) -> None:
-        """A request of that tenant has come in."""
+        """Counts a request of the tenant."""
         if tenant is not None:
-            tenant.rate = _rate_left(tenant, now) + 1
+            tenant.rate = _decayed_rate(tenant, now) + 1
             tenant.last_seen = now
 
     def add(self, request: Request) -> None:
@@ -75,59 +80,66 @@
         self._by_arrival.append(request)
 
     def next_heap(self) -> Heap | None:
-        """The heap whose first request goes next, or None.
+        """Returns the heap whose first request is next, or None.
 
-        In overload that of the class that gains most; else whose latency objective comes first.
+        Under overload it is the heap of the class with the highest gain, otherwise the one whose
+        latency objective is earliest.
         """
-        best = least = None
-        for place, heap in enumerate(self.heaps):
+        best_heap = best_rank = None
+        for index, heap in enumerate(self.heaps):
             while heap and heap[0][2].completed:
                 heappop(heap)
             if heap:
                 rank = (
-                    -self._gain(self._request_stats.classes[place])
+                    -self._gain(self._request_stats.classes[index])
                     if self.overloaded
                     else heap[0][0]
                 )
-                if best is None or rank < least:
-                    best, least = heap, rank
-        return best
+                if best_heap is None or rank < best_rank:
+                    best_heap, best_rank = heap, rank
+        return best_heap
 
-    def first_of_each(self) -> list[Request]:
-        """The retries, and the first request of each heap."""
+    def next_requests(self) -> list[Request]:
+        """Returns the retries and the first request of each heap."""
         return self.retries + [heap[0][2] for heap in self.heaps if heap]
 
     def update_overload(self, now: int) -> list[Request]:
-        """Updates `overloaded` by the oldest wait.
+        """Updates `overloaded` by the longest wait.
 
-        Returns the requests to reject, which tenants sent beyond their quota.
+        Returns the requests to reject because their tenants are over their quota.
         """
-        line = self._by_arrival
-        while line and (line[0].completed or line[0].attempts):
-            line.popleft()
+        arrivals = self._by_arrival
+        while arrivals and (arrivals[0].completed or arrivals[0].attempts):
+            arrivals.popleft()
         waited = (
-            (now - line[0].queued_since) / line[0].request_class.latency_objective if line else 0.0
+            (now - arrivals[0].queued_since) / arrivals[0].request_class.latency_objective
+            if arrivals
+            else 0.0
         )
-        self.overloaded = waited > OVERLOADED_FROM
-        # A node with capacity for two attempts waits long for one to end: what gains most and is
-        # little goes ahead.
+        self.overloaded = waited > OVERLOAD_WAIT_RATIO
+        # A node with capacity for two attempts waits long for one to end, so the class with the
+        # highest gain skips that wait if it is little work.
         classes = self._request_stats.classes
         work = [max(each.asked, 1.0) * each.typical for each in classes]
-        most = max(range(len(work)), key=lambda place: self._gain(classes[place]))
-        self.light_heap = self.heaps[most] if work[most] <= LIGHT_SHARE * sum(work) else None
-        if line:
+        most_valuable = max(range(len(work)), key=lambda index: self._gain(classes[index]))
+        self.light_heap = (
+            self.heaps[most_valuable]
+            if work[most_valuable] <= MAX_LIGHT_WORK_RATIO * sum(work)
+            else None
+        )
+        if arrivals:
             self._wakeup.request(now + SWEEP_INTERVAL)
-        if waited <= QUEUED_MOST:
+        if waited <= MAX_QUEUED_RATIO:
             return []
         return [
             request
-            for request in line
+            for request in arrivals
             if not (request.completed or request.attempts)
             and self._is_over_quota(request.tenant, now)
         ]
 
     def _gain(self, stats: RequestClassStats) -> float:
-        """What one more request of a class answered adds to the service, for each unit of time."""
+        """Returns the gain of the service by one more answer to this class, per unit of time."""
         classes, weight = self._request_stats.classes, self._settings.worst_class_weight
         gain = (
             (1 - weight)
@@ -141,10 +153,10 @@
     def _is_over_quota(self, tenant: Tenant | None, now: int) -> bool:
         if tenant is None or not tenant.quota_per_second:
             return False
-        rate = _rate_left(tenant, now) / (TENANT_RATE_SPAN / 10000)
-        return rate * self._settings.node_count > OVER_QUOTA * tenant.quota_per_second
+        rate = _decayed_rate(tenant, now) / (TENANT_RATE_SPAN / 10000)
+        return rate * self._settings.node_count > MAX_QUOTA_RATIO * tenant.quota_per_second
 
 
-def _rate_left(tenant: Tenant, now: int) -> float:
-    """A tenant's requests of late, fading since its last one."""
+def _decayed_rate(tenant: Tenant, now: int) -> float:
+    """Returns the recent requests of a tenant, decayed since the last one."""
     return tenant.rate * max(0.0, 1 - (now - tenant.last_seen) / TENANT_RATE_SPAN)
--- a/pierglade/balancer/retry.py
+++ b/pierglade/balancer/retry.py
@@ -1,68 +1,74 @@
-"""How many retries may go out, whether one would come back in time, and where it may go.
+"""Decides how many retries may be sent, whether one would be answered in time, and where it may go.
 
-Moments and spans are tenths of a millisecond. No I/O, no clock.
+Times and durations are in ticks (tenths of a millisecond). No I/O, no clock.
 """
 
 from collections import deque
 
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
-from pierglade.balancer.request_cost import COST_MOST
+from pierglade.balancer.request_cost import MAX_COST
 from pierglade.balancer.request_queue import RequestQueue
 from pierglade.balancer.rotation import Rotation
 from pierglade.model.request import Idempotency, Request, RequestClass
 from pierglade.settings.balancer import BalancerSettings
 
-# Retries earned by each request where no budget is stated, so that they cannot feed an overload.
-EARNED_BY_REQUEST = 0.2
-# Retries saved up at most, for a burst of losses when a backend dies.
-SAVED_MOST = 20.0
-# Times the usual latency; with less time than this left, too many would come too late.
-TOO_LATE = 1.5
-# The same while there is capacity: work is uneven, and half of it takes less than this.
-TOO_LATE_WITH_CAPACITY = 0.4
-# Share of the latency objective; what has just come in is worth an attempt.
-TOO_LATE_MOST = 0.9
-# 10 ms; a host acts every few ms, and the answer must be out before the deadline.
-TOO_LATE_LEAST = 100
-# Share; an attempt with this much less time than first ones was cut by the request timeout.
-USUAL_TIME = 0.02
-# Attempts; how many it takes to change what is usual, about a second's worth.
-VOTES_MOST = 50
-# 2 s; a client that was not answered asks again within this or not at all.
-COMES_BACK_WITHIN = 20000
+# Retries earned by each request where no budget is configured; few enough not to amplify an
+# overload.
+RETRIES_PER_REQUEST = 0.2
+# Maximum number of saved retries, for a burst of losses when a backend fails.
+MAX_SAVED_RETRIES = 20.0
+# Multiple of the typical latency. With less time left than this, too many attempts would be
+# answered late.
+TIME_NEEDED_RATIO = 1.5
+# The same while there is spare capacity: latencies vary, and half of all attempts take less than
+# this.
+TIME_NEEDED_RATIO_WITH_CAPACITY = 0.4
+# Fraction of the latency objective. Upper bound of the time needed: a request that has just arrived
+# is always worth an attempt.
+MAX_TIME_NEEDED_RATIO = 0.9
+# Ticks (10 ms). Lower bound of the time needed: the caller acts every few milliseconds, and the
+# answer must be out before the deadline.
+MIN_TIME_NEEDED = 100
+# Fraction. A request whose time left is shorter by more than this than that of first attempts had
+# some of it used up by an earlier attempt of its client.
+TIME_LEFT_TOLERANCE = 0.02
+# Requests. Number of votes needed to change the usual time left, about a second's worth.
+MAX_VOTES = 50
+# Ticks (2 s). A client without an answer retries within this time or not at all.
+CLIENT_RETRY_SPAN = 20000
 
 
 class RetryBudget:
-    """The retries that may still go out: of a stated window, else a share of what comes, saved up.
+    """Budget of retries: a number per configured window, else a saved-up fraction of requests.
 
-    It holds for all that goes out again, whatever ended the attempt before. No attempt is kept
-    back while the window has capacity, so nothing is given up for it.
+    It covers every further attempt, whatever ended the previous one. No retry is withheld while the
+    window has capacity, so no request fails for lack of a budget that is available.
     """
 
     def __init__(
         self, window: int, minimum: int, ratio: float, shared_with: "RetryBudget | None" = None
     ) -> None:
-        """Begins full.
+        """Starts with a full budget.
 
         Args:
-            window: span that the budget looks back on; 0 where none is stated.
-            minimum: retries that a window may hold however few requests came in it.
-            ratio: further ones for each request of the window.
-            shared_with: the budget of the balancer whose place this one's takes as settings
-                change; both spend from one.
+            window: length of the sliding window; 0 if none is configured.
+            minimum: retries allowed per window, however few requests it has.
+            ratio: further retries allowed for each request of the window.
+            shared_with: the budget of the balancer that this one's replaces when settings
+                change; both spend from the same window.
         """
         self.window, self._minimum, self._ratio = window, minimum, ratio
-        self.saved = SAVED_MOST
+        self.saved_retries = MAX_SAVED_RETRIES
         self.sent_at: deque[int] = shared_with.sent_at if shared_with else deque()
-        """Moments of retries, as far back as the window looks."""
+        """Times of the retries in the window."""
         self.received_at: deque[int] = shared_with.received_at if shared_with else deque()
-        """The same of requests."""
+        """Times of the requests in the window."""
 
     @classmethod
     def from_settings(
         cls, settings: BalancerSettings, shared_with: "RetryBudget | None"
     ) -> "RetryBudget":
-        """As the settings state it."""
+        """Creates the budget from the settings."""
         return cls(
             settings.retry_budget_window,
             settings.retry_budget_minimum,
@@ -70,39 +76,39 @@
             shared_with,
         )
 
-    def copy_from(self, before: "RetryBudget") -> None:
-        """Takes over what `before` had saved up."""
-        self.saved = before.saved
+    def copy_from(self, previous: "RetryBudget") -> None:
+        """Copies the saved retries of `previous`."""
+        self.saved_retries = previous.saved_retries
 
     def request_received(self, now: int) -> None:
-        """A request has come in and earns a part of a retry."""
-        self.saved = min(SAVED_MOST, self.saved + EARNED_BY_REQUEST)
+        """Records a request, which earns a fraction of a retry."""
+        self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_REQUEST)
         if self.window:
             self.received_at.append(now)
 
     def retry_granted(self) -> None:
-        """A retry is going to be sent as soon as a backend may take it."""
-        self.saved -= 1
+        """Reserves a retry that is sent as soon as a backend is available."""
+        self.saved_retries -= 1
 
     def retry_sent(self, now: int) -> None:
-        """A retry goes out now."""
+        """Records a retry that is sent now."""
         if self.window:
             self.sent_at.append(now)
 
     def allows_granted(self, now: int) -> bool:
-        """Whether a retry that was granted earlier may go out now.
+        """Returns whether a retry granted earlier may be sent now.
 
-        A window that others used up meanwhile may have capacity again in time.
+        If others have used up the window since, it may have capacity again in time.
         """
-        return not self.window or self.left(now) >= 1
+        return not self.window or self.remaining(now) >= 1
 
-    def left(self, now: int) -> float:
-        """How many retries may go out now; where a window is stated, none of it may hold more."""
+    def remaining(self, now: int) -> float:
+        """Returns how many retries may be sent now so that no window exceeds its budget."""
         window, sent_at, received_at = self.window, self.sent_at, self.received_at
         if not window:
-            return self.saved
-        # A tenth of a ms on either side: the host's clock is finer, and counts a window's very
-        # ends.
+            return self.saved_retries
+        # One tick of tolerance on either side: the caller's clock is finer, and it counts both ends
+        # of a window.
         while sent_at and sent_at[0] < now - window - 1:
             sent_at.popleft()
         while received_at and received_at[0] <= now - window + 1:
@@ -111,7 +117,7 @@
 
 
 class RequestDeadlines:
-    """How much time requests have, and from when an attempt would come back too late."""
+    """Computes the time left for requests and when an attempt would be answered too late."""
 
     def __init__(
         self,
@@ -123,87 +129,95 @@
         self._settings, self._request_stats = settings, request_stats
         self._rotation, self._queue = rotation, queue
         self.unanswered = 0.0
-        """Requests that their clients may come back with."""
+        """Number of unanswered requests that clients may still retry."""
 
-    def copy_from(self, before: "RequestDeadlines") -> None:
-        """Takes over what clients may come back with."""
-        self.unanswered = before.unanswered
+    def copy_from(self, previous: "RequestDeadlines") -> None:
+        """Copies the number of unanswered requests of `previous`."""
+        self.unanswered = previous.unanswered
 
-    def fade(self, now: int) -> None:
-        """Clients come back soon or not at all; called before the request stats fade."""
-        away = now - self._request_stats.faded_at
-        self.unanswered = max(0.0, self.unanswered) * max(0.0, 1 - away / COMES_BACK_WITHIN)
+    def decay(self, now: int) -> None:
+        """Decays the unanswered requests; must run before `RequestStats.decay`."""
+        elapsed = now - self._request_stats.decayed_at
+        self.unanswered = max(0.0, self.unanswered) * max(0.0, 1 - elapsed / CLIENT_RETRY_SPAN)
 
     def time_left(self, request: Request) -> int:
-        """How much of the latency objective is left, which runs from the client's first attempt."""
-        request_class, left = request.request_class, request.deadline - request.arrived_at
+        """Returns what is left of the latency objective since the client's first attempt."""
+        request_class, time_left = request.request_class, request.deadline - request.arrived_at
         stats = self._request_stats.classes[request_class.index]
         usual = stats.usual_left
-        # A vote, not the longest seen: by repeats with more time all first attempts look late.
-        stats.usual_votes += 1 if abs(left - usual) <= USUAL_TIME * usual else -1
+        # A majority vote, not the maximum: after repeats that carry more time, every first attempt
+        # would look like a late repeat.
+        stats.usual_votes += 1 if abs(time_left - usual) <= TIME_LEFT_TOLERANCE * usual else -1
         stats.usual_left, stats.usual_votes = (
-            (left, 1) if stats.usual_votes < 0 else (usual, min(stats.usual_votes, VOTES_MOST))
+            (time_left, 1) if stats.usual_votes < 0 else (usual, min(stats.usual_votes, MAX_VOTES))
         )
-        # Less time than first attempts bring shows a late repeat; beyond those unanswered, less
-        # patience.
-        spent = 0
-        # One of hundreds of nodes gets the repeats of others, and cannot count them.
-        if self.is_repeat(request_class, left) and (
-            self.unanswered >= 1 or not self._rotation.is_whole_ring()
+        # Less time than first attempts carry indicates a late repeat. Beyond the number of
+        # unanswered requests it indicates a client with a shorter time-out.
+        elapsed = 0
+        # One of hundreds of nodes receives repeats of requests that other nodes left unanswered,
+        # and cannot count those.
+        if self.is_repeat(request_class, time_left) and (
+            self.unanswered >= 1 or not self._rotation.uses_all_backends()
         ):
             self.unanswered -= 1
-            spent = request_class.request_timeout - left
-        return min(left, request_class.latency_objective - spent)
+            elapsed = request_class.request_timeout - time_left
+        return min(time_left, request_class.latency_objective - elapsed)
 
-    def is_repeat(self, request_class: RequestClass, left: int) -> bool:
-        """Whether it came with less time than clients' first attempts usually do."""
+    def is_repeat(self, request_class: RequestClass, time_left: int) -> bool:
+        """Returns whether the request arrived with less time than first attempts usually carry."""
         usual = self._request_stats.classes[request_class.index].usual_left
-        return left < (1 - USUAL_TIME) * usual
+        return time_left < (1 - TIME_LEFT_TOLERANCE) * usual
 
-    def left_unanswered(self, request: Request) -> None:
-        """A request was not answered, and its client may come back with it.
+    def request_unanswered(self, request: Request) -> None:
+        """Counts a request without an answer, which its client may retry.
 
-        Only first attempts count: if what was taken for a repeat did, each would make another one
-        look so.
+        Only first attempts count. If presumed repeats counted too, each one would make another
+        request look like a repeat.
         """
         self.unanswered += not self.is_repeat(
             request.request_class, request.deadline - request.arrived_at
         )
 
-    def shed(self, request_class: RequestClass, left: int, is_shed: bool) -> None:
-        """The same of one that came with that time left and `is_shed` before it was taken in."""
-        self.unanswered += is_shed and not self.is_repeat(request_class, left)
+    def request_shed(self, request_class: RequestClass, time_left: int, is_shed: bool) -> None:
+        """Counts a first attempt that was shed before it became a request."""
+        self.unanswered += is_shed and not self.is_repeat(request_class, time_left)
 
     def is_too_late(self, request: Request, now: int) -> bool:
-        """Whether an attempt sent now would come back too late."""
-        return now >= self.last_chance(request)
+        """Returns whether an attempt sent now would be answered too late."""
+        return now >= self.latest_send_time(request)
 
-    def last_chance(self, request: Request, sure: bool = False) -> int:
-        """The moment from which an attempt would no longer come back by the latency objective.
+    def latest_send_time(self, request: Request, conservative: bool = False) -> int:
+        """Returns the time from which an attempt would miss the latency objective.
 
-        `sure`: by more than the half of all work, whatever capacity there is.
+        `conservative` leaves time for more than half of all attempts, even with spare capacity.
         """
         request_class = request.request_class
-        # Not all of the objective, or what was once slow would never be tried again.
-        spare = not self._queue.overloaded and self._rotation.is_whole_ring()
-        times = TOO_LATE_WITH_CAPACITY if spare and not sure else TOO_LATE
-        need = request.relative_cost * self._request_stats.classes[request_class.index].typical
-        if request.relative_cost <= COST_MOST:
-            need = min(times * need, TOO_LATE_MOST * request_class.latency_objective)
-        return request.objective_at - max(TOO_LATE_LEAST, int(need))
+        # The time needed stays below the latency objective; otherwise a class that was once slow
+        # would never be tried again.
+        has_capacity = not self._queue.overloaded and self._rotation.uses_all_backends()
+        ratio = (
+            TIME_NEEDED_RATIO_WITH_CAPACITY
+            if has_capacity and not conservative
+            else TIME_NEEDED_RATIO
+        )
+        time_needed = (
+            request.relative_cost * self._request_stats.classes[request_class.index].typical
+        )
+        if request.relative_cost <= MAX_COST:
+            time_needed = min(
+                ratio * time_needed, MAX_TIME_NEEDED_RATIO * request_class.latency_objective
+            )
+        return request.objective_at - max(MIN_TIME_NEEDED, int(time_needed))
 
 
 class RetryRules:
-    """Rule 2, in one place.
-
-    It says what may still be done with a request, after what its attempts have proved.
-    """
+    """Rule 2: what may still be done with a request after its earlier attempts."""
 
     def __init__(self, max_attempts: int, endpoints: EndpointStats) -> None:
         self._max_attempts, self._endpoints = max_attempts, endpoints
 
     def may_send(self, request: Request, backend: int, now: int) -> bool:
-        """Whether the request may go to this backend."""
+        """Returns whether the request may be sent to this backend."""
         request_class = request.request_class
         if (
             now >= request.deadline
@@ -228,7 +242,7 @@
 
     @staticmethod
     def may_reject(request: Request) -> bool:
-        """A rejection promises that trying again is harmless."""
+        """Returns whether the request may be rejected, which promises that a retry is harmless."""
         request_class = request.request_class
         return (
             request.first_possibly_executed is None
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -1,6 +1,6 @@
-"""The hash ring of ready backends, the subset of it that this node sends to, and whose turn it is.
+"""The hash ring of ready backends, this node's subset of it, and the position in the rotation.
 
-Moments and spans are tenths of a millisecond; rates are requests in one. No I/O.
+Times and durations are in ticks (tenths of a millisecond); rates are requests per tick. No I/O.
 """
 
 from bisect import bisect_left, insort
@@ -8,26 +8,26 @@
 
 from pierglade.balancer.ejections import COUNTS_TOWARD_CAPACITY, Ejections
 from pierglade.balancer.endpoint_stats import EndpointStats, RequestStats
-from pierglade.balancer.load_reports import LOOK_INTERVAL, LoadReports
+from pierglade.balancer.load_reports import EVALUATION_INTERVAL, LoadReports
 from pierglade.balancer.slow_start import SlowStart
 from pierglade.balancer.wakeup import NEVER, Wakeup
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.settings.balancer import BalancerSettings
 
-# 0.25 s; of a backend seen less often it is not known how full it is.
-SEEN_EACH = 2500
-# Backends of a subset; with fewer a node could lose all to one outage.
-SUBSET_LEAST = 2
-# 0.1 a second; a node that nothing has come to yet is asked for that much.
-RATE_LEAST = 1e-5
-# 5 s; between moves by one backend towards an even place on the ring.
+# Ticks (0.25 s). The load of a backend that receives requests less often is not known.
+MAX_REQUEST_INTERVAL = 2500
+# Backends in a subset; with fewer, one outage could cost a node all of them.
+MIN_SUBSET_SIZE = 2
+# Requests per tick (0.1 a second). Rate assumed for a node that has received nothing yet.
+MIN_REQUEST_RATE = 1e-5
+# Ticks (5 s). Interval between moves by one backend toward an even place on the ring.
 MOVE_INTERVAL = 50000
 
 
 class Rotation:
-    """The order of turns, over as many backends as this node sees often enough.
+    """The rotation over as many backends as this node sends to often enough.
 
-    Other parts may read its fields; `position` is set by whoever takes a turn.
+    Other modules read its fields; `position` is set by the one that selects a backend.
     """
 
     def __init__(
@@ -44,9 +44,10 @@
         load_reports: LoadReports,
         ejections: Ejections,
     ) -> None:
-        """Begins with an empty ring.
+        """Starts with an empty ring.
 
-        `learns`: where there are no quotas, what comes and is reported tells the subset's size.
+        `learns`: where there are no quotas, received requests and load reports determine the size
+        of the subset.
         """
         self._settings, self.pick, self.limit, self._wakeup = settings, pick, limit, wakeup
         self._endpoints, self._request_stats = endpoints, request_stats
@@ -54,165 +55,171 @@
         self._ejections = ejections
         self.has_quotas = settings.tenants.total > 0
         self.request_rate = settings.tenants.total / settings.node_count / 10000
-        """Requests that this node is asked for."""
+        """Requests per tick that this node receives."""
         self.subset_size: int | None = (
-            max(SUBSET_LEAST, int(self.request_rate * SEEN_EACH))
+            max(MIN_SUBSET_SIZE, int(self.request_rate * MAX_REQUEST_INTERVAL))
             if self.has_quotas or learns
             else None
         )
-        """Backends of mean size in the subset; None for all."""
+        """Number of backends of mean size in the subset; None for all backends."""
         self.by_rank: list[int] = []
-        """The ready backends, as they stand on the ring."""
+        """The ready backends in the order of the ring."""
         self.total_size = 0.0
         self.subset: list[int] = []
         self.position = 0
-        """Place in the subset whose turn is next."""
+        """Position in the subset of the next backend."""
         self.largest_size = 1.0
         self.rebuild_at = NEVER
-        self.anchor, self._move_at, self._most_ready = b"", now, 0
+        self.anchor, self._move_at, self._max_ready = b"", now, 0
 
-    def copy_from(self, before: "Rotation", same_ring: bool, both_learn: bool) -> None:
-        """Takes over ring and subset.
+    def copy_from(self, previous: "Rotation", same_ring: bool, both_learn: bool) -> None:
+        """Copies the ring and the subset.
 
         Args:
-            before: whose place this one takes.
-            same_ring: it has the same number and count of nodes, so the same place on the ring.
-            both_learn: both learn the rate and the size of the subset.
+            previous: the rotation that this one replaces.
+            same_ring: whether node number and node count are the same, and thus the place on the
+                ring.
+            both_learn: whether both learn the rate and the size of the subset.
         """
-        self.by_rank, self.subset = before.by_rank.copy(), before.subset.copy()
-        self.total_size, self.position = before.total_size, before.position
-        self._most_ready = before._most_ready
+        self.by_rank, self.subset = previous.by_rank.copy(), previous.subset.copy()
+        self.total_size, self.position = previous.total_size, previous.position
+        self._max_ready = previous._max_ready
         if same_ring:
-            self.anchor, self._move_at = before.anchor, before._move_at
+            self.anchor, self._move_at = previous.anchor, previous._move_at
         if both_learn:
-            self.request_rate, self.subset_size = before.request_rate, before.subset_size
+            self.request_rate, self.subset_size = previous.request_rate, previous.subset_size
 
-    def is_whole_ring(self) -> bool:
-        """Whether this node sends to all ready backends."""
+    def uses_all_backends(self) -> bool:
+        """Returns whether this node sends to all ready backends."""
         return len(self.subset) == len(self.by_rank)
 
     def add(self, backend: int) -> None:
-        """A backend is ready."""
+        """Adds a backend that became ready."""
         insort(self.by_rank, backend, key=self._endpoints.rank.__getitem__)
 
     def remove(self, backend: int) -> None:
-        """A backend is ready no more."""
+        """Removes a backend that is no longer ready."""
         rank = self._endpoints.rank
         self.total_size -= self._endpoints.size[backend]
         del self.by_rank[bisect_left(self.by_rank, rank[backend], key=rank.__getitem__)]
 
     def endpoints_updated(self, now: int) -> None:
-        """Backends or their sizes have changed."""
+        """Updates the subset after backends or their sizes have changed."""
         self.total_size = sum(map(self._endpoints.size.__getitem__, self.by_rank))
         self.rebuild(now)
 
     def quotas_updated(self, now: int) -> None:
-        """What tenants may ask has changed; they have quotas, and had some before."""
+        """Applies changed quotas of tenants that had quotas before."""
         settings = self._settings
         self.request_rate = self.limit.demand = settings.tenants.total / settings.node_count / 10000
-        self.subset_size = max(SUBSET_LEAST, int(self.request_rate * SEEN_EACH))
+        self.subset_size = max(MIN_SUBSET_SIZE, int(self.request_rate * MAX_REQUEST_INTERVAL))
         self.rebuild(now)
 
-    def look(self, now: int) -> None:
+    def update_from_load_reports(self, now: int) -> None:
         """Updates the rate, the subset's size and the limit where there are no quotas.
 
-        They follow from what comes and what backends report.
+        They follow from the requests received and the load that backends report.
         """
         self.request_rate = self.limit.demand = max(
-            RATE_LEAST, self._request_stats.rate(now, "asked")
+            MIN_REQUEST_RATE, self._request_stats.rate(now, "asked")
         )
-        self._load_reports.look(now, self.subset, self.by_rank, self.request_rate, self.limit)
-        subset_size = max(SUBSET_LEAST, int(self.request_rate * SEEN_EACH))
+        self._load_reports.evaluate(now, self.subset, self.by_rank, self.request_rate, self.limit)
+        subset_size = max(MIN_SUBSET_SIZE, int(self.request_rate * MAX_REQUEST_INTERVAL))
         if not self.subset_size / 1.5 <= subset_size <= self.subset_size * 1.5:
             self.subset_size = subset_size
         self.rebuild(now)
 
     def rebuild(self, now: int) -> None:
-        """The subset is as much of the ring as are enough healthy backends."""
-        before = self.subset
-        enough = self.subset_size and self.subset_size * self.total_size
+        """Selects as much of the ring as contains enough healthy backends."""
+        previous = self.subset
+        target_size = self.subset_size and self.subset_size * self.total_size
         self.rebuild_at = NEVER
-        after, healthy = self._fill(self._begin(now), enough, now)
-        # One at least: a node that was cut off sees all fail, and must still send trials to find
-        # them well.
+        subset, healthy = self._select_subset(self._start_place(now), target_size, now)
+        # At least one: a node that was cut off sees all backends fail, and must still send trial
+        # requests to find that they are healthy.
         healthy = max(1, healthy)
-        ready = len(self.by_rank)
+        ready_count = len(self.by_rank)
         factor = self._load_reports.capacity_factor(now)
-        self.limit.update_backends(now, healthy, factor * healthy * ready / max(1, len(after)))
-        self._most_ready = max(self._most_ready, ready)
-        if after:
-            self._update_warm_rate(now, len(after))
-        self.largest_size = max((self._endpoints.size[backend] for backend in after), default=1.0)
-        if after == before:
+        self.limit.update_backends(
+            now, healthy, factor * healthy * ready_count / max(1, len(subset))
+        )
+        self._max_ready = max(self._max_ready, ready_count)
+        if subset:
+            self._update_warm_rate(now, len(subset))
+        self.largest_size = max((self._endpoints.size[backend] for backend in subset), default=1.0)
+        if subset == previous:
             return
-        self.subset, kept = after, set(after)
-        following = next(
+        self.subset, retained = subset, set(subset)
+        next_backend = next(
             (
                 backend
-                for backend in before[self.position :] + before[: self.position]
-                if backend in kept
+                for backend in previous[self.position :] + previous[: self.position]
+                if backend in retained
             ),
             None,
         )
-        # It starts at random, or all nodes would begin with the same one.
+        # The first position is random; otherwise all nodes would begin with the same backend.
         self.position = (
-            self.pick(max(1, len(after))) if following is None else after.index(following)
+            self.pick(max(1, len(subset))) if next_backend is None else subset.index(next_backend)
         )
 
-    def _begin(self, now: int) -> int:
-        """Where on the ring the subset begins.
+    def _start_place(self, now: int) -> int:
+        """Returns the index on the ring at which the subset begins.
 
-        Evenly round one ring: by chance some backends were in two thirds more subsets. Each move
-        opens connections, so it is by one backend at a time.
+        The subsets of all nodes are spaced evenly on the ring; with random places, some backends
+        were in two thirds more subsets. Each move opens connections, so the subset moves by one
+        backend at a time.
         """
         rank, settings, count = self._endpoints.rank, self._settings, len(self.by_rank)
-        begin = bisect_left(self.by_rank, self.anchor, key=rank.__getitem__) % max(1, count)
-        even = count * settings.node_number // settings.node_count % max(1, count)
-        if begin != even and now >= self._move_at:
-            nearer = 1 if (even - begin) % count <= count // 2 else -1
-            begin = (begin + nearer) % count if self.anchor else even
-            self.anchor, self._move_at = rank[self.by_rank[begin]], now + MOVE_INTERVAL
-        return begin
-
-    def _fill(self, begin: int, enough: float | None, now: int) -> tuple[list[int], int]:
-        """The subset from that place on, and how many of it count toward the capacity."""
-        after, healthy, size = [], 0, 0.0
+        start = bisect_left(self.by_rank, self.anchor, key=rank.__getitem__) % max(1, count)
+        even_start = count * settings.node_number // settings.node_count % max(1, count)
+        if start != even_start and now >= self._move_at:
+            step = 1 if (even_start - start) % count <= count // 2 else -1
+            start = (start + step) % count if self.anchor else even_start
+            self.anchor, self._move_at = rank[self.by_rank[start]], now + MOVE_INTERVAL
+        return start
+
+    def _select_subset(
+        self, start: int, target_size: float | None, now: int
+    ) -> tuple[list[int], int]:
+        """Returns the subset from index `start`, and how many of it count toward the capacity."""
+        subset, healthy, size = [], 0, 0.0
         sizes, until, reason = self._endpoints.size, self._slow_start.until, self._ejections.reason
-        for backend in self.by_rank[begin:] + self.by_rank[:begin]:
-            if enough is not None and size * len(self.by_rank) >= enough:
+        for backend in self.by_rank[start:] + self.by_rank[:start]:
+            if target_size is not None and size * len(self.by_rank) >= target_size:
                 break
-            after.append(backend)
+            subset.append(backend)
             if now < until[backend]:
                 size += sizes[backend] * self._settings.slow_start_capacity
                 self.rebuild_at = min(
                     self.rebuild_at,
                     until[backend],
-                    NEVER if self.has_quotas else now + LOOK_INTERVAL,
+                    NEVER if self.has_quotas else now + EVALUATION_INTERVAL,
                 )
                 self._wakeup.request(self.rebuild_at)
             elif reason[backend] in COUNTS_TOWARD_CAPACITY:
                 size += sizes[backend]
             healthy += reason[backend] in COUNTS_TOWARD_CAPACITY
-        return after, healthy
+        return subset, healthy
 
-    def _update_warm_rate(self, now: int, in_subset: int) -> None:
-        """What a warm backend gets of this node, by which cold ones get their part.
+    def _update_warm_rate(self, now: int, subset_count: int) -> None:
+        """Updates the rate at a warm backend, from which the rate at cold ones is derived.
 
-        Without quotas, of what was answered lately: what is asked may be an overload. One attempt
-        at a time of all nodes is none; with all backends cold and nothing answered, nothing at all
-        would be sent.
+        Without quotas it follows from the requests answered recently, as those received may be an
+        overload. One attempt at a time from all nodes together is no overload and is the minimum:
+        with all backends cold and nothing answered, nothing at all would be sent.
         """
-        settings, ready = self._settings, len(self.by_rank)
-        least = (
-            ready
+        settings, ready_count = self._settings, len(self.by_rank)
+        min_rate = (
+            ready_count
             / settings.node_count
             / max(each.latency_objective for each in settings.request_classes)
         )
         rate = (
             self.request_rate
             if self.has_quotas
-            else max(least, self._request_stats.rate(now, "got"))
+            else max(min_rate, self._request_stats.rate(now, "got"))
         )
         self._slow_start.warm_rate = (
-            rate * ready**2 / (self._most_ready * in_subset * self.total_size)
+            rate * ready_count**2 / (self._max_ready * subset_count * self.total_size)
         )
--- a/pierglade/balancer/selection.py
+++ b/pierglade/balancer/selection.py
@@ -1,4 +1,4 @@
-"""Which backend a request goes to, and why others are skipped. No I/O, no clock."""
+"""Selects the backend of an attempt and gives the reasons for skipping others. No I/O, no clock."""
 
 from enum import Enum, auto
 
@@ -14,38 +14,41 @@
 from pierglade.model.request import Request
 from pierglade.settings.balancer import BalancerSettings
 
-# Of a request's worth for each crossing; less is no reason to crowd the own zone.
-CROSS_ZONE_PENALTY_FROM = 0.05
-# Times the mean in flight; far more than chance piles up on one backend.
-OVER_MEAN = 1.0
-# Attempts; below this much over the mean no backend has too many.
-OVER_MEAN_FLOOR = 0.5
-# Power of the level in turns; nothing else evens out what few connections bring by chance.
-LEVEL_POWER = 4
+# Fraction of a request's value lost by sending it to another zone; below this, preferring the own
+# zone is not worth the load that it concentrates there.
+MIN_CROSS_ZONE_PENALTY = 0.05
+# Multiple of the mean number of attempts in flight that one backend may have; random variation
+# rarely puts more on one.
+OVER_MEAN_RATIO = 1.0
+# Attempts that one backend may have beyond that multiple, at any load.
+OVER_MEAN_MARGIN = 0.5
+# Exponent of the latency level in the rotation weights where the limit is learned; nothing else
+# evens out the random load of backends with few connections.
+LATENCY_LEVEL_EXPONENT = 4
 
 
 class SkipReason(Enum):
-    """Why a backend is skipped when its turn comes."""
+    """Reason for skipping a backend at its position in the rotation."""
 
     RETRY_NOT_ALLOWED = auto()
-    """Rule 2: the request may not go there after what its attempts have proved."""
+    """Rule 2: the earlier attempts of the request rule this backend out."""
     ALREADY_TRIED = auto()
-    """The request was there."""
+    """The request has had an attempt at this backend."""
     SLOW_START = auto()
-    """It is cold and has had its part."""
+    """The backend is in slow start and has used up its allowance."""
     EJECTED = auto()
-    """It fails or does not respond."""
+    """The backend is ejected as failing or unresponsive."""
     SLOW = auto()
-    """It is ejected as slow."""
+    """The backend is ejected as slow."""
     OVER_MEAN_IN_FLIGHT = auto()
-    """It has far more in flight than the mean."""
+    """The backend has far more attempts in flight than the mean."""
     PAUSE_FORECAST = auto()
-    """Its next pause is due."""
+    """The next forecast pause of the backend is due."""
     LOW_WEIGHT = auto()
-    """It is small or slow, and has had its part of the turns."""
+    """The backend is small or slow and has used up its weight in the rotation."""
 
 
-# Skips that give way when all backends are skipped.
+# Reasons that are ignored when all backends are skipped.
 FALLBACKS = (
     SkipReason.PAUSE_FORECAST,
     SkipReason.SLOW,
@@ -55,7 +58,7 @@
 
 
 class Selection:
-    """The next backend in turn that nothing speaks against."""
+    """Selects the next backend in the rotation that has no reason to be skipped."""
 
     def __init__(
         self,
@@ -72,48 +75,50 @@
         retry_rules: RetryRules,
     ) -> None:
         self.limit = limit
-        self._home = (
-            settings.zone if settings.cross_zone_penalty >= CROSS_ZONE_PENALTY_FROM else None
+        self._preferred_zone = (
+            settings.zone if settings.cross_zone_penalty >= MIN_CROSS_ZONE_PENALTY else None
         )
-        self._level_power = LEVEL_POWER if learns else 1
+        self._latency_level_exponent = LATENCY_LEVEL_EXPONENT if learns else 1
         self._endpoints, self._request_stats = endpoints, request_stats
         self._pause_forecast, self._slow_start = pause_forecast, slow_start
         self._ejections, self._outliers = ejections, outliers
         self._rotation, self._retry_rules = rotation, retry_rules
         self.turn_share: list[float] = []
-        """Of each backend the part of a turn that it has saved up."""
+        """Weight that each backend has accumulated toward its next selection, 0 to 1."""
 
-    def add(self, backend: int, share: float) -> None:
-        """A new backend has saved up `share`."""
-        self.turn_share[backend : backend + 1] = [share]
+    def add(self, backend: int, fraction: float) -> None:
+        """Adds a new backend that has accumulated the weight `fraction`."""
+        self.turn_share[backend : backend + 1] = [fraction]
 
-    def copy_from(self, before: "Selection") -> None:
-        """Takes over the parts of turns saved up."""
-        self.turn_share = before.turn_share.copy()
+    def copy_from(self, previous: "Selection") -> None:
+        """Copies the accumulated weights of `previous`."""
+        self.turn_share = previous.turn_share.copy()
 
     def choose(self, request: Request, now: int) -> int | None:
-        """The next in turn that nothing speaks against.
+        """Returns the next backend in the rotation that has no reason to be skipped.
 
-        If all are skipped, the first that may take it; None if none may.
+        If all are skipped, returns the first one skipped for a reason in `FALLBACKS`, else None.
         """
-        rotation, sizes, share = self._rotation, self._endpoints.size, self.turn_share
+        rotation, sizes, accumulated = self._rotation, self._endpoints.size, self.turn_share
         subset, position, fallback = rotation.subset, rotation.position, None
         count = len(subset)
-        # Where a way to another zone is dear, one lap over the own zone's first.
-        for step in range(0 if self._home is None else -count, count):
+        # Where crossing zones is expensive, a first lap covers only the backends of the own zone.
+        for step in range(0 if self._preferred_zone is None else -count, count):
             place = (position + step) % count
             backend = subset[place]
-            if step < 0 and self._endpoints.zone[backend] != self._home:
+            if step < 0 and self._endpoints.zone[backend] != self._preferred_zone:
                 continue
             skip = self.skip_reason(request, backend, now)
             if skip is None:
-                # Even turns would overdrive the small machines at a load that the fleet can bear.
+                # With equal weights, small machines would be overloaded at a load that the fleet
+                # can carry.
                 level = self._outliers.latency_level[backend]
-                share[backend] += min(
-                    1.0, sizes[backend] / (rotation.largest_size * level**self._level_power)
+                accumulated[backend] += min(
+                    1.0,
+                    sizes[backend] / (rotation.largest_size * level**self._latency_level_exponent),
                 )
-                if share[backend] >= 1:
-                    share[backend] -= 1
+                if accumulated[backend] >= 1:
+                    accumulated[backend] -= 1
                     rotation.position = place + 1 if place + 1 < count else 0
                     return backend
                 skip = SkipReason.LOW_WEIGHT
@@ -125,7 +130,7 @@
         return subset[fallback]
 
     def skip_reason(self, request: Request, backend: int, now: int) -> SkipReason | None:
-        """Why the backend is skipped, or None."""
+        """Returns the reason for skipping the backend, or None."""
         if request.attempts:
             if not self._retry_rules.may_send(request, backend, now):
                 return SkipReason.RETRY_NOT_ALLOWED
@@ -140,27 +145,34 @@
         if reason is not None and not self.is_trial(request, backend):
             if reason is not EjectionReason.SLOW:
                 return SkipReason.EJECTED
-            # Shared slowness: when most backends are slow at once, skipping them all helps nobody.
+            # Shared slowness: when most backends are slow at once, skipping all of them is no help.
             if ejections.slow_count * 2 <= len(rotation.subset):
                 return SkipReason.SLOW
         level = self._outliers.latency_level[backend]
-        most = 1 + OVER_MEAN_FLOOR + OVER_MEAN * self.limit.in_flight / self.limit.healthy_backends
-        if (attempts := ejections.in_flight.get(backend)) and (len(attempts) + 1) * level > most:
+        max_in_flight = (
+            1
+            + OVER_MEAN_MARGIN
+            + OVER_MEAN_RATIO * self.limit.in_flight / self.limit.healthy_backends
+        )
+        if (attempts := ejections.in_flight.get(backend)) and (
+            len(attempts) + 1
+        ) * level > max_in_flight:
             return SkipReason.OVER_MEAN_IN_FLIGHT
         forecast = self._pause_forecast.next_pause_at[backend]
         if forecast is not None:
-            usual = self._request_stats.classes[request.request_class.index].typical
-            if forecast - usual * level <= now:
+            typical_latency = self._request_stats.classes[request.request_class.index].typical
+            if forecast - typical_latency * level <= now:
                 if now <= forecast + self._pause_forecast.mean_pause[backend]:
                     return SkipReason.PAUSE_FORECAST
-                # No pause came: set aside until one does, the forecast cannot starve the backend.
-                self._pause_forecast.set_aside(backend)
+                # The forecast pause did not occur. The forecast is discarded until the next pause,
+                # as it would starve the backend.
+                self._pause_forecast.discard_forecast(backend)
         return None
 
     def is_trial(self, request: Request, backend: int) -> bool:
-        """Whether the request would be the trial request that is due at that backend."""
+        """Returns whether the request would be the trial request that is due at the backend."""
         return (
             self._ejections.trial_due[backend]
             and not self._ejections.trials_in_flight[backend]
-            and request.request_class.idempotency == self._request_stats.least_harmful_kind()
+            and request.request_class.idempotency == self._request_stats.safest_idempotency()
         )
--- a/pierglade/balancer/stored_figures.py
+++ b/pierglade/balancer/stored_figures.py
@@ -1,6 +1,6 @@
-"""The figures of a backend that snapshots store.
+"""Figures of backends that snapshots store.
 
-For each stored name, where a balancer keeps it.
+Maps each stored name to its place in the balancer.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from pierglade.balancer.balancer import Balancer
 
-# Stored name: the balancer's part, its array, and what a new backend begins with.
+# Stored name: component of the balancer, its array, and the value for a new backend.
 STORED_FIGURES = {
     "level": ("outliers", "latency_level", outlier_detection.INITIAL["latency_level"]),
     "quick": ("outliers", "recent_level", outlier_detection.INITIAL["recent_level"]),
@@ -37,9 +37,9 @@
 def export_statistics(
     balancer: "Balancer", keys: Iterable[str]
 ) -> tuple[list[dict], dict[str, dict]]:
-    """What a restart would forget: each class's figures, and of each ready backend the `keys`.
+    """Exports the figures of each class and the figures `keys` of each ready backend.
 
-    `keys` are stored names.
+    They would be lost in a restart. `keys` are stored names.
     """
     endpoints, arrays = balancer.endpoints, {key: _array(balancer, key) for key in keys}
     return [vars(each) for each in balancer.request_stats.classes], {
@@ -50,7 +50,7 @@
 
 
 def restore_statistics(balancer: "Balancer", rows: list[dict], backends: dict[str, dict]) -> None:
-    """Takes what of exported statistics is still true (`pierglade/snapshot/`).
+    """Restores the exported statistics that are still valid (`pierglade/snapshot/`).
 
     The backends must be known.
     """
--- a/pierglade/balancer/sweep.py
+++ b/pierglade/balancer/sweep.py
@@ -1,4 +1,4 @@
-"""The periodic sweep: looks after all that is due."""
+"""The periodic sweep: handles everything that is due by time."""
 
 from pierglade.balancer.dispatch import Dispatch
 from pierglade.balancer.ejections import Ejections
@@ -16,7 +16,7 @@
 
 
 class PeriodicSweep:
-    """Unresponsive backends, trial requests, polls, and requests that wait too long."""
+    """Checks unresponsive backends, trial requests, polls and requests queued for too long."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         self._ejections, self._outliers = ejections, outliers
 
     def run(self, now: int) -> None:
-        """Does what is due, and requests the wakeup for what comes next."""
+        """Handles everything that is due and requests the next wakeup."""
         self._wakeup.reset()
         self._rebuild_and_poll(now)
         for request in self._queue.update_overload(now):
-            self._pending.append(self._dispatch.final(request))
-        self._deadlines.fade(now)
-        self._request_stats.fade(now)
+            self._pending.append(self._dispatch.final_answer(request))
+        self._deadlines.decay(now)
+        self._request_stats.decay(now)
         self._request_costs.update_median(now)
-        if self._learns and self._load_reports.take_due_look(now):
-            self._rotation.look(now)
+        if self._learns and self._load_reports.take_due_evaluation(now):
+            self._rotation.update_from_load_reports(now)
         for backend in list(self._ejections.in_flight):
             next_check_at = self._outliers.check_unresponsive(backend, now)
             self._wakeup.request(max(now + SWEEP_INTERVAL, next_check_at))
--- a/pierglade/balancer/wakeup.py
+++ b/pierglade/balancer/wakeup.py
@@ -1,26 +1,26 @@
-"""When the balancer has to look after its periodic work again.
+"""The time at which the balancer's periodic work is next due.
 
-Moments are tenths of a millisecond.
+Times are in ticks (tenths of a millisecond).
 """
 
-# A moment that does not come.
+# A time that never comes.
 NEVER = 1 << 62
-# 50 ms; looking for unresponsive backends costs little at this pace and finds them within one
-# answer.
+# Ticks (50 ms). Checking for unresponsive backends is cheap at this interval and detects them
+# within one answer.
 SWEEP_INTERVAL = 500
 
 
 class Wakeup:
-    """The earliest moment that any part asked for."""
+    """The earliest time that any component has requested."""
 
     def __init__(self, at: int) -> None:
         self.at = at
 
-    def request(self, moment: int) -> None:
-        """Something is due at that moment."""
-        if moment < self.at:
-            self.at = moment
+    def request(self, at: int) -> None:
+        """Requests a wakeup at that time."""
+        if at < self.at:
+            self.at = at
 
     def reset(self) -> None:
-        """All that is due is being looked after now."""
+        """Clears the wakeup, as everything due is being handled now."""
         self.at = NEVER
--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -91,7 +91,7 @@
         node = scene.node
         scene.say(
             f"{sent} sent, {bounced} not; {len(node.rotation.subset)} in view, part {node.load_reports.traffic_share:.1f}, room "
-            f"{node.load_reports._growth:.1f}, {'rests' if scene.now < node.load_reports._rest_until else 'no rest'}"
+            f"{node.load_reports._growth:.1f}, {'rests' if scene.now < node.load_reports._backoff_until else 'no rest'}"
         )
 
     def test_without_shares_view_and_part_follow_what_comes(self):
@@ -616,7 +616,7 @@
             chance = random.Random(seed)
             scene = Scene([f"b{n}" for n in range(4)], **self.TERMS)
             took, further, broken, early = [], [], 0, 0
-            send, final = scene.node.dispatch.send, scene.node.dispatch.final
+            send, final = scene.node.dispatch.send, scene.node.dispatch.final_answer
 
             def sends(request, b, now, send=send):
                 if request.attempts:
@@ -637,7 +637,7 @@
                 )
                 return final(request)
 
-            scene.node.dispatch.send, scene.node.dispatch.final = sends, finals
+            scene.node.dispatch.send, scene.node.dispatch.final_answer = sends, finals
             for n in range(1500):
                 scene.after(chance.choice((1, 5, 20, 400 if n % 300 > 280 else 10)))
                 took.append(scene.now)
@@ -690,7 +690,7 @@
         self.check(
             "budget_settings",
             [
-                f"{scene.node.retry_budget.left(scene.now)} left, {after.retry_budget.left(scene.now)} after"
+                f"{scene.node.retry_budget.remaining(scene.now)} left, {after.retry_budget.remaining(scene.now)} after"
             ],
         )
 
