--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -48,9 +48,9 @@
 # Multiple of the typical latency. An abandoned attempt counts as in flight for this long.
 ABANDONED_LATENCY_RATIO = 1.5
 # Ticks (0.1 s). Retry advice to a rejected client without overload, when capacity may soon be free.
-RETRY_AFTER_NORMAL = 1000
+RETRY_SOON = 1000
 # Ticks (0.5 s). Retry advice under overload, the time that a burst takes to pass.
-RETRY_AFTER_OVERLOADED = 5000
+RETRY_LATER = 5000
 
 
 class Balancer:
@@ -102,16 +102,12 @@
         self.request_costs = RequestCosts(self.request_stats)
         self.pause_forecast = PauseForecast()
         self.slow_start = SlowStart.from_settings(settings)
-        from_health_checks = (
-            learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
-        )
-        reports_are_rare = from_health_checks and "throughput" not in settings.load_report_fields
+        by_checks = learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
+        reports_are_rare = by_checks and "throughput" not in settings.load_report_fields
         self.load_reports = LoadReports(
             settings, self.endpoints, self.request_stats, self.slow_start, reports_are_rare, now
         )
-        self.health_checks = HealthChecks(
-            from_health_checks and settings.may_check_health, reports_are_rare
-        )
+        self.health_checks = HealthChecks(by_checks and settings.may_check_health, reports_are_rare)
         self.ejections = Ejections(self.limit, self.wakeup)
         self.queue = RequestQueue(settings, self.request_stats, self.wakeup)
 
@@ -232,10 +228,7 @@
 
     def retry_after(self, now: int) -> int:
         """Returns the retry advice to a rejected client in ticks; 0 where none is given."""
-        return min(
-            RETRY_AFTER_OVERLOADED if self.overloaded else RETRY_AFTER_NORMAL,
-            self.settings.max_retry_after,
-        )
+        return min(RETRY_LATER if self.overloaded else RETRY_SOON, self.settings.max_retry_after)
 
     def export_statistics(self, keys: Iterable[str]) -> tuple[list[dict], dict[str, dict]]:
         """Exports the statistics to store; see `stored_figures.export_statistics`."""
@@ -257,10 +250,7 @@
         self._endpoint_list.apply(now, entries, is_whole)
 
     def discovery_lost(self, now: int, since_update: int = -NEVER) -> None:
-        """Schedules a poll after the endpoint list failed to load or its watch ended.
-
-        `since_update` is the time since the last update of the list.
-        """
+        """Schedules a poll after the list was lost; `since_update`: time since its last update."""
         self.polling.discovery_lost(now, since_update)
         self.wakeup.request(self.polling.next_at)
 
@@ -291,8 +281,7 @@
     ) -> bool:
         """Returns whether an arriving request is rejected unread for lack of CPU time.
 
-        `last_idle_at` is when the process was last idle; `already_rejected` means that admission
-        control has shed the request.
+        `last_idle_at`: when the process was last idle; `already_rejected`: shed by admission.
         """
         is_shed = already_rejected or is_host_late(now, last_idle_at, request_class, arrived_at)
         self.deadlines.request_shed(request_class, time_left, is_shed)
@@ -306,8 +295,7 @@
         stats = self.request_stats.classes[request.request_class.index]
         attempt.outcome = outcome
         request.in_flight -= 1
-        # The backend may still be working on an abandoned attempt; filling its place at once would
-        # overload the backend.
+        # An abandoned attempt may still be running; filling its place at once causes overload.
         if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
             attempt.timeout_at = now + int(ABANDONED_LATENCY_RATIO * stats.typical)
             self.wakeup.request(attempt.timeout_at)
@@ -354,9 +342,7 @@
         """Returns when to request decisions again if nothing happens before; None for never."""
         # A client's repeat may have so little time left that the next sweep would be past its
         # limit.
-        earliest = min(
-            [self.wakeup.at, *map(self.deadlines.latest_send_time, self.queue.next_requests())]
-        )
+        earliest = min([self.wakeup.at, *map(self.deadlines.latest_send_time, self.queue.heads())])
         return max(now + 1, earliest) if earliest < NEVER else None
 
     def next_decision(self, now: int) -> Decision | None:
--- a/pierglade/balancer/endpoint_list.py
+++ b/pierglade/balancer/endpoint_list.py
@@ -39,7 +39,7 @@
     def apply(self, now: int, entries: Iterable[Endpoint], is_whole: bool) -> None:
         """Applies the list: all backends if `is_whole`, else the changed ones."""
         if is_whole:
-            self._remove_unlisted(now, entries)
+            self._remove_missing(now, entries)
         for entry in entries:
             backend = self._endpoints.index.get(entry.name)
             if backend is None:
@@ -49,7 +49,7 @@
             self._update(backend, entry, now)
         self._rotation.endpoints_updated(now)
 
-    def _remove_unlisted(self, now, entries):
+    def _remove_missing(self, now, entries):
         listed = {entry.name for entry in entries}
         for name, backend in self._endpoints.index.items():
             if name not in listed:
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -11,7 +11,7 @@
 from pierglade.balancer.health_checks import HealthChecks
 from pierglade.balancer.pause_forecast import PauseForecast
 from pierglade.balancer.pending_decisions import PendingDecisions
-from pierglade.balancer.request_cost import LATENCY_RESOLUTION, RequestCosts
+from pierglade.balancer.request_cost import MIN_LATENCY, RequestCosts
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget
 from pierglade.balancer.rotation import Rotation
 from pierglade.balancer.wakeup import NEVER, SWEEP_INTERVAL, Wakeup
@@ -31,7 +31,7 @@
 RECOVERED_RATIO = 2.0
 # Multiple of the typical latency. One answer counts as no slower, so that a single heavy request
 # does not look like a pause.
-MAX_LATENCY_RATIO = 6.0
+MAX_RATIO = 6.0
 # Weights of a new answer in the recent and in the smoothed latency level.
 RECENT_SMOOTHING, LEVEL_SMOOTHING = 1 / 4, 1 / 32
 # Ticks (3 s). Time in which the smoothed level follows the latency where answers are rare.
@@ -41,7 +41,7 @@
 # Weight of a new outcome in the error rate.
 ERROR_SMOOTHING = 0.3
 # Error rate. After two consecutive errors, three successful answers end an outage.
-MAX_RECOVERED_ERROR_RATE = 0.2
+RECOVERED_ERROR_RATE = 0.2
 # Weight of a failure to establish a connection in the error rate; it counts as two errors.
 CONNECT_ERROR_SMOOTHING = 0.51
 # Consecutive errors. An error rate that corresponds to this many, one and nearly half of a second,
@@ -49,7 +49,7 @@
 MIN_CONSECUTIVE_ERRORS = 1.43
 # Probability. Where losses are common, only a run of errors less likely than this to be random
 # ejects a backend.
-MAX_ERROR_RUN_PROBABILITY = 0.0005
+RUN_PROBABILITY = 0.0005
 # Fractions of attempts lost. Lower rates are not observable within minutes; losing half of all
 # attempts is not random.
 MIN_LOSS_RATE, MAX_LOSS_RATE = 0.001, 0.5
@@ -127,8 +127,7 @@
     def process_started(self, backend: int, now: int) -> None:
         """Resets what was learned about the previous process of the backend.
 
-        A new process has its own pauses, and the reason for ejecting the previous one does not
-        apply to it.
+        A new process has its own pauses, and the ejection of the previous one is not its own.
         """
         if self._ejections.reason[backend] is not None:
             self._set_reason(backend, None, now)
@@ -186,45 +185,30 @@
         )
         self.last_answer_at[backend] = now
         self.error_rate[backend] *= 1 - ERROR_SMOOTHING
-        normalized_latency = latency / attempt.request.relative_cost
-        ratio = min(
-            MAX_LATENCY_RATIO,
-            max(normalized_latency, LATENCY_RESOLUTION) / max(stats.typical, LATENCY_RESOLUTION),
-        )
+        normalized = latency / attempt.request.relative_cost
+        ratio = min(MAX_RATIO, max(normalized, MIN_LATENCY) / max(stats.typical, MIN_LATENCY))
         self.recent_level[backend] += (ratio - self.recent_level[backend]) * RECENT_SMOOTHING
         level = max(self.latency_level[backend], 1.0)
         if reason is None:
             self.latency_level[backend] += (ratio - self.latency_level[backend]) * smoothing
-            self._record_healthy_answer(now, attempt, stats, normalized_latency, ratio)
+            self._record_healthy_answer(now, attempt, stats, normalized, ratio)
             if self.recent_level[backend] > SLOW_RATIO * level:
                 self.eject(backend, SLOW, now)
         elif attempt.sent_at < self._ejections.since[backend] and reason is not UNRESPONSIVE:
             pass  # An attempt sent before the ejection is no evidence of recovery.
-        elif (
-            ratio <= RECOVERED_RATIO * level
-            and self.error_rate[backend] <= MAX_RECOVERED_ERROR_RATE
-        ):
+        elif ratio <= RECOVERED_RATIO * level and self.error_rate[backend] <= RECOVERED_ERROR_RATE:
             self._end_ejection(backend, now)
         else:
             self._ejections.admit_trial(backend, reason is FAILING)
 
     def _record_healthy_answer(
-        self,
-        now: int,
-        attempt: Attempt,
-        stats: RequestClassStats,
-        normalized_latency: float,
-        ratio: float,
+        self, now: int, attempt: Attempt, stats: RequestClassStats, normalized: float, ratio: float
     ) -> None:
-        """Updates the figures from a successful answer of a healthy backend.
-
-        `normalized_latency` is the latency scaled to a request of mean cost; `ratio` is its
-        multiple of the typical latency.
-        """
+        """Records an answer: latency `normalized` to mean cost, `ratio` to the typical latency."""
         self.loss_rate = max(MIN_LOSS_RATE, self.loss_rate * (1 - LOSS_SMOOTHING))
         stats.answers += 1
         smoothing = max(LATENCY_SMOOTHING, 1 / stats.answers)
-        stats.typical += (normalized_latency - stats.typical) * smoothing
+        stats.typical += (normalized - stats.typical) * smoothing
         stats.skew = max(0.0, stats.skew - (log(ratio) + stats.skew) * smoothing)
         self._pause_forecast.record_answer(attempt.backend, now)
         request_class = attempt.request.request_class
@@ -233,7 +217,7 @@
             request_class.index,
             attempt.probing_round,
             attempt.sent_at,
-            int(normalized_latency),
+            int(normalized),
             request_class.latency_objective,
         )
 
@@ -257,13 +241,10 @@
                 self.limit.attempt_rejected(now, attempt.sent_at)
         # Losses that all backends share are no outage of one of them; ejecting backends for these
         # would leave no capacity.
-        min_errors = MIN_CONSECUTIVE_ERRORS
+        run = MIN_CONSECUTIVE_ERRORS
         if self._rotation.uses_all_backends():
-            min_errors = max(
-                min_errors,
-                log(MAX_ERROR_RUN_PROBABILITY) / log(min(MAX_LOSS_RATE, self.loss_rate)) - 0.5,
-            )
-        if self.error_rate[backend] >= 1 - (1 - ERROR_SMOOTHING) ** min_errors:
+            run = max(run, log(RUN_PROBABILITY) / log(min(MAX_LOSS_RATE, self.loss_rate)) - 0.5)
+        if self.error_rate[backend] >= 1 - (1 - ERROR_SMOOTHING) ** run:
             self.eject(backend, FAILING, now)
             if attempt.is_trial:
                 self.trial_failed(backend, now)
@@ -348,8 +329,7 @@
     def check_unresponsive(self, backend: int, now: int) -> int:
         """Ejects a backend that has attempts in flight and has not answered for too long.
 
-        Its attempts that may be retried in time are then cancelled. Returns the time of the next
-        check.
+        Its attempts that may be retried are then cancelled. Returns the time of the next check.
         """
         attempts = self._ejections.in_flight[backend]
         for attempt in [
@@ -360,13 +340,10 @@
             return NEVER
         oldest = next(iter(attempts))
         silence = now - max(self.last_answer_at[backend], oldest.sent_at)
-        # A light request may wait behind heavy ones, so a cost below the mean does not shorten the
-        # permitted silence.
+        # A light request may wait behind heavy ones and does not shorten the permitted silence.
         cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
-        typical = max(
-            LATENCY_RESOLUTION, cost * stats.typical * max(self.latency_level[backend], 1.0)
-        )
+        typical = max(MIN_LATENCY, cost * stats.typical * max(self.latency_level[backend], 1.0))
         max_silence = _max_silence(typical, stats.skew, len(attempts))
         if silence < max_silence:
             return min(
@@ -376,10 +353,10 @@
             )
         if self._ejections.reason[backend] is not UNRESPONSIVE:
             self.eject(backend, UNRESPONSIVE, now)
-        self._cancel_unresponsive(backend, now, list(attempts), typical)
+        self._cancel_unanswered(backend, now, list(attempts), typical)
         return now
 
-    def _cancel_unresponsive(
+    def _cancel_unanswered(
         self, backend: int, now: int, attempts: list[Attempt], typical: float
     ) -> None:
         """Cancels the attempts at an unresponsive backend that may be retried elsewhere in time."""
--- a/pierglade/balancer/request_cost.py
+++ b/pierglade/balancer/request_cost.py
@@ -24,7 +24,7 @@
 SLOWNESS_DECAY_SPAN = 50000
 # Ticks (5 ms). The process is delayed this long now and then, so lower latencies are not
 # distinguished.
-LATENCY_RESOLUTION = 50
+MIN_LATENCY = 50
 
 
 class RequestCosts:
@@ -75,9 +75,7 @@
         if tenant is None or request.cost_hint:
             return
         typical = self._request_stats.classes[request.request_class.index].typical
-        ratio = min(
-            MAX_SLOWNESS, max(latency, LATENCY_RESOLUTION) / max(typical, LATENCY_RESOLUTION)
-        )
+        ratio = min(MAX_SLOWNESS, max(latency, MIN_LATENCY) / max(typical, MIN_LATENCY))
         slowness = self._slowness(tenant, now)
         if not is_complete and ratio < slowness:
             return  # Such a latency is normal for this tenant and gives no information.
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -99,7 +99,7 @@
                     best_heap, best_rank = heap, rank
         return best_heap
 
-    def next_requests(self) -> list[Request]:
+    def heads(self) -> list[Request]:
         """Returns the retries and the first request of each heap."""
         return self.retries + [heap[0][2] for heap in self.heaps if heap]
 
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -46,8 +46,7 @@
     ) -> None:
         """Starts with an empty ring.
 
-        `learns`: where there are no quotas, received requests and load reports determine the size
-        of the subset.
+        `learns`: without quotas, requests and load reports determine the size of the subset.
         """
         self._settings, self.pick, self.limit, self._wakeup = settings, pick, limit, wakeup
         self._endpoints, self._request_stats = endpoints, request_stats
