--- a/tests/balancer/test_balancer.py
+++ b/tests/balancer/test_balancer.py
@@ -1,4 +1,4 @@
-"""Short traces of decisions; each is kept in tests/traces/ and read by people."""
+"""Decisions of a balancer in short scenarios, compared with the traces in tests/traces/."""
 
 import random
 
@@ -24,14 +24,14 @@
         scene.flow(30)
         self.check("forecast", scene.lines)
 
-    def test_a_stale_forecast_starves_nobody(self):
+    def test_stale_forecast_does_not_starve_a_backend(self):
         scene = self.learn_pauses(Scene(["b0", "b1", "b2"]))
         scene.flow(40)
         scene.after(60000)
         scene.flow(30)
         self.check("stale", scene.lines)
 
-    def test_crowded(self):
+    def test_skips_backend_with_too_many_attempts_in_flight(self):
         scene = Scene(["b0", "b1", "b2"])
         for n in range(9):
             scene.take(f"i{n}")
@@ -41,42 +41,44 @@
                     scene.end(name, note=False)
         self.check("crowded", scene.lines)
 
-    def test_turns_go_by_weight_and_level(self):
+    def test_rotation_follows_weight_and_latency_level(self):
         scene = Scene([listed("small"), listed("large", weight=2.0)])
         scene.flow(30)
-        scene.say("large takes three times as long, one invocation a second")
+        scene.say("large takes three times as long, one request per second")
         for _ in range(24):
             scene.flow(1, slow=("large",), slow_took=60)
             scene.after(1000)
         self.check("weights", [line.replace("1 went to", "to") for line in scene.lines])
 
-    def learner(self, **changed):
-        """A node of many whose tenants have no shares, and twelve backends."""
+    def one_of_many_nodes(self, **changes):
+        """A scenario of one node of many, without quotas, and twelve backends."""
         return Scene(
             [f"b{n}" for n in range(12)],
             tenants=TenantRegistry(),
             node_count=70,
             may_check_health=False,
-            **changed,
+            **changes,
         )
 
-    def stream(self, scene, seconds, every_ms, took=40, report=None, hint=None, flood=0):
-        """Invocations at an even pace that all settle, each with its backend's report; `flood`: so many more
-        of which each is left by its client at once."""
+    def stream(self, scene, seconds, every_ms, took=40, report=None, hint=None, shed_each=0):
+        """Sends and answers requests at an even pace, each with the load `report`, and prints counts.
+
+        For each request, `shed_each` further ones arrive whose clients disconnect at once.
+        """
         lines, scene.lines = scene.lines, []
-        sent = bounced = 0
+        sent = unsent = 0
         for n in range(int(seconds * 1000 / every_ms)):
             request = scene.take("s", hint=hint[n % len(hint)] if hint else 0)
-            for _ in range(flood):
-                left = Request(
+            for _ in range(shed_each):
+                abandoned = Request(
                     "left",
                     scene.settings.request_classes[0],
                     None,
                     scene.now,
                     scene.now + 1000 * MS,
                 )
-                scene.node.request_received(scene.now, left)
-                scene.node.client_disconnected(scene.now, left)
+                scene.node.request_received(scene.now, abandoned)
+                scene.node.client_disconnected(scene.now, abandoned)
             scene.after(every_ms)
             for attempt in request.attempts:
                 if report:
@@ -86,33 +88,39 @@
                 scene.node.attempt_ended(scene.now, attempt, Outcome.SUCCESS, took * MS, True)
                 scene.pull()
             sent += bool(request.attempts)
-            bounced += not request.attempts
+            unsent += not request.attempts
         scene.lines = lines
         node = scene.node
         scene.say(
-            f"{sent} sent, {bounced} not; {len(node.rotation.subset)} in view, part {node.load_reports.traffic_share:.1f}, room "
-            f"{node.load_reports._growth:.1f}, {'rests' if scene.now < node.load_reports._backoff_until else 'no rest'}"
+            f"{sent} sent, {unsent} not; subset of {len(node.rotation.subset)}, traffic share {node.load_reports.traffic_share:.1f}, growth "
+            f"{node.load_reports._growth:.1f}, {'back-off' if scene.now < node.load_reports._backoff_until else 'no back-off'}"
         )
 
-    def test_without_shares_view_and_part_follow_what_comes(self):
-        """Each node had the same part, and all backends in view: the busy bounced what there was room for."""
-        scene = self.learner(load_report_source=LoadReportSource.RESPONSES)
+    def test_without_quotas_subset_and_traffic_share_follow_received_requests(self):
+        """The subset and the traffic share follow the received requests and the load reports.
+
+        With the same share for each node and all backends in each subset, busy nodes rejected requests
+        although backends had capacity. By all requests received instead of answers, nodes overloaded the
+        fleet.
+        """
+        scene = self.one_of_many_nodes(load_report_source=LoadReportSource.RESPONSES)
         load = LoadReport(throughput=30.0, utilization=0.6)
-        scene.say("four a second, of 360 that the twelve report")
+        scene.say("four requests per second, of 360 that the twelve backends report")
         self.stream(scene, 10, 250, report=load)
-        scene.say("twenty-five a second")
+        scene.say("twenty-five requests per second")
         self.stream(scene, 60, 40, report=load)
-        scene.say("half of the backends leave; the others have no room by their reports")
+        scene.say("half of the backends are removed; the others report full utilization")
         scene.list([listed(f"b{n}", EndpointState.REMOVED) for n in range(6)])
         self.stream(scene, 10, 40, report=LoadReport(throughput=60.0, utilization=1.0))
-        scene.say(
-            "all are asked for eight times what they settle: as its own part, that filled the fleet"
-        )
-        self.stream(scene, 20, 40, report=LoadReport(throughput=60.0, utilization=1.0), flood=7)
+        scene.say("all nodes receive eight times what they answer")
+        self.stream(scene, 20, 40, report=LoadReport(throughput=60.0, utilization=1.0), shed_each=7)
         self.check("learned", scene.lines)
 
-    def test_first_probes_where_only_probes_tell_the_load(self):
-        """One probe in twenty trips, twelve trips a second: the first report came after two seconds."""
+    def test_initial_health_checks_where_only_they_report_load(self):
+        """The first load report does not wait for a fixed number of attempts.
+
+        With one health check per 20 attempts and twelve attempts per second, it came after two seconds.
+        """
         scene = Scene(
             [f"b{n}" for n in range(6)],
             tenants=TenantRegistry(),
@@ -130,8 +138,11 @@
                     )
         self.check("first_probes", [line for line in scene.lines if "check health" in line])
 
-    def test_the_own_zone_first_where_crossing_is_dear(self):
-        """Turns went round all zones alike, three of four over a way that cost more than it gained."""
+    def test_prefers_own_zone_if_crossing_zones_is_expensive(self):
+        """Backends in the own zone come first where crossing zones costs more than it gains.
+
+        The rotation covered all zones alike, and three of four requests crossed zones.
+        """
         lines = []
         for cross_zone_penalty in (0.01, 0.1):
             scene = Scene(
@@ -139,14 +150,14 @@
                 zone="east",
                 cross_zone_penalty=cross_zone_penalty,
             )
-            scene.say(f"crossing costs {cross_zone_penalty}")
+            scene.say(f"cross-zone penalty {cross_zone_penalty}")
             scene.flow(9)
-            scene.say("six at once: the own zone is crowded")
+            scene.say("six at once: the own zone is full")
             for n in range(6):
                 scene.take(f"i{n}")
             for n in range(6):
                 scene.end(f"i{n}", note=False)
-            scene.say("both of the own zone refuse")
+            scene.say("both backends of the own zone refuse connections")
             for n in range(8):
                 scene.take("r")
                 east = scene.node.endpoints.names[scene.requests["r"].attempts[-1].backend] < "b2"
@@ -157,32 +168,35 @@
         self.check("own_zone", lines)
 
     def test_a_tenant_slow_at_every_backend(self):
-        """Its work made each backend look slow by turns, and all work look longer than it is."""
+        """A tenant whose requests are slow everywhere does not make backends look slow.
+
+        Its requests made one backend after the other look slow, and all requests look longer than they are.
+        """
         scene = Scene([f"b{n}" for n in range(4)])
         north, south = scene.settings.tenants
-        out = []
-        for phase, took, seconds in (
-            ("as others", 20, 3),
+        pending = []
+        for phase, latency, seconds in (
+            ("normal", 20, 3),
             ("slow", 130, 6),
-            ("as others again", 20, 8),
-            ("late in any case", 600, 6),
-            ("as others at last", 20, 9),
+            ("normal again", 20, 8),
+            ("always late", 600, 6),
+            ("normal at the end", 20, 9),
         ):
-            got = {"north": [0, 0], "south": [0, 0]}
-            marked, lines, scene.lines = 0, scene.lines, []
+            counts = {"north": [0, 0], "south": [0, 0]}
+            ejected_steps, lines, scene.lines = 0, scene.lines, []
             for n in range(seconds * 50):
                 n = (phase, n)
                 for place, tenant in enumerate((north, south)[: 1 + (n[1] % 3 == 0)]):
                     request = scene.take((n, place), tenant=tenant)
-                    got[tenant.name][0 if request.attempts else 1] += 1
-                    out.append((n, place))
+                    counts[tenant.name][0 if request.attempts else 1] += 1
+                    pending.append((n, place))
                 scene.after(20)
-                for name in list(out):
+                for name in list(pending):
                     request = scene.requests[name]
                     attempt = request.attempts[-1] if request.attempts else None
-                    slow = took if request.tenant is south else 20
+                    duration = latency if request.tenant is south else 20
                     if request.in_flight and (
-                        attempt.cancelled or scene.now >= attempt.sent_at + slow * MS
+                        attempt.cancelled or scene.now >= attempt.sent_at + duration * MS
                     ):
                         scene.end(
                             name,
@@ -190,81 +204,94 @@
                             note=False,
                         )
                     if request.completed and not request.in_flight:
-                        out.remove(name)
-                marked += bool(scene.node.ejections.ejected)
+                        pending.remove(name)
+                ejected_steps += bool(scene.node.ejections.ejected)
             scene.lines = lines
             scene.say(
-                f"south {phase}: north {got['north']}, south {got['south']} sent and not at once; "
-                f"usual {scene.node.request_stats.classes[0].typical // MS:.0f} ms, levels "
-                f"{[round(level, 1) for level in scene.node.outliers.latency_level]}, some marked {marked * 20} ms"
+                f"south {phase}: north {counts['north']}, south {counts['south']} sent and not sent at once; "
+                f"typical {scene.node.request_stats.classes[0].typical // MS:.0f} ms, levels "
+                f"{[round(level, 1) for level in scene.node.outliers.latency_level]}, some ejected for {ejected_steps * 20} ms"
             )
         self.check("tenant_slow", scene.lines)
 
-    def test_room_by_the_cores_in_use_alone(self):
-        """Where probes tell nothing else, a node of forty bounced a third beside idle backends; and by what
-        was told before the load came, the limit grew fourfold in three seconds, and all choked."""
+    def test_limit_growth_from_utilization_alone(self):
+        """The limit grows where reports have only a utilization, and only while they are fresh.
+
+        Without growth, a node of forty rejected a third of its requests beside idle backends. Growing by
+        reports from before the load, the limit rose fourfold in three seconds and overloaded all backends.
+        """
         lines = []
-        for busy, each_s, until_s in ((0.3, 0.2, 3), (0.95, 0.2, 3), (0.0, 0.2, 0.2), (0.6, 1, 3)):
-            scene = self.learner(load_report_source=LoadReportSource.HEALTH_CHECKS)
+        for load, every_s, until_s in ((0.3, 0.2, 3), (0.95, 0.2, 3), (0.0, 0.2, 0.2), (0.6, 1, 3)):
+            scene = self.one_of_many_nodes(load_report_source=LoadReportSource.HEALTH_CHECKS)
             for n in range(150):
-                if n * 20 % (each_s * 1000) == 0 and n * 20 < until_s * 1000:
+                if n * 20 % (every_s * 1000) == 0 and n * 20 < until_s * 1000:
                     for name in scene.node.endpoints.names:
-                        scene.node.load_reported(scene.now, name, LoadReport(utilization=busy))
+                        scene.node.load_reported(scene.now, name, LoadReport(utilization=load))
                 scene.take(n)
                 scene.after(20)
             lines.append(
-                f"{busy} of the cores in use, told each {each_s} s for {until_s} s: "
-                f"room {scene.node.load_reports._growth:.1f} after 3 s"
+                f"utilization {load}, reported every {every_s} s for {until_s} s: "
+                f"growth {scene.node.load_reports._growth:.1f} after 3 s"
             )
         self.check("room_by_cores", lines)
 
-    def test_what_is_slower_at_all_backends_rests_once_in_step(self):
-        """No report at all was taken for a spell of slowness, and the first seconds were bounced."""
-        scene = self.learner(load_report_source=LoadReportSource.RESPONSES)
+    def test_common_slowdown_starts_one_synchronized_back_off(self):
+        """All nodes back off at the same time when all backends are slower.
+
+        The absence of reports was taken for a slowdown, and the requests of the first seconds were
+        rejected.
+        """
+        scene = self.one_of_many_nodes(load_report_source=LoadReportSource.RESPONSES)
         self.stream(scene, 8, 25)
         self.stream(scene, 10, 25, report=LoadReport(throughput=30.0, utilization=0.8))
-        scene.say("all at half of what they do")
+        scene.say("all at half of their throughput")
         for _ in range(9):
             self.stream(scene, 1, 25, report=LoadReport(throughput=15.0, utilization=0.95))
-        scene.say("well after the rest")
+        scene.say("recovered after the back-off")
         self.stream(scene, 4, 25, report=LoadReport(throughput=30.0, utilization=0.8))
         self.check("rest_in_step", scene.lines)
 
-    def test_heavy_work_is_no_pause_where_it_was_hinted(self):
-        """Heavy invocations were taken for a slow backend, and their answers for strain."""
+    def test_hinted_heavy_requests_are_no_pause(self):
+        """Heavy requests with a cost hint are not taken for a pause of the backend.
+
+        Their answers also were taken for signs of overload.
+        """
         lines = []
         for hint in (None, 120):
             scene = Scene(["b0", "b1", "b2"])
             for n in range(60):
-                heavy = n % 20 > 14
-                scene.take("h", hint=hint and (hint * 6 if heavy else hint))
-                scene.after(240 if heavy else 40)
+                is_heavy = n % 20 > 14
+                scene.take("h", hint=hint and (hint * 6 if is_heavy else hint))
+                scene.after(240 if is_heavy else 40)
                 scene.end("h", note=False)
-            marks = [mark for mark in scene.node.ejections.reason]
+            reasons = [reason for reason in scene.node.ejections.reason]
             lines.append(
-                f"hints {hint}: {marks}, typical {scene.node.request_stats.classes[0].typical / MS:.0f} ms, levels "
+                f"hints {hint}: {reasons}, typical {scene.node.request_stats.classes[0].typical / MS:.0f} ms, levels "
                 + " ".join(f"{level:.2f}" for level in scene.node.outliers.latency_level)
             )
         self.check("hints", lines)
 
-    def test_cold_backends_get_their_part_of_what_is_settled(self):
-        """By what was asked for, a cold one got 4.5 times what it could do, and fell over."""
+    def test_cold_backends_get_a_fraction_of_the_answered_rate(self):
+        """The rate at cold backends follows from the answered, not the received, requests.
+
+        By the received requests, a cold backend got 4.5 times its capacity and was overloaded.
+        """
         lines = []
-        for settled in (0, 1):
-            scene = self.learner(load_report_source=LoadReportSource.RESPONSES)
+        for is_answered in (0, 1):
+            scene = self.one_of_many_nodes(load_report_source=LoadReportSource.RESPONSES)
             for n in range(200):
                 request = scene.take("s", left=400)
                 scene.after(40)
-                for attempt in request.attempts * settled:
+                for attempt in request.attempts * is_answered:
                     scene.node.attempt_ended(scene.now, attempt, Outcome.SUCCESS, 40 * MS, True)
             scene.list(["b12"])
             lines.append(
-                f"asked {scene.node.rotation.request_rate * 10000:.0f} a second, a warm one gets "
-                f"{scene.node.slow_start.warm_rate * 10000:.1f} by what was settled"
+                f"received {scene.node.rotation.request_rate * 10000:.0f} per second, a warm backend gets "
+                f"{scene.node.slow_start.warm_rate * 10000:.1f} by the answered rate"
             )
         self.check("cold_settled", lines)
 
-    def test_many_nodes_keep_few_in_view(self):
+    def test_many_nodes_use_small_subsets(self):
         lines, names = [], [f"b{n}" for n in range(12)]
         for number in (3, 4):
             scene = Scene(
@@ -273,30 +300,34 @@
             scene.say(f"node {number}")
             scene.flow(6)
             request = scene.take("a")
-            lost = scene.node.endpoints.names[request.attempts[0].backend]
+            failed = scene.node.endpoints.names[request.attempts[0].backend]
             scene.after(5)
             scene.end("a", Outcome.CONNECT_FAILED)
             scene.after(20)
             scene.end("a")
             scene.flow(6)
-            scene.list([listed(lost, EndpointState.REMOVED), "b12"])
+            scene.list([listed(failed, EndpointState.REMOVED), "b12"])
             scene.flow(6)
             lines += scene.lines
         self.check("view", lines)
 
 
 class Health(TraceTest):
-    def test_a_held_up_host_finds_no_pause_in_quick_backends(self):
-        """Answers of 0.2 ms, then turns of the host that take 4 ms each, and a trip unanswered for longer."""
+    def test_delays_of_the_process_are_no_pause_of_fast_backends(self):
+        """Delays of the own process are not taken for pauses of the backends.
+
+        Answers take 0.2 ms, then 4 ms each because the process is delayed, and one attempt stays unanswered
+        for longer.
+        """
         scene = Scene(["b0", "b1"])
         scene.flow(400, took=0.2)
         scene.flow(8, took=4)
         scene.lines = []
         scene.take("a")
         scene.after(8)
-        scene.say(f"troubles {scene.node.ejections.reason}")
+        scene.say(f"ejections {scene.node.ejections.reason}")
         scene.after(60)
-        scene.say(f"troubles {scene.node.ejections.reason}")
+        scene.say(f"ejections {scene.node.ejections.reason}")
         self.check("grain", scene.lines)
 
     def test_hang_is_no_pause(self):
@@ -314,36 +345,42 @@
                     scene.end(name, Outcome.CANCELLED)
         scene.say(
             f"b1 is {scene.node.ejections.reason[scene.node.endpoints.index['b1']]}, "
-            f"pauses known: {len(scene.node.pause_forecast.pauses[scene.node.endpoints.index['b1']])}"
+            f"known pauses: {len(scene.node.pause_forecast.pauses[scene.node.endpoints.index['b1']])}"
         )
         self.check("hang", scene.lines)
 
-    def test_a_heavy_one_alone_is_no_silence(self):
-        """One of forty nodes has one trip out at a backend: judged by the mean alone, it held a third of the
-        backends for silent at any time, where nothing was wrong."""
-        chance, told = random.Random(9), []
+    def test_single_heavy_request_is_no_silence(self):
+        """A single heavy request does not make a backend unresponsive.
+
+        One of forty nodes has one attempt in flight per backend. Judged by the mean latency alone, a third
+        of the healthy backends were ejected as unresponsive at any time.
+        """
+        rng, lines = random.Random(9), []
         for spread in (1.2, 0.1):
             scene = Scene([f"b{n}" for n in range(4)])
-            silent = 0
+            ejected_count = 0
             for _ in range(600):
                 request = scene.take("i")
-                for _ in range(int(min(990, 20 * chance.lognormvariate(-(spread**2) / 2, spread)))):
+                for _ in range(int(min(990, 20 * rng.lognormvariate(-(spread**2) / 2, spread)))):
                     scene.after(1)
                 if request.in_flight:
                     scene.end("i", note=False)
-                silent += bool(scene.node.ejections.ejected)
+                ejected_count += bool(scene.node.ejections.ejected)
                 scene.after(100)
-            # Where work is alike, six times the mean is still silence.
-            scene.take("gone")
+            # Where latencies are alike, six times the mean is still silence.
+            scene.take("unanswered")
             scene.after(150)
-            told.append(
-                f"spread {spread}: a backend was left out after {silent} of 600 answers; "
-                f"150 ms without one: {[t for t in scene.node.ejections.reason if t]}"
+            lines.append(
+                f"spread {spread}: a backend was ejected after {ejected_count} of 600 answers; "
+                f"150 ms without an answer: {[reason for reason in scene.node.ejections.reason if reason]}"
             )
-        self.check("heavy", told)
+        self.check("heavy", lines)
 
-    def test_a_restarted_backend_is_well_at_once(self):
-        """A zone that came back was left out for seconds by each node for what its old processes had done."""
+    def test_restarted_backend_is_healthy_at_once(self):
+        """A restarted backend is not ejected for the errors of its previous process.
+
+        After an outage of a zone, each node skipped its backends for seconds.
+        """
         scene = Scene(["b0", "b1"])
         for n in range(4):
             scene.take(f"i{n}")
@@ -356,7 +393,7 @@
         scene.flow(6)
         self.check("restarted_well", scene.lines)
 
-    def test_quick_errors_do_not_attract_work(self):
+    def test_fast_errors_do_not_attract_requests(self):
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(12)
         for n in range(12):
@@ -373,7 +410,7 @@
         scene.flow(9)
         self.check("quick_errors", scene.lines)
 
-    def test_first_quick_answer_makes_nobody_silent(self):
+    def test_fast_first_answer_makes_no_backend_unresponsive(self):
         scene = Scene(["b0", "b1", "b2"])
         for n in range(3):
             scene.take(f"i{n}")
@@ -384,7 +421,7 @@
         scene.end("i2")
         self.check("first_answer", scene.lines)
 
-    def test_a_node_that_saw_all_fail_comes_back(self):
+    def test_node_recovers_after_all_backends_failed(self):
         scene = Scene(["b0", "b1"])
         for n in range(2):
             scene.take(f"i{n}")
@@ -393,37 +430,41 @@
         scene.flow(4)
         self.check("all_failed", scene.lines)
 
-    def test_a_trial_of_what_comes(self):
-        """Clients left the only harmless offering for another, and no backend in trouble was tried again. By
-        the clock instead of by what comes, nodes with a few a second tried with one-shots, and lost them."""
+    def test_trial_requests_use_the_safest_kind_received(self):
+        """Trial requests use the safest kind of idempotency among recent requests.
+
+        When clients stopped sending the only safe class, no ejected backend was tried again. When the kind
+        depended on time instead of counts, nodes with a few requests per second tried with unsafe requests
+        and lost them.
+        """
         lines = []
-        for request_class, seldom in ((1, 0), (2, 0), (2, 60), (2, 200)):
-            scene, tried = Scene(["b0", "b1"]), []
+        for request_class, safe_interval in ((1, 0), (2, 0), (2, 60), (2, 200)):
+            scene, trials = Scene(["b0", "b1"]), []
             for n in range(400):
                 scene.after(300)
-                kind = 0 if seldom and n % seldom == 0 else request_class
-                attempt = scene.take("i", request_class=kind).attempts[-1]
+                class_index = 0 if safe_interval and n % safe_interval == 0 else request_class
+                attempt = scene.take("i", request_class=class_index).attempts[-1]
                 at_b1 = scene.node.endpoints.names[attempt.backend] == "b1"
-                tried += [
-                    f"{scene.settings.request_classes[kind].idempotency} as number {n}"
+                trials += [
+                    f"{scene.settings.request_classes[class_index].idempotency} as number {n}"
                 ] * attempt.is_trial
                 scene.end("i", Outcome.CONNECT_FAILED if at_b1 else Outcome.SUCCESS, note=False)
                 for name in scene.out():
                     scene.end(name, note=False)
             name = scene.settings.request_classes[request_class].idempotency
             lines.append(
-                f"{name}, one of {seldom} harmless: {len(tried)} tries, with {', '.join(tried[:3])}"
+                f"{name}, one of {safe_interval} safe: {len(trials)} trial requests, {', '.join(trials[:3])}"
             )
         self.check("trial_of_what_comes", lines)
 
-    def test_a_trial_goes_out_though_the_sound_are_full(self):
+    def test_trial_request_is_sent_though_healthy_backends_are_full(self):
         scene = Scene(["b0", "b1"])
         scene.take("lost", request_class=2)
         scene.end("lost", Outcome.CONNECT_FAILED)
         for n in range(9):
             scene.take(f"i{n}", request_class=0 if n else 2)
         scene.after(155)
-        scene.take("one-shot", request_class=2)
+        scene.take("unsafe", request_class=2)
         scene.take("late")
         scene.after(10)
         scene.end("late")
@@ -431,7 +472,7 @@
 
 
 class Rules(TraceTest):
-    def test_each_offering_after_each_outcome(self):
+    def test_each_request_class_after_each_outcome(self):
         lines = []
         for outcome in (
             Outcome.REJECTED_UNPROCESSED,
@@ -442,7 +483,7 @@
             Outcome.TIMEOUT,
             Outcome.CANCELLED,
         ):
-            for request_class, name in enumerate(("harmless", "stamped", "one-shot")):
+            for request_class, name in enumerate(("safe", "keyed", "unsafe")):
                 scene = Scene(["b0", listed("w0", zone="west"), listed("w1", zone="west")])
                 scene.take(name, request_class)
                 scene.after(5)
@@ -450,7 +491,7 @@
                 lines += scene.lines
         self.check("outcomes", lines)
 
-    def test_stamped_stays_in_its_group_and_window(self):
+    def test_keyed_retry_stays_in_its_zone_and_deduplication_window(self):
         scene = Scene(["b0", listed("w0", zone="west")], seed=1)
         scene.take("a", 1)
         scene.after(5)
@@ -464,7 +505,7 @@
         scene.end("b", Outcome.SERVER_ERROR)
         self.check("stamped", scene.lines)
 
-    def test_hard_limit(self):
+    def test_request_deadline(self):
         scene = Scene([])
         scene.take("a")
         scene.take("short", left=30)
@@ -475,7 +516,7 @@
         scene.end("b", Outcome.TIMEOUT)
         self.check("limit", scene.lines)
 
-    def test_late_repeat_is_known_by_its_time_left(self):
+    def test_late_repeat_is_recognized_by_its_time_left(self):
         scene = Scene(["b0"])
         for n in range(3):
             scene.take(f"first{n}", left=600)
@@ -486,17 +527,17 @@
         scene.take("another first", left=600)
         self.check("repeat", scene.lines)
 
-    def test_clients_with_less_patience_are_no_repeats(self):
-        """There are no more repeats than invocations that were not settled."""
+    def test_clients_with_shorter_timeouts_are_no_repeats(self):
+        """There are no more repeats than unanswered requests."""
         scene = Scene(["b0"])
         for n in range(4):
             scene.take(f"first{n}", left=600)
         for n in range(2):
-            scene.take(f"impatient{n}", left=500)
+            scene.take(f"short{n}", left=500)
         self.check("impatient", scene.lines)
 
-    def test_backends_under_ever_new_names(self):
-        """What one left behind is nobody else's, and the arrays stop growing."""
+    def test_backends_with_ever_new_names(self):
+        """A reused index keeps nothing of its previous backend, and the arrays stop growing."""
         scene = Scene(["b0", "n0"])
         for n in range(60):
             attempts = scene.take("a").attempts
@@ -509,35 +550,41 @@
                 )
             scene.list([listed(f"n{n}", EndpointState.REMOVED), listed(f"n{n + 1}")])
             scene.after(500)
-        node = scene.node
-        self.assertLess(len(node.endpoints.names), 9)
-        self.assertEqual(len(node.endpoints.index), len(node.endpoints.names))
-        self.assertLess(len(node.ejections.ejected), 9)
+        balancer = scene.node
+        self.assertLess(len(balancer.endpoints.names), 9)
+        self.assertEqual(len(balancer.endpoints.index), len(balancer.endpoints.names))
+        self.assertLess(len(balancer.ejections.ejected), 9)
 
-    def test_what_all_backends_lose_alike_leaves_none_out(self):
-        """Resets and spoilt answers at every backend; one that loses nearly all is found all the same."""
+    def test_losses_shared_by_all_backends_eject_none(self):
+        """Resets at every backend eject none; one that loses nearly all attempts is still ejected."""
         scene = Scene([f"b{n}" for n in range(4)], seed=1)
-        chance = random.Random(5).random
-        lost, out = {}, set()
+        draw = random.Random(5).random
+        loss_rates, ejected = {}, set()
         for n in range(600):
             attempts = scene.take("a", request_class=2).attempts
             scene.after(5)
             if attempts:
-                at = scene.node.endpoints.names[attempts[-1].backend]
+                backend = scene.node.endpoints.names[attempts[-1].backend]
                 scene.end(
                     "a",
-                    Outcome.CONNECTION_RESET if chance() < lost.get(at, 0.12) else Outcome.SUCCESS,
+                    Outcome.CONNECTION_RESET
+                    if draw() < loss_rates.get(backend, 0.12)
+                    else Outcome.SUCCESS,
                     note=False,
                 )
-            out.update(
-                (n // 401, scene.node.endpoints.names[b]) for b in scene.node.ejections.ejected
+            ejected.update(
+                (n // 401, scene.node.endpoints.names[index])
+                for index in scene.node.ejections.ejected
             )
             if n == 400:
-                lost["b2"] = 0.95
-        self.assertEqual(out, {(1, "b2")})
+                loss_rates["b2"] = 0.95
+        self.assertEqual(ejected, {(1, "b2")})
+
+    def test_request_lost_at_every_backend_is_answered_at_once(self):
+        """A request that no other backend can take is answered at once.
 
-    def test_lost_at_every_backend_is_answered_at_once(self):
-        """Held for a backend that it may not go back to, it was answered 0.38 s later and no better."""
+        Queued for backends that it may not return to, it was rejected 0.38 s later.
+        """
         scene = Scene(["b0", "b1"])
         scene.take("a")
         scene.end("a", Outcome.CONNECT_FAILED)
@@ -546,7 +593,7 @@
         scene.after(500)
         self.check("lost_everywhere", scene.lines)
 
-    def test_drains_and_returns(self):
+    def test_backend_drains_and_returns(self):
         scene = Scene(["b0", "b1"])
         scene.flow(4)
         scene.list([listed("b1", EndpointState.DRAINING)])
@@ -558,27 +605,27 @@
         scene.flow(4)
         self.check("list", scene.lines)
 
-    def test_a_slow_one_that_goes_is_no_longer_slow(self):
+    def test_removed_slow_backend_is_no_longer_slow(self):
         scene = Scene(["b0", "b1", "b3"])
-        b = scene.node.endpoints.index["b1"]
+        index = scene.node.endpoints.index["b1"]
         scene.flow(90, took=8)
         scene.flow(12, slow=("b1",), took=8, slow_took=47)
         scene.say(
-            f"b1 is {scene.node.ejections.reason[b]}, slow ones: {scene.node.ejections.slow_count}"
+            f"b1 is {scene.node.ejections.reason[index]}, slow backends: {scene.node.ejections.slow_count}"
         )
         scene.list([listed("b1", EndpointState.REMOVED)])
         scene.say(
-            f"b1 is {scene.node.endpoints.state[b]}, slow ones: {scene.node.ejections.slow_count}"
+            f"b1 is {scene.node.endpoints.state[index]}, slow backends: {scene.node.ejections.slow_count}"
         )
         scene.after(61000)
         scene.list(["b2"])
         scene.say(
-            f"b2 has the index of b1: {scene.node.endpoints.index['b2'] == b}, trouble: {scene.node.ejections.reason[b]}"
+            f"b2 has the index of b1: {scene.node.endpoints.index['b2'] == index}, ejection: {scene.node.ejections.reason[index]}"
         )
         scene.flow(4)
         self.check("slow_and_gone", scene.lines)
 
-    def test_cold_backend_gets_its_part_only(self):
+    def test_cold_backend_receives_a_limited_rate(self):
         scene = Scene(["b0", "b1"], tenants=TenantRegistry({"north": 100.0}))
         scene.flow(40, took=10)
         scene.list([listed("cold", started=scene.now)])
@@ -606,62 +653,71 @@
 
 
 class Budget(TraceTest):
-    TERMS = dict(retry_budget_window=5000 * MS, retry_budget_minimum=3, retry_budget_ratio=0.2)
+    BUDGET_SETTINGS = dict(
+        retry_budget_window=5000 * MS, retry_budget_minimum=3, retry_budget_ratio=0.2
+    )
+
+    def test_no_window_exceeds_the_budget(self):
+        """No window of time has more retries than the budget allows.
 
-    def test_no_window_holds_more(self):
-        """Held in the mean, as further trips are elsewhere, a burst of losses broke it; counted window
-        by window, over losses, silences and quiet and busy spells."""
+        A budget that holds on average was exceeded by bursts of losses. Each window is checked, over
+        losses, silences, and quiet and busy periods. Also counts requests that fail although the budget has
+        capacity.
+        """
         lines = []
         for seed in range(3):
-            chance = random.Random(seed)
-            scene = Scene([f"b{n}" for n in range(4)], **self.TERMS)
-            took, further, broken, early = [], [], 0, 0
-            send, final = scene.node.dispatch.send, scene.node.dispatch.final_answer
+            rng = random.Random(seed)
+            scene = Scene([f"b{n}" for n in range(4)], **self.BUDGET_SETTINGS)
+            received_at, retried_at, exceeded, premature = [], [], 0, 0
+            send, final_answer = scene.node.dispatch.send, scene.node.dispatch.final_answer
 
-            def sends(request, b, now, send=send):
+            def recording_send(request, backend, now, send=send):
                 if request.attempts:
-                    further.append(now)
-                return send(request, b, now)
-
-            def finals(request, final=final):
-                # What is given up after a loss with time left: for want of budget, or tried everywhere.
-                nonlocal early
-                lost = [t for t in request.attempts if t.outcome]
-                spent = sum(at > scene.now - 50000 for at in further)
-                allowed = 3 + 0.2 * sum(at > scene.now - 50000 for at in took)
-                early += (
-                    len(lost) == 1
+                    retried_at.append(now)
+                return send(request, backend, now)
+
+            def recording_final_answer(request, final_answer=final_answer):
+                # Requests that fail after one loss with time left, while half of the budget is unused.
+                nonlocal premature
+                ended_attempts = [attempt for attempt in request.attempts if attempt.outcome]
+                retry_count = sum(moment > scene.now - 50000 for moment in retried_at)
+                allowed = 3 + 0.2 * sum(moment > scene.now - 50000 for moment in received_at)
+                premature += (
+                    len(ended_attempts) == 1
                     and request.request_class.idempotency == Idempotency.SAFE
-                    and 2 * spent < allowed
+                    and 2 * retry_count < allowed
                     and not scene.node.deadlines.is_too_late(request, scene.now)
                 )
-                return final(request)
+                return final_answer(request)
 
-            scene.node.dispatch.send, scene.node.dispatch.final_answer = sends, finals
+            scene.node.dispatch.send, scene.node.dispatch.final_answer = (
+                recording_send,
+                recording_final_answer,
+            )
             for n in range(1500):
-                scene.after(chance.choice((1, 5, 20, 400 if n % 300 > 280 else 10)))
-                took.append(scene.now)
-                scene.take(n, request_class=chance.randrange(3))
+                scene.after(rng.choice((1, 5, 20, 400 if n % 300 > 280 else 10)))
+                received_at.append(scene.now)
+                scene.take(n, request_class=rng.randrange(3))
                 for name in scene.out():
-                    if chance.random() < 0.2:
-                        lost = chance.random() < (0.9 if n % 500 < 60 else 0.1)
+                    if rng.random() < 0.2:
+                        is_lost = rng.random() < (0.9 if n % 500 < 60 else 0.1)
                         scene.end(
-                            name, Outcome.SERVER_ERROR if lost else Outcome.SUCCESS, note=False
+                            name, Outcome.SERVER_ERROR if is_lost else Outcome.SUCCESS, note=False
                         )
-            for at in further:
-                first = at - 50000
-                broken += sum(first <= each <= at for each in further) > 3 + 0.2 * sum(
-                    first < each <= at for each in took
+            for moment in retried_at:
+                first = moment - 50000
+                exceeded += sum(first <= other <= moment for other in retried_at) > 3 + 0.2 * sum(
+                    first < other <= moment for other in received_at
                 )
             lines.append(
-                f"{len(further) > 30}: many further trips, windows broken {broken}, "
-                f"given up while half was left {early}"
+                f"{len(retried_at) > 30}: many retries, windows exceeded {exceeded}, "
+                f"failed with half of the budget left {premature}"
             )
         self.check("budget", lines)
 
-    def test_the_edges_of_a_window(self):
-        """Five taken bring one; it is back when the first of the window has left it, a little late."""
-        scene = Scene(["b0", "b1", "b2"], **{**self.TERMS, "retry_budget_minimum": 0})
+    def test_edges_of_a_window(self):
+        """Five requests earn one retry, which returns shortly after the first one leaves the window."""
+        scene = Scene(["b0", "b1", "b2"], **{**self.BUDGET_SETTINGS, "retry_budget_minimum": 0})
         for n in range(5):
             scene.take(f"i{n}")
             scene.end(f"i{n}")
@@ -676,13 +732,13 @@
             if scene.requests[f"at {ms}"].in_flight:
                 scene.end(f"at {ms}")
         scene.say(
-            f"{len(scene.node.retry_budget.sent_at)} spent, {len(scene.node.retry_budget.received_at)} in the window"
+            f"{len(scene.node.retry_budget.sent_at)} retries, {len(scene.node.retry_budget.received_at)} requests in the window"
         )
         self.check("budget_edges", scene.lines)
 
-    def test_one_budget_across_settings(self):
-        """A node under new settings does not begin with a full one."""
-        scene = Scene(["b0", "b1", "b2"], **self.TERMS)
+    def test_budget_is_shared_across_settings(self):
+        """A balancer with new settings does not start with a full budget."""
+        scene = Scene(["b0", "b1", "b2"], **self.BUDGET_SETTINGS)
         for n in range(3):
             scene.take(f"i{n}")
             scene.end(f"i{n}", Outcome.SERVER_ERROR)
@@ -696,9 +752,12 @@
 
 
 class Overload(TraceTest):
-    def test_what_gains_most_and_is_little_goes_ahead(self):
-        """One of forty nodes has room for two trips and waits long for one to end: what gains most, and would
-        be late by then, was bounced more often than all else."""
+    def test_light_class_with_highest_gain_goes_first(self):
+        """The class with the highest gain does not wait for capacity if it is little work.
+
+        One of forty nodes has capacity for two attempts and waits long for one to end. The class with the
+        highest gain was then late, and was rejected more often than all others.
+        """
         scene = Scene(
             [f"b{n}" for n in range(60)], node_count=40, tenants=TenantRegistry({"north": 800.0})
         )
@@ -706,13 +765,14 @@
             scene.take(f"look{n}")
         scene.after(60)
         scene.take("pay", request_class=2)
-        # It borrows no more than the limit of half a second, and is then no longer little: the rest waits.
+        # The class exceeds the limit by no more than half a second's worth; after that it is no longer
+        # light, and the rest waits.
         for n in range(6):
             scene.take(f"pay{n}", request_class=2)
             scene.after(10)
         self.check("ahead", scene.lines)
 
-    def test_told_by_the_oldest_wait(self):
+    def test_overload_is_detected_by_the_oldest_wait(self):
         scene = Scene(["b0"])
         north, south = scene.settings.tenants
         for n in range(14):
@@ -721,7 +781,7 @@
         scene.after(300)
         self.check("overload", scene.lines)
 
-    def test_a_part_of_the_limit_under_one_trip_holds_in_the_mean(self):
+    def test_limit_below_one_attempt_holds_on_average(self):
         scene = Scene(["b0", "b1", "b2"], node_count=24)
         for n in range(3):
             scene.take(f"i{n}")
@@ -731,31 +791,31 @@
         scene.after(90)
         self.check("part", scene.lines)
 
-    def test_the_least_limit_is_higher_where_a_node_evens_out_its_trips(self):
+    def test_minimum_limit_is_higher_with_few_nodes(self):
         scene = Scene([])
         for nodes in (1, 3, 24, 240):
-            crowd = Scene([f"b{n}" for n in range(6)], node_count=nodes)
+            busy = Scene([f"b{n}" for n in range(6)], node_count=nodes)
             for _ in range(60):
-                crowd.flow(1, took=390)
-                crowd.after(5000)
-            least = crowd.node.limit.each * nodes
-            scene.say(f"{nodes} nodes, six backends: {least:.2f} trips a backend at the least")
+                busy.flow(1, took=390)
+                busy.after(5000)
+            min_limit = busy.node.limit.each * nodes
+            scene.say(f"{nodes} nodes, six backends: at least {min_limit:.2f} attempts per backend")
         self.check("least", scene.lines)
 
-    def test_what_gains_most_goes_first(self):
+    def test_class_with_highest_gain_goes_first(self):
         scene = Scene(["b0"])
         for n in range(7):
-            scene.take(f"out{n}")
+            scene.take(f"busy{n}")
         for n in range(4):
             scene.take(f"look{n}")
             scene.take(f"pay{n}", 2)
         scene.after(60)
         for n in range(7):
-            scene.end(f"out{n}", note=False)
+            scene.end(f"busy{n}", note=False)
         scene.after(50)
         self.check("gain", scene.lines)
 
-    def test_the_client_goes(self):
+    def test_client_disconnects(self):
         scene = Scene(["b0"])
         scene.take("a")
         scene.node.client_disconnected(scene.now, scene.requests["a"])
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Many nodes and one cold backend: what it gets from all of them together keeps to its budget.
+"""The slow start budget of one cold backend, shared by many nodes.
 
-The play is that of experiments/cold/budget.py, which has more nodes and seeds and prints the figures. N is
-what the settings allow in the time in which a cold backend falls over.
+The scenario is that of experiments/cold/budget.py, which has more nodes and seeds and prints the figures. N
+is the number of attempts that the settings allow in the time in which a cold backend is overloaded.
 """
 
 import importlib.util
@@ -17,16 +17,19 @@
 MILD, HARSH = budget.SETTINGS["mild"], budget.SETTINGS["harsh"]
 
 
-class ColdBudget(unittest.TestCase):
-    def share(self, nodes, at_first, case, seed=1, **play):
-        """The worst window's part of N + 2 x root of N + 2; `at_first`: N in the first one."""
-        pace = budget.pace(at_first, HARSH)
+class SlowStartBudget(unittest.TestCase):
+    def worst_ratio(self, nodes, initial_count, case, seed=1, **play):
+        """Returns the worst ratio of attempts in a window to N + 2 x root of N + 2.
+
+        `initial_count` is N in the first window.
+        """
+        pace = budget.pace(initial_count, HARSH)
         sent = budget.Fleet(nodes, pace, seed, HARSH, case, **play).play()
-        self.assertTrue(sent, f"{nodes} nodes send it nothing")
+        self.assertTrue(sent, f"{nodes} nodes sent nothing to the cold backend")
         return HARSH.worst(sent, pace, HARSH.bears)[0]
 
-    def test_it_holds_under_the_sum_of_all(self):
-        for nodes, at_first, case in (
+    def test_all_nodes_together_keep_the_budget(self):
+        for nodes, initial_count, case in (
             (5, 4, "told"),
             (20, 4, "told"),
             (30, 4, "told"),
@@ -35,22 +38,25 @@
             (5, 4, "started"),
             (20, 4, "started"),
         ):
-            with self.subTest(nodes=nodes, at_first=at_first, case=case):
-                self.assertLess(self.share(nodes, at_first, case), 1)
+            with self.subTest(nodes=nodes, initial_count=initial_count, case=case):
+                self.assertLess(self.worst_ratio(nodes, initial_count, case), 1)
+
+    def test_budget_is_exceeded_if_nodes_do_not_divide_it(self):
+        self.assertGreater(self.worst_ratio(20, 4, "undivided"), 1)
 
-    def test_it_does_not_if_nodes_do_not_divide_it(self):
-        self.assertGreater(self.share(20, 4, "undivided"), 1)
+    def test_attempts_saved_by_hundreds_of_nodes_fit_after_an_idle_period(self):
+        """Attempts that nodes have saved up do not overload a cold backend.
 
-    def test_what_hundreds_have_saved_up_is_borne_when_work_comes_back(self):
-        """One trip saved up at each of the 23 nodes that see it was 1.14 times what it bears."""
-        self.assertLess(self.share(240, 2, "silence", load=0.2), 1)
+        One at each of the 23 nodes that have it in their subset was 1.14 times what it can bear.
+        """
+        self.assertLess(self.worst_ratio(240, 2, "silence", load=0.2), 1)
 
-    def test_all_cold_and_no_shares_is_no_standstill(self):
-        """Nothing settled yet and no share told: nothing was sent to any backend for all of the cold time."""
+    def test_all_backends_cold_without_quotas_still_receive_attempts(self):
+        """With no answers and no quotas yet, no backend received anything for the whole slow start."""
         for nodes in (1, 20):
             fleet = budget.Fleet(nodes, 5.0, 1, MILD, "started", shares=False, all_cold=True)
             sent = fleet.play()
-            self.assertGreater(len(sent), 5, f"{nodes} nodes")
+            self.assertGreater(len(sent), 5, f"attempts sent by {nodes} nodes")
             self.assertLess(MILD.worst(sent, 5.0, MILD.bears)[0], 1)
 
 
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -1,4 +1,4 @@
-"""What a node is told is not so, or not so for it alone: reports, lists, ways. Short plays, counted."""
+"""Load reports, endpoint lists and network paths that mislead a node; scenarios with counts."""
 
 import random
 from collections import Counter
@@ -10,7 +10,7 @@
 from pierglade.tenants.registry import TenantRegistry
 from tests.support.scene import MS, Desk, Scene, TraceTest, entry, listed
 
-# The order in which outcomes stand in the traces.
+# The order of outcomes in the traces.
 OUTCOMES = [
     Outcome.CONNECTION_RESET,
     Outcome.CANCELLED,
@@ -24,47 +24,56 @@
 ]
 
 
-def by_name(item):
-    """Backends by name, outcomes in the order of the traces."""
+def sort_key(item):
+    """Sorts backends by name and outcomes in the order of the traces."""
     return OUTCOMES.index(item[0]) if item[0] in OUTCOMES else item[0]
 
 
-class Play(Scene):
-    """Invocations at an even pace; `fate(backend, moment in ms, how many it had)` says how long each trip
-    takes, in ms, and how it ends. `mixed`: one in three by chance is one-shot; in a pattern that fits the
-    lap of the rotation a trial that is due would wait for its kind for ever."""
+class LoadScenario(Scene):
+    """Requests at an even pace with scripted outcomes.
 
-    def drive(self, what, seconds, fate, every_ms=20, mixed=False, report=None):
+    `outcome_of(backend, time in ms, number of attempts at it)` returns latency in ms and outcome of an
+    attempt. `is_mixed`: one in three requests is unsafe, at random; in a pattern with the period of the
+    rotation, a due trial request could wait for its kind forever.
+    """
+
+    def drive(self, label, seconds, outcome_of, every_ms=20, is_mixed=False, report=None):
         lines, self.lines = self.lines, []
-        sent, ends, trials, resent, due = Counter(), Counter(), Counter(), 0, []
-        start, had, chance = self.now, Counter(), random.Random(3)
+        sent, outcomes, trials, resent_unsafe, scheduled = Counter(), Counter(), Counter(), 0, []
+        start, sent_attempts, rng = self.now, Counter(), random.Random(3)
         for n in range(seconds * 1000 // every_ms):
-            self.take((what, n), request_class=2 if mixed and chance.random() < 1 / 3 else 0)
+            self.take((label, n), request_class=2 if is_mixed and rng.random() < 1 / 3 else 0)
             for _ in range(every_ms // 5):
                 self.after(5)
                 for name, request in list(self.requests.items()):
                     for attempt in request.attempts:
                         if (
                             not hasattr(request.host_context, "seen")
-                            and (name, attempt.number) not in had
+                            and (name, attempt.number) not in sent_attempts
                         ):
                             backend = self.node.endpoints.names[attempt.backend]
-                            had[(name, attempt.number)] = 1
+                            sent_attempts[(name, attempt.number)] = 1
                             sent[backend] += 1
                             trials[backend] += attempt.is_trial
-                            resent += (
+                            resent_unsafe += (
                                 attempt.number > 0
                                 and request.request_class.idempotency == Idempotency.UNSAFE
                             )
-                            took, outcome = fate(backend, (self.now - start) // MS, sent[backend])
-                            due.append((self.now + took * MS, attempt, outcome, backend))
+                            latency, outcome = outcome_of(
+                                backend, (self.now - start) // MS, sent[backend]
+                            )
+                            scheduled.append((self.now + latency * MS, attempt, outcome, backend))
                     if request.completed and not request.in_flight:
                         del self.requests[name]
-                for each in [d for d in due if d[0] <= self.now or d[1].cancelled]:
-                    due.remove(each)
-                    _, attempt, outcome, backend = each
+                for ended in [
+                    planned
+                    for planned in scheduled
+                    if planned[0] <= self.now or planned[1].cancelled
+                ]:
+                    scheduled.remove(ended)
+                    _, attempt, outcome, backend = ended
                     outcome = Outcome.CANCELLED if attempt.cancelled else outcome
-                    ends[outcome.value] += 1
+                    outcomes[outcome.value] += 1
                     if report:
                         self.node.load_reported(self.now, backend, report(backend))
                     self.node.attempt_ended(
@@ -75,117 +84,145 @@
                         outcome == Outcome.SUCCESS,
                     )
                     self.pull()
-        probed = Counter(line.split()[-1] for line in self.lines if " check health of " in line)
-        ended = sum(" reject " in line or " fail " in line for line in self.lines)
+        checks = Counter(line.split()[-1] for line in self.lines if " check health of " in line)
+        final_answers = sum(" reject " in line or " fail " in line for line in self.lines)
         self.lines = lines
-        counts = sent, trials, probed, ends
-        sent, trials, probed, ends = (
-            dict(sorted((+count).items(), key=by_name)) for count in counts
+        counts = sent, trials, checks, outcomes
+        sent, trials, checks, outcomes = (
+            dict(sorted((+count).items(), key=sort_key)) for count in counts
         )
         self.say(
-            f"{what}: sent {sent}, trials {trials}, probes {probed}; ends {ends}; refused {ended}, "
-            f"one-shots sent again {resent}"
+            f"{label}: sent {sent}, trials {trials}, health checks {checks}; outcomes {outcomes}; rejected or failed {final_answers}, "
+            f"unsafe requests retried {resent_unsafe}"
         )
 
 
-class Untrue(TraceTest):
-    def test_reports_that_say_idle_while_answers_crawl_and_full_while_they_do_not(self):
-        """Turns go by what answers take, whatever is told; the limit is not lifted by one that says idle."""
-        scene = Play(
+class InaccurateInformation(TraceTest):
+    def test_load_reports_that_contradict_the_latency(self):
+        """The rotation follows the latency of answers, whatever backends report.
+
+        The limit does not rise because one slow backend reports that it is idle.
+        """
+        scene = LoadScenario(
             [f"b{n}" for n in range(6)],
             tenants=TenantRegistry(),
             node_count=2,
             load_report_source=LoadReportSource.RESPONSES,
             may_check_health=False,
         )
-        told = {
+        reports = {
             "b0": LoadReport(throughput=1.0, utilization=0.02),
             "b1": LoadReport(throughput=8.0, utilization=1.0),
         }
         honest = LoadReport(throughput=8.0, utilization=0.6)
         scene.drive(
-            "all tell the truth", 8, lambda b, at, n: (40, Outcome.SUCCESS), report=lambda b: honest
+            "all reports are true",
+            8,
+            lambda backend, moment_ms, count: (40, Outcome.SUCCESS),
+            report=lambda backend: honest,
         )
         scene.drive(
-            "b0 crawls and says idle, b1 says full and does not",
+            "b0 is slow and reports idle, b1 reports full and is fast",
             8,
-            lambda b, at, n: (250 if b == "b0" else 40, Outcome.SUCCESS),
-            report=lambda b: told.get(b, honest),
+            lambda backend, moment_ms, count: (250 if backend == "b0" else 40, Outcome.SUCCESS),
+            report=lambda backend: reports.get(backend, honest),
         )
         self.check("untrue_reports", scene.lines)
 
-    def test_fails_and_recovers_every_second(self):
-        """Half of its time it is bad: trials find it well again, and few of what it gets is lost."""
-        scene = Play([f"b{n}" for n in range(4)])
+    def test_backend_fails_every_other_second(self):
+        """A backend fails half of the time.
+
+        Trial requests find that it has recovered, and few requests are lost.
+        """
+        scene = LoadScenario([f"b{n}" for n in range(4)])
         scene.drive(
-            "b2 answers with errors in every second second",
+            "b2 answers with errors every other second",
             12,
-            lambda b, at, n: (
-                (5, Outcome.SERVER_ERROR) if b == "b2" and at // 1000 % 2 else (20, Outcome.SUCCESS)
+            lambda backend, moment_ms, count: (
+                (5, Outcome.SERVER_ERROR)
+                if backend == "b2" and moment_ms // 1000 % 2
+                else (20, Outcome.SUCCESS)
             ),
-            mixed=True,
+            is_mixed=True,
         )
         self.check("untrue_flapping", scene.lines)
 
-    def test_one_that_this_node_alone_cannot_reach(self):
-        """Probes pass and trips get no answer: a probe admits a trial, of harmless work, later each time."""
-        scene = Play([f"b{n}" for n in range(4)])
+    def test_backend_unreachable_from_this_node_alone(self):
+        """Health checks of a backend succeed, but its attempts get no answer.
+
+        Each check admits one safe trial request, at growing intervals.
+        """
+        scene = LoadScenario([f"b{n}" for n in range(4)])
         scene.drive(
-            "b3 swallows what this node sends",
+            "b3 never answers this node",
             12,
-            lambda b, at, n: (990, Outcome.TIMEOUT) if b == "b3" else (20, Outcome.SUCCESS),
-            mixed=True,
+            lambda backend, moment_ms, count: (
+                (990, Outcome.TIMEOUT) if backend == "b3" else (20, Outcome.SUCCESS)
+            ),
+            is_mixed=True,
         )
         self.check("untrue_hole", scene.lines)
 
-    def test_a_way_on_which_a_third_is_lost(self):
-        """Two of four are behind it: they go on being used as far as they are well, and no one-shot twice."""
-        scene = Play([listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(4)])
+    def test_network_path_that_loses_a_third(self):
+        """Two of four backends are behind a path that loses a third of the attempts.
+
+        They stay in use as far as they work, and no unsafe request is sent twice.
+        """
+        scene = LoadScenario([listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(4)])
         scene.drive(
-            "a third of what goes west is lost",
+            "a third of the attempts at zone west is lost",
             12,
-            lambda b, at, n: (
+            lambda backend, moment_ms, n: (
                 (600, Outcome.CONNECTION_RESET)
-                if b > "b1" and n % 3 == 2
+                if backend > "b1" and n % 3 == 2
                 else (20, Outcome.SUCCESS)
             ),
-            mixed=True,
+            is_mixed=True,
         )
         self.check("untrue_way", scene.lines)
 
 
-class Gone(TraceTest):
-    def test_listed_gone_and_answering(self):
-        """Where only draining binds, what is listed as gone is sent to as long as trials find it well."""
+class ListedAsRemoved(TraceTest):
+    def test_listed_as_removed_and_answering(self):
+        """A backend listed as removed stays in use where only draining is binding.
+
+        It receives attempts for as long as its trial requests succeed.
+        """
         lines = []
-        for binds in (True, False):
-            scene = Play(["b0", "b1"], removal_binds=binds)
-            scene.drive(f"gone binds {binds}", 1, lambda b, at, n: (20, Outcome.SUCCESS))
+        for is_binding in (True, False):
+            scene = LoadScenario(["b0", "b1"], removal_binds=is_binding)
+            scene.drive(
+                f"removal is binding: {is_binding}",
+                1,
+                lambda backend, moment_ms, count: (20, Outcome.SUCCESS),
+            )
             scene.list([listed("b1", EndpointState.REMOVED)])
             scene.drive(
-                "b1 is listed as gone and answers", 3, lambda b, at, n: (20, Outcome.SUCCESS)
+                "b1 is listed as removed and answers",
+                3,
+                lambda backend, moment_ms, count: (20, Outcome.SUCCESS),
             )
             scene.drive(
                 "b1 is down",
                 12,
-                lambda b, at, n: (
-                    (5, Outcome.CONNECT_FAILED) if b == "b1" else (20, Outcome.SUCCESS)
+                lambda backend, moment_ms, count: (
+                    (5, Outcome.CONNECT_FAILED) if backend == "b1" else (20, Outcome.SUCCESS)
                 ),
             )
             scene.say(f"b1 is {scene.node.endpoints.state[scene.node.endpoints.index['b1']]}")
             scene.list([listed("b0", EndpointState.DRAINING)])
             scene.list([listed("b0", EndpointState.REMOVED)])
             scene.say(
-                f"b0 drained, then gone: it is {scene.node.endpoints.state[scene.node.endpoints.index['b0']]}"
+                f"b0 draining, then removed: it is {scene.node.endpoints.state[scene.node.endpoints.index['b0']]}"
             )
             lines += scene.lines
         self.check("untrue_gone", lines)
 
-    def test_a_link_to_what_is_listed_as_gone(self):
-        """The host's side: a trip to it is carried out where only draining binds."""
+    def test_connection_to_a_backend_listed_as_removed(self):
+        """The proxy connects to backends listed as removed where only draining is binding."""
         lines = []
-        for binds in (True, False):
-            desk = Desk(["b0"], removal_binds=binds)
+        for is_binding in (True, False):
+            desk = Desk(["b0"], removal_binds=is_binding)
             for status in ("DELETED", "DRAINING", "DELETED"):
                 desk.tell(
                     EndpointsUpdated(
@@ -194,9 +231,9 @@
                 )
                 desk.after(200)
                 backend = desk.reducer.endpoints.records["b0"]
-                left_alone = desk.reducer.endpoints.is_draining(backend)
-                lines.append(f"gone binds {binds}, {status}: left alone {left_alone}")
+                is_draining = desk.reducer.endpoints.is_draining(backend)
+                lines.append(f"removal is binding: {is_binding}, {status}: draining {is_draining}")
             desk.after(60000)
             desk.tell(EndpointsUpdated({"index": 3, "snapshot": False, "endpoints": []}))
-            lines.append(f"after a minute known: {list(desk.reducer.endpoints.records)}")
+            lines.append(f"known after a minute: {list(desk.reducer.endpoints.records)}")
         self.check("untrue_link", lines)
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -1,4 +1,4 @@
-"""A node, or all the state of one on sockets, on a hand-moved clock; what it does is compared."""
+"""Drives a balancer, or the whole proxy state machine, on a simulated clock and records its decisions."""
 
 import difflib
 import os
@@ -36,7 +36,7 @@
 from pierglade.tenants.registry import TenantRegistry
 
 TRACES = pathlib.Path(__file__).parents[1] / "traces"
-MS = 10  # tenths
+MS = 10  # ticks per millisecond
 
 
 def balancer_settings(**changed):
@@ -45,7 +45,7 @@
         RequestClass(1, "hold", Idempotency.KEYED, "zone", 300 * MS, 400 * MS, 1000 * MS, 3.0),
         RequestClass(2, "pay", Idempotency.UNSAFE, "all", 0, 400 * MS, 1000 * MS, 8.0),
     ]
-    known = dict(
+    values = dict(
         request_classes=request_classes,
         tenants=TenantRegistry({"north": 20.0, "south": 500.0}),
         node_number=0,
@@ -59,8 +59,8 @@
         slow_start_overload=4.0,
         worst_class_weight=0.2,
     )
-    known.update(changed)
-    return BalancerSettings(**known)
+    values.update(changed)
+    return BalancerSettings(**values)
 
 
 def listed(name, state=EndpointState.READY, zone="east", started=0, weight=1.0):
@@ -80,23 +80,28 @@
         self.lines.append(f"{self.now / MS - 10000:8.1f}  {text}")
 
     def list(self, backends, whole=False):
-        entries = [listed(b) if isinstance(b, str) else b for b in backends]
+        entries = [listed(backend) if isinstance(backend, str) else backend for backend in backends]
         self.node.endpoints_updated(self.now, entries, whole)
         self.pull()
 
     def after(self, ms):
-        """Moves the clock on, with every wake that the node asks for on the way."""
+        """Advances the clock, with each wakeup that the balancer requests on the way."""
         end = self.now + int(ms * MS)
-        while (wake := self.node.next_wakeup(self.now)) is not None and wake <= end:
-            self.now = wake
+        while (wakeup := self.node.next_wakeup(self.now)) is not None and wakeup <= end:
+            self.now = wakeup
             self.pull()
         self.now = end
         self.pull()
 
     def take(self, name, request_class=0, left=1000, tenant=None, hint=0):
-        limit = self.now + left * MS
+        deadline = self.now + left * MS
         request = Request(
-            name, self.settings.request_classes[request_class], tenant, self.now, limit, hint or 0
+            name,
+            self.settings.request_classes[request_class],
+            tenant,
+            self.now,
+            deadline,
+            hint or 0,
         )
         self.requests[name] = request
         self.node.request_received(self.now, request)
@@ -113,21 +118,21 @@
         self.pull()
 
     def flow(self, count, slow=(), took=20, slow_took=200):
-        """Harmless invocations one after the other; prints where they went."""
-        went, lines = [], self.lines
+        """Sends safe requests one after the other and prints the backends that received them."""
+        receivers, lines = [], self.lines
         for _ in range(count):
             self.lines = []
             request = self.take("flow")
             if request.attempts:
                 name = self.node.endpoint_name(request.attempts[-1].backend)
-                went.append(name)
+                receivers.append(name)
                 self.after(slow_took if name in slow else took)
                 if request.attempts[-1].outcome is None:
                     self.end("flow")
             else:
-                went.append("-")
+                receivers.append("-")
         self.lines = lines
-        self.say(f"{count} went to {' '.join(went)}")
+        self.say(f"{count} went to {' '.join(receivers)}")
 
     def pull(self):
         while (decision := self.node.next_decision(self.now)) is not None:
@@ -151,7 +156,7 @@
                     self.say(f"fail {request.host_context}")
 
     def out(self):
-        return [name for name, i in self.requests.items() if i.in_flight]
+        return [name for name, request in self.requests.items() if request.in_flight]
 
 
 def entry(name, status="SERVING", address=None, since_ms=0):
@@ -166,26 +171,26 @@
     }
 
 
-def message(data, inbox=reader.RequestReader):
-    taken = inbox()
-    taken.writable()[: len(data)] = data
-    taken.filled(len(data))
-    return taken.next()
+def message(data, reader_class=reader.RequestReader):
+    request_reader = reader_class()
+    request_reader.writable()[: len(data)] = data
+    request_reader.filled(len(data))
+    return request_reader.next()
 
 
-class Wire:
-    """Stands in for a socket; only its name is ever printed."""
+class FakeSocket:
+    """Stands in for a socket; only its name is printed."""
 
     def __init__(self, name):
         self.name, self.client = name, None
 
 
 class Desk:
-    """A reducer; its effects are written down, and carried out by the test alone."""
+    """Drives a `ProxyStateMachine`; its effects are recorded and carried out only by the test."""
 
     def __init__(self, backends=("b0", "b1"), sockets=200, known=None, **changed):
         self.now = 10000 * MS
-        self.lines, self.clients, self.links, self.asked = [], {}, [], 0
+        self.lines, self.clients, self.links, self.request_count = [], {}, [], 0
         self.reducer = ProxyStateMachine(4, balancer_settings(**changed), self.now, sockets)
         self.reducer.endpoints.restore(known)
         if backends:
@@ -195,29 +200,37 @@
         self.lines.append(f"{self.now / MS - 10000:8.1f}  {text}")
 
     def hear(self, backends, index=1, whole=True):
-        endpoints = [entry(b) if isinstance(b, str) else b for b in backends]
+        endpoints = [
+            entry(backend) if isinstance(backend, str) else backend for backend in backends
+        ]
         self.tell(EndpointsUpdated({"index": index, "snapshot": whole, "endpoints": endpoints}))
 
-    def tell(self, event, **came):
-        for effect in self.reducer.apply(self.now, event, **came):
+    def tell(self, event, **timing):
+        for effect in self.reducer.apply(self.now, event, **timing):
             if isinstance(effect, LogEvent):
-                fields = (f"{k}={v}" for k, v in effect.fields.items() if not k.endswith("ms"))
+                fields = (
+                    f"{key}={value}"
+                    for key, value in effect.fields.items()
+                    if not key.endswith("ms")
+                )
                 self.say(" ".join(["log", effect.event, *fields]))
                 continue
-            rest = list(effect)
-            subject = rest.pop(0) if rest and not isinstance(rest[0], str) else None
+            arguments = list(effect)
+            subject = arguments.pop(0) if arguments and not isinstance(arguments[0], str) else None
             if isinstance(effect, Connect):
-                subject.io = Wire(f"link {len(self.links)}")
+                subject.io = FakeSocket(f"link {len(self.links)}")
                 self.links.append(subject)
-                rest = [subject.backend.name]
-            rest = [
-                f"a flow of {p.length}" if isinstance(p, BodyStream) else p
-                for p in rest
-                if p is not None
+                arguments = [subject.backend.name]
+            arguments = [
+                f"a flow of {argument.length}" if isinstance(argument, BodyStream) else argument
+                for argument in arguments
+                if argument is not None
             ]
             texts = [
-                (str(p) if isinstance(p, (str, int)) else bytes(p).decode()).replace("\r\n", "|")
-                for p in rest
+                (
+                    str(argument) if isinstance(argument, (str, int)) else bytes(argument).decode()
+                ).replace("\r\n", "|")
+                for argument in arguments
             ]
             line = " ".join(
                 [type(effect).__name__, *([subject.io.name] if subject else []), *texts]
@@ -225,17 +238,17 @@
             self.say(line.replace("\n", " ").rstrip())
 
     def after(self, ms):
-        """Moves the clock on, with every wake on the way."""
+        """Advances the clock, with each wakeup on the way."""
         end = self.now + int(ms * MS)
-        while (wake := self.reducer.next_wakeup(self.now)) is not None and wake <= end:
-            self.now = max(wake, self.now)
+        while (wakeup := self.reducer.next_wakeup(self.now)) is not None and wakeup <= end:
+            self.now = max(wakeup, self.now)
             self.tell(TimerFired())
         self.now = end
 
     def open(self, name):
-        wire = Wire(name)
-        self.tell(ConnectionOpened(wire))
-        self.clients[name] = wire.client
+        socket = FakeSocket(name)
+        self.tell(ConnectionOpened(socket))
+        self.clients[name] = socket.client
 
     def ask(self, name, path="/look", method=None, left=1000, headers="", body="", trace=None):
         if name not in self.clients:
@@ -243,8 +256,10 @@
         method = method or ("GET" if path == "/look" else "POST")
         headers += "Idempotency-Key: k\r\n" if path == "/hold" else ""
         headers += f"Content-Length: {len(body)}\r\n" if body else ""
-        self.asked += 1
-        head = f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace or self.asked}\r\n"
+        self.request_count += 1
+        head = (
+            f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace or self.request_count}\r\n"
+        )
         head += f"X-Expires-In-Ms: {left}\r\n"
         self.tell(
             RequestReceived(self.clients[name], message((head + headers + "\r\n" + body).encode()))
@@ -259,21 +274,24 @@
             ResponseReceived(self.links[link], message(answer.encode(), reader.ResponseReader))
         )
 
-    def lose(self, how=CloseCause.RESET, whole=True, link=-1):
-        self.tell(UpstreamClosed(self.links[link], how, whole, "as the test says"))
+    def lose(self, cause=CloseCause.RESET, whole=True, link=-1):
+        self.tell(UpstreamClosed(self.links[link], cause, whole, "as the test says"))
 
     def taken(self, name):
         self.tell(ResponseSent(self.clients[name]))
 
 
 class TraceTest(unittest.TestCase):
-    def check(self, name, lines):
-        """Compares with tests/traces/NAME.txt; with RETRACE=1 in the environment, writes it anew."""
+    def check(self, name, actual):
+        """Compares `actual` with tests/traces/NAME.txt, or rewrites that file if RETRACE=1 is set."""
         path = TRACES / f"{name}.txt"
         if os.environ.get("RETRACE"):
-            path.write_text("\n".join(lines) + "\n")
-        kept = path.read_text().splitlines()
-        if kept != lines:
+            path.write_text("\n".join(actual) + "\n")
+        expected = path.read_text().splitlines()
+        if expected != actual:
             self.fail(
-                "\n" + "\n".join(difflib.unified_diff(kept, lines, "kept", "now", lineterm=""))
+                "\n"
+                + "\n".join(
+                    difflib.unified_diff(expected, actual, "expected", "actual", lineterm="")
+                )
             )
