--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -23,7 +23,7 @@
 from pierglade.balancer.pending_decisions import PendingDecisions
 from pierglade.balancer.polling import PollSchedule
 from pierglade.balancer.request_cost import RequestCosts
-from pierglade.balancer.request_queue import RequestQueue, is_host_late
+from pierglade.balancer.request_queue import RequestQueue, is_cpu_short
 from pierglade.balancer.retry import RequestDeadlines, RetryBudget, RetryRules
 from pierglade.balancer.rotation import MIN_REQUEST_RATE, Rotation
 from pierglade.balancer.selection import Selection
@@ -283,7 +283,7 @@
 
         `last_idle_at`: when the process was last idle; `already_rejected`: shed by admission.
         """
-        is_shed = already_rejected or is_host_late(now, last_idle_at, request_class, arrived_at)
+        is_shed = already_rejected or is_cpu_short(now, last_idle_at, request_class, arrived_at)
         self.deadlines.request_shed(request_class, time_left, is_shed)
         return is_shed
 
@@ -300,7 +300,7 @@
             attempt.timeout_at = now + int(ABANDONED_LATENCY_RATIO * stats.typical)
             self.wakeup.request(attempt.timeout_at)
         else:
-            self.ejections.attempt_left(backend, attempt, now)
+            self.ejections.remove_attempt(backend, attempt, now)
         if attempt.is_trial:
             self.ejections.trial_ended(backend)
         request.update_possibly_executed(attempt)
--- a/pierglade/balancer/ejections.py
+++ b/pierglade/balancer/ejections.py
@@ -115,7 +115,7 @@
         """Records that a trial request has ended."""
         self.trials_in_flight[backend] -= 1
 
-    def attempt_left(self, backend: int, attempt: Attempt, now: int) -> None:
+    def remove_attempt(self, backend: int, attempt: Attempt, now: int) -> None:
         """Removes an attempt that is no longer in flight."""
         in_flight = self.in_flight
         del in_flight[backend][attempt]
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -335,7 +335,7 @@
         for attempt in [
             attempt for attempt in attempts if attempt.outcome and now >= attempt.timeout_at
         ]:
-            self._ejections.attempt_left(backend, attempt, now)
+            self._ejections.remove_attempt(backend, attempt, now)
         if not attempts:
             return NEVER
         oldest = next(iter(attempts))
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -11,8 +11,8 @@
 from pierglade.model.request import Request, RequestClass, Tenant
 from pierglade.settings.balancer import BalancerSettings
 
-# Fraction of the latency objective. A request queued for longer is rejected, as are requests over
-# their tenant's quota.
+# Fraction of the latency objective. A request queued for longer is rejected, and with it the queued
+# requests over their tenant's quota.
 MAX_QUEUED_RATIO = 0.3
 # Fraction of the latency objective. If the oldest request has waited longer, queued requests are
 # ordered by their gain.
@@ -29,10 +29,10 @@
 
 # Ticks (100 ms). A process that has not been idle for so long is short of CPU time, not merely
 # delayed once.
-MIN_HOST_LAG = 1000
+MIN_BUSY_SPAN = 1000
 
 
-def is_host_late(now: int, last_idle_at: int, request_class: RequestClass, arrived_at: int) -> bool:
+def is_cpu_short(now: int, last_idle_at: int, request_class: RequestClass, arrived_at: int) -> bool:
     """Returns whether a request is rejected unread because the process is short of CPU time.
 
     If all were accepted, all would be processed late, and the remaining CPU time would go into
@@ -40,7 +40,7 @@
     """
     waited = now - arrived_at
     return (
-        now - last_idle_at > MIN_HOST_LAG
+        now - last_idle_at > MIN_BUSY_SPAN
         and waited > OVERLOAD_WAIT_RATIO * request_class.latency_objective
     )
 
