--- a/pierglade/admission/__init__.py
+++ b/pierglade/admission/__init__.py
@@ -1,5 +1,6 @@
-"""Who is admitted and what is rejected before it costs anything; no I/O, `now` is passed in.
+"""Admission control: rejects connections and requests before they consume resources.
 
-Not for which backend serves a request, which is the balancer's. Start with
-`connection_admission.ConnectionAdmission` and `load_shedder.LoadShedder`.
+Performs no I/O; the current time is passed in as `now`. Choosing the backend of a request is the
+balancer's part. Start with `connection_admission.ConnectionAdmission` and
+`load_shedder.LoadShedder`.
 """
--- a/pierglade/admission/connection_admission.py
+++ b/pierglade/admission/connection_admission.py
@@ -1,12 +1,13 @@
-"""Who may connect: limits per address and prefix, a reserve for known clients, decaying penalties.
+"""Connection admission: limits per address and prefix, a reserve for known clients, penalties.
 
-An address is an IPv4 one or the /64 of an IPv6 one; a prefix is its /24 or /48. A known address (in
-one of the operator's prefixes) has no limits and may use the reserve, until its own faults make it
-count as unknown for a while. Times are tenths of a millisecond.
+An address is an IPv4 address or the /64 of an IPv6 one; a prefix is its /24 or /48. A known address
+(in one of the operator's prefixes) has no limits and may use the reserve, until its own faults make
+it count as unknown for a while. Times are ticks (tenths of a millisecond).
 
-Memory is bounded: addresses with nothing open are evicted beyond ROWS, the least recently used
-first; penalised ones are kept apart, PENALISED of them, so that a stream of fresh addresses evicts
-no penalty. The cost: an address evicted early may use its full burst again.
+Memory is bounded: addresses without open connections are evicted beyond MAX_IDLE_ADDRESSES, least
+recently used first. Penalised ones are stored separately, at most MAX_PENALISED_ADDRESSES, so that
+a stream of new addresses evicts no penalty. The drawback: an address that was evicted early may use
+its full burst again.
 """
 
 import ipaddress
@@ -14,22 +15,31 @@
 from collections.abc import Iterable
 from enum import StrEnum
 
-ROWS = 16384  # addresses and prefixes with nothing open; at 300 bytes each they are 5 MB
-PENALISED = 4096  # likewise
-BURST = 2.0  # seconds of its rate that an address may use at once, as a page opens connections
-FAULT_POINTS = 1.0  # for a malformed request, or one that was never whole
-REJECTED_POINTS = 0.1  # for a connection over a limit: a busy client would not go on regardless
-BLOCKING_POINTS = 10.0  # from which an address is blocked
-POINTS_HALF_LIFE = 100000  # 10 s
-BLOCK_TIME = 50000  # 5 s; the first block of an address, doubled with each further one
-BLOCK_TIME_MOST = 3000000  # 5 min
-BLOCKS_EXPIRE = 6000000  # 10 min without a further one, and the next is as the first
-PREFIXES = ("/24", "/48")
-LOGGED_ADDRESSES = 5  # that a line of the log names
+# Addresses and prefixes without open connections; at 300 bytes each they take 5 MB.
+MAX_IDLE_ADDRESSES = 16384
+# Penalised addresses without open connections.
+MAX_PENALISED_ADDRESSES = 4096
+# An address may use the connections of so many seconds at once, as opening a page does.
+BURST_S = 2.0
+# For a malformed or incomplete request.
+FAULT_POINTS = 1.0
+# For a connection over a limit; a well-behaved client stops trying when it is rejected.
+REJECTION_POINTS = 0.1
+# An address with this many points is blocked.
+BLOCKING_POINTS = 10.0
+POINTS_HALF_LIFE_TICKS = 100000  # 10 s
+# 5 s. The first block of an address; each further block is twice as long.
+FIRST_BLOCK_TICKS = 50000
+MAX_BLOCK_TICKS = 3000000  # 5 min
+# 10 min. After so long without a further block, the next one is as short as the first.
+BLOCK_HISTORY_TICKS = 6000000
+PREFIX_SUFFIXES = ("/24", "/48")
+# Addresses in a log line.
+MAX_LOGGED_ADDRESSES = 5
 
 
 class RejectionReason(StrEnum):
-    """Why a connection is rejected; the values stand in the log."""
+    """The reason why a connection is rejected; the values appear in the log."""
 
     RATE = "rate"
     OPEN = "open"
@@ -39,13 +49,17 @@
 
 
 class ConnectionLimits:
-    """The limits; 0 is none.
+    """Limits on connections; 0 means no limit.
 
-    `rate_per_address`: connections a second; `known`: prefixes as text; `reserve`: share of the
-    descriptors that only known addresses may use.
+    Args:
+        per_address: Open connections of an address.
+        per_prefix: Open connections of a prefix.
+        rate_per_address: New connections a second of an address.
+        known: Prefixes of known clients, as text.
+        reserve: Fraction of the file descriptors that only known addresses may use.
 
     Raises:
-        ValueError: one of `known` is no prefix.
+        ValueError: An entry of `known` is not a prefix.
     """
 
     def __init__(
@@ -58,17 +72,19 @@
     ):
         self.per_address, self.per_prefix, self.rate = per_address, per_prefix, rate_per_address
         self.reserve = reserve
-        self.known = []  # (version, mask, the address under it)
-        for text in known:
+        self.known = []  # (IP version, netmask, network address), as integers
+        for prefix in known:
             try:
-                net = ipaddress.ip_network(text)
-            except ValueError as fault:
-                raise ValueError(f"{text!r} is no prefix: {fault}") from None
-            self.known.append((net.version, int(net.netmask), int(net.network_address)))
+                network = ipaddress.ip_network(prefix)
+            except ValueError as error:
+                raise ValueError(
+                    f"admission.known has {prefix!r}; expected a prefix: {error}"
+                ) from None
+            self.known.append((network.version, int(network.netmask), int(network.network_address)))
 
 
 class AddressState:
-    """Open connections, rate and penalty of an address or a prefix."""
+    """Open connections, rate limit and penalty of an address or a prefix."""
 
     __slots__ = (
         "blocked_until",
@@ -85,180 +101,193 @@
 
     def __init__(self, now):
         self.open = self.blocks = self.rejected = 0
-        self.tokens, self.tokens_at = None, now  # of the token bucket, and when they were counted
+        self.tokens, self.tokens_at = None, now  # of the token bucket, at tokens_at
         self.points, self.points_at, self.blocked_until = 0.0, now, 0
         self.known = self.prefix = None
 
 
 class ConnectionAdmission:
-    """Admits or rejects connections by `limits`, and keeps the state of their addresses."""
+    """Admits or rejects connections by `limits` and tracks the state of their addresses."""
 
     def __init__(self, limits: ConnectionLimits):
         self.limits = limits
-        self.rows = {}  # with something open
-        self.resting = OrderedDict()  # with nothing open, and no penalty
-        self.penalised = OrderedDict()  # with nothing open, and points or a block
-        self.strangers = 0  # open connections of addresses that are not known
-        self.by_reason = Counter()  # rejected since `take_rejections`
-        self.by_address = Counter()  # the same, of at most ROWS addresses
+        self.active = {}  # states with open connections
+        self.idle = OrderedDict()  # without open connections, not penalised
+        self.penalised = OrderedDict()  # without open connections, with points or a block
+        self.strangers = 0  # open connections of unknown addresses
+        self.by_reason = Counter()  # rejections since the last `take_rejections`
+        self.by_address = Counter()  # the same, for at most MAX_IDLE_ADDRESSES addresses
 
     def set_limits(self, limits: ConnectionLimits):
-        """Applies other limits from now on; open connections stay."""
+        """Replaces the limits; connections that are already open stay open."""
         self.limits, self.strangers = limits, 0
-        for rows in (self.resting, self.penalised):
-            for row in rows.values():
-                row.known = None
-        for name, row in self.rows.items():
-            if not name.endswith(PREFIXES):
-                row.known = self._is_known(name)
-                self.strangers += row.open * (not row.known)
+        for states in (self.idle, self.penalised):
+            for state in states.values():
+                state.known = None
+        for key, state in self.active.items():
+            if not key.endswith(PREFIX_SUFFIXES):
+                state.known = self._is_known(key)
+                self.strangers += state.open * (not state.known)
 
     def opened(self, now: int, address: str, budget: int) -> RejectionReason | None:
-        """Returns None, and counts it, if a connection from `address` is admitted; else why not.
+        """Counts a connection from `address` if it is admitted, or returns why it is rejected.
 
-        `budget`: descriptors that the node may use for connections.
+        Args:
+            now: The current time.
+            address: The client's IP address.
+            budget: File descriptors that the node may use for connections.
+
+        Returns:
+            None if the connection is admitted, else the reason of its rejection.
         """
-        name = _address(address)
-        row = self._row(now, name)
-        if row.known is None:
-            row.known, row.prefix = self._is_known(name), _prefix(name)
-        blocked = now < row.blocked_until
-        exempt = row.known and not blocked
-        reason = None if exempt else self._rejection(now, row, blocked, budget)
+        key = _address_key(address)
+        state = self._activate(now, key)
+        if state.known is None:
+            state.known, state.prefix = self._is_known(key), _prefix_key(key)
+        blocked = now < state.blocked_until
+        exempt = state.known and not blocked
+        reason = None if exempt else self._rejection_reason(now, state, blocked, budget)
         if reason is not None:
-            self._reject(now, name, row, reason)
+            self._record_rejection(now, key, state, reason)
             return reason
-        row.open += 1
-        self._row(now, row.prefix).open += 1
-        self.strangers += not row.known
+        state.open += 1
+        self._activate(now, state.prefix).open += 1
+        self.strangers += not state.known
         return None
 
     def knows(self, now: int, address: str) -> bool:
-        """Whether an admitted address is known, and not blocked for faults of its own."""
-        row = self.rows[_address(address)]
-        return bool(row.known) and now >= row.blocked_until
+        """Returns whether an admitted address is known and is not blocked for its own faults."""
+        state = self.active[_address_key(address)]
+        return bool(state.known) and now >= state.blocked_until
 
-    def _rejection(self, now, row, blocked, budget):
+    def _rejection_reason(self, now, state, blocked, budget):
         limits = self.limits
-        if blocked and not row.known:
+        if blocked and not state.known:
             return RejectionReason.PENALTY
-        if limits.per_address and row.open >= limits.per_address:
+        if limits.per_address and state.open >= limits.per_address:
             return RejectionReason.OPEN
-        beside = self.rows.get(row.prefix)
-        if limits.per_prefix and beside is not None and beside.open >= limits.per_prefix:
+        prefix = self.active.get(state.prefix)
+        if limits.per_prefix and prefix is not None and prefix.open >= limits.per_prefix:
             return RejectionReason.PREFIX
         if limits.reserve and self.strangers >= (1 - limits.reserve) * budget:
             return RejectionReason.RESERVE
         if limits.rate:
-            most = max(1.0, BURST * limits.rate)
-            if row.tokens is None:
-                row.tokens = most
+            max_tokens = max(1.0, BURST_S * limits.rate)
+            if state.tokens is None:
+                state.tokens = max_tokens
             else:
-                refilled = row.tokens + limits.rate * (now - row.tokens_at) / 10000
-                row.tokens = min(most, refilled)
-            row.tokens_at = now
-            if row.tokens < 1:
+                refilled = state.tokens + limits.rate * (now - state.tokens_at) / 10000
+                state.tokens = min(max_tokens, refilled)
+            state.tokens_at = now
+            if state.tokens < 1:
                 return RejectionReason.RATE
-            row.tokens -= 1
+            state.tokens -= 1
         return None
 
     def closed(self, now: int, address: str):
-        """Notes that one of its admitted connections has ended."""
-        name = _address(address)
-        row = self.rows.get(name)
-        if row is None or not row.open:
+        """Records that an admitted connection of `address` has closed."""
+        key = _address_key(address)
+        state = self.active.get(key)
+        if state is None or not state.open:
             return
-        row.open -= 1
-        self.strangers -= not row.known
-        prefix = self.rows[row.prefix]
+        state.open -= 1
+        self.strangers -= not state.known
+        prefix = self.active[state.prefix]
         prefix.open -= 1
-        self._rest(now, row.prefix, prefix)
-        self._rest(now, name, row)
+        self._deactivate(now, state.prefix, prefix)
+        self._deactivate(now, key, state)
 
     def faulted(self, now: int, address: str, points: float = FAULT_POINTS):
-        """Notes that it sent a malformed request, or never the whole of one."""
-        name = _address(address)
-        self._add_points(now, name, self._row(now, name), points)
-        self._rest(now, name, self.rows[name])
-
-    def _add_points(self, now, name, row, points):
-        row.points = row.points * 0.5 ** ((now - row.points_at) / POINTS_HALF_LIFE) + points
-        row.points_at = now
-        if row.points < BLOCKING_POINTS or now < row.blocked_until:
+        """Records that `address` sent a malformed or incomplete request."""
+        key = _address_key(address)
+        self._add_points(now, key, self._activate(now, key), points)
+        self._deactivate(now, key, self.active[key])
+
+    def _add_points(self, now, key, state, points):
+        state.points = (
+            state.points * 0.5 ** ((now - state.points_at) / POINTS_HALF_LIFE_TICKS) + points
+        )
+        state.points_at = now
+        if state.points < BLOCKING_POINTS or now < state.blocked_until:
             return
-        if now - row.blocked_until > BLOCKS_EXPIRE:
-            row.blocks = 0
-        row.blocked_until = now + min(BLOCK_TIME_MOST, BLOCK_TIME << min(row.blocks, 16))
-        row.blocks += 1
-        row.points = 0.0
-
-    def _reject(self, now, name, row, reason):
-        row.rejected += 1
+        if now - state.blocked_until > BLOCK_HISTORY_TICKS:
+            state.blocks = 0
+        state.blocked_until = now + min(MAX_BLOCK_TICKS, FIRST_BLOCK_TICKS << min(state.blocks, 16))
+        state.blocks += 1
+        state.points = 0.0
+
+    def _record_rejection(self, now, key, state, reason):
+        state.rejected += 1
         self.by_reason[reason.value] += 1
-        self.by_address[name] += 1
-        if len(self.by_address) > ROWS:
-            self.by_address = Counter(dict(self.by_address.most_common(ROWS // 2)))
+        self.by_address[key] += 1
+        if len(self.by_address) > MAX_IDLE_ADDRESSES:
+            self.by_address = Counter(dict(self.by_address.most_common(MAX_IDLE_ADDRESSES // 2)))
         if reason is not RejectionReason.PENALTY:
-            self._add_points(now, name, row, REJECTED_POINTS)
-        self._rest(now, name, row)
+            self._add_points(now, key, state, REJECTION_POINTS)
+        self._deactivate(now, key, state)
 
     def take_rejections(self) -> tuple[dict[str, int], list[tuple[str, int]]]:
-        """Returns the rejections since the last call: counts by reason, and the worst addresses."""
+        """Returns the rejections since the last call by reason, and the most rejected addresses."""
         by_reason, by_address = self.by_reason, self.by_address
         self.by_reason, self.by_address = Counter(), Counter()
-        return dict(by_reason), by_address.most_common(LOGGED_ADDRESSES)
-
-    def top(self, now: int, most: int = 20) -> list[dict]:
-        """Returns the addresses rejected most or blocked, worst first, as operators read them."""
-        rows = [
-            (name, row)
-            for rows in (self.rows, self.penalised, self.resting)
-            for name, row in rows.items()
-            if row.rejected or row.blocked_until > now
+        return dict(by_reason), by_address.most_common(MAX_LOGGED_ADDRESSES)
+
+    def top(self, now: int, max_count: int = 20) -> list[dict]:
+        """Returns the rejected or blocked addresses, most rejected first, for `GET /admission`."""
+        entries = [
+            (key, state)
+            for states in (self.active, self.penalised, self.idle)
+            for key, state in states.items()
+            if state.rejected or state.blocked_until > now
         ]
-        rows.sort(key=lambda pair: (-pair[1].rejected, pair[0]))
+        entries.sort(key=lambda entry: (-entry[1].rejected, entry[0]))
         return [
             {
-                "address": name,
-                "open": row.open,
-                "turned_away": row.rejected,
-                "known": bool(row.known),
-                "shut_out_s": max(0, row.blocked_until - now) / 10000,
+                "address": key,
+                "open": state.open,
+                "turned_away": state.rejected,
+                "known": bool(state.known),
+                "shut_out_s": max(0, state.blocked_until - now) / 10000,
             }
-            for name, row in rows[:most]
+            for key, state in entries[:max_count]
         ]
 
-    def _row(self, now, name):
-        row = self.rows.get(name)
-        if row is None:
-            row = (
-                self.resting.pop(name, None) or self.penalised.pop(name, None) or AddressState(now)
-            )
-            self.rows[name] = row
-        return row
-
-    def _rest(self, now, name, row):
-        """Moves an address with nothing open to where it may be evicted."""
-        if row.open:
+    def _activate(self, now, key):
+        state = self.active.get(key)
+        if state is None:
+            state = self.idle.pop(key, None) or self.penalised.pop(key, None) or AddressState(now)
+            self.active[key] = state
+        return state
+
+    def _deactivate(self, now, key, state):
+        """Moves an address without open connections to a table from which it may be evicted."""
+        if state.open:
             return
-        del self.rows[name]
-        points = row.points * 0.5 ** ((now - row.points_at) / POINTS_HALF_LIFE)
-        penalised = row.blocked_until > now or points >= FAULT_POINTS
-        rows, most = (self.penalised, PENALISED) if penalised else (self.resting, ROWS)
-        rows[name] = row
-        if len(rows) > most:
-            rows.popitem(last=False)
-
-    def _is_known(self, name):
+        del self.active[key]
+        points = state.points * 0.5 ** ((now - state.points_at) / POINTS_HALF_LIFE_TICKS)
+        penalised = state.blocked_until > now or points >= FAULT_POINTS
+        states, max_states = (
+            (self.penalised, MAX_PENALISED_ADDRESSES)
+            if penalised
+            else (self.idle, MAX_IDLE_ADDRESSES)
+        )
+        states[key] = state
+        if len(states) > max_states:
+            states.popitem(last=False)
+
+    def _is_known(self, key):
         if not self.limits.known:
             return False
-        address = ipaddress.ip_address(name.partition("/")[0])
+        address = ipaddress.ip_address(key.partition("/")[0])
         version, number = address.version, int(address)
-        return any(version == v and number & mask == net for v, mask, net in self.limits.known)
+        return any(
+            version == known_version and number & netmask == network
+            for known_version, netmask, network in self.limits.known
+        )
 
 
-def _address(text):
-    """Returns the key of its state: IPv4 as it is, of IPv6 the /64 that one machine has."""
+def _address_key(text):
+    """Returns the key of an address: IPv4 unchanged, for IPv6 the /64, which one host has."""
     if ":" not in text:
         return text
     address = ipaddress.ip_address(text.partition("%")[0])
@@ -267,7 +296,7 @@
     return f"{ipaddress.IPv6Address(int(address) >> 64 << 64)}/64"
 
 
-def _prefix(name):
-    if name.endswith("/64"):
-        return f"{ipaddress.IPv6Address(int(ipaddress.IPv6Address(name[:-3])) >> 80 << 80)}/48"
-    return name.rpartition(".")[0] + ".0/24"
+def _prefix_key(key):
+    if key.endswith("/64"):
+        return f"{ipaddress.IPv6Address(int(ipaddress.IPv6Address(key[:-3])) >> 80 << 80)}/48"
+    return key.rpartition(".")[0] + ".0/24"
--- a/pierglade/admission/fair_queue.py
+++ b/pierglade/admission/fair_queue.py
@@ -1,55 +1,58 @@
-"""Who is served next: deficit round robin between addresses (Shreedhar and Varghese, 1995).
+"""Deficit round robin between client addresses (Shreedhar and Varghese, 1995).
 
-Each address has a queue; in its turn it may spend QUANTUM and its saved deficit, so an address that
-sends a thousand requests, or large ones, delays only its own. Within an address the order is first
-in, first out, until the first has waited for LATE: then the newest goes first, as its client is the
-one most likely to wait still (adaptive LIFO, Maurer, 2015).
+Each address has a queue. In its turn an address may spend QUANTUM_BYTES and its saved deficit, so
+an address that sends a thousand requests, or large ones, delays only its own requests. Within an
+address the order is first in, first out, until the first has waited for more than LATE_TICKS: then
+the newest goes first, as its client is the most likely one to be waiting still (adaptive LIFO,
+Maurer, 2015).
 """
 
 from collections import deque
 
-QUANTUM = 2048  # bytes a turn of an address; one request of usual size, with its overhead
-OVERHEAD = 1024  # bytes; the cost of a request beside its size, as most of it is not in its bytes
-LATE = 600  # tenths of a ms; as long as the event loop may go on without idling
+# Added to the deficit of an address per turn; one request of usual size, with its overhead.
+QUANTUM_BYTES = 2048
+# The cost of a request besides its size, as most of its cost does not depend on its size.
+OVERHEAD_BYTES = 1024
+LATE_TICKS = 600  # 60 ms; as long as the event loop may run without becoming idle
 
 
 class FairQueue:
-    """Items by address; as many keys as there are items at most."""
+    """A queue of items by address; has at most as many keys as items."""
 
     def __init__(self):
-        self.queues = {}  # address: deque of (when it was put, cost, item)
-        self.saved = {}  # address: its deficit, in bytes
-        self.turns = deque()  # addresses, whose turn it is first
+        self.queues = {}  # by address: deque of (time of `put`, cost, item)
+        self.deficits = {}  # by address, in bytes
+        self.turns = deque()  # addresses in the order of their turns
         self.count = 0
 
     def __len__(self):
         return self.count
 
     def put(self, now: int, address: str, size: int, item: object):
-        """Adds an item; `size`: bytes that were read of it."""
+        """Adds an item; `size` is the number of bytes that were read of it."""
         queue = self.queues.get(address)
         if queue is None:
             queue = self.queues[address] = deque()
-            self.saved[address] = QUANTUM
+            self.deficits[address] = QUANTUM_BYTES
             self.turns.append(address)
-        queue.append((now, OVERHEAD + size, item))
+        queue.append((now, OVERHEAD_BYTES + size, item))
         self.count += 1
 
     def take(self, now: int) -> object:
-        """Removes and returns the next item; there must be one."""
+        """Removes and returns the next item; the queue must not be empty."""
         while True:
             address = self.turns[0]
             queue = self.queues[address]
-            newest = now - queue[0][0] > LATE
-            _, cost, item = queue[-1] if newest else queue[0]
-            if self.saved[address] < cost:
-                self.saved[address] += QUANTUM
+            newest_first = now - queue[0][0] > LATE_TICKS
+            _, cost, item = queue[-1] if newest_first else queue[0]
+            if self.deficits[address] < cost:
+                self.deficits[address] += QUANTUM_BYTES
                 self.turns.rotate(-1)
                 continue
-            queue.pop() if newest else queue.popleft()
-            self.saved[address] -= cost
+            queue.pop() if newest_first else queue.popleft()
+            self.deficits[address] -= cost
             self.count -= 1
             if not queue:
-                del self.queues[address], self.saved[address]
+                del self.queues[address], self.deficits[address]
                 self.turns.popleft()
             return item
--- a/pierglade/config/__init__.py
+++ b/pierglade/config/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's TOML file: typed tables, and their places in the platform's JSON document.
+"""The operator's TOML file: typed tables, and their counterparts in the platform's JSON document.
 
-Not read by `python -m pierglade`, which takes the platform's JSON alone. Start with
-`pierglade.config.read.read`; docs/operate/configuration.md is made from `structs.py`.
+`python -m pierglade` does not read it and takes only the platform's JSON. Start with
+`pierglade.config.read.read`; docs/operate/configuration.md is generated from `structs.py`.
 """
--- a/pierglade/config/logged.py
+++ b/pierglade/config/logged.py
@@ -1,7 +1,8 @@
-"""The events of the log, in one table: the level of each, what it means, and its fields.
+"""The events of the log: their levels, meanings and fields, and a log that filters by them.
 
-`docs/operate/log.md` is made from it by `python -m pierglade.config.logged`; a test holds the page
-and the sources to it. Each line has `at_ms` (Unix time), `node` and `event` besides.
+`docs/operate/log.md` is generated from `EVENTS` by `python -m pierglade.config.logged`; a test
+compares the page and the sources with it. Each line also has `at_ms` (Unix time), `node` and
+`event`.
 """
 
 import sys
@@ -10,130 +11,134 @@
 
 LEVELS = ("debug", "info", "warning", "error")
 COLOURS = {"debug": "\033[2m", "info": "", "warning": "\033[33m", "error": "\033[31m"}
-PLAIN = "\033[0m"
+RESET_COLOUR = "\033[0m"
 
-# event: (level, what it tells, fields)
+# Event: (level, meaning, fields).
 EVENTS = {
-    "started": ("info", "the node listens and serves", "listen"),
-    "stopped": ("info", "no request is pending any more; the process exits", ""),
+    "started": ("info", "the node listens and serves requests", "listen"),
+    "stopped": ("info", "no request is pending; the process exits", ""),
     "stopping": (
         "info",
-        "SIGTERM: new connections for 0.7 s, then none",
+        "SIGTERM was received; connections are accepted for another 0.7 s, then no more",
         "pending, successor_running",
     ),
-    "standby": ("info", "operators drain the node", "pending"),
-    "active": ("info", "operators have the node back to work", "pending"),
-    "sole_process": ("info", "the process that served here before has ended", ""),
+    "standby": ("info", "an operator puts the node on standby; it drains", "pending"),
+    "active": ("info", "an operator makes the node active again", "pending"),
+    "sole_process": ("info", "the process that served this address before has exited", ""),
     "config_reloaded": (
         "info",
-        "SIGHUP: the configuration was taken",
+        "SIGHUP was received; the configuration was applied",
         "discovery, discovery_moved, needs_restart",
     ),
     "config_rejected": (
         "error",
-        "SIGHUP: the configuration can't be used; all stays as it was",
+        "SIGHUP was received; the configuration has errors, the one in force remains",
         "error",
     ),
     "settings_applied": (
         "info",
-        "new settings hold for what comes from now on; with `quotas`, only those of "
-        "so many tenants were changed",
+        "new settings apply to requests that are received from now on; with `quotas`, only the "
+        "quotas of that many tenants changed",
         "pending, quotas",
     ),
-    "settings_retired": ("info", "no request under the earlier settings is left", ""),
+    "settings_retired": ("info", "no request under the earlier settings is pending", ""),
     "endpoints_updated": (
         "info",
-        "what has changed on the endpoint list",
+        "the endpoint list changed",
         "version, whole, changed, more",
     ),
     "endpoints_rejected": (
         "warning",
-        "a message of discovery can't be used; the whole list is asked for",
+        "a message from discovery is invalid; the whole list is requested",
+        "error",
+    ),
+    "discovery_lost": (
+        "warning",
+        "discovery is unreachable; the last list remains in force",
         "error",
     ),
-    "discovery_lost": ("warning", "discovery is not reached; the last list stands", "error"),
     "counters": (
         "info",
-        "once a second, what was done in it",
+        "counts of the last second, once a second",
         "attempts, trials, health_checks, endpoint_polls, request_rejected, request_failed, "
         "connections_opened, connections_refused, connections_skipped, discovery_losses",
     ),
     "request_rejected": (
         "info",
-        "a request was answered 503: it was not executed, or a retry is harmless",
+        "a request got a 503 response: it was not executed, or is safe to retry",
         "request_class, attempts, latency_ms, deadline_ms, outcomes",
     ),
     "request_failed": (
         "warning",
-        "a request was answered 504: it may have been executed",
+        "a request got a 504 response: it may have been executed",
         "request_class, attempts, latency_ms, deadline_ms, outcomes",
     ),
     "request_succeeded": (
         "info",
-        "late, or with more than one attempt; any other success leaves no line",
+        "a request succeeded late or with more than one attempt; other successes are not logged",
         "request_class, attempts, latency_ms, backend",
     ),
     "client_error": (
         "info",
-        "the backend found fault with the request itself",
+        "the backend rejected the request as faulty",
         "request_class, attempts, latency_ms, backend",
     ),
     "attempt_failed": (
         "warning",
-        "an attempt did not succeed",
+        "an attempt failed",
         "backend, reason, outcome, or backend, status, unexecuted",
     ),
     "deadline_overrun": (
         "error",
-        "a request was still pending 2.5 ms before its deadline, and failed: an error of ours",
+        "a request was still pending 2.5 ms before its deadline and failed; a bug in pierglade",
         "",
     ),
-    "downstream_closed": ("debug", "a client's connection has ended", "reason, state"),
-    "upstream_closed": ("debug", "a connection to a backend has ended", "reason, backend, state"),
+    "downstream_closed": ("debug", "a connection from a client was closed", "reason, state"),
+    "upstream_closed": ("debug", "a connection to a backend was closed", "reason, backend, state"),
     "load_shed": (
         "warning",
-        "the node is short of CPU; so many requests were rejected unread in a second",
+        "the node is short of CPU; number of requests rejected unread within a second",
         "requests",
     ),
     "descriptors_exhausted": (
         "warning",
-        "clients that found no descriptor left, in a second",
+        "no file descriptors were left; number of clients affected within a second",
         "clients, upstream, downstream",
     ),
     "connections_rejected": (
         "warning",
-        "connections over a limit or shut out, in a second",
+        "connections rejected within a second, as over a limit or from blocked addresses",
         "reason, addresses",
     ),
     "snapshot_restored": (
         "info",
-        "what was restored from a snapshot at the start",
+        "learned statistics were restored from a snapshot at the start",
         "file, summary",
     ),
     "snapshot_rejected": (
         "warning",
-        "a snapshot that can't be believed; the one before is tried, or none",
+        "a snapshot is corrupt or untrusted; the previous one is tried, if any",
         "error",
     ),
     "snapshot_write_failed": (
         "warning",
-        "the snapshot can't be written; tried again later each time",
+        "a snapshot could not be written; it is retried with backoff",
         "error",
     ),
-    "event_loop_lag": ("warning", "the event loop came round late", "lag_ms"),
-    "accept_failed": ("error", "no connection could be accepted", "error"),
+    "event_loop_lag": ("warning", "an iteration of the event loop was late", "lag_ms"),
+    "accept_failed": ("error", "a connection could not be accepted", "error"),
     "internal_error": (
         "error",
-        "an error of ours; the request that it was about is answered",
+        "a bug in pierglade; the request concerned still gets a response",
         "error, traceback",
     ),
     "log_lines_dropped": (
         "warning",
-        "whoever reads the log is slow; so many lines were not written",
+        "the reader of the log is too slow; number of lines that were dropped",
         "lines",
     ),
 }
-# Old event name: new one; for whoever searches logs written by earlier versions.
+# Old event name: new name, for searches in logs of earlier versions.
 RENAMED = {
     "bounce": "request_rejected",
     "give up": "request_failed",
@@ -163,7 +168,7 @@
     "log dropped": "log_lines_dropped",
     "alone": "sole_process",
 }
-# Old field: new one, and the events that it stands in where not in all.
+# Old field name: new name, and the events that have it if not all do.
 RENAMED_FIELDS = {
     "offering": "request_class",
     "trips": "attempts",
@@ -186,9 +191,15 @@
 
 
 class FilteredLog(Log):
-    """A log that drops events below a level, and all but a share of those below warning.
+    """A log that drops events below a level, and samples those below warning.
 
-    `readable`: a line for people instead of a JSON object, with `colours` or without.
+    Args:
+        fd: The file descriptor to write to.
+        name: The name of the node.
+        level: The lowest level that is written.
+        sampling: The fraction of the lines below warning that are written.
+        readable: Whether lines are plain text instead of JSON objects.
+        colours: Whether readable lines are coloured by level.
     """
 
     def __init__(
@@ -201,29 +212,31 @@
         colours: bool = False,
     ):
         super().__init__(fd, name)
-        least = LEVELS.index(level)
+        min_level = LEVELS.index(level)
         self.written = frozenset(
-            event for event, (at, _, _) in EVENTS.items() if LEVELS.index(at) >= least
+            event
+            for event, (event_level, _, _) in EVENTS.items()
+            if LEVELS.index(event_level) >= min_level
         )
         self.sampled = frozenset(
-            event for event, (at, _, _) in EVENTS.items() if LEVELS.index(at) < 2
+            event for event, (event_level, _, _) in EVENTS.items() if LEVELS.index(event_level) < 2
         )
-        self.sampling, self.sum = sampling, 0.0
+        self.sampling, self.sampling_sum = sampling, 0.0
         self.readable, self.colours = readable, colours
 
     def line(self, now: int, event: str, **fields):
-        """Adds the line of an event unless it is filtered out."""
+        """Writes the line of an event unless it is filtered out."""
         if event not in self.written:
             return
         if self.sampling < 1 and event in self.sampled:
-            self.sum += self.sampling
-            if self.sum < 1:
+            self.sampling_sum += self.sampling
+            if self.sampling_sum < 1:
                 return
-            self.sum -= 1
+            self.sampling_sum -= 1
         super().line(now, event, **fields)
 
     def text(self, now: int, event: str, fields: dict) -> bytes:
-        """Returns the line of an event, as JSON or for people."""
+        """Formats the line of an event, as JSON or as readable text."""
         if not self.readable:
             return super().text(now, event, fields)
         seconds = now // 10000 % 86400
@@ -231,11 +244,13 @@
             f"{key}={value}" for key, value in fields.items() if value not in (None, "", [])
         )
         level = EVENTS[event][0]
-        before, after = (COLOURS[level], PLAIN) if self.colours and COLOURS[level] else ("", "")
+        prefix, suffix = (
+            (COLOURS[level], RESET_COLOUR) if self.colours and COLOURS[level] else ("", "")
+        )
         clock = (
             f"{seconds // 3600:02}:{seconds // 60 % 60:02}:{seconds % 60:02}.{now // 10 % 1000:03}"
         )
-        return (f"{before}{clock} {level:7} {event:22} {details}{after}").rstrip().encode()
+        return (f"{prefix}{clock} {level:7} {event:22} {details}{suffix}").rstrip().encode()
 
 
 def page() -> str:
@@ -243,31 +258,31 @@
     lines = [
         "# The node's log",
         "",
-        "Made from `pierglade/config/logged.py` by `python -m "
-        "pierglade.config.logged`; a test holds it",
-        "to that. A line is a JSON object: `at_ms` (Unix time), `node`, "
+        "Generated from `pierglade/config/logged.py` by `python -m "
+        "pierglade.config.logged`; a test compares",
+        "the two. A line is a JSON object with `at_ms` (Unix time), `node`, "
         "`event` and the fields below;",
         "on a terminal `pierglade serve` writes readable lines. `[log]` in the "
         "operator's file sets",
-        "`level` (what is below it is not written), `sampling` (the share written of what is below",
-        "warning) and `form`.",
+        "`level` (lines below it are not written), `sampling` (the fraction of the lines below",
+        "warning that are written) and `form`.",
         "",
-        "| event | level | what it tells | fields |",
+        "| event | level | meaning | fields |",
         "| --- | --- | --- | --- |",
     ]
     lines += [
-        f"| `{event}` | {level} | {what} | {fields} |"
-        for event, (level, what, fields) in EVENTS.items()
+        f"| `{event}` | {level} | {meaning} | {fields} |"
+        for event, (level, meaning, fields) in EVENTS.items()
     ]
     lines += [
         "",
         "## Names of earlier versions",
         "",
-        "| event before | event now |",
+        "| earlier event | current event |",
         "| --- | --- |",
         *(f"| `{old}` | `{new}` |" for old, new in RENAMED.items()),
         "",
-        "| field before | field now |",
+        "| earlier field | current field |",
         "| --- | --- |",
         *(f"| `{old}` | {new} |" for old, new in RENAMED_FIELDS.items()),
     ]
--- a/pierglade/config/page.py
+++ b/pierglade/config/page.py
@@ -1,4 +1,4 @@
-"""Makes docs/operate/configuration.md from the structs: `python -m pierglade.config.page`."""
+"""Generates docs/operate/configuration.md: `python -m pierglade.config.page`."""
 
 import sys
 
@@ -11,13 +11,13 @@
 
 HEAD = """# The operator's file
 
-Made from `pierglade/config/structs.py` by `python -m pierglade.config.page`; a test compares both.
-`pierglade check FILE` prints all that is wrong in a file, a line each, and ends with 2.
-`pierglade serve FILE` starts on it and reads it again on SIGHUP: what can't be used is refused as a
-whole, and the settings in force stay. `deploy/pierglade.toml` is an example. Times are in the unit
-that the key ends with.
+Generated from `pierglade/config/structs.py` by `python -m pierglade.config.page`; a test compares
+the two. `pierglade check FILE` prints all errors in a file, one per line, and exits with 2.
+`pierglade serve FILE` starts a node with it and reads it again on SIGHUP: a file with errors is
+rejected as a whole, and the settings in force remain. `deploy/pierglade.toml` is an example. Times
+are in the unit that the key ends with.
 
-The platform's JSON document says the same under other names; the last column names the place there.
+The platform's JSON document has the same settings under other names, given in the last column.
 """
 
 
@@ -32,23 +32,23 @@
     return f"`{str(value).lower()}`" if isinstance(value, bool) else f"`{value:g}`"
 
 
-def _rows(kind, ours, theirs):
+def _table_rows(kind, table, platform_paths):
     for field in kind.fields:
-        inner, said = field.type, ""
+        inner, description = field.type, ""
         while isinstance(inner, types.Metadata):
-            said = (inner.extra_json_schema or {}).get("description", said)
+            description = (inner.extra_json_schema or {}).get("description", description)
             inner = inner.type
         yield (
-            f"| `{field.encode_name}` | {said} | {_default(field)} | {allowed(field.type)} "
-            f"| {theirs.get(f'{ours}.{field.encode_name}', '')} |"
+            f"| `{field.encode_name}` | {description} | {_default(field)} | {allowed(field.type)} "
+            f"| {platform_paths.get(f'{table}.{field.encode_name}', '')} |"
         )
 
 
 def page():
-    """The page as text."""
-    theirs = {ours: f"`{there}`" for ours, there, _ in platform.PLACES}
-    for ours, there, columns in platform.ROWS:
-        theirs.update({f"{ours}.{name}": f"`{there}[].{key}`" for name, key, _ in columns})
+    """Returns the text of docs/operate/configuration.md."""
+    platform_paths = {ours: f"`{theirs}`" for ours, theirs, _ in platform.PLACES}
+    for ours, theirs, columns in platform.ROWS:
+        platform_paths.update({f"{ours}.{name}": f"`{theirs}[].{key}`" for name, key, _ in columns})
     lines = [HEAD]
     file = types.type_info(File)
     for field in file.fields:
@@ -66,9 +66,9 @@
             "",
             kind.cls.__doc__.split("\n\n")[0],
             "",
-            "| key | meaning | default | allowed | the platform's |",
+            "| key | meaning | default | allowed | platform |",
             "| --- | --- | --- | --- | --- |",
-            *_rows(kind, name, theirs),
+            *_table_rows(kind, name, platform_paths),
             "",
         ]
     return "\n".join(lines)
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -1,7 +1,7 @@
-"""One table of what belongs to what: the operator's file, and the platform's JSON document.
+"""Converts between the operator's file and the platform's JSON document.
 
-Both directions are made from `PLACES` and `ROWS`, so a node decides alike under either (the
-platform's document is what `pierglade.__main__` reads). The platform counts microseconds.
+Both directions use the tables `PLACES` and `ROWS`, so that a node behaves the same under either
+form (`pierglade.__main__` reads the platform's document). The platform's times are microseconds.
 """
 
 import msgspec
@@ -9,95 +9,99 @@
 from pierglade.config.structs import File, value_of
 
 
-def _same(value):
+def _unchanged(value):
     return value
 
 
-def _us(per):
-    """Times in our unit to microseconds and back; `per`: microseconds in one."""
-    return (lambda value: round(value * per), lambda value: value / per)
+def _microseconds(per_unit):
+    """Returns the conversions of a time to microseconds and back."""
+    return (lambda value: round(value * per_unit), lambda value: value / per_unit)
 
 
-_MS, _S = _us(1000), _us(1000000)
-_REPEAT = {"harmless": "free", "stamped": "guarded", "one_shot": "single_shot"}
-_HOW = {"none": "silent", "answers": "piggyback", "probes": "pull"}
+_MS, _S = _microseconds(1000), _microseconds(1000000)
+_IDEMPOTENCY = {"harmless": "free", "stamped": "guarded", "one_shot": "single_shot"}
+_REPORT_SOURCE = {"none": "silent", "answers": "piggyback", "probes": "pull"}
 
 
-def _words(words):
-    back = {theirs: ours for ours, theirs in words.items()}
-    return (words.__getitem__, back.__getitem__)
+def _translated(to_theirs):
+    to_ours = {theirs: ours for ours, theirs in to_theirs.items()}
+    return (to_theirs.__getitem__, to_ours.__getitem__)
 
 
 def _flag(true, false):
     return (lambda value: true if value else false, lambda value: value == true)
 
 
-_PLAIN = (_same, _same)
+_IDENTITY = (_unchanged, _unchanged)
 _TEXT_OR_NONE = (lambda value: value or None, lambda value: value or "")
 _NOT = (lambda value: not value, lambda value: not value)
 
-# (place in our file, place in the platform's document, how to get there and back).
+# (path in the operator's file, path in the platform's document, conversions to it and back).
 PLACES = (
-    ("node.name", "name", _PLAIN),
-    ("node.seed", "seed", (_same, str)),
+    ("node.name", "name", _IDENTITY),
+    ("node.seed", "seed", (_unchanged, str)),
     ("node.zone", "settings.zone", _TEXT_OR_NONE),
-    ("node.number", "settings.me", _PLAIN),
-    ("node.nodes", "settings.siblings", _PLAIN),
-    ("listen.address", "listen", _PLAIN),
+    ("node.number", "settings.me", _IDENTITY),
+    ("node.nodes", "settings.siblings", _IDENTITY),
+    ("listen.address", "listen", _IDENTITY),
     ("listen.management", "management", _TEXT_OR_NONE),
-    ("discovery.address", "discovery", _PLAIN),
+    ("discovery.address", "discovery", _IDENTITY),
     ("discovery.asked", "settings.membershipMode", _flag("ask", "push")),
-    ("limits.sockets", "limits.sockets", _PLAIN),
-    ("limits.memory_mb", "limits.memory_mb", _PLAIN),
-    ("limits.trips", "settings.limits.mostTrips", _PLAIN),
-    ("limits.cancel", "settings.limits.mayCancel", _PLAIN),
-    ("limits.probes", "settings.limits.probes", _PLAIN),
+    ("limits.sockets", "limits.sockets", _IDENTITY),
+    ("limits.memory_mb", "limits.memory_mb", _IDENTITY),
+    ("limits.trips", "settings.limits.mostTrips", _IDENTITY),
+    ("limits.cancel", "settings.limits.mayCancel", _IDENTITY),
+    ("limits.probes", "settings.limits.probes", _IDENTITY),
     ("limits.connect_ms", "settings.limits.connectTimeoutUs", _MS),
     ("limits.idle_s", "settings.limits.connIdleUs", _S),
     ("limits.retry_after_ms", "settings.limits.maxRetryAfterUs", _MS),
     ("rules.drain_grace_ms", "settings.contract.drainGraceUs", _MS),
     ("rules.gone_binds", "settings.contract.onlyDrainingBinds", _NOT),
     ("rules.cold_s", "settings.contract.coldUs", _S),
-    ("rules.cold_from", "settings.contract.startCapacity", _PLAIN),
-    ("rules.tip_multiple", "settings.contract.tipMultiple", _PLAIN),
+    ("rules.cold_from", "settings.contract.startCapacity", _IDENTITY),
+    ("rules.tip_multiple", "settings.contract.tipMultiple", _IDENTITY),
     ("rules.further_span_s", "settings.contract.lookBackUs", _S),
-    ("rules.further_most", "settings.contract.extraFloor", _PLAIN),
-    ("rules.further_share", "settings.contract.resendRatio", _PLAIN),
-    ("rules.worst_offering", "settings.goal.worstClass", _PLAIN),
-    ("rules.crossing", "settings.deductions.crossZone", _PLAIN),
-    ("reports.how", "settings.loadInfo.via", _words(_HOW)),
+    ("rules.further_most", "settings.contract.extraFloor", _IDENTITY),
+    ("rules.further_share", "settings.contract.resendRatio", _IDENTITY),
+    ("rules.worst_offering", "settings.goal.worstClass", _IDENTITY),
+    ("rules.crossing", "settings.deductions.crossZone", _IDENTITY),
+    ("reports.how", "settings.loadInfo.via", _translated(_REPORT_SOURCE)),
     ("reports.fields", "settings.loadInfo.fields", (list, tuple)),
 )
-# The same for rows: (list in our file, list in the platform's document, its columns).
+# The same for lists of tables: (list in the file, list in the document, conversions of its keys).
 ROWS = (
     (
         "offerings",
         "settings.offerings",
         (
-            ("name", "name", _PLAIN),
-            ("repeat", "idempotency", _words(_REPEAT)),
-            ("group", "group", _PLAIN),
+            ("name", "name", _IDENTITY),
+            ("repeat", "idempotency", _translated(_IDEMPOTENCY)),
+            ("group", "group", _IDENTITY),
             ("window_ms", "repeatWindowUs", _MS),
             ("expected_ms", "expectedTimeUs", _MS),
             ("hard_limit_ms", "hardLimitUs", _MS),
-            ("credit", "credit", _PLAIN),
+            ("credit", "credit", _IDENTITY),
         ),
     ),
-    ("members", "settings.customers", (("name", "name", _PLAIN), ("per_s", "quotaPerS", _PLAIN))),
+    (
+        "members",
+        "settings.customers",
+        (("name", "name", _IDENTITY), ("per_s", "quotaPerS", _IDENTITY)),
+    ),
     (
         "backends",
         "known.endpoints",
         (
-            ("name", "name", _PLAIN),
-            ("address", "address", _PLAIN),
+            ("name", "name", _IDENTITY),
+            ("address", "address", _IDENTITY),
             ("zone", "zone", _TEXT_OR_NONE),
-            ("cell", "group", _PLAIN),
-            ("weight", "weight", _PLAIN),
+            ("cell", "group", _IDENTITY),
+            ("weight", "weight", _IDENTITY),
         ),
     ),
 )
-# Where ours stands alone: the platform has no word for it.
-OURS = (
+# Keys of the file without a counterpart in the platform's document.
+FILE_ONLY = (
     "listen.ids",
     "admission.per_address",
     "admission.per_prefix",
@@ -115,24 +119,25 @@
 
 
 def to_platform(file):
-    """The platform's document for a structs.File, as plain data."""
+    """Returns the platform's document for a structs.File, as plain data."""
     document = {}
-    for ours, theirs, (there, _) in PLACES:
-        value = _at(file, ours)
+    for ours, theirs, (to_theirs, _) in PLACES:
+        value = _get_from_file(file, ours)
         if value is not None:
-            _put(document, theirs, there(value))
+            _put(document, theirs, to_theirs(value))
     for ours, theirs, columns in ROWS:
         _put(
             document,
             theirs,
             [
-                {key: there(value_of(row, name)) for name, key, (there, _) in columns}
+                {key: to_theirs(value_of(row, name)) for name, key, (to_theirs, _) in columns}
                 for row in value_of(file, ours)
             ],
         )
     for row in document["known"]["endpoints"]:
         row.update(status="SERVING", since_ms=0)
-    # Discovery's versions are its own: a list of ours has none, and the whole of it is asked for.
+    # Versions are assigned by discovery. A list from the file has none, so that the whole list is
+    # requested.
     document["known"].update(index=None if file.discovery else 1, snapshot=True)
     settings = document["settings"]
     settings["goal"]["whole"] = 1 - settings["goal"]["worstClass"]
@@ -144,21 +149,26 @@
 
 
 def from_platform(document):
-    """The structs.File that says the same as a platform's document.
+    """Returns the structs.File that is equivalent to a platform's document.
 
-    Raises KeyError, TypeError, ValueError or msgspec.ValidationError for any other document.
+    Raises:
+        KeyError, TypeError, ValueError, msgspec.ValidationError: The document is malformed.
     """
     raw = {}
-    for ours, theirs, (_, back) in PLACES:
+    for ours, theirs, (_, to_ours) in PLACES:
         value = _get(document, theirs)
         if value is not None:
-            _put(raw, ours, back(value))
+            _put(raw, ours, to_ours(value))
     if not raw.get("discovery", {}).get("address"):
         raw.pop("discovery", None)
     for ours, theirs, columns in ROWS:
         rows = _get(document, theirs) or []
         raw[ours] = [
-            {name: back(row[key]) for name, key, (_, back) in columns if row.get(key) is not None}
+            {
+                name: to_ours(row[key])
+                for name, key, (_, to_ours) in columns
+                if row.get(key) is not None
+            }
             for row in rows
             if row.get("status", "SERVING") == "SERVING"
         ]
@@ -167,20 +177,20 @@
     return msgspec.convert(raw, File)
 
 
-def _at(file, place):
-    for name in place.split("."):
-        file = value_of(file, name) if file is not None else None
-    return file
+def _get_from_file(table, path):
+    for key in path.split("."):
+        table = value_of(table, key) if table is not None else None
+    return table
 
 
-def _get(document, place):
-    for key in place.split("."):
+def _get(document, path):
+    for key in path.split("."):
         document = document.get(key) if isinstance(document, dict) else None
     return document
 
 
-def _put(document, place, value):
-    *way, last = place.split(".")
-    for key in way:
+def _put(document, path, value):
+    *parents, last = path.split(".")
+    for key in parents:
         document = document.setdefault(key, {})
     document[last] = value
--- a/pierglade/config/read.py
+++ b/pierglade/config/read.py
@@ -1,7 +1,7 @@
-"""Reads the operator's file; what can't be used is one line an error.
+"""Reads and validates the operator's TOML file, with one line per error.
 
-A line names the file, the key, what stands there and what is allowed.
-`read` raises UnusableFileError with the first of them, `faults` gives all.
+A line names the file, the key, the value found and what is expected. `read` raises
+UnusableFileError with all lines; `faults` returns them for parsed tables.
 """
 
 import ipaddress
@@ -14,11 +14,11 @@
 from pierglade.config.structs import File, value_of
 from pierglade.errors import PiergladeError
 
-SHOWN = 40  # characters of a value that a line shows
+MAX_SHOWN_CHARS = 40  # of a value in an error line
 
 
 class UnusableFileError(PiergladeError, ValueError):
-    """A file that can't be used, with a line for each fault: `lines`. Its text is the first."""
+    """A file that cannot be used; `lines` has a line per error, the first of which is its text."""
 
     def __init__(self, lines):
         super().__init__(lines[0])
@@ -26,7 +26,11 @@
 
 
 def read(path):
-    """The file at `path` as structs.File; raises UnusableFileError."""
+    """Returns the file at `path` as structs.File.
+
+    Raises:
+        UnusableFileError: The file cannot be read or has errors.
+    """
     raw = load(path)
     lines = [f"{path}: {line}" for line in faults(raw)]
     if lines:
@@ -35,43 +39,50 @@
 
 
 def load(path):
-    """The file's tables, not looked into; raises UnusableFileError."""
+    """Returns the tables of the file at `path`, not validated.
+
+    Raises:
+        UnusableFileError: The file cannot be read or is not TOML.
+    """
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
-    except OSError as fault:
-        raise UnusableFileError([f"{path}: {fault.strerror}"]) from None
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise UnusableFileError([f"{path}: no TOML: {fault}"]) from None
+    except OSError as error:
+        raise UnusableFileError([f"{path}: {error.strerror}"]) from None
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise UnusableFileError([f"{path}: not valid TOML: {error}"]) from None
 
 
 def faults(raw):
-    """A line for each fault, in the file's order; those of single keys first."""
-    lines = list(_of_table(raw, types.type_info(File), ""))
+    """Returns a line for each error, in the file's order.
+
+    Relations between keys are checked only if each key is valid by itself.
+    """
+    lines = list(_table_errors(raw, types.type_info(File), ""))
     if not lines:
-        lines = list(_between(msgspec.convert(raw, File)))
+        lines = list(_relation_errors(msgspec.convert(raw, File)))
     return lines
 
 
 def allowed(kind):
-    """What may stand at a place of this type, in words."""
+    """Describes the values that a msgspec type allows."""
     if isinstance(kind, types.Metadata):
         return allowed(kind.type)
     if isinstance(kind, types.LiteralType):
-        return "one of " + ", ".join(f'"{word}"' for word in kind.values)
+        return "one of " + ", ".join(f'"{value}"' for value in kind.values)
     if isinstance(kind, types.BoolType):
         return "true or false"
     if isinstance(kind, types.StrType):
         return (
-            "a text"
+            "a string"
             + (" that is not empty" if kind.min_length else "")
-            + (" with no /, ?, # or space" if kind.pattern else "")
+            + (" and has no /, ?, # or space" if kind.pattern else "")
         )
     if isinstance(kind, (types.IntType, types.FloatType)):
-        words = "a whole number" if isinstance(kind, types.IntType) else "a number"
+        noun = "a whole number" if isinstance(kind, types.IntType) else "a number"
         ranges = ("from", kind.ge), ("over", kind.gt), ("to", kind.le), ("under", kind.lt)
-        bounds = [f"{word} {bound:g}" for word, bound in ranges if bound is not None]
-        return " ".join([words, *bounds])
+        bounds = [f"{preposition} {bound:g}" for preposition, bound in ranges if bound is not None]
+        return " ".join([noun, *bounds])
     if isinstance(kind, (types.ListType, types.VarTupleType)):
         inner = kind.item_type
         if isinstance(inner, types.StructType):
@@ -86,31 +97,33 @@
     return "nothing"
 
 
-def _of_table(raw, kind, place):
-    """`kind` is the type_info of a Struct."""
+def _table_errors(raw, kind, place):
+    """Yields the errors of a table; `kind` is the type_info of its Struct."""
     fields = {field.encode_name: field for field in kind.fields}
     for key, value in raw.items():
-        here = f"{place}.{key}" if place else key
+        full_key = f"{place}.{key}" if place else key
         if key not in fields:
-            near = get_close_matches(key, fields, 1, 0.5)
-            yield f"{here}: no such key" + (
-                f"; the nearest is `{near[0]}`" if near else (f"; there are {', '.join(fields)}")
+            similar = get_close_matches(key, fields, 1, 0.5)
+            yield f"{full_key} is an unknown key; " + (
+                f"did you mean `{similar[0]}`?"
+                if similar
+                else f"expected one of {', '.join(fields)}"
             )
             continue
-        yield from _of_value(value, fields[key].type, here)
+        yield from _value_errors(value, fields[key].type, full_key)
     for key, field in fields.items():
         if field.required and key not in raw:
-            here = f"{place}.{key}" if place else key
-            yield f"{here}: is missing; allowed: {allowed(field.type)}"
+            full_key = f"{place}.{key}" if place else key
+            yield f"{full_key} is missing; expected {allowed(field.type)}"
 
 
-def _of_value(value, kind, place):
+def _value_errors(value, kind, place):
     while isinstance(kind, types.Metadata):
         kind = kind.type
     if isinstance(kind, types.UnionType):
         kind = next(each for each in kind.types if not isinstance(each, types.NoneType))
     if isinstance(kind, types.StructType) and isinstance(value, dict):
-        yield from _of_table(value, kind, place)
+        yield from _table_errors(value, kind, place)
     elif (
         isinstance(kind, types.ListType)
         and isinstance(kind.item_type, types.StructType)
@@ -119,21 +132,21 @@
         and len(value) >= (kind.min_length or 0)
     ):
         for number, each in enumerate(value):
-            yield from _of_table(each, kind.item_type, f"{place}[{number}]")
-    elif not _fits(value, kind):
-        yield f"{place}: {_shown(value)} stands there; allowed: {allowed(kind)}"
+            yield from _table_errors(each, kind.item_type, f"{place}[{number}]")
+    elif not _is_valid(value, kind):
+        yield f"{place} is {_shown(value)}; expected {allowed(kind)}"
 
 
-def _fits(value, kind):
-    """Whether a value with no tables in it is of this type, bounds included."""
+def _is_valid(value, kind):
+    """Returns whether a value without tables is of this type and within its bounds."""
     if isinstance(kind, types.BoolType):
         return isinstance(value, bool)
     if isinstance(kind, types.LiteralType):
         return isinstance(value, str) and value in kind.values
     if isinstance(kind, (types.IntType, types.FloatType)):
-        number = (int,) if isinstance(kind, types.IntType) else (int, float)
+        number_types = (int,) if isinstance(kind, types.IntType) else (int, float)
         return (
-            type(value) in number
+            type(value) in number_types
             and (kind.ge is None or value >= kind.ge)
             and (kind.gt is None or value > kind.gt)
             and (kind.le is None or value <= kind.le)
@@ -142,16 +155,16 @@
         )
     if isinstance(kind, types.StrType):
         try:
-            msgspec.convert(value, _annotated(kind))
+            msgspec.convert(value, _string_type(kind))
         except msgspec.ValidationError:
             return False
         return True
     if isinstance(kind, types.VarTupleType):
-        return isinstance(value, list) and all(_fits(each, kind.item_type) for each in value)
+        return isinstance(value, list) and all(_is_valid(each, kind.item_type) for each in value)
     return False
 
 
-def _annotated(kind):
+def _string_type(kind):
     from typing import Annotated
 
     return Annotated[str, msgspec.Meta(min_length=kind.min_length, pattern=kind.pattern)]
@@ -159,64 +172,65 @@
 
 def _shown(value):
     text = repr(value)
-    return text if len(text) <= SHOWN else text[: SHOWN - 3] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARS else text[: MAX_SHOWN_CHARS - 3] + "..."
 
 
 def is_address(text):
-    """Whether it is a host:port."""
+    """Returns whether the text is host:port."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isascii() and port.isdigit() and int(port) <= 65535
 
 
-def _between(file):
-    """What single keys do not show: contradictions, names twice, bad addresses."""
+def _relation_errors(file):
+    """Yields errors that need more than one key, and malformed addresses."""
     addresses = [
         ("listen.address", file.listen.address),
         ("listen.management", file.listen.management),
     ]
     addresses += [("discovery.address", file.discovery.address)] if file.discovery else []
     addresses += [
-        (f"backends[{n}].address", backend.address) for n, backend in enumerate(file.backends)
+        (f"backends[{number}].address", backend.address)
+        for number, backend in enumerate(file.backends)
     ]
     for place, address in addresses:
         is_set = address or place != "listen.management"
         if is_set and not is_address(address):
-            yield f"{place}: {address!r} stands there; allowed: host:port"
-    yield from _repeated_names(file)
-    yield from _between_figures(file)
+            yield f"{place} is {address!r}; expected host:port"
+    yield from _duplicate_name_errors(file)
+    yield from _consistency_errors(file)
 
 
-def _repeated_names(file):
+def _duplicate_name_errors(file):
     for table in ("offerings", "backends", "members"):
         seen = {}
         for number, row in enumerate(value_of(file, table)):
             if row.name in seen:
                 first = f"{table}[{seen[row.name]}]"
-                yield f"{table}[{number}].name: {row.name!r} stands at {first} already"
+                yield f"{table}[{number}].name is {row.name!r}, which {first} has already"
             seen.setdefault(row.name, number)
 
 
-def _between_figures(file):
+def _consistency_errors(file):
     for number, request_class in enumerate(file.request_classes):
         if request_class.expected_ms > request_class.hard_limit_ms:
             yield (
-                f"offerings[{number}].expected_ms: {request_class.expected_ms:g} stands there; "
-                f"allowed: up to hard_limit_ms, {request_class.hard_limit_ms:g}"
+                f"offerings[{number}].expected_ms is {request_class.expected_ms:g}; "
+                f"expected at most hard_limit_ms, {request_class.hard_limit_ms:g}"
             )
     if not file.backends and file.discovery is None:
-        yield "backends: there is none, and no [discovery] to tell of any"
+        yield "backends is missing; expected at least one backend, or a [discovery] table"
     if file.node.number >= file.node.nodes:
-        allowed_below = f"allowed: under nodes, {file.node.nodes}"
-        yield f"node.number: {file.node.number} stands there; {allowed_below}"
+        expected = f"expected a number under node.nodes, {file.node.nodes}"
+        yield f"node.number is {file.node.number}; {expected}"
     if file.rules.further_span_s == 0 and (file.rules.further_most or file.rules.further_share):
-        yield "rules.further_span_s: is missing beside further_most or further_share"
+        yield "rules.further_span_s is missing; further_most and further_share need it"
     for number, prefix in enumerate(file.admission.known):
         try:
             ipaddress.ip_network(prefix)
         except ValueError:
             place = f"admission.known[{number}]"
-            yield f"{place}: {prefix!r} stands there; allowed: a prefix, as 10.1.0.0/16"
+            yield f"{place} is {prefix!r}; expected a prefix such as 10.1.0.0/16"
     if file.reports.how == "probes" and not file.limits.probes:
-        yield "limits.probes: false stands there; reports come with probes"
+        yield 'limits.probes is false; expected true, as reports.how is "probes"'
     if file.reports.how != "none" and not file.reports.fields:
-        yield "reports.fields: is missing; reports come, and nobody could tell what they hold"
+        yield 'reports.fields is missing; expected report fields, as reports.how is not "none"'
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: what can't be used is told in lines, what can decides like the platform's document."""
+"""The operator's file: errors are reported in lines; a valid file is equivalent to the platform's document."""
 
 import json
 import pathlib
@@ -6,8 +6,7 @@
 import tempfile
 import tomllib
 
-from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import given, settings, strategies
 
 from pierglade.cli.check import lines_of
 from pierglade.config import logged, page, platform, read
@@ -17,8 +16,8 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 EXAMPLE = (ROOT / "deploy" / "pierglade.toml").read_text()
-KEYS = [match.start() for match in re.finditer(r"^[a-z_]+ = ", EXAMPLE, re.M)]
-OTHERS = (
+KEY_OFFSETS = [match.start() for match in re.finditer(r"^[a-z_]+ = ", EXAMPLE, re.M)]
+WRONG_VALUES = (
     "true",
     "-1",
     "1e400",
@@ -34,8 +33,8 @@
 )
 
 
-def told(text):
-    """What `pierglade check` says of a file with this text, without its path."""
+def error_lines(text):
+    """Returns what `pierglade check` reports for a file with this text; its path becomes FILE."""
     with tempfile.NamedTemporaryFile(
         "w", suffix=".toml", encoding="utf-8", errors="surrogateescape"
     ) as file:
@@ -44,10 +43,11 @@
         return [line.replace(file.name, "FILE") for line in lines_of(file.name)]
 
 
-class Faults(TraceTest):
-    def test_each_fault_in_a_line(self):
+class FileErrorsTest(TraceTest):
+    def test_each_error_has_a_line(self):
+        """Each error is reported with its key, the value found and what is expected."""
         lines = []
-        for before, after in (
+        for original, replacement in (
             ("trips = 3", 'trips = "three"'),
             ("trips = 3", "tripps = 3"),
             ("trips = 3", "trips = 0"),
@@ -68,39 +68,48 @@
             ("[node]", "[node]\nnumber = 1\nseed = 7\nzone = 5"),
         ):
             lines += [
-                f"{before!r} as {after!r}" if len(before) < 99 else "empty",
-                *(f"    {line}" for line in told(EXAMPLE.replace(before, after))),
+                f"{original!r} as {replacement!r}" if len(original) < 99 else "empty",
+                *(f"    {line}" for line in error_lines(EXAMPLE.replace(original, replacement))),
             ]
         self.check("config_faults", lines)
 
-    def test_cut_at_every_byte_and_every_key_spoilt(self):
-        """One line or more, never a traceback, and never taken for good where a key is missing or doubled."""
+    def test_truncated_files_and_invalid_keys(self):
+        """A file cut at any byte, or with a removed, doubled or wrongly typed key.
 
-        def fits(lines):
+        Each error is reported as a short line, never as a traceback; a doubled key is always rejected.
+        """
+
+        def are_short_lines(lines):
             return all(
                 line.startswith("FILE: ") and "\n" not in line and len(line) < 400 for line in lines
             )
 
-        for cut in range(len(EXAMPLE)):
-            self.assertTrue(fits(told(EXAMPLE[:cut])), EXAMPLE[:cut][-40:])
-        for at in KEYS:
-            end = EXAMPLE.index("\n", at)
-            line = EXAMPLE[at:end].partition("#")[0]
-            doubled = told(EXAMPLE[:end] + "\n" + line + EXAMPLE[end:])
-            self.assertTrue(len(doubled) == 1 and "no TOML" in doubled[0], line)
-            for other in ("", *OTHERS):
+        for length in range(len(EXAMPLE)):
+            self.assertTrue(are_short_lines(error_lines(EXAMPLE[:length])), EXAMPLE[:length][-40:])
+        for start in KEY_OFFSETS:
+            end = EXAMPLE.index("\n", start)
+            line = EXAMPLE[start:end].partition("#")[0]
+            doubled = error_lines(EXAMPLE[:end] + "\n" + line + EXAMPLE[end:])
+            self.assertTrue(len(doubled) == 1 and "not valid TOML" in doubled[0], line)
+            for value in ("", *WRONG_VALUES):
                 key = line.partition("=")[0]
-                lines = told(EXAMPLE[:at] + (f"{key}= {other}" if other else "") + EXAMPLE[end:])
-                self.assertTrue(fits(lines), (line, other, lines))
+                lines = error_lines(
+                    EXAMPLE[:start] + (f"{key}= {value}" if value else "") + EXAMPLE[end:]
+                )
+                self.assertTrue(are_short_lines(lines), (line, value, lines))
 
     @settings(max_examples=60, deadline=None)
     @given(
-        some.recursive(
-            some.none() | some.booleans() | some.integers() | some.floats() | some.text(max_size=5),
+        strategies.recursive(
+            strategies.none()
+            | strategies.booleans()
+            | strategies.integers()
+            | strategies.floats()
+            | strategies.text(max_size=5),
             lambda inner: (
-                some.lists(inner, max_size=3)
-                | some.dictionaries(
-                    some.sampled_from(["name", "node", "offerings", "limits", "x"]),
+                strategies.lists(inner, max_size=3)
+                | strategies.dictionaries(
+                    strategies.sampled_from(["name", "node", "offerings", "limits", "x"]),
                     inner,
                     max_size=4,
                 )
@@ -108,21 +117,25 @@
             max_leaves=12,
         )
     )
-    def test_whatever_is_parsed_is_told_in_lines(self, raw):
+    def test_any_parsed_value_gives_lines(self, raw):
+        """A value of any shape in a table of the file is reported in lines, without a traceback."""
         for place in ("node", "offerings", "backends", "limits", "reports", "discovery"):
             lines = read.faults({**tomllib.loads(EXAMPLE), place: raw})
             self.assertTrue(all(isinstance(line, str) and line for line in lines))
 
 
-class Alike(TraceTest):
-    def test_both_forms_decide_alike(self):
-        """The platform's example, the same through our structs and back: one trace."""
+class PlatformDocumentTest(TraceTest):
+    def test_conversion_preserves_decisions(self):
+        """A balancer decides the same under the platform's example and under its round trip via File.
+
+        Guards against a setting that is lost or changed by the conversion.
+        """
         document = json.loads((ROOT / "deploy" / "example.json").read_text())
-        again = platform.to_platform(platform.from_platform(document))
+        converted = platform.to_platform(platform.from_platform(document))
         traces = []
-        for told in (document, again):
+        for source in (document, converted):
             scene = Scene([])
-            scene.settings = settings_from(told["settings"])
+            scene.settings = settings_from(source["settings"])
             scene.node = type(scene.node)(4, scene.settings, scene.now)
             scene.list(["b0", "b1", "b2"], whole=True)
             for n in range(30):
@@ -133,21 +146,23 @@
             scene.after(900)
             traces.append(scene.lines)
         self.assertEqual(*traces)
-        self.check("config_alike", traces[0][:12] + [f"and {len(traces[0]) - 12} lines more"])
+        self.check("config_alike", traces[0][:12] + [f"and {len(traces[0]) - 12} more lines"])
         file = read.read(str(ROOT / "deploy" / "pierglade.toml"))
-        back = platform.from_platform(platform.to_platform(file))
-        back.listen.ids, back.log = (
+        round_trip = platform.from_platform(platform.to_platform(file))
+        # The platform's document has no keys for these.
+        round_trip.listen.ids, round_trip.log = (
             file.listen.ids,
             file.log,
-        )  # words that the platform does not have
-        self.assertEqual(file, back)
+        )
+        self.assertEqual(file, round_trip)
 
-    def test_pages_are_those_of_the_structs(self):
+    def test_pages_are_up_to_date(self):
+        """The generated pages match their sources, and each event that is logged is in the table."""
         self.assertEqual((ROOT / "docs/operate/configuration.md").read_text(), page.page())
         self.assertEqual((ROOT / "docs/operate/log.md").read_text(), logged.page())
-        said = {
-            word
+        logged_events = {
+            event
             for path in (ROOT / "pierglade" / "net").rglob("*.py")
-            for word in re.findall(r'note\("([a-z ]+)"', path.read_text())
+            for event in re.findall(r'note\("([a-z ]+)"', path.read_text())
         }
-        self.assertEqual(said - set(logged.EVENTS), set())
+        self.assertEqual(logged_events - set(logged.EVENTS), set())
