--- a/pierglade/snapshot/__init__.py
+++ b/pierglade/snapshot/__init__.py
@@ -1,5 +1,6 @@
-"""What a node has learned, kept over a restart: its format, its aging, its files.
+"""Snapshots of learned statistics, which survive a restart: their format, aging and files.
 
-Off unless a folder is set; not for ejections, attempts or overload, which a restart ends. Start
-with `store.SnapshotStore` and `aging.aged`; for a change of settings with `handover.take_over`.
+Disabled unless a folder is set. Ejections, attempts and overload are not part of a snapshot, as a
+restart ends them. Start with `store.SnapshotStore` and `aging.aged`; for a change of settings, with
+`handover.take_over`.
 """
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -1,17 +1,19 @@
-"""What of a snapshot still holds, by its age: one rule a kind of knowledge. No I/O.
-
-- Typical latency, its spread, a backend's latency levels: fade towards what a new node assumes, by
-  half-lives.
-- How many answers they rest on: fades likewise, so that new answers soon weigh more.
-- Mean pause of the forecast: fades likewise; its window is one of three, kept while half is left.
-- When the next pause is due: only if the work done meanwhile is surely under a part of the gap
-  between pauses.
-- Throughput that a backend usually reports: kept, with fewer reports behind it.
-- Ejections, trials, attempts in flight, overload, slow-start budgets, rates of tenants, the worst
-  class: nothing; a restart ends the first ones, and the others describe two seconds.
-
-Nothing is kept of a backend whose process, address or name is another, and of a request class whose
-limits are. Times are tenths of a millisecond.
+"""Aging of snapshots: what is restored from a snapshot of a given age. It performs no I/O.
+
+- Typical latency, its spread, and the latency levels of a backend decay towards the values of a new
+  node, by half-lives.
+- Their sample counts decay likewise, so that new responses soon outweigh them.
+- The mean pause of the forecast decays likewise. Its window is one of three sizes and is restored
+  while the weight is a half or more.
+- The next pause is restored only if the work done meanwhile is certainly a small part of the
+  gap between pauses.
+- The baseline throughput of a backend's load reports is restored, with fewer reports behind it.
+- Ejections, trial requests, attempts in flight, overload, slow-start budgets, request rates of
+  tenants and the worst class are not restored: a restart ends the first ones, and the others
+  describe only two seconds.
+
+Nothing is restored of a backend whose process, address or name has changed, nor of a request class
+whose limits have changed. Times are ticks (tenths of a millisecond).
 """
 
 from collections import deque
@@ -19,143 +21,165 @@
 from pierglade.snapshot.errors import UntrustedSnapshotError
 from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
 
-MOST_HALVES = 8  # half-lives after which nothing is kept; the next answers tell more
-FUTURE = 50000  # 5 s; clocks of machines differ so much, and a file from later than that is none
-# of a gap between pauses, that may have gone by unseen; more, and the moment is chance
-SURE = 0.25
-KEPT_HALF = 0.5  # weight down to which what can't be faded is kept
-# Of a backend, and what is kept of it as it is while it weighs KEPT_HALF.
-FADING = ("level", "quick", "mean_pause")
-WORK = ("work", "pauses", "work_due", "window")
-USUAL = ("usual", "usual_of")
-KEYS = (*FADING, *WORK, *USUAL)
-ROW_FADING = ("typical", "skew", "hinted")
-ROW_KEYS = (*ROW_FADING, "answers", "usual_left", "usual_votes")
-
-
-def aged(snapshot, now, half_life, request_classes, fresh_rows, listed):
-    """(rows, backends) for `Balancer.restore_statistics`, and a line that says what was kept.
-
-    `fresh_rows`: what a new node knows of the `request_classes`; `listed`: name to (address,
-    started) of the backends that are ready. Raises UntrustedSnapshotError.
+# Half-lives; an older snapshot is not restored, as the first responses tell more.
+MAX_HALF_LIVES = 8
+# 5 s. The clocks of machines differ by as much; a snapshot from further in the future is rejected.
+MAX_CLOCK_SKEW_TICKS = 50000
+# Fraction of the gap between pauses that may have passed unseen; after more, the moment of the next
+# pause is unknown.
+MAX_UNSEEN_GAP_RATIO = 0.25
+# Weight of the snapshot down to which values that cannot decay are restored.
+MIN_WEIGHT_UNDECAYED = 0.5
+# Stored names of a backend's statistics: those that decay, and those that are restored unchanged.
+DECAYING_KEYS = ("level", "quick", "mean_pause")
+PAUSE_KEYS = ("work", "pauses", "work_due", "window")
+THROUGHPUT_KEYS = ("usual", "usual_of")
+KEYS = (*DECAYING_KEYS, *PAUSE_KEYS, *THROUGHPUT_KEYS)
+DECAYING_ROW_KEYS = ("typical", "skew", "hinted")
+ROW_KEYS = (*DECAYING_ROW_KEYS, "answers", "usual_left", "usual_votes")
+
+
+def aged(snapshot, now, half_life, request_classes, initial_rows, ready_backends):
+    """Returns the statistics to restore from a snapshot, decayed by its age.
+
+    Args:
+        snapshot: The snapshot.
+        now: The current time.
+        half_life: The time in which the snapshot's weight halves.
+        request_classes: The request classes of the settings.
+        initial_rows: The statistics of a new node for each request class.
+        ready_backends: (address, started) by name, of the backends that are ready.
+
+    Returns:
+        The rows and backends for `Balancer.restore_statistics`, and a summary of what is restored.
+
+    Raises:
+        UntrustedSnapshotError: Nothing may be restored.
     """
     age = _age(snapshot, now, half_life)
     weight = 0.5 ** (age / half_life)
     rows = [
-        _row(snapshot.request_classes.get(request_class.name), request_class, fresh, weight)
-        for request_class, fresh in zip(request_classes, fresh_rows, strict=False)
+        _row(snapshot.request_classes.get(request_class.name), request_class, initial, weight)
+        for request_class, initial in zip(request_classes, initial_rows, strict=False)
     ]
     if not any(rows):
         raise UntrustedSnapshotError(
-            "none of its offerings is one of the settings: another deployment's"
+            "none of its request classes matches the settings; expected those of this deployment"
         )
     backends = {}
-    for name, (address, started) in listed.items():
+    for name, (address, started) in ready_backends.items():
         stored = snapshot.backends.get(name)
         if stored is not None and stored.address == address and stored.started_at == started:
-            # Each backend gets its part of what this node answered; work is counted by that.
+            # Work counts responses, of which each backend is assumed to have sent an equal part.
             backends[name] = _backend(
-                stored.statistics, weight, age * snapshot.request_rate / max(1, len(listed))
+                stored.statistics, weight, age * snapshot.request_rate / max(1, len(ready_backends))
             )
-    kept = sum(map(bool, rows))
+    restored_classes = sum(map(bool, rows))
     return (
         rows,
         backends,
         (
-            f"{age / 10000:.0f} s old, weight {weight:.2f}: {kept} of {len(rows)} offerings, "
-            f"{len(backends)} of {len(listed)} backends"
+            f"{age / 10000:.0f} s old, weight {weight:.2f}: "
+            f"{restored_classes} of {len(rows)} request classes, "
+            f"{len(backends)} of {len(ready_backends)} backends"
         ),
     )
 
 
 def _age(snapshot, now, half_life):
-    """The snapshot's age; raises UntrustedSnapshotError where it is too old or from the future."""
+    """Returns the snapshot's age; rejects one that is too old or from the future."""
     age = now - snapshot.written_at
-    if age < -FUTURE:
+    if age < -MAX_CLOCK_SKEW_TICKS:
         raise UntrustedSnapshotError(
-            f"it was written {-age / 10000:.0f} s from now: a clock was set back"
+            f"it was written {-age / 10000:.0f} s in the future; a clock was set back"
         )
     age = max(0, age)
-    if age > MOST_HALVES * half_life:
+    if age > MAX_HALF_LIVES * half_life:
         raise UntrustedSnapshotError(
-            f"it is {age / 10000:.0f} s old, over {MOST_HALVES} half-lives"
+            f"it is {age / 10000:.0f} s old; expected at most {MAX_HALF_LIVES} half-lives"
         )
     return age
 
 
-def _row(stored, request_class, fresh, weight):
-    """What is kept of a request class; empty where its limits have changed."""
-    same = {
+def _row(stored, request_class, initial, weight):
+    """Returns the statistics of a request class to restore; empty if its limits have changed."""
+    limits = {
         "expected": request_class.latency_objective,
         "hard_limit": request_class.request_timeout,
         "repeats": STORED_IDEMPOTENCY[request_class.idempotency],
     }
-    if stored is None or any(stored.get(key) != value for key, value in same.items()):
+    if stored is None or any(stored.get(key) != value for key, value in limits.items()):
         return {}
     row = {
-        key: _faded(stored[key], fresh[key], weight)
-        for key in ROW_FADING
-        if _number(stored.get(key))
+        key: _decayed(stored[key], initial[key], weight)
+        for key in DECAYING_ROW_KEYS
+        if _is_number(stored.get(key))
     }
-    if _number(stored.get("answers")):
-        row["answers"] = max(fresh["answers"], int(stored["answers"] * weight))
-    if weight >= KEPT_HALF and _number(stored.get("usual_left")):
+    if _is_number(stored.get("answers")):
+        row["answers"] = max(initial["answers"], int(stored["answers"] * weight))
+    if weight >= MIN_WEIGHT_UNDECAYED and _is_number(stored.get("usual_left")):
         row["usual_left"], row["usual_votes"] = stored["usual_left"], 0
     return row
 
 
-def _backend(stored, weight, done):
-    """What is kept of a backend; `done`: what it has likely answered for this node meanwhile."""
+def _backend(stored, weight, work_since):
+    """Returns the statistics of a backend to restore.
+
+    `work_since` estimates the requests of this node that it has completed since the snapshot.
+    """
     from pierglade.balancer.stored_figures import STORED_FIGURES
 
-    kept = {
-        key: _faded(stored[key], STORED_FIGURES[key][-1], weight)
-        for key in FADING
-        if _number(stored.get(key))
+    restored = {
+        key: _decayed(stored[key], STORED_FIGURES[key][-1], weight)
+        for key in DECAYING_KEYS
+        if _is_number(stored.get(key))
     }
-    kept = {
+    restored = {
         key: int(value) if isinstance(STORED_FIGURES[key][-1], int) else value
-        for key, value in kept.items()
+        for key, value in restored.items()
     }
-    if _number(stored.get("usual")) and _number(stored.get("usual_of")):
-        kept["usual"], kept["usual_of"] = stored["usual"], int(stored["usual_of"] * weight)
-    pauses, due = stored.get("pauses"), stored.get("work_due")
-    if weight >= KEPT_HALF and type(stored.get("window")) is int:
-        kept["window"] = stored["window"]
+    if _is_number(stored.get("usual")) and _is_number(stored.get("usual_of")):
+        restored["usual"], restored["usual_of"] = stored["usual"], int(stored["usual_of"] * weight)
+    pauses, next_pause_work = stored.get("pauses"), stored.get("work_due")
+    if weight >= MIN_WEIGHT_UNDECAYED and type(stored.get("window")) is int:
+        restored["window"] = stored["window"]
     if (
         not isinstance(pauses, list)
         or len(pauses) < 2
-        or not all(map(_number, pauses))
-        or not _number(due)
+        or not all(map(_is_number, pauses))
+        or not _is_number(next_pause_work)
     ):
-        return kept
+        return restored
     gap = (pauses[-1] - pauses[0]) / (len(pauses) - 1)
-    if gap > 0 and done <= SURE * gap and _number(stored.get("work")):
-        kept["work"] = int(stored["work"] + done)
-        kept["pauses"], kept["work_due"] = deque(map(int, pauses), maxlen=_most_pauses()), due
-    return kept
+    if gap > 0 and work_since <= MAX_UNSEEN_GAP_RATIO * gap and _is_number(stored.get("work")):
+        restored["work"] = int(stored["work"] + work_since)
+        restored["pauses"], restored["work_due"] = (
+            deque(map(int, pauses), maxlen=_max_pauses()),
+            next_pause_work,
+        )
+    return restored
 
 
-def _most_pauses():
+def _max_pauses():
     from pierglade.balancer.pause_forecast import PAUSES_KEPT
 
     return PAUSES_KEPT
 
 
-def _faded(stored, fresh, weight):
-    return fresh + (stored - fresh) * weight
+def _decayed(stored, initial, weight):
+    return initial + (stored - initial) * weight
 
 
-def _number(value):
-    """Whether arithmetic can use the value; a checksum does not say who wrote the file."""
+def _is_number(value):
+    """Returns whether the value is a usable number; a checksum does not tell who wrote the file."""
     return type(value) in (int, float) and value == value and abs(value) < 1e15
 
 
 def newer_list(snapshot, known):
-    """The list to start with: the configuration's document `known`, or the snapshot's.
+    """Returns the endpoint list to start with: the configuration's `known`, or the snapshot's.
 
-    The newer one by discovery's version where both have one; else the snapshot's, which is what
-    discovery sent this node last.
+    That is the newer one by discovery's version if both have a version; otherwise the snapshot's,
+    which is the list that discovery sent to this node last.
     """
     if not snapshot.endpoints:
         return known
--- a/pierglade/snapshot/errors.py
+++ b/pierglade/snapshot/errors.py
@@ -1,11 +1,11 @@
-"""What can be wrong with a snapshot."""
+"""Errors of snapshots."""
 
 from pierglade.errors import PiergladeError
 
 
 class CorruptSnapshotError(PiergladeError, ValueError):
-    """Bytes that are no snapshot that this build can use; one line that says why."""
+    """Bytes that this build cannot decode as a snapshot; the text is one line with the reason."""
 
 
 class UntrustedSnapshotError(PiergladeError, ValueError):
-    """A well-formed snapshot of which nothing may be restored; one line that says why."""
+    """A valid snapshot from which nothing may be restored; the text is one line with the reason."""
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -1,21 +1,21 @@
-"""What a balancer has learned, for the one that takes its place as settings change.
+"""Transfers learned state from one balancer to its successor when settings change.
 
-No I/O, no clock.
+It performs no I/O and reads no clock.
 
-Both go on side by side until the earlier one has answered all its requests, so nothing that changes
-later is shared, but for the moments of retries (`RetryBudget`). Attempts in flight, queued requests
-and pending decisions stay with the earlier one.
+Both balancers run side by side until the earlier one has completed all its requests. Therefore no
+mutable state is shared, except the times of retries (`RetryBudget`). Attempts in flight, queued
+requests and pending decisions stay with the earlier balancer.
 
-| what | is kept | not where |
+| state | copied if | otherwise |
 | --- | --- | --- |
-| backends, turns, levels, ejections, trials due, the forecast | always | of trials in flight |
-| what backends report | same source and fields of reports | else it may mean another thing |
-| a class's latency, its spread, its hints, its counts | its name is there | - |
-| the time that first attempts bring | and the request timeout is the same | it follows from that |
-| place on the ring, traffic share, limit | same number and count of nodes | shares of all |
-| the limit | and both have quotas, or neither; a class is left | it begins otherwise |
-| request rate, subset size and growth by reports | both learn them | else the settings say it |
-| the slow start allowance | always; the earlier one begins at nothing | - |
+| backends, rotation, levels, ejections, due trials, forecast | always | (trials in flight: never) |
+| load reports | source and fields of reports are the same | the values may mean something else |
+| latency of a class, its spread, hints and counts | a class of that name existed | - |
+| usual time budget of first attempts | and its request timeout is the same | it depends on that |
+| ring position, traffic share, limit | node number and count are the same | depend on these |
+| concurrency limit | and both have quotas, or neither; a class remains | it starts differently |
+| request rate, subset size, growth by reports | both learn them | the settings determine them |
+| slow-start allowance | always; the earlier balancer starts over at 0 | - |
 """
 
 from pierglade.balancer.balancer import Balancer
@@ -24,47 +24,51 @@
 
 
 def take_over(node: Balancer, before: Balancer, now: int) -> None:
-    """Gives `node`, which was just made, what `before` knows.
+    """Copies the learned state of `before` to `node`, which was just created.
 
-    Both get endpoint lists from then on.
+    Both receive endpoint lists from then on.
     """
-    settings, were = node.settings, before.settings
-    # Of each class of the new settings the place it had, by name.
-    places = {request_class.name: request_class.index for request_class in were.request_classes}
-    places = [places.get(request_class.name) for request_class in settings.request_classes]
+    settings, old_settings = node.settings, before.settings
+    # For each class of the new settings, its index in the old ones, by name.
+    old_indices = {
+        request_class.name: request_class.index for request_class in old_settings.request_classes
+    }
+    old_indices = [
+        old_indices.get(request_class.name) for request_class in settings.request_classes
+    ]
     same_reports = (settings.load_report_source, settings.load_report_fields) == (
-        were.load_report_source,
-        were.load_report_fields,
+        old_settings.load_report_source,
+        old_settings.load_report_fields,
     )
-    same_nodes = settings.node_count == were.node_count
+    same_nodes = settings.node_count == old_settings.node_count
     both_learn = node.learns and before.learns
     _copy_parts(node, before, same_reports)
-    _copy_classes(node, before, places)
+    _copy_classes(node, before, old_indices)
     node.request_stats.copy_from(before.request_stats)
     if both_learn and same_reports:
         node.load_reports.copy_growth(before.load_reports)
         node.health_checks.copy_due(before.health_checks)
     node.rotation.copy_from(
-        before.rotation, same_nodes and settings.node_number == were.node_number, both_learn
+        before.rotation, same_nodes and settings.node_number == old_settings.node_number, both_learn
     )
     if both_learn:
         if same_nodes:
             node.load_reports.traffic_share = before.load_reports.traffic_share
         node.limit.demand = before.limit.demand
-    same_kind = (node.learns, node.rotation.has_quotas) == (
+    same_limit_kind = (node.learns, node.rotation.has_quotas) == (
         before.learns,
         before.rotation.has_quotas,
     )
-    if same_nodes and same_kind and any(place is not None for place in places):
-        node.replace_limit(before.limit.successor(now, places, node.limit.demand))
-    _remove_where_that_binds(node, now)
+    if same_nodes and same_limit_kind and any(old_index is not None for old_index in old_indices):
+        node.replace_limit(before.limit.successor(now, old_indices, node.limit.demand))
+    _apply_removals(node, now)
     node.wakeup.request(now)
 
 
-def _remove_where_that_binds(node, now):
-    """What was listed as removed and was tried all the same is removed where that binds."""
+def _apply_removals(node, now):
+    """Removes backends that were listed as removed but still used, if removal binds now."""
     endpoints = node.endpoints
-    left = (
+    removed = (
         [backend for backend in node.rotation.by_rank if endpoints.left_at[backend]]
         if node.settings.removal_binds
         else ()
@@ -79,14 +83,14 @@
                 endpoints.cell[backend],
                 node.slow_start.started_at[backend],
             )
-            for backend in left
+            for backend in removed
         ],
         False,
     )
 
 
 def _copy_parts(node, before, same_reports):
-    """What is known of backends, and of all requests together."""
+    """Copies the state of backends, and of all requests together."""
     node.endpoints.copy_from(before.endpoints)
     node.ejections.copy_from(before.ejections)
     node.outliers.copy_from(before.outliers)
@@ -99,24 +103,31 @@
     node.deadlines.copy_from(before.deadlines)
 
 
-def _copy_classes(node, before, places):
-    """What is known of each class of requests, by its name."""
-    for stats, request_class, place in zip(
-        node.request_stats.classes, node.settings.request_classes, places, strict=True
+def _copy_classes(node, before, old_indices):
+    """Copies the state of each request class, by its name."""
+    for stats, request_class, old_index in zip(
+        node.request_stats.classes, node.settings.request_classes, old_indices, strict=True
     ):
-        if place is None:
+        if old_index is None:
             continue
-        known, was = before.request_stats.classes[place], before.settings.request_classes[place]
-        stats.asked, stats.got, stats.hinted = known.asked, known.got, known.hinted
-        if known.answers > stats.answers:
-            stats.typical, stats.skew, stats.answers = known.typical, known.skew, known.answers
-        if request_class.request_timeout == was.request_timeout:
-            stats.usual_left, stats.usual_votes = known.usual_left, known.usual_votes
-    came = {request_class.idempotency for request_class in before.settings.request_classes}
+        old_stats, old_class = (
+            before.request_stats.classes[old_index],
+            before.settings.request_classes[old_index],
+        )
+        stats.asked, stats.got, stats.hinted = old_stats.asked, old_stats.got, old_stats.hinted
+        if old_stats.answers > stats.answers:
+            stats.typical, stats.skew, stats.answers = (
+                old_stats.typical,
+                old_stats.skew,
+                old_stats.answers,
+            )
+        if request_class.request_timeout == old_class.request_timeout:
+            stats.usual_left, stats.usual_votes = old_stats.usual_left, old_stats.usual_votes
+    old_kinds = {request_class.idempotency for request_class in before.settings.request_classes}
     for kind in {request_class.idempotency for request_class in node.settings.request_classes}:
         node.request_stats.last_received[kind] = (
             before.request_stats.last_received[kind]
-            if kind in came
+            if kind in old_kinds
             else before.request_stats.received
         )
     for kind in node.request_stats.last_received.keys() - {
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -1,11 +1,10 @@
-"""The format of a stored snapshot: a head, then MessagePack, checked by xxHash. It does no I/O.
+"""The format of a stored snapshot: a header, then MessagePack, with an xxHash checksum. No I/O.
 
-    "PGLE" | version, 2 bytes | bytes of the body, 4 | xxh3-64 of version, length and body, 8 | body
+    "PGLE" | version, 2 bytes | body length, 4 | xxh3-64 of version, length and body, 8 | body
 
-All numbers are big-endian. Data that cannot be trusted raises `CorruptSnapshotError`, whatever
-is wrong with it. An older version is migrated by MIGRATIONS, one version at a time; a newer one is
-refused, never guessed at. The stored names of version 1 are mapped to this package's names here
-and in `stored_names.py`, and nowhere else.
+All numbers are big-endian. Any damage to the data raises `CorruptSnapshotError`. An older version
+is migrated by MIGRATIONS, one version at a time; a newer one is rejected. The stored names of
+version 1 are mapped to this package's names only here and in `stored_names.py`.
 """
 
 import struct
@@ -30,43 +29,43 @@
 ]
 
 MAGIC = b"PGLE"
-HEAD = struct.Struct(">4sHIQ")
+HEADER = struct.Struct(">4sHIQ")
 VERSION = 1
-MAX_BODY_BYTES = 64 << 20  # a thousand backends take a quarter of a megabyte
-# Version to the function that makes the next version's body of its body, both as plain data.
+MAX_BODY_BYTES = 64 << 20  # a thousand backends need a quarter of a megabyte
+# By version, the function that converts its body to that of the next version, as plain data.
 MIGRATIONS: dict[int, Callable[[Any], Any]] = {}
 
 
 class StoredBackend(msgspec.Struct):
-    """What was known of one backend, and which process it was."""
+    """The statistics of one backend, and the identity of its process."""
 
     address: str
-    # Of Unix time, as the endpoint list says; 0 where it does not.
+    # Unix time, from the endpoint list; 0 if that does not have it.
     started_at: Ticks = msgspec.field(name="started")
-    # Learned statistics, by the balancer's own names for them.
+    # Learned statistics by their stored names.
     statistics: dict = msgspec.field(name="figures")
 
 
 class Snapshot(msgspec.Struct):
-    """What a node has learned. Moments are tenths of a millisecond of Unix time."""
+    """The learned statistics of a node. Times are ticks (tenths of a millisecond) of Unix time."""
 
     node: str
     written_at: Ticks = msgspec.field(name="written")
     node_started_at: Ticks = msgspec.field(name="began")
-    # Requests that the node completed in a tenth of a millisecond, over the last period.
+    # Requests per tick that the node completed, over the last period.
     request_rate: float = msgspec.field(name="asked")
-    # Name to statistics, with `expected`, `hard_limit` and `repeats` of the class.
+    # Statistics by name, with `expected`, `hard_limit` and `repeats` of the class.
     request_classes: dict[str, dict] = msgspec.field(name="offerings")
     backends: dict[str, StoredBackend]
     endpoints_version: int | None = msgspec.field(name="index")
-    # Entries in the platform's format.
+    # The endpoint list, in the platform's format.
     endpoints: list[dict] = msgspec.field(name="list")
 
 
 def encode(snapshot: Snapshot) -> bytes:
     """Encodes a snapshot as version VERSION."""
     body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
+    return HEADER.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
 
 
 def decode(
@@ -74,40 +73,50 @@
     migrations: dict[int, Callable[[Any], Any]] | None = None,
     newest_version: int = VERSION,
 ) -> Snapshot:
-    """Decodes a snapshot, migrated from its version to the newest one.
+    """Decodes a snapshot and migrates it to the newest version.
 
     Args:
         data: The whole file.
-        migrations: Used in place of MIGRATIONS.
-        newest_version: Used in place of VERSION.
+        migrations: Replaces MIGRATIONS.
+        newest_version: Replaces VERSION.
 
     Raises:
-        CorruptSnapshotError: The bytes are no snapshot that this build can use.
+        CorruptSnapshotError: This build cannot decode the bytes.
     """
-    if len(data) < HEAD.size:
-        raise CorruptSnapshotError(f"{len(data)} bytes: cut off in its head")
-    magic, version, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    if len(data) < HEADER.size:
+        raise CorruptSnapshotError(f"truncated in its header: got {len(data)} bytes")
+    magic, version, length, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if magic != MAGIC:
-        raise CorruptSnapshotError("no snapshot: it does not begin with PGLE")
+        raise CorruptSnapshotError("not a snapshot: it does not begin with PGLE")
     if length > MAX_BODY_BYTES:
-        raise CorruptSnapshotError(f"a body of {length} bytes is over the most, {MAX_BODY_BYTES}")
+        raise CorruptSnapshotError(
+            f"its body has {length} bytes; expected at most {MAX_BODY_BYTES}"
+        )
     if len(body) != length:
-        raise CorruptSnapshotError(f"its body has {len(body)} bytes of {length}")
+        raise CorruptSnapshotError(
+            f"its body is truncated or too long: got {len(body)} of {length} bytes"
+        )
     if _checksum(version, body) != checksum:
-        raise CorruptSnapshotError("its sum is not that of its bytes")
+        raise CorruptSnapshotError("its checksum does not match its content")
     if version > newest_version:
-        raise CorruptSnapshotError(f"version {version}; this build reads up to {newest_version}")
+        raise CorruptSnapshotError(
+            f"its version is {version}; this build reads versions up to {newest_version}"
+        )
     migrations = MIGRATIONS if migrations is None else migrations
     try:
         raw = msgspec.msgpack.decode(body)
         while version < newest_version:
             if version not in migrations:
-                raise CorruptSnapshotError(f"version {version}, which nothing carries forward")
+                raise CorruptSnapshotError(
+                    f"its version is {version}, for which there is no migration"
+                )
             raw, version = migrations[version](raw), version + 1
         return msgspec.convert(raw, Snapshot)
     except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError) as error:
-        raise CorruptSnapshotError(f"its body is none of version {version}: {error}") from None
+        raise CorruptSnapshotError(
+            f"its body is not valid for version {version}: {error}"
+        ) from None
 
 
 def _checksum(version: int, body: bytes) -> int:
--- a/pierglade/snapshot/store.py
+++ b/pierglade/snapshot/store.py
@@ -1,9 +1,10 @@
-"""The files in which a node keeps its newest snapshot and the one before.
+"""The files in which a node stores its newest snapshot and the previous one.
 
-`NAME.learned` and `NAME.learned.1`; written as `NAME.learned.PID-COUNT.part`, synced, renamed, and
-the directory synced. A process killed at any moment leaves at least one whole generation, and a
-part file that the next write removes. The lock between processes is the kernel's (flock) and ends
-with its process, so that it is never stale.
+They are `NAME.learned` and `NAME.learned.1`. A snapshot is written to
+`NAME.learned.PID-COUNT.part`, synced and renamed, and then the directory is synced. A process that
+is killed at any moment leaves at least one complete generation, and at most a part file that the
+next write removes. The lock between processes is the kernel's (flock) and ends with its process, so
+that it is never stale.
 """
 
 import contextlib
@@ -19,9 +20,9 @@
 from pierglade.snapshot.schema import CorruptSnapshotError, Snapshot
 
 SUFFIX, PREVIOUS_SUFFIX, LOCK_SUFFIX = ".learned", ".learned.1", ".lock"
-# Earlier builds wrote `NAME.learned.part`: theirs are found and removed as well.
-PART = re.compile(r"(.+)\.learned(\.[0-9]+-[0-9]+)?\.part")
-NAME = re.compile(r"[A-Za-z0-9._-]{1,100}")
+# Earlier builds wrote `NAME.learned.part`; such files are found and removed as well.
+PART_PATTERN = re.compile(r"(.+)\.learned(\.[0-9]+-[0-9]+)?\.part")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,100}")
 
 
 class StoredSnapshot(NamedTuple):
@@ -29,59 +30,62 @@
 
     snapshot: Snapshot | None
     file: str
-    """The name of its file; empty where there is none."""
+    """The name of its file; empty if there is none."""
     rejected: list[str]
-    """A line for each newer file that cannot be used."""
+    """A line for each newer file that cannot be used, with the reason."""
 
 
 class SnapshotStore:
-    """The snapshot files of one node in one directory; several threads may use it at once.
+    """The snapshot files of one node in one directory; it is thread-safe.
 
     Raises:
-        OSError: The name makes no file name.
+        OSError: The name is not allowed as a file name.
     """
 
     def __init__(self, path: str, name: str, max_mb: float = 16.0) -> None:
-        if not NAME.fullmatch(name) or name.startswith("."):
+        if not NAME_PATTERN.fullmatch(name) or name.startswith("."):
             raise OSError(
-                22, f"the node's name {name!r} makes no file name; allowed: letters, digits, . _ -"
+                22,
+                f"the node's name is {name!r}; expected letters, digits, . _ - and no leading dot",
             )
         self.path, self.name, self.max_bytes = path, name, int(max_mb * (1 << 20))
-        self.lock = None
-        # The final write of a node may meet a periodic one, each in a thread of its own: with one
-        # part file for both, the second renamed what the first had moved away, and no newest
-        # generation was left.
-        self.writing = threading.Lock()
-        self.parts = itertools.count(1)
+        self.lock_fd = None
+        # The final write of a node may overlap with a periodic one in another thread. When both
+        # used one part file, the second renamed what the first had already moved, and no newest
+        # generation remained.
+        self.write_lock = threading.Lock()
+        self.part_numbers = itertools.count(1)
 
     def _path(self, suffix: str) -> str:
         return os.path.join(self.path, self.name + suffix)
 
     def lock_files(self) -> bool:
-        """Takes the lock between processes; False where another process of this name has it."""
-        with self.writing:
-            if self.lock is None:
+        """Takes the lock between processes; returns False if another one has it."""
+        with self.write_lock:
+            if self.lock_fd is None:
                 fd = os.open(self._path(LOCK_SUFFIX), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
                 try:
                     fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
                 except BlockingIOError:
                     os.close(fd)
                     return False
-                self.lock = fd
+                self.lock_fd = fd
             return True
 
     def write(self, data: bytes) -> None:
         """Stores `data` as the newest generation.
 
         Raises:
-            OSError: It was not written; the generations that were there remain.
+            OSError: The snapshot was not written; earlier generations remain.
         """
         if len(data) > self.max_bytes:
-            raise OSError(27, f"a snapshot of {len(data)} bytes is over the most, {self.max_bytes}")
-        with self.writing:
-            if self.lock is not None:
+            raise OSError(
+                27, f"the snapshot has {len(data)} bytes; expected at most {self.max_bytes}"
+            )
+        with self.write_lock:
+            if self.lock_fd is not None:
                 self._remove_part_files()
-            part = self._path(f"{SUFFIX}.{os.getpid()}-{next(self.parts)}.part")
+            part = self._path(f"{SUFFIX}.{os.getpid()}-{next(self.part_numbers)}.part")
             _write_synced(part, data)
             with contextlib.suppress(FileNotFoundError):
                 os.rename(self._path(SUFFIX), self._path(PREVIOUS_SUFFIX))
@@ -93,9 +97,12 @@
                 os.close(fd)
 
     def _remove_part_files(self):
-        """Removes what killed or failed writes left; needs both locks, or it may be in use."""
+        """Removes part files of killed or failed writes.
+
+        Both locks must be held; otherwise a part file may be in use.
+        """
         for name in os.listdir(self.path):
-            part = PART.fullmatch(name)
+            part = PART_PATTERN.fullmatch(name)
             if part and part[1] == self.name:
                 os.unlink(os.path.join(self.path, name))
 
@@ -113,10 +120,10 @@
         return StoredSnapshot(None, "", rejected)
 
     def release(self) -> None:
-        """Gives up the lock between processes."""
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        """Releases the lock between processes."""
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
 
 
 def _write_synced(path, data):
@@ -130,24 +137,24 @@
         os.close(fd)
 
 
-def load(path: str, max_bytes: int = schema.MAX_BODY_BYTES + schema.HEAD.size) -> Snapshot:
+def load(path: str, max_bytes: int = schema.MAX_BODY_BYTES + schema.HEADER.size) -> Snapshot:
     """Reads a snapshot file.
 
     Raises:
         OSError: The file cannot be read.
-        CorruptSnapshotError: It holds no usable snapshot.
+        CorruptSnapshotError: The file has no usable snapshot.
     """
     with open(path, "rb") as file:
         data = file.read(max_bytes + 1)
     if len(data) > max_bytes:
-        raise CorruptSnapshotError(f"over {max_bytes} bytes")
+        raise CorruptSnapshotError(f"the file has over {max_bytes} bytes, the maximum")
     return schema.decode(data)
 
 
 def find_snapshots(path: str) -> Iterator[tuple[str, Snapshot | CorruptSnapshotError | OSError]]:
-    """Yields each snapshot file of a directory by name, with its snapshot or its error."""
+    """Yields the name of each snapshot file of a directory, with its snapshot or its error."""
     for name in sorted(os.listdir(path)):
-        if name.endswith((SUFFIX, PREVIOUS_SUFFIX)) or PART.fullmatch(name):
+        if name.endswith((SUFFIX, PREVIOUS_SUFFIX)) or PART_PATTERN.fullmatch(name):
             try:
                 yield name, load(os.path.join(path, name))
             except (OSError, CorruptSnapshotError) as error:
@@ -155,7 +162,7 @@
 
 
 def in_use(path: str, name: str) -> bool:
-    """Whether a process holds the files of node `name`; asks the kernel and creates no file."""
+    """Returns whether a process holds the lock of node `name`, without creating a file."""
     try:
         fd = os.open(os.path.join(path, name + LOCK_SUFFIX), os.O_RDWR | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/pierglade/snapshot/stored_names.py
+++ b/pierglade/snapshot/stored_names.py
@@ -1,11 +1,11 @@
-"""Values that a stored snapshot calls by other names than the model.
+"""Values that have other names in a stored snapshot than in the model.
 
-Apart from `schema.py`, so that a node without a snapshot folder loads no encoder.
+Separate from `schema.py`, so that a node without a snapshot folder does not load the encoder.
 """
 
 from pierglade.model.request import Idempotency
 
-# What a stored file calls the idempotency of a request class.
+# The stored name of each idempotency of a request class.
 STORED_IDEMPOTENCY = {
     Idempotency.SAFE: "harmless",
     Idempotency.KEYED: "stamped",
