--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -1,4 +1,4 @@
-"""What a node has learned is kept as its settings change, by the node that takes its place."""
+"""Handover of learned state to the balancer that replaces another when settings change."""
 
 import gc
 import unittest
@@ -76,8 +76,8 @@
 )
 
 
-def changed(scene, **settings):
-    """The scene's node under other settings; the earlier node."""
+def replace_balancer(scene, **settings):
+    """Replaces the scene's balancer by one with other settings; returns the earlier one."""
     before, scene.settings = scene.node, balancer_settings(**settings)
     scene.node = Balancer(4, scene.settings, scene.now, before)
     take_over(scene.node, before, scene.now)
@@ -92,22 +92,22 @@
     scene.flow(20)
 
 
-def fields(part):
-    """The fields of an object, without the moments that two nodes' retry budgets share by intent."""
+def unshared_fields(part):
+    """Returns the fields of an object, except the times that retry budgets share on purpose."""
     shared = ("sent_at", "received_at") if isinstance(part, RetryBudget) else ()
     return {name: value for name, value in vars(part).items() if name not in shared}
 
 
-def reachable(node):
-    """What may change of all that a node holds, by identity; not what two nodes share by intent."""
-    found, todo = (
+def mutable_state(node):
+    """Returns all mutable objects that a balancer refers to, by id, except those shared on purpose."""
+    found, pending = (
         {},
-        [value for name, value in fields(node).items() if name != "pick"],
+        [value for name, value in unshared_fields(node).items() if name != "pick"],
     )
-    while todo:
-        each = todo.pop()
-        if id(each) in found or not isinstance(
-            each,
+    while pending:
+        value = pending.pop()
+        if id(value) in found or not isinstance(
+            value,
             (
                 list,
                 dict,
@@ -120,43 +120,44 @@
             ),
         ):
             continue
-        found[id(each)] = each
-        todo += (
-            each.values()
-            if isinstance(each, dict)
-            else each
-            if isinstance(each, (list, deque))
-            else (fields(each).values())
+        found[id(value)] = value
+        pending += (
+            value.values()
+            if isinstance(value, dict)
+            else value
+            if isinstance(value, (list, deque))
+            else (unshared_fields(value).values())
         )
     return found
 
 
-class Kept(unittest.TestCase):
-    def test_decisions_go_on_as_if_nothing_had_changed(self):
-        """Beside a node whose settings stay: the same turns, skips around the forecast, trials, levels."""
+class CopiedStateTest(unittest.TestCase):
+    def test_decisions_are_unaffected_by_a_handover(self):
+        """A balancer that is replaced decides like one that is not: rotation, pause skips, trials and levels."""
         for dead, slow in (((), ()), (("b3",), ("b2",))):
             lines = []
-            for changes in (False, True):
+            for is_replaced in (False, True):
                 scene = Scene(["b0", "b1", "b2", "b3"], dead=dead)
                 learn_pauses(scene)
                 scene.lines = []
                 for n in range(3):
-                    if changes:
-                        changed(scene, max_retry_after=n * MS)
+                    if is_replaced:
+                        replace_balancer(scene, max_retry_after=n * MS)
                     scene.flow(25, slow=slow, slow_took=70)
                     scene.after(300)
                     node = scene.node
-                    for name, b in node.endpoints.index.items():
+                    for name, backend in node.endpoints.index.items():
                         scene.say(
-                            f"{name} {node.outliers.latency_level[b]:.6f} {node.pause_forecast.next_pause_at[b]} {node.ejections.reason[b]}"
+                            f"{name} {node.outliers.latency_level[backend]:.6f} {node.pause_forecast.next_pause_at[backend]} {node.ejections.reason[backend]}"
                         )
                 lines.append(scene.lines)
             self.assertEqual(*lines)
 
-    def test_all_that_is_known_of_backends(self):
+    def test_all_state_is_copied(self):
+        """Guards against a field that the successor leaves at its initial value."""
         scene = Scene(["b0", "b1", "b2"])
         learn_pauses(scene)
-        before = changed(scene, worst_class_weight=0.5)
+        before = replace_balancer(scene, worst_class_weight=0.5)
         node = scene.node
         for name in ejections.INITIAL:
             self.assertEqual(getattr(node.ejections, name), getattr(before.ejections, name), name)
@@ -213,7 +214,8 @@
             ),
         )
 
-    def test_nothing_that_changes_is_shared(self):
+    def test_no_mutable_state_is_shared(self):
+        """Both balancers run side by side; only the times of retries are shared, on purpose."""
         scene = Scene(["b0", "b1", "b2"], tenants=TenantRegistry({"north": 20.0}))
         learn_pauses(scene)
         tenant = scene.settings.tenants.of("north")
@@ -223,29 +225,31 @@
             scene.end(f"i{n}")
         scene.take("out")
         scene.list([listed("b2", EndpointState.REMOVED)])
-        before = changed(scene, max_retry_after=1)
-        shared = reachable(before).keys() & reachable(scene.node).keys()
-        self.assertEqual([reachable(before)[each] for each in shared], [])
+        before = replace_balancer(scene, max_retry_after=1)
+        shared = mutable_state(before).keys() & mutable_state(scene.node).keys()
+        self.assertEqual([mutable_state(before)[key] for key in shared], [])
         self.assertIs(before.retry_budget.sent_at, scene.node.retry_budget.sent_at)
 
-    def test_the_earlier_one_goes_on_learning_alone(self):
+    def test_the_earlier_balancer_learns_separately(self):
+        """Responses to attempts of the earlier balancer change only its own statistics, and vice versa."""
         scene = Scene(["b0", "b1"])
         scene.flow(40)
-        out = [scene.take(f"i{n}") for n in range(2)]
-        before = changed(scene, max_retry_after=1)
-        node, kept = (
+        pending = [scene.take(f"i{n}") for n in range(2)]
+        before = replace_balancer(scene, max_retry_after=1)
+        node, statistics = (
             scene.node,
             [
                 list(map(len, scene.node.pause_forecast.samples)),
                 list(scene.node.outliers.latency_level),
             ],
         )
-        for request in out:
+        for request in pending:
             before.attempt_ended(
                 scene.now + 300 * MS, request.attempts[0], Outcome.SUCCESS, 300 * MS, True
             )
         self.assertEqual(
-            [list(map(len, node.pause_forecast.samples)), list(node.outliers.latency_level)], kept
+            [list(map(len, node.pause_forecast.samples)), list(node.outliers.latency_level)],
+            statistics,
         )
         self.assertEqual(
             [len(times) + 1 for times in node.pause_forecast.samples],
@@ -258,92 +262,106 @@
             (before.limit.in_flight, before.ejections.in_flight, node.limit.in_flight), (0, {}, 0)
         )
 
-    def test_a_backend_in_trouble_stays_left_out_and_gets_its_trial(self):
-        for what in (FAILING, UNRESPONSIVE):
-            with self.subTest(what):
+    def test_an_ejected_backend_stays_ejected_until_its_trial(self):
+        """The successor sends no requests to an ejected backend before a trial request succeeds."""
+        for reason in (FAILING, UNRESPONSIVE):
+            with self.subTest(reason):
                 scene = Scene(["b0", "b1", "b2"], dead=("b1",))
                 scene.flow(30)
-                b = scene.node.endpoints.index["b1"]
-                if what is FAILING:
-                    while scene.node.ejections.reason[b] is None:
+                backend = scene.node.endpoints.index["b1"]
+                if reason is FAILING:
+                    while scene.node.ejections.reason[backend] is None:
                         request = scene.take("i")
-                        at_b1 = request.attempts and request.attempts[-1].backend == b
+                        at_b1 = request.attempts and request.attempts[-1].backend == backend
                         scene.after(5)
                         scene.end("i", Outcome.SERVER_ERROR if at_b1 else Outcome.SUCCESS)
                 else:
-                    while not [t for t in scene.take("i").attempts if t.backend == b]:
+                    while not [
+                        attempt
+                        for attempt in scene.take("i").attempts
+                        if attempt.backend == backend
+                    ]:
                         scene.after(5)
                         scene.end("i")
                     scene.after(950)
-                self.assertIs(scene.node.ejections.reason[b], what)
-                before = changed(scene, max_retry_after=1)
-                self.assertIs(scene.node.ejections.reason[b], what)
+                self.assertIs(scene.node.ejections.reason[backend], reason)
+                before = replace_balancer(scene, max_retry_after=1)
+                self.assertIs(scene.node.ejections.reason[backend], reason)
                 scene.lines = []
                 scene.flow(20)
                 self.assertNotIn(" b1", scene.lines[-1])
                 scene.dead = ()
                 scene.lines = []
                 for _ in range(30):
-                    if not scene.node.ejections.reason[b]:
+                    if not scene.node.ejections.reason[backend]:
                         break
                     scene.take("t")
                     scene.after(150)
                     if scene.requests["t"].attempts[-1].outcome is None:
                         scene.end("t")
-                self.assertIsNone(scene.node.ejections.reason[b])
+                self.assertIsNone(scene.node.ejections.reason[backend])
                 self.assertTrue(any("as a trial" in line for line in scene.lines))
-                self.assertEqual(scene.node.ejections.trials_in_flight[b], 0)
-                self.assertIs(before.ejections.reason[b], what)
+                self.assertEqual(scene.node.ejections.trials_in_flight[backend], 0)
+                self.assertIs(before.ejections.reason[backend], reason)
 
-    def test_a_trial_that_is_out_at_the_earlier_one(self):
-        """It is not waited for here: the next one comes when it is due."""
+    def test_a_trial_in_flight_at_the_earlier_balancer(self):
+        """The successor does not wait for it; its own trial is sent when it is due."""
         scene = Scene(["b0", "b1"], may_check_health=False)
         scene.flow(30)
-        node, b = scene.node, scene.node.endpoints.index["b1"]
-        node.outliers.eject(b, FAILING, scene.now)
+        node, backend = scene.node, scene.node.endpoints.index["b1"]
+        node.outliers.eject(backend, FAILING, scene.now)
         scene.after(160)
         while not (trial := scene.take("t")).attempts[-1].is_trial:
             scene.after(5)
             scene.end("t")
-        self.assertEqual(node.ejections.trials_in_flight[b], 1)
-        before = changed(scene, max_retry_after=1)
+        self.assertEqual(node.ejections.trials_in_flight[backend], 1)
+        before = replace_balancer(scene, max_retry_after=1)
         self.assertEqual(
-            (scene.node.ejections.trials_in_flight[b], scene.node.ejections.trial_due[b]),
+            (
+                scene.node.ejections.trials_in_flight[backend],
+                scene.node.ejections.trial_due[backend],
+            ),
             (0, False),
         )
         scene.after(1000)
-        self.assertTrue(scene.node.ejections.trial_due[b])
+        self.assertTrue(scene.node.ejections.trial_due[backend])
         before.attempt_ended(scene.now, trial.attempts[0], Outcome.SUCCESS, 20 * MS, True)
         self.assertEqual(
-            (before.ejections.trials_in_flight[b], scene.node.ejections.trials_in_flight[b]), (0, 0)
+            (
+                before.ejections.trials_in_flight[backend],
+                scene.node.ejections.trials_in_flight[backend],
+            ),
+            (0, 0),
         )
 
-    def test_slow_ones_count_and_their_rest_ends(self):
+    def test_ejections_of_slow_backends_expire(self):
+        """A copied ejection for slowness is counted, and ends at its time."""
         scene = Scene(["b0", "b1", "b2"])
         scene.flow(60)
-        b = scene.node.endpoints.index["b1"]
-        scene.node.outliers.eject(b, SLOW, scene.now)
-        changed(scene, max_retry_after=1)
+        backend = scene.node.endpoints.index["b1"]
+        scene.node.outliers.eject(backend, SLOW, scene.now)
+        replace_balancer(scene, max_retry_after=1)
         self.assertEqual(
-            (scene.node.ejections.slow_count, list(scene.node.ejections.ejected)), (1, [b])
+            (scene.node.ejections.slow_count, list(scene.node.ejections.ejected)), (1, [backend])
         )
         scene.after(6000)
         self.assertEqual(
             (
                 scene.node.ejections.slow_count,
                 scene.node.ejections.ejected,
-                scene.node.ejections.reason[b],
+                scene.node.ejections.reason[backend],
             ),
             (0, {}, None),
         )
 
-    def test_back_to_the_older_settings(self):
+    def test_returning_to_earlier_settings(self):
+        """The state comes from the last balancer, not from the one that had these settings before."""
         scene = Scene(["b0", "b1", "b2"])
         learn_pauses(scene)
         first = scene.node
-        changed(scene, max_attempts=1)
+        replace_balancer(scene, max_attempts=1)
         scene.flow(20, slow=("b2",), slow_took=30)
-        second = changed(scene)
+        second = replace_balancer(scene)
         self.assertEqual(scene.node.outliers.latency_level, second.outliers.latency_level)
         self.assertNotEqual(scene.node.outliers.latency_level, first.outliers.latency_level)
         self.assertEqual(scene.node.pause_forecast.pauses, second.pause_forecast.pauses)
@@ -353,8 +371,8 @@
         )
 
 
-class Rows(unittest.TestCase):
-    def learned(self):
+class RequestClassesTest(unittest.TestCase):
+    def learned_scene(self):
         scene = Scene(["b0", "b1", "b2"])
         for n in range(60):
             scene.take(f"i{n}", request_class=n % 3)
@@ -362,15 +380,16 @@
             scene.end(f"i{n}")
         return scene
 
-    def test_by_name_where_rows_move_come_and_go(self):
-        scene = self.learned()
+    def test_classes_are_matched_by_name(self):
+        """Classes are reordered, added and removed: each keeps its own statistics; a new one starts fresh."""
+        scene = self.learned_scene()
         look, _, pay = scene.settings.request_classes
-        rows = [
+        request_classes = [
             replace(pay, index=0),
             RequestClass(1, "new", Idempotency.SAFE, "all", 0, 800 * MS, 1000 * MS, 1.0),
             replace(look, index=2),
         ]
-        before = changed(scene, request_classes=rows)
+        before = replace_balancer(scene, request_classes=request_classes)
         node = scene.node
         self.assertEqual(
             [row.typical for row in node.request_stats.classes],
@@ -403,12 +422,13 @@
             scene.end(f"j{n}")
         self.assertGreater(node.limit.answers[1], 5)
 
-    def test_a_kind_that_is_offered_anew_is_taken_to_come(self):
-        scene = self.learned()
-        rows = scene.settings.request_classes
-        changed(scene, request_classes=rows[:1])
+    def test_a_new_idempotency_counts_as_received(self):
+        """An idempotency that returns to the settings counts as just received, so that it is not ignored."""
+        scene = self.learned_scene()
+        request_classes = scene.settings.request_classes
+        replace_balancer(scene, request_classes=request_classes[:1])
         scene.flow(150)
-        changed(scene, request_classes=rows)
+        replace_balancer(scene, request_classes=request_classes)
         self.assertEqual(
             [
                 scene.node.request_stats.last_received[kind]
@@ -417,11 +437,12 @@
             [210] * 3,
         )
 
-    def test_fewer_rows_while_the_round_is_open(self):
-        scene = self.learned()
+    def test_fewer_classes_during_a_probing_round(self):
+        """Attempts in flight of a removed class end at the earlier balancer; the successor goes on."""
+        scene = self.learned_scene()
         for n in range(3):
             scene.take(f"out{n}", request_class=2)
-        before = changed(scene, request_classes=scene.settings.request_classes[:1])
+        before = replace_balancer(scene, request_classes=scene.settings.request_classes[:1])
         self.assertEqual((scene.node.limit.missing, scene.node.limit.in_flight), ([0], 0))
         for n in range(3):
             before.attempt_ended(
@@ -430,9 +451,10 @@
         self.assertEqual(before.limit.in_flight, 0)
         scene.flow(30)
 
-    def test_none_of_the_rows_is_left(self):
-        scene = self.learned()
-        changed(
+    def test_no_class_remains(self):
+        """Without a common class the concurrency limit starts anew."""
+        scene = self.learned_scene()
+        replace_balancer(
             scene,
             request_classes=[
                 RequestClass(0, "new", Idempotency.KEYED, "all", 0, 400 * MS, 1000 * MS, 1.0)
@@ -448,42 +470,47 @@
         )
         scene.flow(10)
 
-    def test_another_hard_limit_brings_another_usual_time(self):
-        scene = self.learned()
-        rows = [
+    def test_another_request_timeout_resets_the_usual_time(self):
+        """The usual time budget of first attempts depends on the request timeout of their class."""
+        scene = self.learned_scene()
+        request_classes = [
             replace(row, request_timeout=2000 * MS if row.index == 0 else row.request_timeout)
             for row in scene.settings.request_classes
         ]
-        before = changed(scene, request_classes=rows)
+        before = replace_balancer(scene, request_classes=request_classes)
         self.assertEqual(
             [row.usual_left for row in scene.node.request_stats.classes],
             [0, *(row.usual_left for row in before.request_stats.classes[1:])],
         )
 
-    def test_a_row_that_nothing_was_learned_of_follows_its_expected_time(self):
+    def test_a_class_without_responses_follows_its_objective(self):
+        """Without responses the typical latency is the assumption for the new latency objective."""
         scene = Scene(["b0"])
-        rows = [replace(row, latency_objective=800 * MS) for row in scene.settings.request_classes]
-        changed(scene, request_classes=rows)
+        request_classes = [
+            replace(row, latency_objective=800 * MS) for row in scene.settings.request_classes
+        ]
+        replace_balancer(scene, request_classes=request_classes)
         self.assertEqual(
             {row.typical for row in scene.node.request_stats.classes}, {INITIAL_LATENCY * 800 * MS}
         )
 
 
-class Dropped(unittest.TestCase):
-    """What may not be kept, as it means another thing under the new settings."""
+class NotCopiedTest(unittest.TestCase):
+    """State that is not copied, as it means something else under the new settings."""
 
-    def test_another_place_among_the_nodes(self):
+    def test_another_position_among_the_nodes(self):
+        """With another node number or count, the subset and the concurrency limit start anew."""
         names = [f"b{n}" for n in range(100)]
-        shares = TenantRegistry({"north": 200.0})
-        scene = Scene(names, node_count=10, node_number=0, tenants=shares)
+        tenants = TenantRegistry({"north": 200.0})
+        scene = Scene(names, node_count=10, node_number=0, tenants=tenants)
         scene.flow(60)
         for settings in (dict(node_count=10, node_number=5), dict(node_count=20, node_number=5)):
-            before = changed(scene, tenants=shares, **settings)
-            fresh = Scene(names, tenants=shares, **settings).node
-            # At once to the even place: one by one it would be there after minutes.
+            before = replace_balancer(scene, tenants=tenants, **settings)
+            fresh = Scene(names, tenants=tenants, **settings).node
+            # The subset is even at once; changing one backend at a time would take minutes.
             self.assertEqual(
-                set(scene.node.endpoints.names[b] for b in scene.node.rotation.subset),
-                set(fresh.endpoints.names[b] for b in fresh.rotation.subset),
+                set(scene.node.endpoints.names[backend] for backend in scene.node.rotation.subset),
+                set(fresh.endpoints.names[backend] for backend in fresh.rotation.subset),
             )
             self.assertEqual(scene.node.limit.nodes, settings["node_count"])
             self.assertEqual(
@@ -492,28 +519,30 @@
             )
             self.assertEqual(scene.node.outliers.latency_level, before.outliers.latency_level)
 
-    def test_the_same_place_is_kept_on_the_way_to_the_even_one(self):
-        shares = TenantRegistry({"north": 200.0})
-        scene = Scene([f"b{n}" for n in range(100)], node_count=10, node_number=5, tenants=shares)
+    def test_an_uneven_subset_is_copied_as_it_is(self):
+        """In the same position the successor continues the gradual change of the subset."""
+        tenants = TenantRegistry({"north": 200.0})
+        scene = Scene([f"b{n}" for n in range(100)], node_count=10, node_number=5, tenants=tenants)
         scene.after(100)
         scene.list([listed(f"b{n}", EndpointState.REMOVED) for n in range(30)])
-        view = list(scene.node.rotation.subset)
-        changed(scene, node_count=10, node_number=5, tenants=shares, max_retry_after=1)
-        self.assertEqual(scene.node.rotation.subset, view)
+        subset = list(scene.node.rotation.subset)
+        replace_balancer(scene, node_count=10, node_number=5, tenants=tenants, max_retry_after=1)
+        self.assertEqual(scene.node.rotation.subset, subset)
         scene.after(30000)
         fresh = Scene(
-            [f"b{n}" for n in range(30, 100)], node_count=10, node_number=5, tenants=shares
+            [f"b{n}" for n in range(30, 100)], node_count=10, node_number=5, tenants=tenants
         ).node
         self.assertNotEqual(
-            [scene.node.endpoints.names[b] for b in view],
-            [fresh.endpoints.names[b] for b in fresh.rotation.subset],
+            [scene.node.endpoints.names[backend] for backend in subset],
+            [fresh.endpoints.names[backend] for backend in fresh.rotation.subset],
         )
 
-    def test_other_shares_only_move_the_view(self):
+    def test_other_quotas_only_resize_the_subset(self):
+        """Doubled quotas double the subset and the demand; the concurrency limit keeps its responses."""
         names = [f"b{n}" for n in range(100)]
         scene = Scene(names, node_count=10, node_number=3, tenants=TenantRegistry({"north": 200.0}))
         scene.flow(60)
-        before = changed(
+        before = replace_balancer(
             scene, node_count=10, node_number=3, tenants=TenantRegistry({"north": 400.0})
         )
         self.assertEqual(
@@ -525,17 +554,18 @@
             (2 * before.limit.demand, before.limit.answers),
         )
 
-    def test_from_shares_to_a_learned_part_and_back(self):
+    def test_from_quotas_to_a_learned_traffic_share_and_back(self):
+        """Traffic share and concurrency limit are copied only if both balancers get them in the same way."""
         names = [f"b{n}" for n in range(12)]
-        learned = dict(
+        learned_share = dict(
             node_count=70, tenants=TenantRegistry(), load_report_source=LoadReportSource.RESPONSES
         )
-        shares = dict(node_count=70, tenants=TenantRegistry({"north": 500.0}))
-        scene = Scene(names, **shares)
+        quotas = dict(node_count=70, tenants=TenantRegistry({"north": 500.0}))
+        scene = Scene(names, **quotas)
         scene.flow(60)
         level = list(scene.node.outliers.latency_level)
-        before = changed(scene, **learned)
-        fresh = Scene(names, **learned).node
+        before = replace_balancer(scene, **learned_share)
+        fresh = Scene(names, **learned_share).node
         self.assertEqual(
             (scene.node.outliers.latency_level, scene.node.limit.answers), (level, [0, 0, 0])
         )
@@ -545,7 +575,7 @@
         )
         scene.node.load_reports.traffic_share = 3.0
         scene.flow(60)
-        before = changed(scene, max_retry_after=1, **learned)
+        before = replace_balancer(scene, max_retry_after=1, **learned_share)
         self.assertEqual(
             (
                 scene.node.load_reports.traffic_share,
@@ -556,12 +586,13 @@
             (3.0, before.rotation.subset_size, before.rotation.request_rate, before.limit.each),
         )
         self.assertGreater(sum(scene.node.limit.answers), 0)
-        changed(scene, **shares)
+        replace_balancer(scene, **quotas)
         self.assertEqual(
             (scene.node.load_reports.traffic_share, scene.node.limit.answers), (1.0, [0, 0, 0])
         )
 
-    def test_other_reports(self):
+    def test_another_source_of_load_reports(self):
+        """Load reports are copied only if their source and fields stay the same."""
         settings = dict(
             node_count=70,
             tenants=TenantRegistry(),
@@ -570,34 +601,37 @@
         scene = Scene(["b0", "b1"], load_report_source=LoadReportSource.RESPONSES, **settings)
         for name in ("b0", "b1"):
             scene.node.load_reported(scene.now, name, LoadReport(throughput=30.0, utilization=0.6))
-        before = changed(
+        before = replace_balancer(
             scene, max_retry_after=1, load_report_source=LoadReportSource.RESPONSES, **settings
         )
         for name in load_reports.INITIAL:
             self.assertEqual(
                 getattr(scene.node.load_reports, name), getattr(before.load_reports, name)
             )
-        changed(scene, load_report_source=LoadReportSource.HEALTH_CHECKS, **settings)
+        replace_balancer(scene, load_report_source=LoadReportSource.HEALTH_CHECKS, **settings)
         for name, initial in load_reports.INITIAL.items():
             self.assertEqual(getattr(scene.node.load_reports, name), [initial] * 2)
 
-    def test_cold_by_the_new_span_and_one_budget(self):
+    def test_slow_start_duration_and_allowance(self):
+        """Slow start ends by the new duration; the allowance moves to the successor, not to both."""
         scene = Scene(["b0", "b1", listed("b2", started=9000 * MS)], slow_start_duration=8000 * MS)
-        b = scene.node.endpoints.index["b2"]
-        saved = list(scene.node.slow_start.allowance)
-        before = changed(scene, slow_start_duration=3000 * MS)
+        backend = scene.node.endpoints.index["b2"]
+        allowance = list(scene.node.slow_start.allowance)
+        before = replace_balancer(scene, slow_start_duration=3000 * MS)
         self.assertEqual(
-            (scene.node.slow_start.until[b], before.slow_start.until[b]), (12000 * MS, 17000 * MS)
+            (scene.node.slow_start.until[backend], before.slow_start.until[backend]),
+            (12000 * MS, 17000 * MS),
         )
         self.assertEqual(scene.node.slow_start.until.count(0), 2)
         self.assertEqual(
-            (scene.node.slow_start.allowance, before.slow_start.allowance), (saved, [0.0] * 3)
+            (scene.node.slow_start.allowance, before.slow_start.allowance), (allowance, [0.0] * 3)
         )
 
-    def sent_to_cold(self, every_ms):
-        """Trips in 8 s to a backend that is cold for all of them, of 100 requests a second at four backends.
+    def sent_to_cold_backend(self, every_ms):
+        """Returns the attempts within 8 s at a cold backend, of 100 requests per second at four backends.
 
-        The settings change each `every_ms`; what is out at the earlier ones is lost then, so that they send on.
+        Settings change every `every_ms`; the pending attempt of the earlier balancer fails then, so
+        that it sends another one.
         """
         scene = Scene(
             ["b0", "b1", "b2", listed("b3", started=10000 * MS)],
@@ -605,13 +639,13 @@
             slow_start_capacity=0.1,
             slow_start_overload=2.0,
         )
-        cold, sent, due = scene.node.endpoints.index["b3"], 0, every_ms
+        cold, sent, next_change_ms = scene.node.endpoints.index["b3"], 0, every_ms
         for n in range(800):
-            # One is owed by the earlier node at each change, and may go to the cold one from there.
-            taken = [scene.take(f"i{n}")]
+            # At each change the earlier balancer has one pending request, which it may send to the cold backend.
+            requests = [scene.take(f"i{n}")]
             scene.after(5)
-            if due is not None and n * 10 >= due:
-                due += every_ms
+            if next_change_ms is not None and n * 10 >= next_change_ms:
+                next_change_ms += every_ms
                 before, scene.settings = (
                     scene.node,
                     balancer_settings(
@@ -623,7 +657,7 @@
                 scene.node = Balancer(n, scene.settings, scene.now, before)
                 take_over(scene.node, before, scene.now)
                 before.attempt_ended(
-                    scene.now, taken[0].attempts[-1], Outcome.CONNECT_FAILED, 10, False
+                    scene.now, requests[0].attempts[-1], Outcome.CONNECT_FAILED, 10, False
                 )
                 while (decision := before.next_decision(scene.now)) is not None:
                     if type(decision) is SendAttempt:
@@ -631,23 +665,24 @@
             else:
                 scene.end(f"i{n}")
             scene.after(5)
-            sent += sum(attempt.backend == cold for attempt in taken[0].attempts)
+            sent += sum(attempt.backend == cold for attempt in requests[0].attempts)
         return sent
 
-    def test_a_cold_backend_gets_no_more_however_often_settings_change(self):
-        """If both nodes kept what was saved up, each change would add what the earlier one still sends."""
-        steady = self.sent_to_cold(None)
-        self.assertGreater(steady, 50)
-        self.assertLessEqual(self.sent_to_cold(20), steady + 2 * steady**0.5 + 2)
+    def test_changes_of_settings_do_not_overload_a_cold_backend(self):
+        """If both balancers kept the allowance, each change would add what the earlier one still sends."""
+        baseline = self.sent_to_cold_backend(None)
+        self.assertGreater(baseline, 50)
+        self.assertLessEqual(self.sent_to_cold_backend(20), baseline + 2 * baseline**0.5 + 2)
 
-    def test_gone_binds_from_now_on(self):
+    def test_removal_binds_after_a_change(self):
+        """A removed backend that was still used is removed once the settings say that removal binds."""
         scene = Scene(["b0", "b1", "b2"], removal_binds=False)
         scene.flow(30)
         scene.list([listed("b1", EndpointState.REMOVED)])
         self.assertEqual(len(scene.node.rotation.by_rank), 3)
-        changed(scene, removal_binds=False, max_retry_after=1)
+        replace_balancer(scene, removal_binds=False, max_retry_after=1)
         self.assertEqual(len(scene.node.rotation.by_rank), 3)
-        before = changed(scene, removal_binds=True)
+        before = replace_balancer(scene, removal_binds=True)
         self.assertEqual((len(scene.node.rotation.by_rank), len(before.rotation.by_rank)), (2, 3))
         self.assertEqual(
             scene.node.endpoints.state[scene.node.endpoints.index["b1"]], EndpointState.REMOVED
@@ -658,37 +693,40 @@
         self.assertNotIn(" b1", scene.lines[-1])
 
 
-class Reduced(unittest.TestCase):
-    """Through the reducer: both nodes hear the list, and the earlier one goes once it owes nothing."""
+class ProxyStateMachineTest(unittest.TestCase):
+    """Handover in the proxy: both balancers get the endpoint list; the earlier one ends with its requests."""
 
     def setUp(self):
         self.desk = Desk(["b0", "b1"])
-        self.reducer = self.desk.reducer
-        self.settings = 0
+        self.machine = self.desk.reducer
+        self.version = 0
 
-    def configure(self, **changed):
-        self.settings += 1
+    def configure(self, **changes):
+        self.version += 1
         self.desk.tell(
-            ConfigurationLoaded("", {"settings": self.settings}, balancer_settings(**changed))
+            ConfigurationLoaded("", {"settings": self.version}, balancer_settings(**changes))
         )
-        return self.reducer.balancers.current
+        return self.machine.balancers.current
 
-    def answered(self, name):
+    def run_request(self, name):
         self.desk.ask(name)
         if self.desk.links[-1].state == "connecting":
             self.desk.up()
         self.desk.after(15)
         self.desk.reply(
-            link=next(n for n, link in enumerate(self.desk.links) if link.attempt is not None)
+            link=next(
+                index for index, link in enumerate(self.desk.links) if link.attempt is not None
+            )
         )
         self.desk.after(15)
 
-    def test_kept_over_two_changes_in_one_turn(self):
+    def test_two_changes_at_once_keep_what_was_learned(self):
+        """A second change before any request is received copies from the successor of the first."""
         for n in range(8):
-            self.answered(f"c{n}")
+            self.run_request(f"c{n}")
         learned = [
             (row.typical, row.skew, row.answers)
-            for row in self.reducer.balancers.current.request_stats.classes
+            for row in self.machine.balancers.current.request_stats.classes
         ]
         self.configure(max_attempts=1)
         node = self.configure(max_attempts=2)
@@ -697,115 +735,128 @@
         )
         self.assertEqual(learned[0][2], 10)
         self.assertEqual(sum(map(len, node.pause_forecast.samples)), 8)
-        self.assertEqual(self.reducer.balancers.earlier, [])
+        self.assertEqual(self.machine.balancers.earlier, [])
 
-    def test_what_is_refused_at_the_door_stays_refused(self):
-        self.reducer.balancers.load_shedder.threshold = 0.5
+    def test_load_shedding_continues(self):
+        """The load shedder is kept, or all that it sheds would be admitted at once, unless its classes change."""
+        self.machine.balancers.load_shedder.threshold = 0.5
         self.configure(max_attempts=1)
-        self.assertEqual(self.reducer.balancers.load_shedder.threshold, 0.5)
+        self.assertEqual(self.machine.balancers.load_shedder.threshold, 0.5)
         self.configure(
             request_classes=[
                 replace(row, priority_weight=1.0) for row in balancer_settings().request_classes
             ]
         )
-        self.assertEqual(
-            self.reducer.balancers.load_shedder.threshold, 0.0
-        )  # Its classes are others.
+        # Its shedding classes have changed.
+        self.assertEqual(self.machine.balancers.load_shedder.threshold, 0.0)
 
-    def test_settings_that_shrink_while_requests_are_owed(self):
-        """Fewer attempts, a shorter limit: what was taken before has both as it was taken."""
+    def test_stricter_settings_do_not_apply_to_pending_requests(self):
+        """Fewer attempts and a shorter timeout: a pending request keeps those under which it was received."""
         for n in range(4):
-            self.answered(f"c{n}")
-        self.desk.ask("owed", "/look")
-        owed = self.desk.clients["owed"].request
+            self.run_request(f"c{n}")
+        self.desk.ask("pending", "/look")
+        pending = self.desk.clients["pending"].request
         rows = [
             replace(row, latency_objective=50 * MS, request_timeout=100 * MS)
             for row in balancer_settings().request_classes
         ]
-        first = self.reducer.balancers.current
+        first = self.machine.balancers.current
         node = self.configure(request_classes=rows, max_attempts=1)
-        self.assertEqual(self.reducer.balancers.earlier, [first])
+        self.assertEqual(self.machine.balancers.earlier, [first])
         self.desk.lose(
-            link=next(n for n, link in enumerate(self.desk.links) if link.attempt is not None)
+            link=next(
+                index for index, link in enumerate(self.desk.links) if link.attempt is not None
+            )
         )
-        self.assertEqual((len(owed.attempts), owed.completed), (2, False))
+        self.assertEqual((len(pending.attempts), pending.completed), (2, False))
         self.desk.up()
         self.desk.after(250)
-        self.assertFalse(owed.completed)
+        self.assertFalse(pending.completed)
         self.desk.lines = []
         self.desk.reply()
         self.assertTrue(
-            any("SendResponse owed HTTP/1.1 200" in line for line in self.desk.lines),
+            any("SendResponse pending HTTP/1.1 200" in line for line in self.desk.lines),
             self.desk.lines,
         )
         self.assertEqual(
-            (self.reducer.balancers.earlier, self.reducer.balancers.current), ([], node)
+            (self.machine.balancers.earlier, self.machine.balancers.current), ([], node)
         )
         self.assertEqual(node.limit.in_flight, 0)
 
-    def test_the_earlier_one_is_dropped_once_it_owes_nothing(self):
-        self.desk.ask("owed")
-        first = weakref.ref(self.reducer.balancers.current)
+    def test_the_earlier_balancer_is_released_after_its_last_response(self):
+        """It is not referenced any more once it has no pending request; one without any is released at once."""
+        self.desk.ask("pending")
+        first = weakref.ref(self.machine.balancers.current)
         self.configure(max_attempts=1)
-        second = weakref.ref(self.reducer.balancers.current)
+        second = weakref.ref(self.machine.balancers.current)
         self.configure(max_attempts=2)
         gc.collect()
         self.assertIsNotNone(first())
         self.assertIsNone(second())
         self.desk.up()
         self.desk.reply()
-        self.desk.taken("owed")
+        self.desk.taken("pending")
         self.desk.lines, self.desk.links = [], self.desk.links
         self.desk.after(20)
         gc.collect()
         self.assertIsNone(first())
 
-    def test_both_hear_the_list(self):
-        self.desk.ask("owed")
-        first = self.reducer.balancers.current
+    def test_both_balancers_get_endpoint_updates(self):
+        """An update of the endpoint list also reaches the earlier balancer while it has a pending request."""
+        self.desk.ask("pending")
+        first = self.machine.balancers.current
         node = self.configure(max_attempts=1)
         self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
-        for each in (first, node):
+        for balancer in (first, node):
             self.assertEqual(
-                [each.endpoints.names[b] for b in each.rotation.by_rank],
-                [each.endpoints.names[b] for b in node.rotation.by_rank],
+                [balancer.endpoints.names[backend] for backend in balancer.rotation.by_rank],
+                [balancer.endpoints.names[backend] for backend in node.rotation.by_rank],
             )
             self.assertEqual(
-                sorted(each.endpoints.names[b] for b in each.rotation.by_rank), ["b1", "b2"]
+                sorted(balancer.endpoints.names[backend] for backend in balancer.rotation.by_rank),
+                ["b1", "b2"],
             )
         self.assertEqual(len(first.endpoints.names), 3)
 
-    def test_a_list_and_settings_in_one_turn(self):
+    def test_endpoint_update_and_settings_at_once(self):
+        """The successor has the last list, and follows the next one."""
         self.desk.hear(["b0", "b2"], 2)
         node = self.configure(max_attempts=1)
         self.assertEqual(
-            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b2"]
+            sorted(node.endpoints.names[backend] for backend in node.rotation.subset), ["b0", "b2"]
         )
         self.desk.hear(["b0", "b1"], 3)
         self.assertEqual(
-            sorted(node.endpoints.names[b] for b in node.rotation.subset), ["b0", "b1"]
+            sorted(node.endpoints.names[backend] for backend in node.rotation.subset), ["b0", "b1"]
         )
 
-    def test_before_any_list(self):
+    def test_settings_before_the_first_endpoint_list(self):
+        """A change of settings without any backend does not prevent the first list from being used."""
         desk = Desk([])
         desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
         desk.hear(["b0"], 1)
         self.assertEqual(len(desk.reducer.balancers.current.rotation.subset), 1)
 
 
-class Cost(unittest.TestCase):
-    def test_a_small_part_of_a_start(self):
-        """Told the list anew, a change of any setting cost as much as a start."""
-        entries, known = fleet(0, 4000), Balancer(4, balancer_settings(node_count=720), 0)
-        known.endpoints_updated(0, entries, True)
+class TakeOverCostTest(unittest.TestCase):
+    def test_a_handover_costs_a_fraction_of_a_start(self):
+        """When the successor processed the endpoint list again, a change of settings cost as much as a start."""
+        entries, current = fleet(0, 4000), Balancer(4, balancer_settings(node_count=720), 0)
+        current.endpoints_updated(0, entries, True)
 
         def start():
             node = Balancer(4, balancer_settings(node_count=720), 1)
             return lambda: node.endpoints_updated(1, entries, True)
 
-        def taken_over():
-            node = Balancer(4, balancer_settings(node_count=720), 1, known)
-            return lambda: take_over(node, known, 1)
+        def hand_over():
+            node = Balancer(4, balancer_settings(node_count=720), 1, current)
+            return lambda: take_over(node, current, 1)
 
-        first, again = least(start, taken_over, lambda first, again: 8 * again < first)
-        self.assertLess(8 * again, first, f"{again * 1000:.1f} ms, a start {first * 1000:.1f} ms")
+        start_s, handover_s = least(
+            start, hand_over, lambda start_s, handover_s: 8 * handover_s < start_s
+        )
+        self.assertLess(
+            8 * handover_s,
+            start_s,
+            f"a handover takes {handover_s * 1000:.1f} ms, a start {start_s * 1000:.1f} ms",
+        )
