--- a/pierglade/config/page.py
+++ b/pierglade/config/page.py
@@ -6,7 +6,7 @@
 from msgspec import inspect as types
 
 from pierglade.config import platform
-from pierglade.config.read import allowed
+from pierglade.config.read import describe_type
 from pierglade.config.structs import File
 
 HEAD = """# The operator's file
@@ -39,15 +39,15 @@
             description = (inner.extra_json_schema or {}).get("description", description)
             inner = inner.type
         yield (
-            f"| `{field.encode_name}` | {description} | {_default(field)} | {allowed(field.type)} "
-            f"| {platform_paths.get(f'{table}.{field.encode_name}', '')} |"
+            f"| `{field.encode_name}` | {description} | {_default(field)} "
+            f"| {describe_type(field.type)} | {platform_paths.get(f'{table}.{field.encode_name}', '')} |"
         )
 
 
 def page():
     """Returns the text of docs/operate/configuration.md."""
-    platform_paths = {ours: f"`{theirs}`" for ours, theirs, _ in platform.PLACES}
-    for ours, theirs, columns in platform.ROWS:
+    platform_paths = {ours: f"`{theirs}`" for ours, theirs, _ in platform.KEY_MAPPINGS}
+    for ours, theirs, columns in platform.LIST_MAPPINGS:
         platform_paths.update({f"{ours}.{name}": f"`{theirs}[].{key}`" for name, key, _ in columns})
     lines = [HEAD]
     file = types.type_info(File)
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -1,7 +1,8 @@
 """Converts between the operator's file and the platform's JSON document.
 
-Both directions use the tables `PLACES` and `ROWS`, so that a node behaves the same under either
-form (`pierglade.__main__` reads the platform's document). The platform's times are microseconds.
+Both directions use the tables `KEY_MAPPINGS` and `LIST_MAPPINGS`, so that a node behaves the same
+under either form (`pierglade.__main__` reads the platform's document). The platform's times are
+microseconds.
 """
 
 import msgspec
@@ -37,7 +38,7 @@
 _NOT = (lambda value: not value, lambda value: not value)
 
 # (path in the operator's file, path in the platform's document, conversions to it and back).
-PLACES = (
+KEY_MAPPINGS = (
     ("node.name", "name", _IDENTITY),
     ("node.seed", "seed", (_unchanged, str)),
     ("node.zone", "settings.zone", _TEXT_OR_NONE),
@@ -69,7 +70,7 @@
     ("reports.fields", "settings.loadInfo.fields", (list, tuple)),
 )
 # The same for lists of tables: (list in the file, list in the document, conversions of its keys).
-ROWS = (
+LIST_MAPPINGS = (
     (
         "offerings",
         "settings.offerings",
@@ -121,11 +122,11 @@
 def to_platform(file):
     """Returns the platform's document for a structs.File, as plain data."""
     document = {}
-    for ours, theirs, (to_theirs, _) in PLACES:
+    for ours, theirs, (to_theirs, _) in KEY_MAPPINGS:
         value = _get_from_file(file, ours)
         if value is not None:
             _put(document, theirs, to_theirs(value))
-    for ours, theirs, columns in ROWS:
+    for ours, theirs, columns in LIST_MAPPINGS:
         _put(
             document,
             theirs,
@@ -155,13 +156,13 @@
         KeyError, TypeError, ValueError, msgspec.ValidationError: The document is malformed.
     """
     raw = {}
-    for ours, theirs, (_, to_ours) in PLACES:
+    for ours, theirs, (_, to_ours) in KEY_MAPPINGS:
         value = _get(document, theirs)
         if value is not None:
             _put(raw, ours, to_ours(value))
     if not raw.get("discovery", {}).get("address"):
         raw.pop("discovery", None)
-    for ours, theirs, columns in ROWS:
+    for ours, theirs, columns in LIST_MAPPINGS:
         rows = _get(document, theirs) or []
         raw[ours] = [
             {
--- a/pierglade/config/read.py
+++ b/pierglade/config/read.py
@@ -1,7 +1,7 @@
 """Reads and validates the operator's TOML file, with one line per error.
 
 A line names the file, the key, the value found and what is expected. `read` raises
-UnusableFileError with all lines; `faults` returns them for parsed tables.
+UnusableFileError with all lines; `find_errors` returns them for parsed tables.
 """
 
 import ipaddress
@@ -32,7 +32,7 @@
         UnusableFileError: The file cannot be read or has errors.
     """
     raw = load(path)
-    lines = [f"{path}: {line}" for line in faults(raw)]
+    lines = [f"{path}: {line}" for line in find_errors(raw)]
     if lines:
         raise UnusableFileError(lines)
     return msgspec.convert(raw, File)
@@ -53,7 +53,7 @@
         raise UnusableFileError([f"{path}: not valid TOML: {error}"]) from None
 
 
-def faults(raw):
+def find_errors(raw):
     """Returns a line for each error, in the file's order.
 
     Relations between keys are checked only if each key is valid by itself.
@@ -64,10 +64,10 @@
     return lines
 
 
-def allowed(kind):
+def describe_type(kind):
     """Describes the values that a msgspec type allows."""
     if isinstance(kind, types.Metadata):
-        return allowed(kind.type)
+        return describe_type(kind.type)
     if isinstance(kind, types.LiteralType):
         return "one of " + ", ".join(f'"{value}"' for value in kind.values)
     if isinstance(kind, types.BoolType):
@@ -89,11 +89,13 @@
             return "a list of tables" + (
                 ", at least one" if getattr(kind, "min_length", None) else ""
             )
-        return f"a list, each {allowed(inner)}"
+        return f"a list, each {describe_type(inner)}"
     if isinstance(kind, types.StructType):
         return "a table"
     if isinstance(kind, types.UnionType):
-        return allowed(next(each for each in kind.types if not isinstance(each, types.NoneType)))
+        return describe_type(
+            next(each for each in kind.types if not isinstance(each, types.NoneType))
+        )
     return "nothing"
 
 
@@ -114,7 +116,7 @@
     for key, field in fields.items():
         if field.required and key not in raw:
             full_key = f"{place}.{key}" if place else key
-            yield f"{full_key} is missing; expected {allowed(field.type)}"
+            yield f"{full_key} is missing; expected {describe_type(field.type)}"
 
 
 def _value_errors(value, kind, place):
@@ -134,7 +136,7 @@
         for number, each in enumerate(value):
             yield from _table_errors(each, kind.item_type, f"{place}[{number}]")
     elif not _is_valid(value, kind):
-        yield f"{place} is {_shown(value)}; expected {allowed(kind)}"
+        yield f"{place} is {_abbreviated(value)}; expected {describe_type(kind)}"
 
 
 def _is_valid(value, kind):
@@ -170,7 +172,7 @@
     return Annotated[str, msgspec.Meta(min_length=kind.min_length, pattern=kind.pattern)]
 
 
-def _shown(value):
+def _abbreviated(value):
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_CHARS else text[: MAX_SHOWN_CHARS - 3] + "..."
 
--- a/pierglade/config/structs.py
+++ b/pierglade/config/structs.py
@@ -75,7 +75,7 @@
 
     address: _text("host:port of the discovery agent")
     asked: _flag(
-        "whether the node polls the list; after a lost poll it polls again within 4.4 s"
+        "whether the node polls the list; after a loss of discovery it polls again within 4.4 s"
     ) = False
 
 
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -35,23 +35,16 @@
 PAUSE_KEYS = ("work", "pauses", "work_due", "window")
 THROUGHPUT_KEYS = ("usual", "usual_of")
 KEYS = (*DECAYING_KEYS, *PAUSE_KEYS, *THROUGHPUT_KEYS)
-DECAYING_ROW_KEYS = ("typical", "skew", "hinted")
-ROW_KEYS = (*DECAYING_ROW_KEYS, "answers", "usual_left", "usual_votes")
+DECAYING_CLASS_KEYS = ("typical", "skew", "hinted")
+ROW_KEYS = (*DECAYING_CLASS_KEYS, "answers", "usual_left", "usual_votes")
 
 
 def aged(snapshot, now, half_life, request_classes, initial_rows, ready_backends):
-    """Returns the statistics to restore from a snapshot, decayed by its age.
+    """Returns the statistics to restore from a snapshot, decayed by its age, and a summary.
 
-    Args:
-        snapshot: The snapshot.
-        now: The current time.
-        half_life: The time in which the snapshot's weight halves.
-        request_classes: The request classes of the settings.
-        initial_rows: The statistics of a new node for each request class.
-        ready_backends: (address, started) by name, of the backends that are ready.
-
-    Returns:
-        The rows and backends for `Balancer.restore_statistics`, and a summary of what is restored.
+    The result is (rows, backends, summary), the first two for `Balancer.restore_statistics`.
+    `initial_rows` has the statistics of a new node for each of the `request_classes`;
+    `ready_backends` has (address, started) by name.
 
     Raises:
         UntrustedSnapshotError: Nothing may be restored.
@@ -59,7 +52,9 @@
     age = _age(snapshot, now, half_life)
     weight = 0.5 ** (age / half_life)
     rows = [
-        _row(snapshot.request_classes.get(request_class.name), request_class, initial, weight)
+        _aged_class(
+            snapshot.request_classes.get(request_class.name), request_class, initial, weight
+        )
         for request_class, initial in zip(request_classes, initial_rows, strict=False)
     ]
     if not any(rows):
@@ -71,7 +66,7 @@
         stored = snapshot.backends.get(name)
         if stored is not None and stored.address == address and stored.started_at == started:
             # Work counts responses, of which each backend is assumed to have sent an equal part.
-            backends[name] = _backend(
+            backends[name] = _aged_backend(
                 stored.statistics, weight, age * snapshot.request_rate / max(1, len(ready_backends))
             )
     restored_classes = sum(map(bool, rows))
@@ -101,7 +96,7 @@
     return age
 
 
-def _row(stored, request_class, initial, weight):
+def _aged_class(stored, request_class, initial, weight):
     """Returns the statistics of a request class to restore; empty if its limits have changed."""
     limits = {
         "expected": request_class.latency_objective,
@@ -112,7 +107,7 @@
         return {}
     row = {
         key: _decayed(stored[key], initial[key], weight)
-        for key in DECAYING_ROW_KEYS
+        for key in DECAYING_CLASS_KEYS
         if _is_number(stored.get(key))
     }
     if _is_number(stored.get("answers")):
@@ -122,7 +117,7 @@
     return row
 
 
-def _backend(stored, weight, work_since):
+def _aged_backend(stored, weight, work_since):
     """Returns the statistics of a backend to restore.
 
     `work_since` estimates the requests of this node that it has completed since the snapshot.
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -90,33 +90,23 @@
     if magic != MAGIC:
         raise CorruptSnapshotError("not a snapshot: it does not begin with PGLE")
     if length > MAX_BODY_BYTES:
-        raise CorruptSnapshotError(
-            f"its body has {length} bytes; expected at most {MAX_BODY_BYTES}"
-        )
+        raise CorruptSnapshotError(f"body of {length} bytes; expected at most {MAX_BODY_BYTES}")
     if len(body) != length:
-        raise CorruptSnapshotError(
-            f"its body is truncated or too long: got {len(body)} of {length} bytes"
-        )
+        raise CorruptSnapshotError(f"body of {len(body)} bytes; expected {length} bytes")
     if _checksum(version, body) != checksum:
-        raise CorruptSnapshotError("its checksum does not match its content")
+        raise CorruptSnapshotError("the checksum does not match the content")
     if version > newest_version:
-        raise CorruptSnapshotError(
-            f"its version is {version}; this build reads versions up to {newest_version}"
-        )
+        raise CorruptSnapshotError(f"version {version}; this build reads up to {newest_version}")
     migrations = MIGRATIONS if migrations is None else migrations
     try:
         raw = msgspec.msgpack.decode(body)
         while version < newest_version:
             if version not in migrations:
-                raise CorruptSnapshotError(
-                    f"its version is {version}, for which there is no migration"
-                )
+                raise CorruptSnapshotError(f"version {version}, for which there is no migration")
             raw, version = migrations[version](raw), version + 1
         return msgspec.convert(raw, Snapshot)
     except (msgspec.DecodeError, msgspec.ValidationError, KeyError, TypeError) as error:
-        raise CorruptSnapshotError(
-            f"its body is not valid for version {version}: {error}"
-        ) from None
+        raise CorruptSnapshotError(f"invalid body for version {version}: {error}") from None
 
 
 def _checksum(version: int, body: bytes) -> int:
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -120,7 +120,7 @@
     def test_any_parsed_value_gives_lines(self, raw):
         """A value of any shape in a table of the file is reported in lines, without a traceback."""
         for place in ("node", "offerings", "backends", "limits", "reports", "discovery"):
-            lines = read.faults({**tomllib.loads(EXAMPLE), place: raw})
+            lines = read.find_errors({**tomllib.loads(EXAMPLE), place: raw})
             self.assertTrue(all(isinstance(line, str) and line for line in lines))
 
 
@@ -148,13 +148,13 @@
         self.assertEqual(*traces)
         self.check("config_alike", traces[0][:12] + [f"and {len(traces[0]) - 12} more lines"])
         file = read.read(str(ROOT / "deploy" / "pierglade.toml"))
-        round_trip = platform.from_platform(platform.to_platform(file))
+        converted_back = platform.from_platform(platform.to_platform(file))
         # The platform's document has no keys for these.
-        round_trip.listen.ids, round_trip.log = (
+        converted_back.listen.ids, converted_back.log = (
             file.listen.ids,
             file.log,
         )
-        self.assertEqual(file, round_trip)
+        self.assertEqual(file, converted_back)
 
     def test_pages_are_up_to_date(self):
         """The generated pages match their sources, and each event that is logged is in the table."""
--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -262,7 +262,7 @@
             (before.limit.in_flight, before.ejections.in_flight, node.limit.in_flight), (0, {}, 0)
         )
 
-    def test_an_ejected_backend_stays_ejected_until_its_trial(self):
+    def test_an_ejected_backend_gets_no_requests_before_its_trial(self):
         """The successor sends no requests to an ejected backend before a trial request succeeds."""
         for reason in (FAILING, UNRESPONSIVE):
             with self.subTest(reason):
@@ -756,12 +756,12 @@
             self.run_request(f"c{n}")
         self.desk.ask("pending", "/look")
         pending = self.desk.clients["pending"].request
-        rows = [
+        request_classes = [
             replace(row, latency_objective=50 * MS, request_timeout=100 * MS)
             for row in balancer_settings().request_classes
         ]
         first = self.machine.balancers.current
-        node = self.configure(request_classes=rows, max_attempts=1)
+        node = self.configure(request_classes=request_classes, max_attempts=1)
         self.assertEqual(self.machine.balancers.earlier, [first])
         self.desk.lose(
             link=next(
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -85,7 +85,7 @@
         strategies.integers(0, 2**50),
         strategies.floats(0, 1e6),
     )
-    def test_round_trip(self, request_classes, written_at, request_rate):
+    def test_decode_inverts_encode(self, request_classes, written_at, request_rate):
         snapshot = make_snapshot(
             request_classes=request_classes, written_at=written_at, request_rate=request_rate
         )
