--- a/pierglade/config/page.py
+++ b/pierglade/config/page.py
@@ -40,7 +40,8 @@
             inner = inner.type
         yield (
             f"| `{field.encode_name}` | {description} | {_default(field)} "
-            f"| {describe_type(field.type)} | {platform_paths.get(f'{table}.{field.encode_name}', '')} |"
+            f"| {describe_type(field.type)} "
+            f"| {platform_paths.get(f'{table}.{field.encode_name}', '')} |"
         )
 
 
