--- a/pierglade/simulation/__init__.py
+++ b/pierglade/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time: real balancers, baselines and an oracle under one load model.
+"""Discrete-event simulation of fleets: real balancers, baselines and an oracle on one load model.
 
-Not for measuring sockets or CPU. Start with `pierglade.simulation.simulation.run_plan`.
+Does not model sockets or CPU use. The entry point is `pierglade.simulation.simulation.run_plan`.
 """
--- a/pierglade/simulation/__main__.py
+++ b/pierglade/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""Plays a plan in virtual time: `python -m pierglade.simulation PLAN.toml`."""
+"""Runs a plan in virtual time: `python -m pierglade.simulation PLAN.toml`."""
 
 import os
 import sys
@@ -10,7 +10,7 @@
 from pierglade.simulation import runs
 from pierglade.simulation.simulation import POLICIES
 
-BAD_INPUT, RULE_BROKEN = 2, 4
+INVALID_INPUT_STATUS, RULE_VIOLATION_STATUS = 2, 4
 
 
 @click.command(
@@ -23,32 +23,39 @@
     multiple=True,
     type=click.Choice(POLICIES),
     default=("node",),
-    help="Who decides; may be given several times. `all` of them: --all.",
+    help="Load-balancing policy; can be given several times. --all selects every policy.",
+)
+@click.option(
+    "--all",
+    "everyone",
+    is_flag=True,
+    help="Run every policy: the node, the baselines and the oracle.",
+)
+@click.option("--earlier", metavar="FILE", help="Also run the Balancer class of this Python file.")
+@click.option("--json", "out", metavar="FILE", help="Write the summaries to this file.")
+@click.option(
+    "--jobs", type=click.IntRange(1), default=1, show_default=True, help="Concurrent runs."
 )
-@click.option("--all", "everyone", is_flag=True, help="The node, every baseline and the bound.")
-@click.option("--earlier", metavar="FILE", help="Also the Balancer in another Python file.")
-@click.option("--json", "out", metavar="FILE", help="Where the summaries are written.")
-@click.option("--jobs", type=click.IntRange(1), default=1, show_default=True, help="Runs at once.")
 def main(path, policies, everyone, earlier, out, jobs):
-    """Plays PLAN.toml under each policy and prints a table, a row a run.
+    """Runs PLAN.toml under each policy and prints a table with one row per run.
 
-    Ends with 2 where the plan can't be read, and with 4 where one of the rules was broken.
+    Exits with 2 if the plan or another file is invalid, and with 4 if a run violated a rule.
     """
     try:
-        read = plans.read(path)
+        variants = plans.read_plans(path)
     except plans.InvalidPlanError as error:
         click.echo(str(error), err=True)
-        sys.exit(BAD_INPUT)
-    for name in (earlier, out and (os.path.dirname(out) or ".")):
-        if name and not os.path.exists(name):
-            click.echo(f"{name}: no such file or folder", err=True)
-            sys.exit(BAD_INPUT)
-    summaries = list(runs.run_all(read, POLICIES if everyone else policies, earlier, jobs))
+        sys.exit(INVALID_INPUT_STATUS)
+    for required_path in (earlier, out and (os.path.dirname(out) or ".")):
+        if required_path and not os.path.exists(required_path):
+            click.echo(f"{required_path}: no such file or directory", err=True)
+            sys.exit(INVALID_INPUT_STATUS)
+    summaries = list(runs.run_all(variants, POLICIES if everyone else policies, earlier, jobs))
     if out:
         _write(out, summaries)
     click.echo("\n".join(runs.table(map(runs.row, summaries))))
     if any(summary["broken"] for summary in summaries):
-        sys.exit(RULE_BROKEN)
+        sys.exit(RULE_VIOLATION_STATUS)
 
 
 def _write(path, summaries):
--- a/pierglade/simulation/clients.py
+++ b/pierglade/simulation/clients.py
@@ -1,4 +1,7 @@
-"""Clients in virtual time: a closed population that asks again at once, and open arrivals."""
+"""Clients in virtual time: a closed population or open arrivals.
+
+A client of a closed population sends its next request after each answer.
+"""
 
 import random
 
@@ -8,11 +11,11 @@
 from pierglade.simulation.clock import MS, SECOND
 
 START_SPREAD = 100 * MS
-"""A closed population starts its requests over this span."""
+"""Ticks (100 ms) over which a closed population spreads its first requests."""
 
 
 class SimulatedRequest:
-    """What a client wants, with all its tries; moments are in ticks."""
+    """A request of a client across all its tries; times are in ticks."""
 
     __slots__ = (
         "attempts",
@@ -39,29 +42,32 @@
         self.requested_at = now
         self.objective_at = now + request_class.latency_objective
         self.deadline = now + request_class.request_timeout
-        self.has_answer = False  # the present try has one
-        self.policy_context = None  # the policy's own
+        self.has_answer = False  # whether the current try has its final answer
+        self.policy_context = None  # opaque to the client; owned by the policy
         self.attempts = self.tries = self.executions = self.try_number = 0
         self.policy = None
 
-    def answered(self, answer) -> None:
-        """The final answer of the present try: Outcome.SUCCESS, RejectRequest or FailRequest."""
+    def complete(self, answer) -> None:
+        """Records the final answer of the current try.
+
+        `answer` is Outcome.SUCCESS, RejectRequest or FailRequest.
+        """
         if self.has_answer:
-            self.clients.simulation.rule_broken(1, "two answers")
+            self.clients.simulation.record_violation(1, "two answers")
             return
         if self.clients.clock.now > self.deadline:
-            self.clients.simulation.rule_broken(1, "an answer after the hard limit")
+            self.clients.simulation.record_violation(1, "an answer after the hard limit")
         self.has_answer = True
-        self.clients.answered(self, answer)
+        self.clients.request_completed(self, answer)
 
 
 class ClientPopulation:
-    """All clients of a run: sends their requests to the nodes and retries as the plan says."""
+    """All clients of a run: sends their requests to the nodes and retries them as planned."""
 
     def __init__(self, simulation):
         self.simulation, self.clock = simulation, simulation.clock
         self.load = simulation.plan.load
-        # Plain random for the gaps: their rate changes, so blocks drawn ahead would be stale.
+        # Interarrival times are drawn one by one: the rate changes, which would make a block stale.
         self._random = random.Random(simulation.plan.seed)
         self._rate = self.load.rate
         self._population = 0
@@ -71,34 +77,34 @@
         if self.load.kept:
             self._add(self.load.kept)
         else:
-            self.clock.after(self._gap(), self._arrive)
+            self.clock.after(self._interarrival_time(), self._arrive)
 
     def scale(self, factor: float) -> None:
-        """Changes the load to `factor` times that of the plan."""
+        """Scales the load to `factor` times that of the plan."""
         if not self.load.kept:
             self._rate = self.load.rate * factor
             return
-        extra = round(self.load.kept * factor) - self._population
-        if extra > 0:
-            self._add(extra)
+        added = round(self.load.kept * factor) - self._population
+        if added > 0:
+            self._add(added)
         else:
-            self._population += extra  # as many leave when they have their answers
+            self._population += added  # the surplus clients leave after their answers
 
-    def answered(self, request: SimulatedRequest, answer) -> None:
-        """Counts the final answer of a try, and lets its client go on."""
+    def request_completed(self, request: SimulatedRequest, answer) -> None:
+        """Counts the final answer of a try and schedules what its client does next."""
         if answer == Outcome.SUCCESS:
-            self.simulation.metrics.succeeded(request)
+            self.simulation.metrics.record_success(request)
         else:
-            self.simulation.metrics.unserved(answer)
-        # After the policy has done with this event, or its decisions would be pulled recursively.
-        self.clock.after(0, self._continue, request, answer)
+            self.simulation.metrics.record_failure(answer)
+        # Deferred until the policy has handled this event, to avoid pulling decisions recursively.
+        self.clock.after(0, self._schedule_follow_up, request, answer)
 
     def _add(self, count):
         self._population += count
         for _ in range(count):
             self.clock.after(self._random.random() * START_SPREAD, self._send_new)
 
-    def _gap(self):
+    def _interarrival_time(self):
         load, rate = self.load, self._rate
         if load.burst_ms and self.clock.now % (load.burst_every_s * SECOND) < load.burst_ms * MS:
             rate *= load.burst_times
@@ -108,35 +114,35 @@
 
     def _arrive(self):
         self._send_new()
-        self.clock.after(self._gap(), self._arrive)
+        self.clock.after(self._interarrival_time(), self._arrive)
 
     def _send_new(self):
         request = self.simulation.draw_request(self)
-        self.simulation.metrics.requested()
-        self._try(request)
+        self.simulation.metrics.record_request()
+        self._send_try(request)
 
-    def _try(self, request):
+    def _send_try(self, request):
         request.has_answer, request.attempts = False, 0
         request.try_number += 1
         request.tries += 1
-        # A plain front spreads clients over the nodes evenly, in another order each time.
+        # Each try goes to a random node, as through a front end that spreads clients evenly.
         policies = self.simulation.policies
         request.policy = policies[self._random.randrange(len(policies))]
         timeout = self.load.try_timeout_share * request.request_class.request_timeout
-        gives_up_at = self.clock.now + timeout
-        if gives_up_at < request.deadline:
-            self.clock.at(gives_up_at, self._abandon, request, request.try_number)
+        abandon_at = self.clock.now + timeout
+        if abandon_at < request.deadline:
+            self.clock.at(abandon_at, self._abandon, request, request.try_number)
         request.policy.request_received(request)
 
     def _abandon(self, request, try_number):
         if request.has_answer or request.try_number != try_number:
             return
         request.has_answer = True
-        self.simulation.metrics.abandoned()
+        self.simulation.metrics.record_abandonment()
         request.policy.client_disconnected(request)
-        self._continue(request, FailRequest)
+        self._schedule_follow_up(request, FailRequest)
 
-    def _continue(self, request, answer):
+    def _schedule_follow_up(self, request, answer):
         metrics = self.simulation.metrics
         if self.load.kept:
             if metrics.in_system > self._population:
@@ -144,10 +150,10 @@
                 return
             self.clock.after(self.load.next_request_ms * MS, self._send_next)
             return
-        wait = self.load.retry_ms * MS * 2 ** (request.tries - 1)
+        retry_delay = self.load.retry_ms * MS * 2 ** (request.tries - 1)
         may_retry = answer != Outcome.SUCCESS and request.tries <= self.load.retries
-        if may_retry and self.clock.now + wait < request.deadline:
-            self.clock.after(wait, self._try, request)
+        if may_retry and self.clock.now + retry_delay < request.deadline:
+            self.clock.after(retry_delay, self._send_try, request)
 
     def _send_next(self):
         self.simulation.metrics.in_system -= 1
--- a/pierglade/simulation/clock.py
+++ b/pierglade/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls in the order of their moments."""
+"""Virtual clock: runs scheduled calls in the order of their times."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -10,26 +10,26 @@
 
 
 class Clock:
-    """Runs calls at moments in ticks, with fractions; equal moments keep their order."""
+    """Runs calls at times in fractional ticks; calls at equal times keep their order."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._calls: list[tuple] = []
-        self._count = 0
+        self._scheduled: list[tuple] = []
+        self._sequence = 0
 
-    def at(self, moment: float, call: Callable, *arguments) -> None:
-        """Calls `call(*arguments)` at `moment`, or as soon as possible if that is past."""
-        self._count += 1
-        heappush(self._calls, (max(moment, self.now), self._count, call, arguments))
+    def at(self, time: float, callback: Callable, *arguments) -> None:
+        """Schedules `callback(*arguments)` for `time`, or for now if that has passed."""
+        self._sequence += 1
+        heappush(self._scheduled, (max(time, self.now), self._sequence, callback, arguments))
 
-    def after(self, span: float, call: Callable, *arguments) -> None:
-        """Calls `call(*arguments)` when `span` has passed."""
-        self.at(self.now + span, call, *arguments)
+    def after(self, delay: float, callback: Callable, *arguments) -> None:
+        """Schedules `callback(*arguments)` for when `delay` has passed."""
+        self.at(self.now + delay, callback, *arguments)
 
     def run(self, until: float) -> None:
-        """Makes all calls up to the moment `until`."""
-        calls = self._calls
-        while calls and calls[0][0] <= until:
-            self.now, _, call, arguments = heappop(calls)
-            call(*arguments)
+        """Runs all calls that are due up to `until`."""
+        scheduled = self._scheduled
+        while scheduled and scheduled[0][0] <= until:
+            self.now, _, callback, arguments = heappop(scheduled)
+            callback(*arguments)
         self.now = until
--- a/pierglade/simulation/distributions.py
+++ b/pierglade/simulation/distributions.py
@@ -1,20 +1,21 @@
-"""Random draws of work and of request classes, in blocks from one seeded generator."""
+"""Random samples of work and of request classes, drawn in blocks from a seeded generator."""
 
 from collections.abc import Iterator
 from math import log, sqrt
 
 import numpy as np
 
-BLOCK = 4096
-"""Draws at once; a call into the generator costs as much as some hundreds of them."""
+BLOCK_SIZE = 4096
+"""Samples drawn per call of the generator, whose overhead equals some hundreds of samples."""
 MIN_PARETO_SHAPE = 2.05
-"""Below 2 there is no variance, and the mean of a run would be luck."""
+"""The variance is infinite up to a shape of 2, which would make the mean of a run arbitrary."""
 
 
 class WorkDistribution:
-    """Draws with a mean of `mean` (any unit) and a coefficient of variation of `cv`.
+    """Samples with mean `mean` (in any unit) and coefficient of variation `cv`.
 
-    `shape` is "fixed", "exp", "lognormal" or "pareto" (Lomax, its parameter from `cv`, over 1).
+    `shape` is "fixed", "exp", "lognormal" or "pareto" (Lomax, with its shape parameter derived from
+    a `cv` over 1).
     """
 
     def __init__(self, generator: np.random.Generator, shape: str, mean: float, cv: float = 1.0):
@@ -35,10 +36,10 @@
         self._block: Iterator[float] = iter(())
 
     def next(self) -> float:
-        """The next draw."""
+        """Returns the next sample."""
         value = next(self._block, None)
         if value is None:
-            self._block = iter(self._draw(BLOCK).tolist())
+            self._block = iter(self._draw(BLOCK_SIZE).tolist())
             value = next(self._block)
         return value
 
@@ -58,7 +59,7 @@
 
 
 class WeightedChoice:
-    """Draws indices by weights."""
+    """Random indices with given weights."""
 
     def __init__(self, generator: np.random.Generator, weights: list[float]):
         self._generator = generator
@@ -66,10 +67,10 @@
         self._block: Iterator[int] = iter(())
 
     def next(self) -> int:
-        """The next index."""
+        """Returns the next index."""
         value = next(self._block, None)
         if value is None:
-            drawn = self._generator.choice(len(self._weights), BLOCK, p=self._weights)
+            drawn = self._generator.choice(len(self._weights), BLOCK_SIZE, p=self._weights)
             self._block = iter(drawn.tolist())
             value = next(self._block)
         return value
--- a/pierglade/simulation/policies.py
+++ b/pierglade/simulation/policies.py
@@ -1,8 +1,8 @@
-"""What stands between clients and backends in a run: real balancers, baselines, and an oracle.
+"""Load-balancing policies between clients and backends: real balancers, baselines and an oracle.
 
-Each policy takes `request_received`, `attempt_ended` and the like, calls the simulation's `send`,
-`cancel` and `check_health`, and gives each request its answer. Baselines rotate, queue what exceeds
-their limit in order of arrival, and reject it when its latency objective has passed.
+A policy handles events such as `request_received` and `attempt_ended`, calls the simulation's
+`send`, `cancel` and `check_health`, and answers each request. Baselines queue requests over their
+limit in order of arrival and reject them once their latency objective has passed.
 """
 
 import random
@@ -22,11 +22,11 @@
 from pierglade.simulation.clock import MS
 
 HEALTH_CHECK_LATENCY = 5
-"""Ticks; of no consequence for the decisions."""
+"""Ticks. Has no effect on the decisions."""
 
 
 class BalancerPolicy:
-    """Hosts one real balancer as a node does: inputs first, then decisions until there is none."""
+    """Drives one real balancer as a node does: passes an input, then executes all decisions."""
 
     def __init__(self, simulation, number: int, make_balancer):
         self._simulation, self._clock = simulation, simulation.clock
@@ -39,53 +39,53 @@
         return int(self._clock.now)
 
     def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
-        """The endpoint list, or what has changed of it."""
+        """Handles a full endpoint list, or the changed entries of one."""
         self._balancer.endpoints_updated(self._now(), endpoints, is_whole)
-        self._pull()
+        self._execute_decisions()
 
     def request_received(self, request) -> None:
-        """A client has sent a request."""
+        """Handles a request of a client."""
         now = self._now()
         tenants = self._settings.tenants
-        received = Request(
+        balancer_request = Request(
             host_context=request,
             request_class=self._settings.request_classes[request.class_index],
             tenant=tenants[0] if tenants else None,
             arrived_at=now,
             deadline=now + int(request.deadline - self._clock.now),
         )
-        request.policy_context = received
-        self._balancer.request_received(now, received)
-        self._pull()
+        request.policy_context = balancer_request
+        self._balancer.request_received(now, balancer_request)
+        self._execute_decisions()
 
     def client_disconnected(self, request) -> None:
-        """The client has left without an answer."""
+        """Handles a client that disconnected before the answer."""
         self._balancer.client_disconnected(self._now(), request.policy_context)
-        self._pull()
+        self._execute_decisions()
 
     def attempt_ended(self, attempt, outcome: Outcome) -> None:
-        """An attempt has ended."""
+        """Handles the end of an attempt."""
         now = self._now()
         is_success = outcome == Outcome.SUCCESS
         if is_success and not attempt.request.completed:
-            attempt.request.host_context.answered(Outcome.SUCCESS)
+            attempt.request.host_context.complete(Outcome.SUCCESS)
         latency = max(1, now - attempt.sent_at)
         self._balancer.attempt_ended(now, attempt, outcome, latency, is_success)
-        self._pull()
+        self._execute_decisions()
 
     def health_checked(self, name: str, is_healthy: bool) -> None:
-        """The result of a health check."""
+        """Handles the result of a health check."""
         self._balancer.health_checked(self._now(), name, is_healthy, HEALTH_CHECK_LATENCY)
-        self._pull()
+        self._execute_decisions()
 
     def limit(self) -> float:
-        """The concurrency limit, for the samples of a run."""
+        """Returns the concurrency limit, for the samples of a run."""
         return self._balancer.limit.current_limit()
 
-    def _pull(self):
+    def _execute_decisions(self):
         balancer, now = self._balancer, self._now()
         while (decision := balancer.next_decision(now)) is not None:
-            self._carry_out(decision)
+            self._execute(decision)
         wakeup = balancer.next_wakeup(now)
         if wakeup is None:
             return
@@ -93,7 +93,7 @@
             self._timer = wakeup
             self._clock.at(wakeup, self._timer_fired, wakeup)
 
-    def _carry_out(self, decision):
+    def _execute(self, decision):
         match decision:
             case SendAttempt(attempt):
                 name = self._balancer.endpoint_name(attempt.backend)
@@ -104,12 +104,12 @@
             case CheckHealth(backend):
                 self._simulation.check_health(self, self._balancer.endpoint_name(backend))
             case RejectRequest(request) | FailRequest(request):
-                request.host_context.answered(type(decision))
+                request.host_context.complete(type(decision))
 
-    def _timer_fired(self, moment):
-        if self._timer == moment:
+    def _timer_fired(self, wakeup):
+        if self._timer == wakeup:
             self._timer = None
-            self._pull()
+            self._execute_decisions()
 
 
 class BaselineAttempt:
@@ -123,10 +123,10 @@
 
 
 class BaselinePolicy:
-    """A baseline that knows its own attempts.
+    """A baseline that uses only the counts of its own attempts.
 
-    `selection`: "turns" (round robin), "least" (least in flight) or "random"; `limit_per_backend`:
-    attempts a backend over all nodes, or None for no limit.
+    `selection` is "turns" (round robin), "least" (fewest in flight) or "random".
+    `limit_per_backend` bounds the attempts per backend over all nodes; None sets no limit.
     """
 
     def __init__(self, simulation, number: int, selection="turns", limit_per_backend=None):
@@ -145,49 +145,49 @@
         self._node_count = simulation.plan.nodes.count
 
     def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
-        """The endpoint list, or what has changed of it."""
+        """Handles a full endpoint list, or the changed entries of one."""
         removed = {each.name for each in endpoints if each.state != EndpointState.READY}
         self._names = [name for name in self._names if name not in removed]
         for endpoint in endpoints:
             if endpoint.state == EndpointState.READY and endpoint.name not in self._names:
                 self._names.append(endpoint.name)
                 self._in_flight.setdefault(endpoint.name, 0)
-        self._pull()
+        self._dispatch_queue()
 
     def limit(self) -> float:
-        """How many attempts may be in flight."""
+        """Returns the maximum number of attempts in flight."""
         if self._limit_per_backend is None:
             return float("inf")
         return max(1, round(self._limit_per_backend * len(self._names) / self._node_count))
 
     def request_received(self, request) -> None:
-        """A client has sent a request."""
+        """Handles a request of a client."""
         request.policy_context = self
         request.attempts = 0
         self._queue.append(request)
         self._clock.at(request.objective_at, self._expire, request, request.try_number)
-        self._pull()
+        self._dispatch_queue()
 
     def client_disconnected(self, request) -> None:
-        """The client has left without an answer."""
+        """Handles a client that disconnected before the answer."""
         if request in self._queue:
             self._queue.remove(request)
 
     def attempt_ended(self, attempt: BaselineAttempt, outcome: Outcome) -> None:
-        """An attempt has ended."""
+        """Handles the end of an attempt."""
         self._in_flight[attempt.backend] -= 1
         self._total_in_flight -= 1
         attempt.outcome = outcome
         if not attempt.request.has_answer:
             self._answer_or_retry(attempt.request, outcome)
-        self._pull()
+        self._dispatch_queue()
 
     def health_checked(self, name: str, is_healthy: bool) -> None:
-        """A baseline makes no health checks."""
+        """Does nothing: baselines make no health checks."""
 
     def _answer_or_retry(self, request, outcome):
         if outcome == Outcome.SUCCESS:
-            request.answered(Outcome.SUCCESS)
+            request.complete(Outcome.SUCCESS)
             return
         is_safe = request.request_class.idempotency == Idempotency.SAFE
         may_retry = outcome.is_unexecuted or is_safe
@@ -195,15 +195,15 @@
         if may_retry and has_attempts and request.objective_at > self._clock.now:
             self._queue.appendleft(request)
         else:
-            request.answered(RejectRequest if may_retry else FailRequest)
+            request.complete(RejectRequest if may_retry else FailRequest)
 
     def _expire(self, request, try_number):
         is_waiting = request.try_number == try_number and not request.has_answer
         if is_waiting and request in self._queue:
             self._queue.remove(request)
-            request.answered(RejectRequest)
+            request.complete(RejectRequest)
 
-    def _pull(self):
+    def _dispatch_queue(self):
         queue = self._queue
         while queue and self._names and self._total_in_flight < self.limit():
             request = queue.popleft()
@@ -231,62 +231,62 @@
 
 
 class OraclePolicy:
-    """The upper bound: one queue for all nodes, and the true state of every backend.
+    """Upper bound: one queue for all nodes and the true state of every backend.
 
-    No real balancer can know it.
+    No real balancer has this information.
     """
 
     def __init__(self, simulation):
         self._simulation, self._clock = simulation, simulation.clock
         self._in_flight: dict[str, int] = {}
-        # A heap of (work, count, try, request): the shortest first answers most.
+        # Heap of (work, sequence, try, request): shortest job first maximizes the answers.
         self._queue: list[tuple] = []
-        self._count = 0
+        self._sequence = 0
         plan = simulation.plan
-        self._round_trip = 2 * plan.fleet.delay_ms * MS
+        self._network_delay = 2 * plan.fleet.delay_ms * MS
         self._least_work = min(each.work_ms for each in plan.request_class) * MS
 
     def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
-        """The oracle needs no list."""
+        """Does nothing: the oracle reads the backends of the simulation."""
 
     def limit(self) -> float:
-        """How many attempts may be in flight."""
+        """Returns the maximum number of attempts in flight."""
         return sum(self._capacity(each) for each in self._simulation.backends.values())
 
     def _capacity(self, backend):
-        # Those on their way there and back hold no core: so many more may be in flight.
-        travelling = self._round_trip * backend.kind.speed / self._least_work
-        return backend.capacity() * (1 + travelling)
+        # Attempts on the network occupy no core, so that many more may be in flight.
+        in_transit = self._network_delay * backend.kind.speed / self._least_work
+        return backend.capacity() * (1 + in_transit)
 
     def request_received(self, request) -> None:
-        """A client has sent a request."""
-        self._count += 1
-        heappush(self._queue, (request.work, self._count, request.try_number, request))
-        request.policy_context = True  # it is queued
+        """Handles a request of a client."""
+        self._sequence += 1
+        heappush(self._queue, (request.work, self._sequence, request.try_number, request))
+        request.policy_context = True  # whether it is queued
         self._clock.at(request.objective_at, self._expire, request, request.try_number)
-        self._pull()
+        self._dispatch_queue()
 
     def client_disconnected(self, request) -> None:
-        """A request whose client has left is skipped when its turn comes."""
+        """Does nothing: `_dispatch_queue` skips requests that need no answer."""
 
     def attempt_ended(self, attempt: BaselineAttempt, outcome: Outcome) -> None:
-        """An attempt has ended."""
+        """Handles the end of an attempt."""
         self._in_flight[attempt.backend] -= 1
         attempt.outcome = outcome
         if not attempt.request.has_answer:
             is_success = outcome == Outcome.SUCCESS
-            attempt.request.answered(Outcome.SUCCESS if is_success else RejectRequest)
-        self._pull()
+            attempt.request.complete(Outcome.SUCCESS if is_success else RejectRequest)
+        self._dispatch_queue()
 
     def health_checked(self, name: str, is_healthy: bool) -> None:
-        """The oracle makes no health checks."""
+        """Does nothing: the oracle makes no health checks."""
 
     def _expire(self, request, try_number):
         is_waiting = request.try_number == try_number and not request.has_answer
         if is_waiting and request.policy_context:
-            request.answered(RejectRequest)
+            request.complete(RejectRequest)
 
-    def _pull(self):
+    def _dispatch_queue(self):
         queue = self._queue
         while queue:
             _, _, try_number, request = queue[0]
@@ -295,7 +295,7 @@
                 continue
             if request.objective_at <= self._clock.now + request.work / 2:
                 heappop(queue)
-                request.answered(RejectRequest)
+                request.complete(RejectRequest)
                 continue
             backend = self._best_free_backend()
             if backend is None:
--- a/pierglade/simulation/runs.py
+++ b/pierglade/simulation/runs.py
@@ -1,4 +1,4 @@
-"""Runs of one plan file under several policies, side by side, and their table."""
+"""Runs the variants of a plan under several policies and formats the results as a table."""
 
 from collections.abc import Iterable, Iterator
 from concurrent.futures import ProcessPoolExecutor
@@ -23,25 +23,25 @@
     ("falls", "falls"),
     ("most_beyond", "beyond"),
 )
-"""(key of a summary or of its rates, title of the column)."""
-HEAD = ["varied", "policy", *(title for _, title in COLUMNS), "p99 each", "broken"]
-LEFT_ALIGNED = 2
-"""Columns; the others are figures and end at the right."""
+"""Columns: (key in a summary or in its rates, title)."""
+HEADER = ["varied", "policy", *(title for _, title in COLUMNS), "p99 each", "broken"]
+LEFT_ALIGNED_COLUMNS = 2
+"""Number of text columns at the left; the others are numbers, aligned right."""
 
 
 class Run(NamedTuple):
-    """One run to make."""
+    """Arguments of one run."""
 
     varied: dict
-    """Place in the plan to value, as the plan file varies it."""
+    """The keys that the plan file varies, with their values in this run."""
     plan: Plan
     policy: str
     balancer_path: str | None = None
-    """Another text of the decisions, hosted in place of the package's."""
+    """Python file whose Balancer replaces the one of the package."""
 
 
 def run(job: Run) -> dict:
-    """Makes one run; returns its summary with the policy and what was varied."""
+    """Executes one run; returns its summary with the policy and the varied values."""
     if job.balancer_path:
         summary = run_plan(job.plan, job.policy, load_balancer(job.balancer_path))
     else:
@@ -56,7 +56,7 @@
     balancer_path: str | None = None,
     processes: int = 1,
 ) -> Iterator[dict]:
-    """Summaries in order: of each plan first `balancer_path`, then the policies."""
+    """Yields the summaries in order: for each plan `balancer_path` first, then the policies."""
     jobs = []
     for varied, plan in plans:
         if balancer_path:
@@ -70,33 +70,35 @@
 
 
 def row(summary: dict) -> list[str]:
-    """The cells of one run: what was varied, the policy, COLUMNS, request classes, rules broken."""
+    """Returns the cells of a run: variation, policy, COLUMNS, request classes, rule violations."""
     varied = " ".join(
-        f"{place.split('.')[-1]}={value}" for place, value in summary["varied"].items()
+        f"{key_path.split('.')[-1]}={value}" for key_path, value in summary["varied"].items()
     )
     figures = {**summary, **summary["per_s"]}
     classes = summary["offerings"]
-    each = " ".join(f"{name} {figures.get('p99_ms', '-')}" for name, figures in classes.items())
+    class_p99s = " ".join(
+        f"{name} {figures.get('p99_ms', '-')}" for name, figures in classes.items()
+    )
     broken = "; ".join(f"rule {problem}: {count}" for problem, count in summary["broken"].items())
     return [
         varied,
         summary["policy"],
         *("-" if figures[key] is None else f"{figures[key]:g}" for key, _ in COLUMNS),
-        each if len(classes) > 1 else "",
+        class_p99s if len(classes) > 1 else "",
         broken,
     ]
 
 
 def table(rows: Iterable[list[str]]) -> list[str]:
-    """Lines of a plain table, columns aligned."""
-    rows = [HEAD, *rows]
-    widths = [max(len(cells[column]) for cells in rows) for column in range(len(HEAD))]
+    """Returns the lines of a plain-text table with aligned columns."""
+    rows = [HEADER, *rows]
+    widths = [max(len(cells[column]) for cells in rows) for column in range(len(HEADER))]
     return [_line(cells, widths) for cells in rows]
 
 
 def _line(cells, widths):
     padded = [
-        cell.ljust(width) if column < LEFT_ALIGNED else cell.rjust(width)
+        cell.ljust(width) if column < LEFT_ALIGNED_COLUMNS else cell.rjust(width)
         for column, (cell, width) in enumerate(zip(cells, widths, strict=True))
     ]
     return "  ".join(padded).rstrip()
--- a/pierglade/simulation/simulation.py
+++ b/pierglade/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""A run: one plan, one policy, from the first arrival to the last."""
+"""A simulation run: one plan under one policy."""
 
 import importlib.util
 
@@ -13,12 +13,12 @@
 from pierglade.simulation.clients import ClientPopulation, SimulatedRequest
 from pierglade.simulation.clock import MS, SECOND, Clock
 from pierglade.simulation.distributions import WeightedChoice, WorkDistribution
-from pierglade.simulation.metrics import BIN, Metrics
+from pierglade.simulation.metrics import BIN_TICKS, Metrics
 from pierglade.simulation.policies import BalancerPolicy, BaselinePolicy, OraclePolicy
 from pierglade.tenants.registry import TenantRegistry
 
 FIXED_LIMITS = (2, 4, 16)
-"""Attempts a backend of the baselines with a fixed limit."""
+"""Attempts per backend, of the baselines with a fixed limit."""
 BASELINES = {
     **{f"fixed-{limit}": ("turns", limit) for limit in FIXED_LIMITS},
     "none": ("turns", None),
@@ -26,19 +26,19 @@
     "random": ("random", None),
 }
 POLICIES = ("node", *BASELINES, "seer")
-"""Names by which the command and plans call the policies; "seer" is the oracle."""
+"""Names of the policies on the command line; "seer" is the oracle."""
 IDEMPOTENCY = {
     "harmless": Idempotency.SAFE,
     "stamped": Idempotency.KEYED,
     "one-shot": Idempotency.UNSAFE,
 }
-"""What a plan calls the idempotency of a request class."""
+"""Idempotency of a request class, by its name in plans."""
 SEED_FACTOR = 1009
-"""Keeps the seeds of the nodes of neighbouring plans apart."""
+"""Separates the node seeds of plans with consecutive seeds."""
 
 
 def load_balancer(path: str):
-    """The Balancer of another text of the decisions, which must fit the present model."""
+    """Loads the Balancer class of another Python file, which must fit the current model."""
     spec = importlib.util.spec_from_file_location("other_balancer", path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -50,15 +50,15 @@
 
     def __init__(self, plan, policy: str = "node", make_balancer=Balancer):
         if policy not in POLICIES:
-            raise ValueError(f"no such policy: {policy}")
+            raise ValueError(f"unknown policy {policy!r}; expected one of {', '.join(POLICIES)}")
         self.plan, self.clock = plan, Clock()
         self.metrics = Metrics(plan, self.clock)
-        self.rules_broken: dict[str, int] = {}
-        # A random stream for the order of request classes and one for the work of each: the same
-        # whatever the policy does.
+        self.rule_violations: dict[str, int] = {}
+        # One random stream for the sequence of request classes and one for the work of each class,
+        # so that the load does not depend on the policy.
         streams = np.random.SeedSequence(plan.seed).spawn(2 + len(plan.request_class))
         shares = [each.share for each in plan.request_class]
-        self._class_choice = WeightedChoice(np.random.default_rng(streams[0]), shares)
+        self._class_selector = WeightedChoice(np.random.default_rng(streams[0]), shares)
         self._work = [
             WorkDistribution(np.random.default_rng(stream), each.spread, each.work_ms * MS, each.cv)
             for stream, each in zip(streams[2:], plan.request_class, strict=True)
@@ -76,8 +76,8 @@
         for each in self.policies:
             each.endpoints_updated(endpoints, True)
         for change in plan.change:
-            self.clock.at(change.at_s * SECOND, self._change, change)
-        self.clock.after(BIN, self._sample)
+            self.clock.at(change.at_s * SECOND, self._apply_change, change)
+        self.clock.after(BIN_TICKS, self._sample)
 
     def _make_policies(self, policy, make_balancer):
         numbers = range(self.plan.nodes.count)
@@ -88,11 +88,11 @@
         return [BaselinePolicy(self, number, *BASELINES[policy]) for number in numbers]
 
     def policy_seed(self, number: int) -> int:
-        """The seed of the policy of that node."""
+        """Returns the seed of the policy of a node."""
         return self.plan.seed * SEED_FACTOR + number
 
     def settings(self, number: int) -> BalancerSettings:
-        """Fresh settings for the node of that number."""
+        """Returns new settings for a node."""
         plan = self.plan
         kinds = plan.fleet.kind
         quotas = {"all": plan.nodes.members_per_s} if plan.nodes.members_per_s else {}
@@ -124,33 +124,33 @@
         )
 
     def run(self) -> dict:
-        """Plays the plan; returns the summary as plain data."""
+        """Runs the plan; returns the summary as plain data."""
         self.clients.start()
         self.clock.run(self.plan.seconds * SECOND)
         backends = list(self.backends.values())
-        return self.metrics.summary(self.plan.achievable_rate(), backends, self.rules_broken)
+        return self.metrics.summary(self.plan.achievable_rate(), backends, self.rule_violations)
 
     def draw_request(self, clients: ClientPopulation) -> SimulatedRequest:
-        """A new request of a random class, with random work."""
-        index = self._class_choice.next()
+        """Returns a new request of a random class, with random work."""
+        index = self._class_selector.next()
         io_wait = self.plan.request_class[index].wait_ms * MS
         work = self._work[index].next()
         return SimulatedRequest(
             clients, self._request_classes[index], work, io_wait, self.clock.now
         )
 
-    def rule_broken(self, rule: int, problem: str) -> None:
-        """Counts a breach of one of the four rules."""
+    def record_violation(self, rule: int, problem: str) -> None:
+        """Counts a violation of one of the four rules."""
         key = f"{rule}: {problem}"
-        self.rules_broken[key] = self.rules_broken.get(key, 0) + 1
+        self.rule_violations[key] = self.rule_violations.get(key, 0) + 1
 
     # Attempts.
 
     def send(self, policy, attempt, request: SimulatedRequest, name: str, timeout_at) -> None:
-        """An attempt leaves; `policy.attempt_ended` is called once, by `timeout_at`."""
+        """Sends an attempt; `policy.attempt_ended` is called once, no later than `timeout_at`."""
         self.metrics.attempts += 1
         if request.has_answer:
-            self.rule_broken(1, "sent after its answer")
+            self.record_violation(1, "sent after its answer")
         backend = self.backends[name]
         delay = self.plan.fleet.delay_ms * MS
 
@@ -159,48 +159,48 @@
                 request.executions += 1
                 is_unsafe = request.request_class.idempotency == Idempotency.UNSAFE
                 if request.executions > 1 and is_unsafe:
-                    self.rule_broken(2, "a one-shot ran twice")
-            self.clock.after(delay, self._end, policy, attempt, outcome)
+                    self.record_violation(2, "a one-shot ran twice")
+            self.clock.after(delay, self._end_attempt, policy, attempt, outcome)
 
         job = Job(request.work, request.io_wait, _job_ended)
         self._jobs[attempt] = (job, backend)
-        self.clock.after(delay, self._arrive, attempt, job, backend)
-        self.clock.at(timeout_at, self._end, policy, attempt, Outcome.TIMEOUT)
+        self.clock.after(delay, self._deliver, attempt, job, backend)
+        self.clock.at(timeout_at, self._end_attempt, policy, attempt, Outcome.TIMEOUT)
 
     def cancel(self, policy, attempt) -> None:
-        """The policy waits no longer for an attempt."""
-        self.clock.after(0, self._end, policy, attempt, Outcome.CANCELLED)
+        """Cancels an attempt for its policy."""
+        self.clock.after(0, self._end_attempt, policy, attempt, Outcome.CANCELLED)
 
     def check_health(self, policy, name: str) -> None:
-        """Sends a health check to a backend; the policy gets the result a round trip later."""
+        """Checks the health of a backend; the policy receives the result a round trip later."""
         is_healthy = self.backends[name].is_responsive()
-        round_trip = 2 * self.plan.fleet.delay_ms * MS + MS
-        self.clock.after(round_trip, policy.health_checked, name, is_healthy)
+        response_delay = 2 * self.plan.fleet.delay_ms * MS + MS
+        self.clock.after(response_delay, policy.health_checked, name, is_healthy)
 
-    def _arrive(self, attempt, job, backend):
+    def _deliver(self, attempt, job, backend):
         if attempt in self._jobs:
             backend.offer(job)
 
-    def _end(self, policy, attempt, outcome):
-        pair = self._jobs.pop(attempt, None)
-        if pair is None:
+    def _end_attempt(self, policy, attempt, outcome):
+        entry = self._jobs.pop(attempt, None)
+        if entry is None:
             return
-        job, backend = pair
+        job, backend = entry
         if outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             self.clock.after(self.plan.fleet.delay_ms * MS, backend.drop, job)
         policy.attempt_ended(attempt, outcome)
 
-    # Changes of the plan, and samples.
+    # Changes of the plan and samples.
 
     def _endpoint(self, backend, state=EndpointState.READY):
         started_at = int(backend.started_at) if backend.started_at is not None else 0
         return Endpoint(backend.name, state, "z", 0, started_at, backend.kind.weight)
 
-    def _notify(self, endpoints):
+    def _notify_policies(self, endpoints):
         for policy in self.policies:
             policy.endpoints_updated(endpoints, False)
 
-    def _change(self, change):
+    def _apply_change(self, change):
         if change.what == "load":
             self.clients.scale(change.times)
             return
@@ -216,24 +216,24 @@
             else:
                 backend.apply(change)
         if endpoints and change.listed:
-            self.clock.after(self.plan.fleet.notice_s * SECOND, self._notify, endpoints)
+            self.clock.after(self.plan.fleet.notice_s * SECOND, self._notify_policies, endpoints)
 
     def _sample(self):
         backends = self.backends.values()
         capacity = sum(each.capacity() for each in backends)
-        inside = sum(each.in_flight() for each in backends)
+        jobs_in_flight = sum(each.in_flight() for each in backends)
         self.metrics.sample(
             in_flight=len(self._jobs),
             limit=sum(policy.limit() for policy in self.policies),
             overloaded=sum(each.overloaded_since is not None for each in backends),
-            relative_load=inside / capacity if capacity else 0.0,
+            relative_load=jobs_in_flight / capacity if capacity else 0.0,
         )
-        self.clock.after(BIN, self._sample)
+        self.clock.after(BIN_TICKS, self._sample)
 
 
 def run_plan(plan, policy: str = "node", make_balancer=Balancer) -> dict:
-    """Plays `plan` under `policy`, one of POLICIES, and returns the summary.
+    """Runs `plan` under `policy`, one of POLICIES, and returns the summary.
 
-    `make_balancer`: another Balancer to host in the policy "node".
+    `make_balancer` is the Balancer class that the policy "node" uses.
     """
     return Simulation(plan, policy, make_balancer).run()
--- a/pierglade/simulator_adapter/__init__.py
+++ b/pierglade/simulator_adapter/__init__.py
@@ -1,4 +1,5 @@
-"""The simulated bench's wire: hosts many independent balancers in one process.
+"""Adapter for the simulator's message protocol: runs many independent balancers in one process.
 
-Decides nothing and uses nothing of `pierglade.proxy`. Start with `connection.SimulatorConnection`.
+Makes no decisions and uses nothing of `pierglade.proxy`. The entry point is
+`connection.SimulatorConnection`.
 """
--- a/pierglade/simulator_adapter/__main__.py
+++ b/pierglade/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pierglade.simulator_adapter`: balancers on standard input and output, to its end."""
+"""Serves the simulator on standard input and output: `python -m pierglade.simulator_adapter`."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Serves the wire until the input ends; returns the exit status."""
+    """Handles messages until the input ends; returns the exit status."""
     connection = SimulatorConnection(sys.stdout.buffer)
     try:
         for line in sys.stdin.buffer:
--- a/pierglade/simulator_adapter/connection.py
+++ b/pierglade/simulator_adapter/connection.py
@@ -1,4 +1,4 @@
-"""The connection to the simulator: messages in, calls on the balancers, messages out."""
+"""Connection to the simulator: decodes messages, calls the balancers and encodes decisions."""
 
 from typing import BinaryIO
 
@@ -19,13 +19,13 @@
 
 
 class SimulatorConnection:
-    """One line in at a time; what all instances decided goes out when the simulator asks for it."""
+    """Handles one line at a time; writes the decisions of all instances at each flush message."""
 
     def __init__(self, output: BinaryIO) -> None:
         self.output = output
         self.instances: dict[str, BalancerInstance] = {}
         self._endpoint_lists: dict[object, list[Endpoint]] = {}
-        self._touched: dict[str, BalancerInstance] = {}
+        self._instances_to_flush: dict[str, BalancerInstance] = {}
         self._now_us = self._now = 0
         self._handlers = {
             "Sync": self._on_clock,
@@ -44,27 +44,31 @@
         }
 
     def receive(self, line: bytes) -> None:
-        """Handles one message; raises WireFormatError if it is none."""
+        """Handles one message; raises WireFormatError if it is malformed."""
         try:
             ((name, fields),) = orjson.loads(line).items()
             handler = self._handlers[name]
         except (ValueError, AttributeError, KeyError):
-            raise WireFormatError("not a message of the wire", line) from None
+            raise WireFormatError(
+                "malformed message; expected an object with one known message name as its key", line
+            ) from None
         if not isinstance(fields, dict):
-            raise WireFormatError(f"{name} has no fields", line)
+            raise WireFormatError(
+                f"fields of {name} are of type {type(fields).__name__}; expected an object", line
+            )
         try:
             handler(fields)
         except (KeyError, TypeError, ValueError) as error:
             if name == FLUSH_MESSAGE:
                 raise
-            raise WireFormatError(f"{name} cannot be read ({error!r})", line) from error
+            raise WireFormatError(f"cannot process {name} ({error!r})", line) from error
 
     def _instance(self, fields: dict) -> BalancerInstance | None:
-        """The instance that a message is for; it is asked for decisions at the next flush."""
+        """Returns the addressed instance and marks it for the next flush; None if unknown."""
         name = fields["who"]
         instance = self.instances.get(name)
         if instance is not None:
-            self._touched[name] = instance
+            self._instances_to_flush[name] = instance
         return instance
 
     def _on_clock(self, fields: dict) -> None:
@@ -72,7 +76,9 @@
         self._now = self._now_us // US_PER_TICK
 
     def _on_endpoint_list(self, fields: dict) -> None:
-        self._endpoint_lists[fields["ref"]] = [decode_endpoint(e) for e in fields["entries"]]
+        self._endpoint_lists[fields["ref"]] = [
+            decode_endpoint(entry) for entry in fields["entries"]
+        ]
 
     def _on_start(self, fields: dict) -> None:
         name = fields["who"]
@@ -81,7 +87,7 @@
 
     def _on_kill(self, fields: dict) -> None:
         self.instances.pop(fields["who"], None)
-        self._touched.pop(fields["who"], None)
+        self._instances_to_flush.pop(fields["who"], None)
 
     def _on_discovery(self, fields: dict) -> None:
         instance = self._instance(fields)
@@ -139,17 +145,17 @@
             instance.timer_fired(fields["mark"])
 
     def _on_peer_message(self, fields: dict) -> None:
-        """A message of another instance, which no decision uses."""
+        """Ignores a message of another instance; no decision uses it."""
 
     def _on_flush(self, fields: dict) -> None:
-        """Writes what the instances that were told something have decided."""
+        """Writes the decisions of the instances addressed since the last flush."""
         messages = []
-        for name, instance in self._touched.items():
+        for name, instance in self._instances_to_flush.items():
             try:
                 messages.extend(instance.pull_messages(self._now, self._now_us))
             except Exception as error:
                 messages.append(encode_internal_error(name, error))
-        self._touched = {}
+        self._instances_to_flush = {}
         messages.append({"Done": {}})
         self.output.write(b"\n".join(map(orjson.dumps, messages)) + b"\n")
         self.output.flush()
--- a/pierglade/simulator_adapter/instance.py
+++ b/pierglade/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One balancer in the simulator, and the ids by which the wire knows its requests."""
+"""One balancer in the simulator, with the ids of its requests on the wire."""
 
 from collections.abc import Iterator
 
@@ -16,7 +16,7 @@
 
 
 class BalancerInstance:
-    """A balancer under the settings of the wire, with its pending requests and its timer."""
+    """A balancer configured by the simulator, with its pending requests and its timer."""
 
     def __init__(self, name: str, seed, document: dict, now: Ticks) -> None:
         self.name = name
@@ -27,7 +27,7 @@
         self._timer: Ticks | None = None
 
     def receive_request(self, fields: dict, now: Ticks, now_us: int) -> None:
-        """A request has come in."""
+        """Decodes a request and passes it to the balancer."""
         request = Request(
             host_context=fields["call"],
             request_class=self._request_classes[fields["grade"]],
@@ -40,35 +40,35 @@
         self.balancer.request_received(now, request)
 
     def receive_load_report(self, fields: dict, now: Ticks) -> None:
-        """Reads the load report that came along with another message, if one did."""
+        """Handles the load report attached to another message, if there is one."""
         figures = fields.get("gauge")
         if figures is not None and self.settings.load_report_source:
             report = load_from(self.settings.load_report_fields, figures)
             self.balancer.load_reported(now, fields["backend"], report)
 
-    def request(self, call) -> Request | None:
-        """The pending request with that id."""
-        return self._requests.get(call)
+    def request(self, request_id) -> Request | None:
+        """Returns the pending request with that id, or None."""
+        return self._requests.get(request_id)
 
-    def attempt(self, call, number: int) -> Attempt | None:
-        """The attempt with that number of the pending request with that id."""
-        request = self._requests.get(call)
+    def attempt(self, request_id, number: int) -> Attempt | None:
+        """Returns the attempt with that number of a pending request, or None."""
+        request = self._requests.get(request_id)
         if request and 0 <= number < len(request.attempts):
             return request.attempts[number]
         return None
 
     def discard_if_finished(self, request: Request) -> None:
-        """Drops a request that is answered and has no attempt in flight."""
+        """Discards a request that is answered and has no attempt in flight."""
         if request.completed and not request.in_flight:
             self._requests.pop(request.host_context, None)
 
     def timer_fired(self, mark: str) -> None:
-        """The timer with that mark has fired; one that was replaced meanwhile says nothing."""
+        """Handles a fired timer; ignores one that has been replaced since."""
         if mark == str(self._timer):
             self._timer = None
 
     def pull_messages(self, now: Ticks, now_us: int) -> Iterator[dict]:
-        """The messages of all decisions there are, then that of a new timer."""
+        """Yields the messages of all pending decisions, then that of a new timer."""
         balancer = self.balancer
         while (decision := balancer.next_decision(now)) is not None:
             yield encode_decision(decision, self.name, balancer.endpoint_name, now_us)
--- a/pierglade/simulator_adapter/messages.py
+++ b/pierglade/simulator_adapter/messages.py
@@ -1,6 +1,6 @@
-"""The wire's words and the model's, mapped once in each direction.
+"""Mapping between the simulator's messages and the balancer's model.
 
-The wire counts microseconds; the model counts ticks (tenths of a millisecond), rounded as in
+The wire uses microseconds; the model uses ticks (tenths of a millisecond), rounded as in
 `pierglade.settings.platform`.
 """
 
@@ -20,10 +20,10 @@
 from pierglade.settings.platform import down
 
 US_PER_TICK = 100
-HINTED = 1
-"""Bit of a request's marks: its cost hint is to be read."""
-ERROR_TEXT_LENGTH = 300
-"""Characters of an internal error that are sent."""
+HAS_COST_HINT = 1
+"""Bit of a request's `marks`: set if the request carries a cost hint."""
+MAX_ERROR_TEXT_LENGTH = 300
+"""Characters; the text of a longer internal error is truncated."""
 
 OUTCOMES = {
     "success": Outcome.SUCCESS,
@@ -43,7 +43,7 @@
 
 
 class WireFormatError(PiergladeError):
-    """A message that the wire's description does not allow."""
+    """A message that violates the wire format."""
 
     def __init__(self, problem: str, line: bytes) -> None:
         super().__init__(f"{problem}: {line[:120]!r}")
@@ -52,7 +52,7 @@
 
 
 def decode_endpoint(entry: dict) -> Endpoint:
-    """An entry of the endpoint list."""
+    """Returns an entry of the endpoint list as an Endpoint."""
     return Endpoint(
         name=entry["backend"],
         state=ENDPOINT_STATES[entry["status"]],
@@ -64,16 +64,16 @@
 
 
 def decode_cost_hint(fields: dict) -> Ticks:
-    """The cost hint of a request; 0 where none is told."""
-    if not (fields.get("marks") or 0) & HINTED:
+    """Returns the cost hint of a request; 0 if it has none."""
+    if not (fields.get("marks") or 0) & HAS_COST_HINT:
         return 0
     return down(fields.get("hintUs") or 0)
 
 
 def encode_decision(decision: Decision, instance: str, endpoint_name, now_us: int) -> dict:
-    """The message that carries a decision out.
+    """Returns the message for a decision.
 
-    `endpoint_name`: the name of a backend by its index; `now_us`: the simulator's clock.
+    `endpoint_name` maps the index of a backend to its name; `now_us` is the simulator's clock.
     """
     match decision:
         case SendAttempt(attempt):
@@ -86,12 +86,12 @@
                 }
             }
         case CancelAttempt(attempt):
-            call = attempt.request.host_context
-            return {"AbortAttempt": {"who": instance, "call": call, "sendNo": attempt.number}}
+            request_id = attempt.request.host_context
+            return {"AbortAttempt": {"who": instance, "call": request_id, "sendNo": attempt.number}}
         case RejectRequest(request, retry_after):
-            cool_down = retry_after * US_PER_TICK
-            call = request.host_context
-            return {"Bounce": {"who": instance, "call": call, "coolDownUs": cool_down}}
+            retry_after_us = retry_after * US_PER_TICK
+            request_id = request.host_context
+            return {"Bounce": {"who": instance, "call": request_id, "coolDownUs": retry_after_us}}
         case FailRequest(request):
             return {"RespondError": {"who": instance, "call": request.host_context}}
         case PollEndpoints():
@@ -101,11 +101,11 @@
 
 
 def encode_timer(instance: str, wakeup: Ticks) -> dict:
-    """The message that asks to be called at that moment."""
+    """Returns the message that sets a timer for `wakeup`."""
     return {"Timer": {"who": instance, "timeUs": wakeup * US_PER_TICK, "mark": str(wakeup)}}
 
 
 def encode_internal_error(instance: str, error: Exception) -> dict:
-    """The message that gives an instance up after an error of ours."""
-    text = f"{type(error).__name__}: {error}"[:ERROR_TEXT_LENGTH]
+    """Returns the message that reports the failure of an instance by an internal error."""
+    text = f"{type(error).__name__}: {error}"[:MAX_ERROR_TEXT_LENGTH]
     return {"GiveIn": {"who": instance, "bodyText": text}}
--- a/tests/simulator_adapter/test_connection.py
+++ b/tests/simulator_adapter/test_connection.py
@@ -1,4 +1,4 @@
-"""A small session of plain messages through the adapter, and messages that it must refuse."""
+"""Tests of the simulator adapter: a short session, malformed messages and internal errors."""
 
 import io
 import json
@@ -115,19 +115,23 @@
 ]
 
 
-def run(messages):
-    out = io.BytesIO()
-    connection = SimulatorConnection(out)
+def run_session(messages):
+    output = io.BytesIO()
+    connection = SimulatorConnection(output)
     for message in messages:
         connection.receive(json.dumps(message).encode())
-    return out.getvalue().decode().splitlines()
+    return output.getvalue().decode().splitlines()
 
 
 class Session(TraceTest):
-    def test_a_session_of_two_requests_is_played_as_recorded(self):
-        self.check("session", run(SESSION))
+    """Messages in, messages out."""
+
+    def test_session_of_two_requests_matches_trace(self):
+        """Unknown fields, requests and timers are ignored; messages after a kill have no effect."""
+        self.check("session", run_session(SESSION))
 
     def test_malformed_messages_are_rejected(self):
+        """Invalid JSON, unknown messages and missing fields raise WireFormatError."""
         for line in (
             b"{",
             b"[]",
@@ -141,17 +145,19 @@
             with self.subTest(line), self.assertRaises(WireFormatError):
                 SimulatorConnection(io.BytesIO()).receive(line)
 
-    def test_a_malformed_message_ends_the_process(self):
-        done = subprocess.run(
+    def test_malformed_message_ends_process(self):
+        """The process exits with status 2, no output and one line on standard error."""
+        completed = subprocess.run(
             [sys.executable, "-m", "pierglade.simulator_adapter"],
             input=b'{"Surprise":{}}\n',
             capture_output=True,
             timeout=60,
         )
-        self.assertEqual((done.returncode, done.stdout), (2, b""))
-        self.assertEqual(len(done.stderr.splitlines()), 1)
+        self.assertEqual((completed.returncode, completed.stdout), (2, b""))
+        self.assertEqual(len(completed.stderr.splitlines()), 1)
 
-    def test_an_error_in_the_decisions_gives_the_instance_up(self):
+    def test_decision_error_reports_instance_failure(self):
+        """An exception in a balancer is reported as a GiveIn message instead of ending the process."""
         connection = SimulatorConnection(io.BytesIO())
         for message in SESSION[:7]:
             connection.receive(json.dumps(message).encode())
