--- a/pierglade/simulation/clients.py
+++ b/pierglade/simulation/clients.py
@@ -10,7 +10,7 @@
 from pierglade.model.request import RequestClass
 from pierglade.simulation.clock import MS, SECOND
 
-START_SPREAD = 100 * MS
+START_SPREAD_TICKS = 100 * MS
 """Ticks (100 ms) over which a closed population spreads its first requests."""
 
 
@@ -75,7 +75,7 @@
     def start(self) -> None:
         """Schedules the first requests."""
         if self.load.kept:
-            self._add(self.load.kept)
+            self._add_clients(self.load.kept)
         else:
             self.clock.after(self._interarrival_time(), self._arrive)
 
@@ -86,7 +86,7 @@
             return
         added = round(self.load.kept * factor) - self._population
         if added > 0:
-            self._add(added)
+            self._add_clients(added)
         else:
             self._population += added  # the surplus clients leave after their answers
 
@@ -99,10 +99,10 @@
         # Deferred until the policy has handled this event, to avoid pulling decisions recursively.
         self.clock.after(0, self._schedule_follow_up, request, answer)
 
-    def _add(self, count):
+    def _add_clients(self, count):
         self._population += count
         for _ in range(count):
-            self.clock.after(self._random.random() * START_SPREAD, self._send_new)
+            self.clock.after(self._random.random() * START_SPREAD_TICKS, self._send_new)
 
     def _interarrival_time(self):
         load, rate = self.load, self._rate
--- a/pierglade/simulation/metrics.py
+++ b/pierglade/simulation/metrics.py
@@ -84,9 +84,9 @@
 
     def time_to_capacity(self, achievable: float) -> float | None:
         """Returns the seconds until goodput reaches FOUND_RATIO of `achievable`; None if never."""
-        recent = np.convolve(self.bins["in_time"], np.ones(RATE_WINDOW_BINS), "valid")
+        window_counts = np.convolve(self.bins["in_time"], np.ones(RATE_WINDOW_BINS), "valid")
         reached = np.flatnonzero(
-            recent / (RATE_WINDOW_BINS / BINS_PER_SECOND) >= FOUND_RATIO * achievable
+            window_counts / (RATE_WINDOW_BINS / BINS_PER_SECOND) >= FOUND_RATIO * achievable
         )
         return None if not len(reached) else float(reached[0] + RATE_WINDOW_BINS) / BINS_PER_SECOND
 
@@ -98,19 +98,19 @@
         MAX_CALM_LOAD_RATIO. Both are None without a change; each is None if its state was not
         reached END_WINDOW_S before the end.
         """
-        latest = self.plan.seconds - 2 * END_WINDOW_S
-        changes = [each.at_s for each in self.plan.change if 0 < each.at_s < latest]
-        if not changes:
+        latest_s = self.plan.seconds - 2 * END_WINDOW_S
+        change_times_s = [each.at_s for each in self.plan.change if 0 < each.at_s < latest_s]
+        if not change_times_s:
             return None, None
-        since = int(max(changes) * BINS_PER_SECOND)
-        mean = np.ones(MEAN_WINDOW_BINS) / MEAN_WINDOW_BINS
+        since = int(max(change_times_s) * BINS_PER_SECOND)
+        kernel = np.ones(MEAN_WINDOW_BINS) / MEAN_WINDOW_BINS
         last = int(self.plan.seconds * BINS_PER_SECOND)
-        rates = np.convolve(self.bins["in_time"][since:last], mean, "valid") * BINS_PER_SECOND
+        rates = np.convolve(self.bins["in_time"][since:last], kernel, "valid") * BINS_PER_SECOND
         # The tolerance keeps a mean that equals its bound from crossing it by a rounding error,
         # which depends on the order in which a processor adds.
-        at_end = self.rate("in_time", self.plan.seconds - END_WINDOW_S)
-        low = rates < FOLLOWED_RATIO * at_end * (1 - ROUNDING_TOLERANCE)
-        loads = np.convolve(self.relative_load[since:], mean, "valid")
+        steady_rate = self.rate("in_time", self.plan.seconds - END_WINDOW_S)
+        low = rates < FOLLOWED_RATIO * steady_rate * (1 - ROUNDING_TOLERANCE)
+        loads = np.convolve(self.relative_load[since:], kernel, "valid")
         high = loads > MAX_CALM_LOAD_RATIO * (1 + ROUNDING_TOLERANCE)
         return self._seconds_until_last_breach(low), self._seconds_until_last_breach(high)
 
--- a/pierglade/simulation/policies.py
+++ b/pierglade/simulation/policies.py
@@ -309,11 +309,14 @@
 
     def _best_free_backend(self):
         in_flight = self._in_flight
-        free = [
+        free_backends = [
             each
             for each in self._simulation.backends.values()
             if in_flight.get(each.name, 0) + 1 <= self._capacity(each)
         ]
-        if not free:
+        if not free_backends:
             return None
-        return max(free, key=lambda each: (each.speed(), -in_flight.get(each.name, 0) / each.cores))
+        return max(
+            free_backends,
+            key=lambda each: (each.speed(), -in_flight.get(each.name, 0) / each.cores),
+        )
--- a/pierglade/simulation/runs.py
+++ b/pierglade/simulation/runs.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from pierglade.simulation.plan import Plan
-from pierglade.simulation.simulation import load_balancer, run_plan
+from pierglade.simulation.simulation import load_balancer_class, run_plan
 
 COLUMNS = (
     ("share", "share"),
@@ -43,7 +43,7 @@
 def run(job: Run) -> dict:
     """Executes one run; returns its summary with the policy and the varied values."""
     if job.balancer_path:
-        summary = run_plan(job.plan, job.policy, load_balancer(job.balancer_path))
+        summary = run_plan(job.plan, job.policy, load_balancer_class(job.balancer_path))
     else:
         summary = run_plan(job.plan, job.policy)
     policy = "earlier" if job.balancer_path else job.policy
--- a/pierglade/simulation/simulation.py
+++ b/pierglade/simulation/simulation.py
@@ -26,7 +26,7 @@
     "random": ("random", None),
 }
 POLICIES = ("node", *BASELINES, "seer")
-"""Names of the policies on the command line; "seer" is the oracle."""
+"""Names of the policies on the command line and in results; "seer" is the oracle."""
 IDEMPOTENCY = {
     "harmless": Idempotency.SAFE,
     "stamped": Idempotency.KEYED,
@@ -37,7 +37,7 @@
 """Separates the node seeds of plans with consecutive seeds."""
 
 
-def load_balancer(path: str):
+def load_balancer_class(path: str):
     """Loads the Balancer class of another Python file, which must fit the current model."""
     spec = importlib.util.spec_from_file_location("other_balancer", path)
     module = importlib.util.module_from_spec(spec)
