--- a/pierglade/audit/__init__.py
+++ b/pierglade/audit/__init__.py
@@ -1,4 +1,5 @@
-"""Joins what clients and backends recorded and says for each rule whether it held.
+"""Checks the records of clients and backends of a test run against the balancer's guarantees.
 
-Not for service, and with nothing of the node's code. Start with `pierglade.audit.rules.audit`.
+Test tooling, not used in production; it shares no serving code with the node under test. The entry
+point is `pierglade.audit.rules.audit`.
 """
--- a/pierglade/audit/effects.py
+++ b/pierglade/audit/effects.py
@@ -1,6 +1,6 @@
-"""Rule 2: what may have been executed is sent again only as its class allows.
+"""Rule 2: a request that may have been executed is retried only as its request class allows.
 
-Two attempts are never in flight at once, unless hedging is allowed.
+Two attempts of a request are never in flight at once, unless hedging is allowed.
 """
 
 from collections.abc import Iterator
@@ -11,12 +11,13 @@
 from pierglade.model.request import DeduplicationScope, Idempotency
 
 ATTEMPT_ENDS = frozenset(("ran", "never ran", "error", "dropped", "repeat", "called off"))
+"""Ledger events that end an attempt at a backend."""
 
 
 def check_effects(
     settings: AuditSettings, request_id: str, records: RequestRecords
 ) -> Iterator[Violation]:
-    """Violations of rule 2 by a request."""
+    """Yields the violations of rule 2 by one request."""
     attempts = records.of_backends("arrived")
     if not attempts:
         return
@@ -26,7 +27,7 @@
     is_unsafe = rules.idempotency is Idempotency.UNSAFE
     executions = len(records.of_backends("ran"))
     if is_unsafe and executions > 1:
-        yield _violation(request_id, records, f"a one-shot ran {executions} times")
+        yield _violation(request_id, records, f"one-shot request executed {executions} times")
     problem = _retry_problem(settings, rules, records, attempts)
     if problem:
         yield _violation(request_id, records, problem)
@@ -43,7 +44,7 @@
 
 
 def _retry_problem(settings, rules, records, attempts) -> str | None:
-    """The first retry that the request's class does not allow."""
+    """Returns the first retry that the request class does not allow, or None."""
     if rules.idempotency is Idempotency.SAFE:
         return None
     unexecuted = records.of_backends("never ran")
@@ -56,18 +57,18 @@
         if is_unexecuted:
             continue
         if rules.idempotency is Idempotency.UNSAFE:
-            way = f"{before['backend']} was sent to {after['backend']}"
-            return f"a one-shot that may have run at {way}"
+            backends = f"{before['backend']} was retried at {after['backend']}"
+            return f"one-shot request that may have been executed at {backends}"
         if not _is_in_scope(settings, rules, before, after):
-            return f"a stamped one was sent on to another {rules.deduplication_scope}"
+            return f"keyed request was retried in another {rules.deduplication_scope}"
         first_at = attempts[0]["t_ms"]
         if after["t_ms"] > first_at + rules.deduplication_window_ms + settings.slack_ms:
-            return "a stamped one was sent on after its window"
+            return "keyed request was retried after its deduplication window"
     return None
 
 
 def _is_in_scope(settings: AuditSettings, rules: RequestClassRules, before, after) -> bool:
-    """Whether the backends of two attempts together drop a second execution."""
+    """Whether the backends of two attempts share the deduplication of keyed requests."""
     first, second = (settings.places.get(row["backend"], ("", 0)) for row in (before, after))
     if rules.deduplication_scope == DeduplicationScope.ZONE:
         return first[0] == second[0]
@@ -77,19 +78,19 @@
 
 
 def _overlap_problem(settings, records, attempts) -> str | None:
-    """Two attempts in flight at once: the earlier one had not ended by then."""
+    """Returns the first attempt that began before the previous one had ended, or None."""
     ends = [row for row in records.backends if row["event"] in ATTEMPT_ENDS]
     for before, after in pairwise(attempts):
-        # Of this attempt: one connection may have carried several of them.
-        place = before["backend"], before.get("conn")
+        # Only the end of this attempt counts: one connection may have carried several attempts.
+        connection = before["backend"], before.get("conn")
         ended_at = min(
             (
                 row["t_ms"]
                 for row in ends
-                if row["t_ms"] >= before["t_ms"] and (row["backend"], row.get("conn")) == place
+                if row["t_ms"] >= before["t_ms"] and (row["backend"], row.get("conn")) == connection
             ),
             default=None,
         )
         if ended_at is not None and ended_at > after["t_ms"] + settings.slack_ms:
-            return f"out at {before['backend']} and at {after['backend']} at once"
+            return f"in flight at {before['backend']} and at {after['backend']} at once"
     return None
--- a/pierglade/audit/endpoints.py
+++ b/pierglade/audit/endpoints.py
@@ -1,4 +1,7 @@
-"""Rules 3 and 4: nothing new to a draining backend after the grace, no overload in slow start."""
+"""Rules 3 and 4: draining backends and backends in slow start.
+
+A draining backend gets no new requests after the grace period; one in slow start is not overloaded.
+"""
 
 from collections import defaultdict, deque
 from collections.abc import Iterator
@@ -8,7 +11,7 @@
 
 
 def check_draining(settings: AuditSettings, rows: list[dict]) -> Iterator[Violation]:
-    """Violations of rule 3: one a backend."""
+    """Yields the violations of rule 3, at most one for each backend."""
     not_ready_since: dict[str, float] = {}
     reported = set()
     for row in rows:
@@ -20,16 +23,21 @@
                 not_ready_since.setdefault(name, row["t_ms"])
         elif row["event"] == "arrived" and name in not_ready_since and name not in reported:
             since = not_ready_since[name]
-            late = row["t_ms"] - since - settings.drain_grace_ms - settings.slack_ms
-            if late > 0:
+            delay = row["t_ms"] - since - settings.drain_grace_ms - settings.slack_ms
+            if delay > 0:
                 reported.add(name)
-                after_grace = late + settings.slack_ms
-                problem = f"{row.get('id')} arrived {after_grace:.0f} ms after its grace"
+                after_grace = delay + settings.slack_ms
+                problem = (
+                    f"{row.get('id')} arrived {after_grace:.0f} ms after the drain grace period"
+                )
                 yield Violation("drains", name, problem, [line_of(row)])
 
 
 def check_slow_start(settings: AuditSettings, rows: list[dict]) -> Iterator[Violation]:
-    """Violations of rule 4: in no window does a backend get too many times what it can do then."""
+    """Yields the violations of rule 4, at most one for each backend.
+
+    In no window may the arrivals at a backend exceed the allowed multiple of its current capacity.
+    """
     if not settings.capacity_per_s or not settings.slow_start_ms:
         return
     started_at: dict[str, float] = {}
@@ -49,26 +57,25 @@
 
 
 def _is_start(row):
-    """Whether a fault starts a process: a crash does so at its end."""
+    """Whether a fault starts a new process; a crash does so when the fault ends."""
     faults = ("restart", "replace") if row.get("begins") else ("crash",)
     return row.get("what") in faults
 
 
 def _overload(settings, now, started_at, arrivals) -> str | None:
-    """What is wrong with another arrival at a backend; `arrivals`: of the window, changed here."""
+    """Adds an arrival to the window `arrivals` and returns the overload that it causes, or None."""
     age = now - started_at
     if age > settings.slow_start_ms:
         return None
     arrivals.append(now)
     while arrivals[0] <= now - settings.overload_window_ms:
         arrivals.popleft()
-    first = settings.slow_start_capacity
-    capacity = first + (1 - first) * age / settings.slow_start_ms
+    initial = settings.slow_start_capacity
+    capacity = initial + (1 - initial) * age / settings.slow_start_ms
     rate = settings.slow_start_overload * capacity * settings.capacity_per_s
     allowed = rate * settings.overload_window_ms / 1000
-    if (
-        len(arrivals) <= allowed + 2 * allowed**0.5 + 1
-    ):  # two standard deviations of chance, and one
+    # The tolerance is two standard deviations of a Poisson count, plus one.
+    if len(arrivals) <= allowed + 2 * allowed**0.5 + 1:
         return None
     window = f"{settings.overload_window_ms:.0f} ms"
-    return f"{len(arrivals)} arrived within {window}, over {allowed:.0f}, at {age:.0f} ms"
+    return f"{len(arrivals)} arrived within {window} at age {age:.0f} ms; allowed: {allowed:.0f}"
--- a/pierglade/audit/ledger.py
+++ b/pierglade/audit/ledger.py
@@ -1,13 +1,18 @@
-"""What stand-in backends and clients record: JSON lines, written in bundles, bounded in size.
-
-A line has `t_ms` (Unix time), `event`, and as far as known `backend`, `id`, `offering`, `key`,
-`conn`, `status`. Events of backends: `arrived` (the last byte of a request has come), `ran`,
-`never ran`, `error`, `dropped` (the connection ended before the request was executed), `called off`
-(the connection ended while it was executed), `repeat` (a keyed request, dropped as a duplicate),
-`listed` (what the endpoint list says from now on, `state`), `befalls` (a fault, with `what`,
-`begins` and `backends`), `hole`. Events of clients: `sent`, `answer`, `left` (the client waits no
-longer, or its connection broke). What can't be written is recorded as a gap: by a line where that
-is possible, and by `gap` in any case.
+"""Records events of stand-in backends and clients as JSON lines, in batches and bounded in size.
+
+A line has `t_ms` (Unix time), `event` and, as far as known, `backend`, `id`, `offering`, `key`,
+`conn` and `status`.
+
+Events of backends: `arrived` (the last byte of a request was received), `ran`, `never ran`,
+`error`, `dropped` (the connection ended before the request was executed), `called off` (the
+connection ended during the execution), `repeat` (a keyed request, dropped as a duplicate),
+`listed` (the endpoint list reports `state` from now on), `befalls` (the start or end of a fault,
+with `what`, `begins` and `backends`) and `hole` (lines are missing from here on).
+
+Events of clients: `sent`, `answer` and `left` (the client timed out, or its connection was lost).
+
+Lines that can't be written are reported as a gap: by a `hole` line where possible, and always by
+the attribute `gap`.
 """
 
 import contextlib
@@ -20,10 +25,10 @@
 
 
 class Ledger:
-    """Records lines in memory until `flush` is called, never on the path of a request.
+    """Buffers lines in memory until `flush` is called, so that no request waits for the disk.
 
-    Raises OSError where `path` can't be opened; an empty path records nothing. `now_ms()` is the
-    Unix time in ms, of a clock that does not step.
+    Raises OSError if `path` can't be opened; with an empty path nothing is recorded. `now_ms()`
+    returns the Unix time in ms, from a clock that does not step.
     """
 
     def __init__(self, path: str, max_mb: float, now_ms: Callable[[], float]):
@@ -34,24 +39,24 @@
         self._lines: list[bytes] = []
         self._size = 0
         self.written = 0
-        """Lines written."""
+        """Number of lines written to the file."""
         self.gap: str | None = None
-        """Why it is not whole."""
+        """Why lines are missing; None while the ledger is complete."""
         self.missing = 0
-        """Lines that are not in it."""
+        """Number of lines that could not be recorded."""
 
     @property
     def is_open(self) -> bool:
-        """Whether anything is recorded."""
+        """Whether events are recorded."""
         return self._fd is not None
 
     @property
     def pending(self) -> int:
-        """Lines that wait to be written."""
+        """Number of buffered lines."""
         return len(self._lines)
 
     def note(self, event: str, **fields) -> None:
-        """Records an event of now."""
+        """Records an event with the current time."""
         if self._fd is None:
             return
         if self.gap is not None:
@@ -69,12 +74,12 @@
         return self._encode({"t_ms": round(self._now_ms(), 1), "event": event, **fields})
 
     def _begin_gap(self, reason):
-        """From here on lines are missing; the line that says so is written, if anything can be."""
+        """Stops recording; a `hole` line with the reason is the last one buffered."""
         self.gap = reason
         self._lines.append(self._line("hole", {"why": reason}))
 
     def flush(self) -> None:
-        """Writes what was recorded."""
+        """Writes the buffered lines to the file."""
         if self._fd is None or not self._lines:
             return
         data, count = b"\n".join(self._lines) + b"\n", len(self._lines)
@@ -84,14 +89,14 @@
                 data = data[os.write(self._fd, data) :]
             self.written += count
         except OSError as error:
-            # Part of a line may stand there: whoever reads it finds a last line that is cut off.
+            # Part of a line may have been written: the reader then finds a truncated last line.
             self.gap, self.missing = error.strerror or str(error), self.missing + count
             with contextlib.suppress(OSError):
                 os.close(self._fd)
             self._fd = None
 
     def close(self) -> None:
-        """Writes what is pending and closes the file."""
+        """Writes the buffered lines and closes the file."""
         self.flush()
         if self._fd is not None:
             os.close(self._fd)
--- a/pierglade/audit/retry_budget.py
+++ b/pierglade/audit/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: in any window a node's retries are few beside the requests that it took."""
+"""The retry budget: in any window a node's retries are limited by the requests it received."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
     backend_rows: list[dict],
     requests: dict[str, RequestRecords],
 ) -> Iterator[Violation]:
-    """Violations of the retry budget: one a node."""
+    """Yields the violations of the retry budget, at most one for each node."""
     budget = settings.retry_budget
     if budget is None:
         return
@@ -31,7 +31,7 @@
         if row["id"] not in attempted:
             attempted.add(row["id"])
             continue
-        problem = window.retried(row["t_ms"])
+        problem = window.add_retry(row["t_ms"])
         if problem and node not in reported:
             reported.add(node)
             timeline = requests[row["id"]].timeline()
@@ -39,23 +39,23 @@
 
 
 class _Window:
-    """The requests and retries of a node in the window."""
+    """Sliding window over the requests and retries of one node."""
 
     def __init__(self, budget: RetryBudgetRules):
         self._budget = budget
         self.requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def retried(self, now) -> str | None:
-        """Counts a retry; returns what is wrong with it."""
+    def add_retry(self, now) -> str | None:
+        """Counts a retry; returns the problem if it exceeds the budget, else None."""
         budget = self._budget
         self._retries.append(now)
         for moments in (self.requests, self._retries):
             while moments and moments[0] <= now - budget.window_ms:
                 moments.popleft()
-        # What was taken within the slack before the window may still count at the node.
+        # Requests received shortly before this window may still be in the window of the node.
         allowed = budget.minimum + budget.ratio * (len(self.requests) + budget.ratio) + 1
         if len(self._retries) <= allowed:
             return None
         count, window = len(self._retries), f"{budget.window_ms:.0f} ms"
-        return f"{count} further trips within {window}, {allowed:.1f} are allowed"
+        return f"{count} retries within {window}; allowed: {allowed:.1f}"
--- a/pierglade/audit/rules.py
+++ b/pierglade/audit/rules.py
@@ -1,6 +1,6 @@
-"""The audit: all rules over the rows of all clients and backends.
+"""The audit: checks all rules against the rows of all clients and backends.
 
-All times are ms on the ledgers' clock.
+All times are in ms on the ledgers' clock.
 """
 
 from collections import defaultdict
@@ -21,7 +21,7 @@
     backend_rows: list[dict],
     gaps: Iterable[TraceGap] = (),
 ) -> Verdict:
-    """The verdict over all rows, with the gaps found in reading."""
+    """Returns the verdict over all rows; `gaps` are those found while reading the ledgers."""
     requests = _by_request(client_rows, backend_rows)
     violations = []
     for request_id, records in requests.items():
@@ -37,8 +37,8 @@
         "arrived": _count(backend_rows, "arrived"),
         "ran": _count(backend_rows, "ran"),
         "answers": _count(client_rows, "answer"),
-        "left waiting": abandoned.waited,
-        "sent on": len(abandoned.sent_on),
+        "left waiting": abandoned.queued,
+        "sent on": len(abandoned.sent_late),
     }
     return Verdict(violations, [*gaps, *_unknown_requests(requests)], counts)
 
@@ -55,10 +55,12 @@
 
 
 def _unknown_requests(requests):
-    """A gap where requests arrived that no client recorded."""
-    unknown = [name for name, records in requests.items() if not records.of_client("sent")]
+    """Yields a gap if requests arrived at backends that no client recorded."""
+    unknown = [
+        request_id for request_id, records in requests.items() if not records.of_client("sent")
+    ]
     if unknown:
-        problem = f"{len(unknown)} ids arrived that no client wrote down, the first {unknown[0]}"
+        problem = f"{len(unknown)} ids arrived that no client recorded; the first is {unknown[0]}"
         yield TraceGap("clients", 0, problem)
 
 
--- a/pierglade/audit/settings.py
+++ b/pierglade/audit/settings.py
@@ -1,4 +1,4 @@
-"""What the rules are judged by, and how the plan of a stand-in fleet states it."""
+"""Settings of the audit, and how they follow from the plan of a stand-in fleet."""
 
 from typing import NamedTuple
 
@@ -7,18 +7,18 @@
 from pierglade.model.request import DeduplicationScope, Idempotency
 
 SLACK_MS = 50.0
-"""What the machine's own unpunctuality may explain."""
+"""Tolerance for scheduling delays of the test machine itself."""
 IDEMPOTENCY = {
     "harmless": Idempotency.SAFE,
     "stamped": Idempotency.KEYED,
     "one_shot": Idempotency.UNSAFE,
     "one-shot": Idempotency.UNSAFE,
 }
-"""What plans call the idempotency of a request class."""
+"""Maps the words of plans (`repeats`) to the idempotency of a request class."""
 
 
 class RequestClassRules(NamedTuple):
-    """What may be done with the requests of a class."""
+    """Limits on retries, duplicates and latency of a request class."""
 
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
@@ -27,7 +27,7 @@
 
 
 class RetryBudgetRules(NamedTuple):
-    """In any window the retries of a node number at most `minimum` and `ratio` of its requests."""
+    """Allows a node `minimum` retries plus `ratio` of its requests in any window."""
 
     window_ms: float
     minimum: int
@@ -35,42 +35,42 @@
 
 
 class AuditSettings(msgspec.Struct, kw_only=True):
-    """What the rules are judged by."""
+    """Limits and tolerances that the rules are checked against."""
 
     request_classes: dict[str, RequestClassRules]
     places: dict[str, tuple[str, int]] = {}
-    """Backend to its zone and cell."""
+    """Zone and cell of each backend, by name."""
     drain_grace_ms: float = 1000.0
     slow_start_ms: float = 0.0
     slow_start_capacity: float = 1.0
-    """Share of its capacity that a backend has right after its start."""
+    """Fraction of its capacity that a backend has right after its start."""
     slow_start_overload: float = 1.0
-    """In slow start it may get so many times what it can do."""
+    """Multiple of its current capacity that a backend in slow start may be sent."""
     capacity_per_s: float = 0.0
-    """Requests that a warmed-up backend can do; 0: rule 4 is not judged."""
+    """Requests per second that a warmed-up backend can serve; 0: rule 4 is not checked."""
     overload_window_ms: float = 2000.0
     retry_budget: RetryBudgetRules | None = None
     allows_hedging: bool = False
-    """Safe requests may have two attempts in flight."""
+    """Whether safe requests may have two attempts in flight."""
     slack_ms: float = SLACK_MS
 
 
 def request_class_rules(repeats: str, group: str, window_ms: float, timeout_ms: float):
-    """The rules of a request class by the words of a plan."""
+    """Returns the rules of a request class from the words of a plan."""
     return RequestClassRules(IDEMPOTENCY[repeats], DeduplicationScope(group), window_ms, timeout_ms)
 
 
 def settings_of_plan(
     plan, drain_grace_ms: float, budget: tuple[float, int, float] | None
 ) -> AuditSettings:
-    """The settings that the plan of a stand-in fleet states.
+    """Returns the settings that follow from the plan of a stand-in fleet.
 
     `budget`: (window in s, minimum, ratio) of the retry budget, or None.
     """
     kind = plan.kind[0]
     shares = sum(each.share for each in plan.request_class)
     work_ms = sum(each.share * each.work_ms for each in plan.request_class) / shares
-    is_judged = kind.cores and kind.cold_from < 1
+    has_slow_start = kind.cores and kind.cold_from < 1
     return AuditSettings(
         request_classes={
             each.name: request_class_rules(
@@ -84,7 +84,7 @@
         slow_start_capacity=kind.cold_from,
         slow_start_overload=kind.tip_multiple,
         overload_window_ms=kind.tip_s * 1000,
-        capacity_per_s=kind.cores * kind.speed * 1000 / work_ms if is_judged else 0.0,
+        capacity_per_s=kind.cores * kind.speed * 1000 / work_ms if has_slow_start else 0.0,
         retry_budget=(
             RetryBudgetRules(budget[0] * 1000, int(budget[1]), budget[2]) if budget else None
         ),
--- a/pierglade/testbed/__init__.py
+++ b/pierglade/testbed/__init__.py
@@ -1,5 +1,6 @@
-"""A stand-in fleet on loopback: backends, discovery and their faults, to try a node against.
+"""A stand-in fleet on loopback to test a node against: backends, discovery and injected faults.
 
-Not for service, and with nothing of the node's code: it speaks the backends' side of the protocol.
-`pierglade.testbed.run.serve` is the name to start with; docs/operate/fleet-stand-in.md is its page.
+Test tooling, not used in production; it shares no serving code with the node and implements only the
+backends' side of the protocol. The entry point is `pierglade.testbed.run.serve`; see
+docs/operate/fleet-stand-in.md.
 """
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -1,7 +1,8 @@
-"""One stand-in backend: the protocol's side of a backend on a listening socket, over the model of one.
+"""One stand-in backend: an HTTP server on a listening socket in front of a simulated backend.
 
-The model (`pierglade.simulation.backend.SimulatedBackend`) says when an invocation's answer leaves and how it ended; here it
-is read, answered and written down. Times are tenths of a millisecond, as in the model.
+The model (`pierglade.simulation.backend.SimulatedBackend`) decides when a request completes and with
+which outcome; this module reads requests, sends responses and records both. Times are in ticks
+(tenths of a millisecond), as in the model.
 """
 
 import asyncio
@@ -14,20 +15,23 @@
 from pierglade.simulation.backend import Job, JobState, SimulatedBackend
 from pierglade.simulation.plan import Fleet
 
-BACKLOG = 512  # connections that the kernel holds
-BODY_MOST = 1 << 26  # bytes of a request's body; more ends its connection
-NEVER_RAN = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-FAILED = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-UNKNOWN = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-SPOILT = b"HTTP/1.1 2oo\r\nContent-Length: x\r\n\r\n"
-HEALTH, STATS = b"/health/live", b"/stats"
+LISTEN_BACKLOG = 512  # connections pending in the kernel
+MAX_BODY_BYTES = 1 << 26  # of a request; a longer body aborts the connection
+UNPROCESSED_RESPONSE = (
+    b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+)
+ERROR_RESPONSE = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+NOT_FOUND_RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+MALFORMED_RESPONSE = b"HTTP/1.1 2oo\r\nContent-Length: x\r\n\r\n"
+HEALTH_PATH, STATS_PATH = b"/health/live", b"/stats"
 
 
-def _bound(port, alone=False):
+def _bound_socket(port, is_exclusive=False):
+    """Returns a socket bound to `port`; unless exclusive, others may bind to the same port."""
     sock = socket.socket()
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if not alone:
+        if not is_exclusive:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.setblocking(False)
         sock.bind(("127.0.0.1", port))
@@ -38,6 +42,8 @@
 
 
 class Request:
+    """A request as it is being parsed."""
+
     __slots__ = ("method", "url", "id", "key", "close", "size")
 
     def __init__(self):
@@ -48,31 +54,34 @@
 
 
 class Connection(asyncio.Protocol):
-    """A node's connection: one request at a time, those sent ahead wait."""
+    """A node's connection: one request is served at a time, pipelined ones wait."""
 
-    def __init__(self, stand):
-        self.stand = stand
+    def __init__(self, backend):
+        self.backend = backend
         self.parser = httptools.HttpRequestParser(self)
-        self.request, self.ahead = None, deque()
-        self.busy = None  # (request, job) that is being worked on; the job may be None
+        self.request, self.pipelined = None, deque()
+        self.current = None  # (request, job) that is being served; the job may be None
         self.transport = None
-        self.used_at = 0.0
-        self.number = stand.fleet.next_connection()
+        self.last_used_at = 0.0
+        self.number = backend.fleet.next_connection()
 
     def connection_made(self, transport):
+        """asyncio: the connection is established."""
         self.transport = transport
-        self.used_at = self.stand.clock.now
-        self.stand.connections[self] = None
-        # Counted when it comes up: a full table says so to each request on the new one.
-        self.beyond = len(self.stand.connections) > self.stand.fleet.plan.connections
-
-    def connection_lost(self, fault):
-        self.stand.connections.pop(self, None)
-        busy, self.busy = self.busy, None
-        if busy is not None:
-            self.stand.left(*busy, self)
+        self.last_used_at = self.backend.clock.now
+        self.backend.connections[self] = None
+        # Decided once: a connection above the limit has all its requests rejected.
+        self.is_over_limit = len(self.backend.connections) > self.backend.fleet.plan.connections
+
+    def connection_lost(self, error):
+        """asyncio: the connection has ended."""
+        self.backend.connections.pop(self, None)
+        current, self.current = self.current, None
+        if current is not None:
+            self.backend.connection_lost(*current, self)
 
     def data_received(self, data):
+        """asyncio: bytes were received."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -80,64 +89,71 @@
         except httptools.HttpParserError:
             self.transport.abort()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
+        """httptools: a request begins."""
         self.request = Request()
 
     def on_url(self, url):
+        """httptools: a part of the URL was read."""
         self.request.url += url
 
     def on_header(self, name, value):
-        small = name.lower()
-        if small == b"x-trace-id":
+        """httptools: a header was read."""
+        lower_name = name.lower()
+        if lower_name == b"x-trace-id":
             self.request.id = value.decode("latin-1")
-        elif small == b"idempotency-key":
+        elif lower_name == b"idempotency-key":
             self.request.key = value.decode("latin-1")
 
     def on_body(self, body):
+        """httptools: a part of the body was read."""
         self.request.size += len(body)
-        if self.request.size > BODY_MOST:
+        if self.request.size > MAX_BODY_BYTES:
             self.transport.abort()
 
     def on_message_complete(self):
+        """httptools: the request is complete."""
         request = self.request
         request.method = self.parser.get_method()
         request.close = not self.parser.should_keep_alive()
-        if self.busy is not None:
-            self.ahead.append(request)
+        if self.current is not None:
+            self.pipelined.append(request)
         else:
-            self.begin(request)
+            self.start_request(request)
 
-    def begin(self, request):
-        self.busy = request, None
-        self.stand.arrived(request, self)
+    def start_request(self, request):
+        """Makes a request the current one and passes it to the backend."""
+        self.current = request, None
+        self.backend.request_received(request, self)
 
-    def working(self, request, job):
-        if self.busy is not None and self.busy[0] is request:
-            self.busy = request, job
+    def set_job(self, request, job):
+        """Records the model's job of a request, if that is still the current one."""
+        if self.current is not None and self.current[0] is request:
+            self.current = request, job
 
-    def answer(self, request, head, body=b""):
-        """The whole answer, if the connection is still there and waits for it."""
-        if self.busy is None or self.busy[0] is not request:
+    def respond(self, request, head, body=b""):
+        """Writes the response and returns True, if `request` is still the current one."""
+        if self.current is None or self.current[0] is not request:
             return False
-        self.busy = None
-        self.used_at = self.stand.clock.now
+        self.current = None
+        self.last_used_at = self.backend.clock.now
         self.transport.write(head + body if body else head)
         if request.close:
             self.transport.close()
-        elif self.ahead:
-            self.begin(self.ahead.popleft())
+        elif self.pipelined:
+            self.start_request(self.pipelined.popleft())
         return True
 
-    def end(self):
-        """At once, as the connections of a process that dies."""
-        self.busy = None
+    def abort(self):
+        """Ends the connection at once, as if the process had died."""
+        self.current = None
         self.transport.abort()
 
 
-class Stand:
-    """A stand-in backend. `fleet` is what holds all of them (`pierglade.testbed.run.StandIn`)."""
+class StandInBackend:
+    """A stand-in backend; `fleet` is the `pierglade.testbed.run.StandInFleet` that it belongs to."""
 
     def __init__(self, fleet, name, place, port):
         self.fleet, self.clock, self.name, self.place = fleet, fleet.clock, name, place
@@ -153,47 +169,52 @@
             ),
         )
         self.connections = {}
-        self.part = {"errors": 0.0, "reset": 0.0, "spoil": 0.0, "refuse": 0.0}
-        self.pause_after, self.pause_for, self.settled = 0, 0.0, 0
-        self.draining = False
+        self.fault_ratios = {"errors": 0.0, "reset": 0.0, "spoil": 0.0, "refuse": 0.0}
+        # Executed requests between two pauses (0: no pauses), ticks of a pause, requests so far.
+        self.pause_interval, self.pause_duration, self.pause_counter = 0, 0.0, 0
+        self.is_draining = False
         self.counts = dict.fromkeys(
             ("arrived", "ran", "never ran", "error", "dropped", "repeat"), 0
         )
-        self.util, self.pace, self.counted = 0.0, 0.0, 0
-        self.head = b""
-        _bound(port, alone=True).close()  # taken by another, it shows here
-        # Bound and never listening: while the process is down the port stays ours, and refuses.
-        self.held = _bound(port)
-        self.address = "%s:%d" % self.held.getsockname()
-        self.sock = None
-        self.listening = False
-        self._write_head()
+        self.utilization, self.request_rate, self.reported_executed = 0.0, 0.0, 0
+        self.success_head = b""
+        _bound_socket(port, is_exclusive=True).close()  # fails if another process has the port
+        # Bound but never listening: reserves the port while the simulated process is down, so that
+        # connections are refused.
+        self.reserving_socket = _bound_socket(port)
+        self.address = "%s:%d" % self.reserving_socket.getsockname()
+        self.listening_socket = None
+        self.is_listening = False
+        self._build_success_head()
 
     # Sockets.
 
     def listen(self):
-        if self.listening:
+        """Accepts connections from now on."""
+        if self.is_listening:
             return
-        self.sock = _bound(self.held.getsockname()[1])
-        self.sock.listen(BACKLOG)
-        self.listening = True
-        self.clock.loop.add_reader(self.sock, self._accept)
-
-    def close_door(self):
-        """New connections are refused from now on; the port stays ours."""
-        if self.listening:
-            self.listening = False
-            self.clock.loop.remove_reader(self.sock)
-            self.sock.close()
+        self.listening_socket = _bound_socket(self.reserving_socket.getsockname()[1])
+        self.listening_socket.listen(LISTEN_BACKLOG)
+        self.is_listening = True
+        self.clock.loop.add_reader(self.listening_socket, self._accept)
+
+    def stop_listening(self):
+        """Refuses new connections from now on; the port stays reserved."""
+        if self.is_listening:
+            self.is_listening = False
+            self.clock.loop.remove_reader(self.listening_socket)
+            self.listening_socket.close()
 
     def _accept(self):
         while True:
             try:
-                sock, _ = self.sock.accept()
+                sock, _ = self.listening_socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as fault:
-                self.fleet.trouble(f"{self.name}: {fault.strerror}")
+            except OSError as error:
+                self.fleet.record_error(
+                    f"{self.name}: cannot accept a connection: {error.strerror}"
+                )
                 return
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.fleet.spawn(
@@ -201,170 +222,177 @@
             )
 
     def close(self):
-        self.close_door()
+        """Ends all connections and releases the port."""
+        self.stop_listening()
         for connection in list(self.connections):
-            connection.end()
-        self.held.close()
+            connection.abort()
+        self.reserving_socket.close()
 
-    def end_idle(self):
-        """Connections that rested for long are closed, as servers do."""
+    def close_idle_connections(self):
+        """Closes connections that exceeded the idle time-out, as servers do."""
         oldest = self.clock.now - self.fleet.plan.idle_s * 10000
         for connection in list(self.connections):
-            if connection.busy is None and connection.used_at < oldest:
+            if connection.current is None and connection.last_used_at < oldest:
                 connection.transport.close()
 
-    # Invocations.
+    # Requests.
 
-    def arrived(self, request, connection):
-        """The last byte of a request has come."""
+    def request_received(self, request, connection):
+        """Handles a request whose last byte was received."""
         path = request.url.partition(b"?")[0]
-        if path == HEALTH or path == STATS:
-            return self._probed(request, connection, path)
+        if path == HEALTH_PATH or path == STATS_PATH:
+            return self._answer_probe(request, connection, path)
         request_class = (
             self.fleet.request_classes.get(path.split(b"/")[1]) if path[:1] == b"/" else None
         )
         if request_class is None or request.id is None:
-            connection.answer(request, UNKNOWN)
+            connection.respond(request, NOT_FOUND_RESPONSE)
             return
         self.counts["arrived"] += 1
-        named = {
+        fields = {
             "backend": self.name,
             "id": request.id,
             "offering": request_class.name,
             "conn": connection.number,
         }
         if request.key:
-            named["key"] = request.key
-        self.fleet.ledger.note("arrived", **named)
-        chance = self.fleet.chance.random
-        if self.part["reset"] and chance() < self.part["reset"]:
-            connection.end()
+            fields["key"] = request.key
+        self.fleet.ledger.note("arrived", **fields)
+        random = self.fleet.random.random
+        if self.fault_ratios["reset"] and random() < self.fault_ratios["reset"]:
+            connection.abort()
             return
         if (
-            self.draining
-            or connection.beyond
-            or self.part["refuse"]
-            and chance() < self.part["refuse"]
+            self.is_draining
+            or connection.is_over_limit
+            or self.fault_ratios["refuse"]
+            and random() < self.fault_ratios["refuse"]
         ):
-            return self._answer(request, connection, Outcome.REJECTED_UNPROCESSED, named)
+            return self._complete(request, connection, Outcome.REJECTED_UNPROCESSED, fields)
         if request_class.repeats == "stamped" and self.fleet.is_repeat(
             self, request_class, request
         ):
             self.counts["repeat"] += 1
-            self.fleet.ledger.note("repeat", **named)
-            connection.answer(request, self.head, self.fleet.body)
+            self.fleet.ledger.note("repeat", **fields)
+            connection.respond(request, self.success_head, self.fleet.body)
             return
         job = Job(
-            self.fleet.sizes[request_class.name].next(),
+            self.fleet.work_distributions[request_class.name].next(),
             request_class.wait_ms * 10.0,
-            lambda outcome: self._answer(request, connection, outcome, named),
+            lambda outcome: self._complete(request, connection, outcome, fields),
         )
-        connection.working(request, job)
+        connection.set_job(request, job)
         self.model.offer(job)
 
-    def _answer(self, request, connection, outcome, named):
-        fleet, what = self.fleet, "never ran"
+    def _complete(self, request, connection, outcome, fields):
+        fleet, event = self.fleet, "never ran"
         if (
             outcome == Outcome.SUCCESS
-            and self.part["errors"]
-            and fleet.chance.random() < self.part["errors"]
+            and self.fault_ratios["errors"]
+            and fleet.random.random() < self.fault_ratios["errors"]
         ):
             outcome = Outcome.SERVER_ERROR
         if outcome == Outcome.SUCCESS:
-            what = "ran"
-            if self.part["spoil"] and fleet.chance.random() < self.part["spoil"]:
-                connection.answer(request, SPOILT)
-                connection.end()
+            event = "ran"
+            if self.fault_ratios["spoil"] and fleet.random.random() < self.fault_ratios["spoil"]:
+                connection.respond(request, MALFORMED_RESPONSE)
+                connection.abort()
             else:
-                connection.answer(request, self.head, fleet.body)
-            self.settled += 1
-            if self.pause_after and self.settled % self.pause_after == 0:
-                self._stand_still()
+                connection.respond(request, self.success_head, fleet.body)
+            self.pause_counter += 1
+            if self.pause_interval and self.pause_counter % self.pause_interval == 0:
+                self._pause()
         elif outcome == Outcome.SERVER_ERROR:
-            what = "error"
-            connection.answer(request, FAILED)
+            event = "error"
+            connection.respond(request, ERROR_RESPONSE)
         elif outcome == Outcome.REJECTED_UNPROCESSED:
-            connection.answer(request, NEVER_RAN)
-        else:  # The process is down, or went down with it inside.
-            connection.end()
-        self.counts[what] += 1
-        fleet.ledger.note(what, **named)
-
-    def left(self, request, job, connection):
-        """Whoever sent it has ended the connection."""
+            connection.respond(request, UNPROCESSED_RESPONSE)
+        else:  # The process is down, or crashed while it served the request.
+            connection.abort()
+        self.counts[event] += 1
+        fleet.ledger.note(event, **fields)
+
+    def connection_lost(self, request, job, connection):
+        """Drops the job of a request whose connection has ended, if it still waits."""
         if job is None:
             return
-        waits, what = job.state is JobState.WAITING, "called off"
+        was_waiting, event = job.state is JobState.WAITING, "called off"
         if job.state is not None:
             self.model.drop(job)
-            if waits and job.state is None:
+            if was_waiting and job.state is None:
                 self.counts["dropped"] += 1
-                what = "dropped"
-        self.fleet.ledger.note(what, backend=self.name, id=request.id, conn=connection.number)
+                event = "dropped"
+        self.fleet.ledger.note(event, backend=self.name, id=request.id, conn=connection.number)
 
-    def _probed(self, request, connection, path):
+    def _answer_probe(self, request, connection, path):
         if not self.fleet.plan.probes:
-            connection.answer(request, UNKNOWN)
+            connection.respond(request, NOT_FOUND_RESPONSE)
         elif self.model.is_hanging:
-            return  # The process runs and says nothing.
-        elif path == HEALTH or self.fleet.plan.report.how == "none":
-            connection.answer(request, b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", b"ok\n")
+            return  # A hanging process does not respond.
+        elif path == HEALTH_PATH or self.fleet.plan.report.how == "none":
+            connection.respond(request, b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", b"ok\n")
         else:
-            body = self.load()
-            connection.answer(
+            body = self.load_report()
+            connection.respond(
                 request, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body
             )
 
-    # Reports.
+    # Load reports.
 
-    def load(self):
-        """The load report as it goes over the wire."""
+    def load_report(self):
+        """Returns the load report in its wire format."""
         model = self.model
         figures = {
             "inflight": f"{model.in_flight()}",
             "queue": f"{len(model.waiting)}",
-            "util": f"{self.util:.2f}",
-            "qps": f"{self.pace:.1f}",
+            "util": f"{self.utilization:.2f}",
+            "qps": f"{self.request_rate:.1f}",
         }
-        told = ", ".join(f"{name}={figures[name]}" for name in self.fleet.plan.report.fields)
-        return b"TEXT " + told.encode()
-
-    def refresh(self, span_s):
-        """Makes the report anew; it covers about the last three of these spans."""
-        done = self.counts["ran"] - self.counted
-        self.counted = self.counts["ran"]
-        self.util += (min(1.0, len(self.model.running) / self.model.cores) - self.util) / 3
-        self.pace += (done / span_s - self.pace) / 3
-        self._write_head()
-
-    def _write_head(self):
+        text = ", ".join(f"{name}={figures[name]}" for name in self.fleet.plan.report.fields)
+        return b"TEXT " + text.encode()
+
+    def update_load_report(self, span_s):
+        """Updates the moving averages of the report, which cover about the last three spans."""
+        executed = self.counts["ran"] - self.reported_executed
+        self.reported_executed = self.counts["ran"]
+        self.utilization += (
+            min(1.0, len(self.model.running) / self.model.cores) - self.utilization
+        ) / 3
+        self.request_rate += (executed / span_s - self.request_rate) / 3
+        self._build_success_head()
+
+    def _build_success_head(self):
         plan = self.fleet.plan
         report = (
-            b"Endpoint-Load-Metrics: %s\r\n" % self.load() if plan.report.how == "answers" else b""
+            b"Endpoint-Load-Metrics: %s\r\n" % self.load_report()
+            if plan.report.how == "answers"
+            else b""
         )
-        self.head = b"HTTP/1.1 200 OK\r\nX-Backend: %s\r\n%sContent-Length: %d\r\n\r\n" % (
+        self.success_head = b"HTTP/1.1 200 OK\r\nX-Backend: %s\r\n%sContent-Length: %d\r\n\r\n" % (
             self.name.encode(),
             report,
             len(self.fleet.body),
         )
 
-    # What befalls it.
+    # Faults.
 
-    def _stand_still(self):
+    def _pause(self):
         self.model.set_paused(True)
-        self.clock.after(self.pause_for, self.model.set_paused, False)
+        self.clock.after(self.pause_duration, self.model.set_paused, False)
 
     def crash(self):
+        """Ends the simulated process: connections break, and new ones are refused."""
         self.model.crash()
-        self.close_door()
+        self.stop_listening()
         for connection in list(self.connections):
-            connection.end()
+            connection.abort()
 
-    def start_again(self):
-        """A new process, cold where its kind starts cold, behind the same address."""
+    def restart(self):
+        """Starts a new process on the same address, in slow start if its kind has one."""
         self.model.restart()
-        self.draining = False
+        self.is_draining = False
         self.listen()
 
-    def set(self, what, value):
-        self.model.change(lambda: setattr(self.model, what, value))
+    def set_model_attribute(self, name, value):
+        """Sets an attribute of the model and reschedules the running jobs."""
+        self.model.change(lambda: setattr(self.model, name, value))
--- a/pierglade/testbed/clock.py
+++ b/pierglade/testbed/clock.py
@@ -1,49 +1,55 @@
-"""The model's clock in real time, on an asyncio loop; it tells how late it was."""
+"""Real-time clock for the simulation model on an asyncio loop; it measures how late its calls run."""
 
 import asyncio
 
-PER_SECOND = 10000.0  # tenths of a millisecond, the model's unit
-FINEST = 1.0  # tenths of a millisecond; lateness is counted in such steps
-STEPS = 20000  # steps; two seconds, and what is later counts as that
+PER_SECOND = 10000.0  # ticks (tenths of a millisecond), the unit of the simulation model
+LATENESS_STEP_TICKS = 1.0  # resolution of the lateness histogram
+LATENESS_STEPS = 20000  # two seconds; greater lateness is counted in the last step
 
 
 class RealClock:
-    """What `pierglade.simulation.clock.Clock` is to a play: `now`, `at` and `after`, in tenths of a millisecond.
+    """Real-time counterpart of `pierglade.simulation.clock.Clock`: `now`, `at` and `after`, in ticks.
 
-    Times in calls are since the clock was made. A call that raises ends the loop's run with that fault.
+    Moments count from the creation of the clock. An exception in a callback goes to the loop's
+    exception handler.
     """
 
     def __init__(self, loop=None):
         self.loop = loop or asyncio.get_running_loop()
-        self.began = self.loop.time()
-        self.late = [0] * (STEPS + 1)  # calls by how late they came
-        self.latest = 0.0
+        self.started_at = self.loop.time()
+        self.lateness_counts = [0] * (LATENESS_STEPS + 1)  # number of calls by steps of lateness
+        self.max_lateness = 0.0
 
     @property
     def now(self):
-        return (self.loop.time() - self.began) * PER_SECOND
+        """The current moment in ticks."""
+        return (self.loop.time() - self.started_at) * PER_SECOND
 
-    def at(self, moment, call, *what):
-        self.loop.call_at(self.began + moment / PER_SECOND, self._due, moment, call, what)
+    def at(self, moment, call, *arguments):
+        """Calls `call(*arguments)` at `moment`."""
+        self.loop.call_at(
+            self.started_at + moment / PER_SECOND, self._run_due, moment, call, arguments
+        )
 
-    def after(self, span, call, *what):
+    def after(self, span, call, *arguments):
+        """Calls `call(*arguments)` when `span` has passed; a span of 0 or less is not measured."""
         if span <= 0:
-            self.loop.call_soon(call, *what)
+            self.loop.call_soon(call, *arguments)
         else:
-            self.at(self.now + span, call, *what)
+            self.at(self.now + span, call, *arguments)
 
-    def _due(self, moment, call, what):
-        late = self.now - moment
-        self.late[min(STEPS, max(0, int(late / FINEST)))] += 1
-        self.latest = max(self.latest, late)
-        call(*what)
+    def _run_due(self, moment, call, arguments):
+        lateness = self.now - moment
+        self.lateness_counts[min(LATENESS_STEPS, max(0, int(lateness / LATENESS_STEP_TICKS)))] += 1
+        self.max_lateness = max(self.max_lateness, lateness)
+        call(*arguments)
 
-    def lateness_ms(self, share):
-        """So late or less came `share` of all calls, in ms; 0 where there were none."""
-        count = sum(self.late)
+    def lateness_ms(self, quantile):
+        """Returns a quantile of the lateness of all calls, in ms; 0 if there were none."""
+        count = sum(self.lateness_counts)
         seen = 0
-        for step, calls in enumerate(self.late):
+        for step, calls in enumerate(self.lateness_counts):
             seen += calls
-            if count and seen >= share * count:
-                return step * FINEST / 10
+            if count and seen >= quantile * count:
+                return step * LATENESS_STEP_TICKS / 10
         return 0.0
--- a/pierglade/testbed/discovery.py
+++ b/pierglade/testbed/discovery.py
@@ -1,89 +1,95 @@
-"""The stand-in's discovery agent: the whole list, and a watch that tells what has changed."""
+"""The discovery agent of the stand-in fleet: serves the endpoint list, and a watch on its changes."""
 
 import asyncio
 
 import msgspec
 
-LIST = "/registry/instances"
-KEPT = 4096  # changes; whoever asks from before the first of them gets the whole list
-HEAD_MOST = 16384  # bytes of a request
-BACKLOG = 4096  # connections that the kernel holds; hundreds of watches come back at once
+LIST_PATH = "/registry/instances"
+MAX_CHANGES = 4096  # stored changes; a watch from before the first of them gets a full snapshot
+MAX_HEAD_BYTES = 16384  # of a request
+LISTEN_BACKLOG = 4096  # pending connections; hundreds of watches may reconnect at once
 
 
 class Agent:
-    """What nodes are told of backends. Entries are told `notice_s` after they were changed."""
+    """Publishes the endpoint list to nodes, each change `notice_s` after it was made."""
 
     def __init__(self, fleet):
         self.fleet, self.clock = fleet, fleet.clock
         self.entries, self.index = {}, 1
         self.changes = []  # (index, entry)
-        self.told = asyncio.Event()
-        self.silent = False
-        self.late_by, self.broken = 0.0, False
+        self.list_changed = asyncio.Event()
+        self.is_silent = False
+        self.added_delay_s, self.truncates_messages = 0.0, False
         self.watches, self.server, self.address = set(), None, ""
-        self.sent = self.heard = 0  # bytes of HTTP, over all connections
+        self.sent = self.heard = 0  # bytes of HTTP sent and received on all connections
         self.encode = msgspec.json.Encoder().encode
-        self.lines = {}  # version: the line that tells what came after it, made once for all watches
+        # Index to the encoded line with the changes since then, encoded once for all watches.
+        self.encoded_lines = {}
 
     async def start(self, port):
+        """Listens on `port`; 0 picks a free one."""
         self.server = await asyncio.start_server(
-            self._serve, "127.0.0.1", port, limit=HEAD_MOST, backlog=BACKLOG
+            self._serve, "127.0.0.1", port, limit=MAX_HEAD_BYTES, backlog=LISTEN_BACKLOG
         )
         self.address = "%s:%d" % self.server.sockets[0].getsockname()
 
     async def stop(self):
+        """Stops listening and ends all connections."""
         if self.server is not None:
             self.server.close()
             for task in list(self.watches):
                 task.cancel()
 
     def first(self, entries):
-        """What holds from the start on, told at once."""
+        """Sets the initial list, without delay."""
         self.entries = {entry["name"]: entry for entry in entries}
-        self.lines.clear()
+        self.encoded_lines.clear()
 
     def changed(self, entry, at_once=False):
-        """An entry is another one from now on; it is told later."""
-        span = 0.0 if at_once else (self.fleet.plan.discovery.notice_s + self.late_by) * 10000
-        self.clock.after(span, self._tell, entry)
+        """Schedules the publication of a changed entry."""
+        delay = (
+            0.0 if at_once else (self.fleet.plan.discovery.notice_s + self.added_delay_s) * 10000
+        )
+        self.clock.after(delay, self._tell, entry)
 
     def _tell(self, entry):
         self.index += 1
-        self.lines.clear()
+        self.encoded_lines.clear()
         if entry["status"] == "DELETED":
             self.entries.pop(entry["name"], None)
         else:
             self.entries[entry["name"]] = entry
         self.changes.append((self.index, entry))
-        del self.changes[:-KEPT]
+        del self.changes[:-MAX_CHANGES]
         self.fleet.ledger.note("listed", backend=entry["name"], state=entry["status"])
         self.wake()
 
     def wake(self):
-        """Whoever watches looks again."""
-        self.told.set()
-        self.told = asyncio.Event()
+        """Wakes all watches, which then check for changes."""
+        self.list_changed.set()
+        self.list_changed = asyncio.Event()
 
-    def whole(self):
+    def snapshot(self):
+        """Returns the full list as a document."""
         return {"index": self.index, "snapshot": True, "endpoints": list(self.entries.values())}
 
-    def since(self, index):
-        """What has changed since that version, or the whole list where that is not known any more."""
+    def changes_since(self, index):
+        """Returns the changes since `index`, or a full snapshot if they are no longer stored."""
         oldest = self.changes[0][0] - 1 if self.changes else self.index
         if not oldest <= index <= self.index:
-            return self.whole()
-        # One version a change, so those after it need not be looked for among thousands.
+            return self.snapshot()
+        # Each change raises the index by one, so the position follows without a search.
         later = self.changes[len(self.changes) - (self.index - index) :]
         latest = {entry["name"]: entry for _, entry in later}
         return {"index": self.index, "snapshot": False, "endpoints": list(latest.values())}
 
-    def _line(self, index):
-        """The line of a watch that tells what has changed since that version; empty if nothing has."""
-        line = self.lines.get(index)
+    def _encoded_line(self, index):
+        """Returns the watch line with the changes since `index`; an empty line if there are none."""
+        line = self.encoded_lines.get(index)
         if line is None:
-            document = self.since(index)
+            document = self.changes_since(index)
             line = self.encode(document) if document["endpoints"] or document["snapshot"] else b""
-            self.lines[index] = line = line + b"\n"
+            self.encoded_lines[index] = line = line + b"\n"
         return line
 
     def _write(self, writer, data):
@@ -99,14 +105,14 @@
                 self.heard += len(head)
                 target = head.split(" ", 2)[1] if head.count(" ") > 1 else ""
                 path, _, query = target.partition("?")
-                while self.silent:
-                    await self.told.wait()
-                if path != LIST:
+                while self.is_silent:
+                    await self.list_changed.wait()
+                if path != LIST_PATH:
                     self._write(writer, b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
                 elif "follow=1" in query:
                     return await self._watch(writer, query)
                 else:
-                    body = self.encode(self.whole())
+                    body = self.encode(self.snapshot())
                     self._write(
                         writer,
                         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -133,19 +139,21 @@
             b"Transfer-Encoding: chunked\r\n\r\n",
         )
         while True:
-            if not self.silent:
-                line, upto = self._line(index), self.index
-                if self.broken:
-                    # In the middle of a line: half a change must not be taken for one.
+            if not self.is_silent:
+                line, line_index = self._encoded_line(index), self.index
+                if self.truncates_messages:
+                    # The connection ends in the middle of a line, which must not pass for a change.
                     self._write(writer, b"%x\r\n%s" % (len(line), line[: len(line) // 2]))
                     await writer.drain()
                     return
                 self._write(writer, b"%x\r\n%s\r\n" % (len(line), line))
                 await writer.drain()
-                index = upto
-            told = self.told
-            if self.silent or index == self.index:
+                index = line_index
+            list_changed = self.list_changed
+            if self.is_silent or index == self.index:
                 try:
-                    await asyncio.wait_for(told.wait(), self.fleet.plan.discovery.heartbeat_s)
+                    await asyncio.wait_for(
+                        list_changed.wait(), self.fleet.plan.discovery.heartbeat_s
+                    )
                 except asyncio.TimeoutError:
                     pass
--- a/pierglade/testbed/plain.py
+++ b/pierglade/testbed/plain.py
@@ -1,7 +1,7 @@
-"""Plain nodes as a measure: round robin, random, least in flight, two choices, with nothing beside it.
+"""Minimal load balancers as a baseline: round robin, random, least in flight and two random choices.
 
-They follow the list, keep connections, send each invocation once and tell the client what came of it. `fault`
-plants a broken rule, for those who look for one: `pierglade audit` has to find it.
+They follow the endpoint list, reuse connections, send each request once and forward the status. With
+`fault` the node violates one rule on purpose, to check that `pierglade audit` detects it.
 """
 
 import argparse
@@ -17,49 +17,50 @@
 
 POLICIES = ("turns", "random", "least", "two")
 FAULTS = ("none", "twice", "late", "again", "drained", "flood", "overdraw", "left")
-LATE_S = 1.5  # seconds that an answer is held back by a node that answers late
-LEFT_S = 1.0  # s; the planted fault `left` sends on so long after it took a request, whoever waits
-AGAIN = 0.2  # s; between tries to follow the list
-PATIENCE_S = 10.0  # a trip that is not answered by then is given up
+LATE_ANSWER_DELAY_S = 1.5  # fault `late`: added to each response
+ABANDONED_SEND_DELAY_S = 1.0  # fault `left`: each request waits this long, even if its client left
+RECONNECT_DELAY_S = 0.2  # between attempts to watch the endpoint list
+ATTEMPT_TIMEOUT_S = 10.0
 
 
-class Choice:
-    """Which backend is next, of those on the list."""
+class BackendSelector:
+    """Selects the backend of the next request among those on the endpoint list."""
 
     def __init__(self, policy, seed):
-        self.pick = {
-            "turns": self._turns,
+        self.select = {
+            "turns": self._round_robin,
             "random": self._random,
-            "least": self._least,
-            "two": self._two,
+            "least": self._least_in_flight,
+            "two": self._two_choices,
         }[policy]
-        self.chance = random.Random(seed)
-        self.names, self.out, self.at = [], {}, 0
+        self.random = random.Random(seed)
+        self.names, self.in_flight, self.position = [], {}, 0
 
-    def listed(self, names):
+    def set_backends(self, names):
+        """Replaces the names of the backends to select from."""
         self.names = list(names)
         for name in self.names:
-            self.out.setdefault(name, 0)
+            self.in_flight.setdefault(name, 0)
 
-    def _turns(self):
-        self.at += 1
-        return self.names[self.at % len(self.names)]
+    def _round_robin(self):
+        self.position += 1
+        return self.names[self.position % len(self.names)]
 
     def _random(self):
-        return self.chance.choice(self.names)
+        return self.random.choice(self.names)
 
-    def _least(self):
-        self.at += 1
-        start = self.at % len(self.names)
-        return min(self.names[start:] + self.names[:start], key=self.out.__getitem__)
+    def _least_in_flight(self):
+        self.position += 1
+        start = self.position % len(self.names)
+        return min(self.names[start:] + self.names[:start], key=self.in_flight.__getitem__)
 
-    def _two(self):
-        one, other = self.chance.choice(self.names), self.chance.choice(self.names)
-        return one if self.out[one] <= self.out[other] else other
+    def _two_choices(self):
+        one, other = self.random.choice(self.names), self.random.choice(self.names)
+        return one if self.in_flight[one] <= self.in_flight[other] else other
 
 
-class Client(asyncio.Protocol):
-    """A client's connection: one request in hand."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection, with one request at a time."""
 
     def __init__(self, node):
         self.node, self.transport, self.attempt = node, None, None
@@ -67,36 +68,44 @@
         self.url, self.headers, self.body = b"", [], b""
 
     def connection_made(self, transport):
+        """asyncio: the connection is established."""
         self.transport = transport
 
-    def connection_lost(self, fault):
+    def connection_lost(self, error):
+        """asyncio: the connection has ended; the attempt in flight is cancelled."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             self.node.pools[attempt.context[1]].leave(attempt)
 
     def data_received(self, data):
+        """asyncio: bytes were received."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.transport.close()
 
     def on_message_begin(self):
+        """httptools: a request begins."""
         self.url, self.headers, self.body = b"", [], b""
 
     def on_url(self, url):
+        """httptools: a part of the URL was read."""
         self.url += url
 
     def on_header(self, name, value):
+        """httptools: a header was read; headers of this connection only are not forwarded."""
         if name.lower() not in (b"connection", b"content-length", b"x-expires-in-ms"):
             self.headers.append(b"%s: %s\r\n" % (name, value))
 
     def on_body(self, body):
+        """httptools: a part of the body was read."""
         self.body += body
 
     def on_message_complete(self):
+        """httptools: the request is complete."""
         method = self.parser.get_method()
         if self.url == b"/health/ready":
-            return self.answer(200 if self.node.choice.names else 503, "")
+            return self.respond(200 if self.node.selector.names else 503, "")
         length = (
             b"Content-Length: %d\r\n" % len(self.body) if self.body or method != b"GET" else b""
         )
@@ -107,9 +116,10 @@
             length,
             self.body,
         )
-        self.node.take(self, data, method)
+        self.node.request_received(self, data, method)
 
-    def answer(self, status, backend, never_ran=False):
+    def respond(self, status, backend, is_unexecuted=False):
+        """Writes a response, unless the connection is closing."""
         if self.transport.is_closing():
             return
         head = b"HTTP/1.1 %d .\r\nX-Backend: %s\r\nContent-Length: 2\r\n\r\nok" % (
@@ -119,25 +129,26 @@
         self.transport.write(head)
 
 
-class Plain:
-    """One plain node. `fixed`: {name: address} where no discovery is followed."""
+class PlainNode:
+    """A plain node; `static_backends` is {name: address}, for a node without discovery."""
 
-    def __init__(self, policy, seed, fault="none", fixed=None):
+    def __init__(self, policy, seed, fault="none", static_backends=None):
         self.loop = asyncio.get_running_loop()
-        self.choice, self.fault = Choice(policy, seed), fault
-        self.pools, self.addresses, self.kept = {}, {}, {}
-        if fixed:
-            self.heard(
+        self.selector, self.fault = BackendSelector(policy, seed), fault
+        self.pools, self.addresses, self.pool_addresses = {}, {}, {}
+        if static_backends:
+            self.endpoints_updated(
                 {
                     "snapshot": True,
                     "endpoints": [
                         {"name": name, "address": address, "status": "SERVING"}
-                        for name, address in fixed.items()
+                        for name, address in static_backends.items()
                     ],
                 }
             )
 
-    def heard(self, document):
+    def endpoints_updated(self, document):
+        """Applies a snapshot or changes of the endpoint list."""
         if document["snapshot"]:
             self.addresses = {}
         for entry in document["endpoints"]:
@@ -146,47 +157,49 @@
             elif self.fault != "drained" or entry["status"] != "DRAINING":
                 self.addresses.pop(entry["name"], None)
         for name, address in self.addresses.items():
-            if self.kept.get(name) != address:
-                self.kept[name], self.pools[name] = address, Pool(address, self.loop)
+            if self.pool_addresses.get(name) != address:
+                self.pool_addresses[name], self.pools[name] = address, Pool(address, self.loop)
         if self.fault in ("drained", "flood") and "b0" in self.addresses:
-            self.choice.listed(
-                ["b0"]
-            )  # whoever drains, or starts cold, in the plans that look for it
+            # In the plans that test these faults, b0 is the backend that drains or restarts.
+            self.selector.set_backends(["b0"])
         else:
-            self.choice.listed(self.addresses)
+            self.selector.set_backends(self.addresses)
 
-    def take(self, client, data, method):
-        if not self.choice.names:
-            return client.answer(503, "")
+    def request_received(self, client, data, method):
+        """Sends a client's request to a backend, after a delay with the fault `left`."""
+        if not self.selector.names:
+            return client.respond(503, "")
         if self.fault == "left":
-            self.loop.call_later(LEFT_S, self.send, client, data, method, 0)
+            self.loop.call_later(ABANDONED_SEND_DELAY_S, self.send, client, data, method, 0)
             return
         self.send(client, data, method, 0)
 
-    def send(self, client, data, method, tries):
-        name = self.choice.pick()
-        self.choice.out[name] += 1
-        attempt = Request(data, self.ended, (client, name, method, tries))
+    def send(self, client, data, method, retries):
+        """Starts an attempt; `retries` counts the attempts before it."""
+        name = self.selector.select()
+        self.selector.in_flight[name] += 1
+        attempt = Request(data, self.attempt_ended, (client, name, method, retries))
         client.attempt = attempt
-        self.pools[name].send(attempt, PATIENCE_S)
+        self.pools[name].send(attempt, ATTEMPT_TIMEOUT_S)
 
-    def ended(self, attempt, status, backend, why):
-        client, name, method, tries = attempt.context
-        self.choice.out[name] -= 1
+    def attempt_ended(self, attempt, status, backend, reason):
+        """Forwards the result of an attempt to the client, with the deviations of the fault."""
+        client, name, method, retries = attempt.context
+        self.selector.in_flight[name] -= 1
         if client.attempt is not attempt:
             return
         client.attempt = None
-        if tries < 3 and (self.fault == "overdraw" or self.fault == "again" and status != 200):
-            return self.send(client, attempt.data, method, tries + 1)
+        if retries < 3 and (self.fault == "overdraw" or self.fault == "again" and status != 200):
+            return self.send(client, attempt.data, method, retries + 1)
         if self.fault == "late":
-            self.loop.call_later(LATE_S, client.answer, status or 504, name)
+            self.loop.call_later(LATE_ANSWER_DELAY_S, client.respond, status or 504, name)
             return
-        client.answer(status or (504 if why != CLOSED else 502), name)
+        client.respond(status or (504 if reason != CLOSED else 502), name)
         if self.fault == "twice":
-            client.answer(status or 504, name)
+            client.respond(status or 504, name)
 
-    async def follow(self, address):
-        """Keeps to what discovery tells."""
+    async def follow_discovery(self, address):
+        """Watches the endpoint list and applies its changes; reconnects when the watch ends."""
         host, _, port = address.rpartition(":")
         while True:
             try:
@@ -199,7 +212,7 @@
                     size = int(await reader.readline() or b"0", 16)
                     line = await reader.readexactly(size + 2)
                     if line.strip():
-                        self.heard(msgspec.json.decode(line))
+                        self.endpoints_updated(msgspec.json.decode(line))
             except (
                 OSError,
                 ValueError,
@@ -208,59 +221,60 @@
                 asyncio.LimitOverrunError,
                 msgspec.DecodeError,
             ):
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
 
-async def serve(listen, policy, seed, fault, fixed, discovery, with_parent):
-    loop, over = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+async def serve(listen, policy, seed, fault, static_backends, discovery, with_parent):
+    """Runs a plain node until SIGTERM, SIGINT or, with `with_parent`, the end of standard input."""
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     if with_parent:
 
-        def read():
+        def _read_stdin():
             if not sys.stdin.buffer.raw.read(1024):
-                over.set()
+                stop_requested.set()
                 loop.remove_reader(sys.stdin)
 
-        loop.add_reader(sys.stdin, read)
-    node = Plain(policy, seed, fault, fixed)
+        loop.add_reader(sys.stdin, _read_stdin)
+    node = PlainNode(policy, seed, fault, static_backends)
     host, _, port = listen.rpartition(":")
-    server = await loop.create_server(lambda: Client(node), host, int(port), backlog=4096)
-    follows = loop.create_task(node.follow(discovery)) if discovery else None
-    where = "%s:%d" % server.sockets[0].getsockname()
-    print(msgspec.json.encode({"event": "started", "listen": where}).decode(), flush=True)
-    await over.wait()
-    if follows is not None:
-        follows.cancel()
+    server = await loop.create_server(lambda: ClientConnection(node), host, int(port), backlog=4096)
+    discovery_task = loop.create_task(node.follow_discovery(discovery)) if discovery else None
+    address = "%s:%d" % server.sockets[0].getsockname()
+    print(msgspec.json.encode({"event": "started", "listen": address}).decode(), flush=True)
+    await stop_requested.wait()
+    if discovery_task is not None:
+        discovery_task.cancel()
     server.close()
 
 
 def main():
-    """`python -m pierglade.testbed.plain`: one plain node until SIGTERM."""
-    words = argparse.ArgumentParser(prog="pierglade.testbed.plain", description=main.__doc__)
-    words.add_argument("--listen", default="127.0.0.1:0")
-    words.add_argument("--policy", choices=POLICIES, default="turns")
-    words.add_argument("--fault", choices=FAULTS, default="none")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--discovery", default="")
-    words.add_argument("--backends", default="", help="name=host:port,...")
-    words.add_argument("--with-parent", action="store_true")
-    told = words.parse_args()
-    fixed = dict(pair.split("=") for pair in told.backends.split(",") if pair)
+    """`python -m pierglade.testbed.plain`: runs one plain node until SIGTERM."""
+    parser = argparse.ArgumentParser(prog="pierglade.testbed.plain", description=main.__doc__)
+    parser.add_argument("--listen", default="127.0.0.1:0")
+    parser.add_argument("--policy", choices=POLICIES, default="turns")
+    parser.add_argument("--fault", choices=FAULTS, default="none")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--discovery", default="")
+    parser.add_argument("--backends", default="", help="name=host:port,...")
+    parser.add_argument("--with-parent", action="store_true")
+    arguments = parser.parse_args()
+    static_backends = dict(pair.split("=") for pair in arguments.backends.split(",") if pair)
     try:
         asyncio.run(
             serve(
-                told.listen,
-                told.policy,
-                told.seed,
-                told.fault,
-                fixed,
-                told.discovery,
-                told.with_parent,
+                arguments.listen,
+                arguments.policy,
+                arguments.seed,
+                arguments.fault,
+                static_backends,
+                arguments.discovery,
+                arguments.with_parent,
             )
         )
-    except OSError as fault:
-        sys.exit(f"plain: cannot listen on {told.listen}: {fault.strerror}")
+    except OSError as error:
+        sys.exit(f"plain: cannot listen on {arguments.listen}: {error.strerror}")
 
 
 if __name__ == "__main__":
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -1,7 +1,8 @@
-"""A stand-in fleet's plan, read from TOML into typed structs: who is in it, and what befalls whom when.
+"""The plan of a stand-in fleet, read from TOML into typed structs: backends, discovery and faults.
 
-Times carry their unit in the name; shares are of 1. What can't be used is one line that names the place.
-The kinds of backend, overdrive and offerings are those of the model (`pierglade.simulation.plan`).
+Times carry their unit in the name; shares are fractions from 0 to 1. An error is one line that names
+the place in the plan. The kinds of backends, overdrive and request classes are those of the model
+(`pierglade.simulation.plan`).
 """
 
 from typing import Annotated, Literal
@@ -22,12 +23,10 @@
 )
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
-MOST_BACKENDS = (
-    1000  # listening sockets of one process; with their connections they fit 20,000 descriptors
-)
+# Listening sockets of one process; with their connections they fit into 20,000 descriptors.
+MAX_BACKENDS = 1000
 
-# What may befall backends, and what may befall discovery.
-BEFALLS = (
+BACKEND_FAULTS = (
     "crash",
     "hang",
     "errors",
@@ -40,8 +39,9 @@
     "restart",
     "replace",
 )
-LIST_BEFALLS = ("late", "silent", "broken")
-LASTING = (
+DISCOVERY_FAULTS = ("late", "silent", "broken")
+# Faults that have a duration; the others happen at one moment.
+LASTING_FAULTS = (
     "crash",
     "hang",
     "errors",
@@ -51,78 +51,79 @@
     "spoil",
     "refuse",
     "drain",
-    *LIST_BEFALLS,
+    *DISCOVERY_FAULTS,
 )
-FOR_EVER = float("inf")
+UNTIL_END = float("inf")  # the duration of a fault that lasts until the fleet stops
 
 
 class Place(Struct):
-    """Some backends of one kind in one zone and one cell."""
+    """A group of backends of one kind in one zone and one cell."""
 
-    kind: str = ""  # by its name; empty: the first
+    kind: str = ""  # name of the kind; empty: the first kind of the plan
     count: Annotated[int, Meta(ge=1)] = 1
     zone: str = "a"
     cell: int = 0
-    port: Port = 0  # of the first, the others behind it; 0: whatever is free
+    port: Port = 0  # of the first backend, the others follow; 0: any free port
 
 
-class Named(Kind):
-    """A kind of backend, with a name to refer to it."""
+class NamedKind(Kind):
+    """A kind of backend with a name that places refer to."""
 
     name: str = "std"
 
 
 class Report(Struct):
-    """How backends tell their load."""
+    """How backends report their load."""
 
     how: Literal["answers", "probes", "none"] = "none"
     fields: tuple[Literal["inflight", "queue", "util", "qps"], ...] = ("inflight", "util")
-    period_ms: Positive = 100.0  # a report is as old as this at most
+    period_ms: Positive = 100.0  # between updates of a report, its greatest age
 
 
 class Discovery(Struct):
-    """The agent that tells nodes of backends."""
+    """The discovery agent that serves the endpoint list to nodes."""
 
     port: Port = 0
-    notice_s: NotNegative = 0.5  # until it tells of what has changed
+    notice_s: NotNegative = 0.5  # from a change until it is published
     heartbeat_s: Positive = 2.0
 
 
 class Ledger(Struct):
-    """Where it is written down what arrived and what ran; empty: nowhere."""
+    """The file that records what arrived and what was executed; an empty path: none."""
 
     path: str = ""
-    most_mb: Positive = 64.0  # no more is written then, and the ledger says that it has a hole
+    most_mb: Positive = 64.0  # beyond it nothing is written, and the ledger reports a gap
 
 
-class Befall(Struct):
-    """What befalls whom, when, and for how long."""
+class Fault(Struct):
+    """A fault: what happens, when, for how long and to which backends."""
 
     at_s: NotNegative
-    what: Literal[BEFALLS + LIST_BEFALLS]
-    for_s: Positive = FOR_EVER  # without it, to the end
-    backends: list[str] = []  # by name; or
-    share: Annotated[float, Meta(gt=0, le=1)] = (
-        1.0  # of those that `zone` and `cell` leave, the first
-    )
-    zone: str = ""
-    cell: int = -1
-    part: Share = 1.0  # of the invocations, for errors, reset, spoil and refuse
-    times: Positive = 3.0  # slower, for slow
-    pause_ms: Positive = 300.0  # how long each pause is, for pause
-    after: Annotated[int, Meta(ge=1)] = 200  # invocations between pauses, for pause
-    delay_s: Positive = 3.0  # for late
-
-    def of_list(self):
-        return self.what in LIST_BEFALLS
+    what: Literal[BACKEND_FAULTS + DISCOVERY_FAULTS]
+    for_s: Positive = UNTIL_END
+    backends: list[str] = []  # by name; empty: those that `share`, `zone` and `cell` select
+    share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of those in `zone` and `cell`, the first ones
+    zone: str = ""  # empty: any zone
+    cell: int = -1  # -1: any cell
+    part: Share = 1.0  # fraction of the requests, for errors, reset, spoil and refuse
+    times: Positive = 3.0  # factor by which the backend is slower, for slow
+    pause_ms: Positive = 300.0  # length of each pause, for pause
+    after: Annotated[int, Meta(ge=1)] = 200  # executed requests between pauses, for pause
+    delay_s: Positive = 3.0  # added to `notice_s`, for late
+
+    def is_discovery_fault(self):
+        """Whether the fault affects discovery instead of backends."""
+        return self.what in DISCOVERY_FAULTS
 
     def until(self):
-        """The moment in seconds at which it is over."""
-        return self.at_s + (self.for_s if self.what in LASTING else 0.0)
+        """Returns the moment in seconds at which the fault ends."""
+        return self.at_s + (self.for_s if self.what in LASTING_FAULTS else 0.0)
 
 
 class Plan(Struct):
-    kind: Annotated[list[Named], Meta(min_length=1)]
+    """The whole plan of a fleet."""
+
+    kind: Annotated[list[NamedKind], Meta(min_length=1)]
     place: Annotated[list[Place], Meta(min_length=1)]
     request_class: Annotated[list[RequestClassPlan], Meta(min_length=1)] = msgspec.field(
         name="offering"
@@ -130,116 +131,124 @@
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     report: Report = msgspec.field(default_factory=Report)
     ledger: Ledger = msgspec.field(default_factory=Ledger)
-    befall: list[Befall] = []
+    befall: list[Fault] = []
     overdrive: Overdrive | None = None
-    drops_waiting: bool = True  # what waits is dropped when its connection ends
+    drops_waiting: bool = True  # queued requests are dropped when their connection ends
     probes: bool = True  # GET /health/live and GET /stats are answered
-    connections: Annotated[int, Meta(ge=1)] = (
-        512  # that a backend holds; more are answered with never ran
-    )
-    idle_s: Positive = 15.0  # a connection that rests for so long is closed
-    body_bytes: Annotated[int, Meta(ge=0, le=1 << 20)] = 64  # of an answer
-    seconds: Positive | None = None  # it ends by itself then; None: on SIGTERM
+    # Connections of a backend; requests on further ones are rejected unexecuted.
+    connections: Annotated[int, Meta(ge=1)] = 512
+    idle_s: Positive = 15.0  # idle time after which a connection is closed
+    body_bytes: Annotated[int, Meta(ge=0, le=1 << 20)] = 64  # of a successful response
+    seconds: Positive | None = None  # duration of the run; None: until SIGTERM
     seed: int = 1
     title: str = ""
 
     def names(self):
-        """(name, its place) of all backends, in order."""
-        each = [place for place in self.place for _ in range(place.count)]
-        return [(f"b{number}", place) for number, place in enumerate(each)]
+        """Returns (name, place) of all backends, in order."""
+        places = [place for place in self.place for _ in range(place.count)]
+        return [(f"b{number}", place) for number, place in enumerate(places)]
 
     def kind_of(self, place):
-        return next(k for k in self.kind if k.name == place.kind or not place.kind)
+        """Returns the kind of the backends of a place."""
+        return next(kind for kind in self.kind if kind.name == place.kind or not place.kind)
 
-    def struck(self, befall):
-        """The names of the backends that it befalls."""
+    def affected_backends(self, fault):
+        """Returns the names of the backends that a fault affects."""
         names = self.names()
-        if befall.backends:
-            return [name for name, _ in names if name in befall.backends]
-        left = [
+        if fault.backends:
+            return [name for name, _ in names if name in fault.backends]
+        candidates = [
             name
             for name, place in names
-            if befall.zone in ("", place.zone) and befall.cell in (-1, place.cell)
+            if fault.zone in ("", place.zone) and fault.cell in (-1, place.cell)
         ]
-        return left[: max(1, round(len(left) * befall.share))] if left else []
+        return candidates[: max(1, round(len(candidates) * fault.share))] if candidates else []
 
 
 def read(path):
-    """The plan in the TOML file at `path`; raises InvalidPlanError with one line that names the place."""
+    """Reads the plan in the TOML file at `path`; raises InvalidPlanError with a one-line message."""
     return made(tables(path), path)
 
 
 def made(raw, path="plan"):
-    """A plan from a mapping; raises InvalidPlanError, with `path` named in front."""
+    """Builds a plan from a mapping; raises InvalidPlanError, whose message begins with `path`."""
     try:
         plan = msgspec.convert(raw, Plan)
-    except msgspec.ValidationError as fault:
-        raise InvalidPlanError(f"{path}: {fault}") from None
-    wrong = next(_faults(plan), None)
-    if wrong:
-        raise InvalidPlanError(f"{path}: {wrong}")
+    except msgspec.ValidationError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
+    problem = next(_problems(plan), None)
+    if problem:
+        raise InvalidPlanError(f"{path}: {problem}")
     return plan
 
 
-def _faults(plan):
-    """What can't be used in a plan whose types are right, line by line."""
-    kinds = [k.name for k in plan.kind]
+def _problems(plan):
+    """Yields a line for each invalid value of a plan whose types are valid."""
+    kinds = [kind.name for kind in plan.kind]
     if len(set(kinds)) < len(kinds):
-        yield "$.kind: two of one name"
-    if len({o.name for o in plan.request_class}) < len(plan.request_class):
-        yield "$.offering: two of one name"
+        yield f"$.kind: duplicate name in {', '.join(kinds)}"
+    if len({request_class.name for request_class in plan.request_class}) < len(plan.request_class):
+        yield "$.offering: duplicate name"
     for number, request_class in enumerate(plan.request_class):
         if request_class.expected_ms > request_class.hard_limit_ms:
-            yield f"$.offering[{number}].expected_ms: {request_class.expected_ms:g} is over `hard_limit_ms`"
+            yield (
+                f"$.offering[{number}].expected_ms: {request_class.expected_ms:g} exceeds "
+                f"`hard_limit_ms`, {request_class.hard_limit_ms:g}"
+            )
     for number, place in enumerate(plan.place):
         if place.kind and place.kind not in kinds:
-            yield f"$.place[{number}].kind: {place.kind!r} is none of {', '.join(kinds)}"
+            yield f"$.place[{number}].kind: unknown kind {place.kind!r}; known: {', '.join(kinds)}"
         if place.port and place.port + place.count > 65536:
-            yield f"$.place[{number}].port: {place.count} ports from {place.port} on go beyond 65535"
-    if sum(place.count for place in plan.place) > MOST_BACKENDS:
-        yield f"$.place: more than {MOST_BACKENDS} backends"
+            yield (
+                f"$.place[{number}].port: {place.count} ports from {place.port} exceed the highest "
+                f"port, 65535"
+            )
+    if sum(place.count for place in plan.place) > MAX_BACKENDS:
+        yield f"$.place: more than {MAX_BACKENDS} backends"
     if plan.discovery.port and plan.discovery.port in _ports(plan):
-        yield f"$.discovery.port: {plan.discovery.port} is a backend's"
+        yield f"$.discovery.port: {plan.discovery.port} is already the port of a backend"
     ports = list(_ports(plan))
     if len(set(ports)) < len(ports):
-        yield "$.place: two backends on one port"
-    yield from _faults_of_moments(plan)
+        yield "$.place: two backends have the same port"
+    yield from _fault_problems(plan)
 
 
 def _ports(plan):
-    return (place.port + n for place in plan.place if place.port for n in range(place.count))
+    return (
+        place.port + offset for place in plan.place if place.port for offset in range(place.count)
+    )
 
 
-def _faults_of_moments(plan):
+def _fault_problems(plan):
     names = {name for name, _ in plan.names()}
-    spans = {}  # (backend or the list) to what befalls it: (from, until, place in the file, what)
-    for number, befall in enumerate(plan.befall):
+    spans = {}  # name of a backend, or "discovery", to its (start, end, place in the plan, kind)
+    for number, fault in enumerate(plan.befall):
         here = f"$.befall[{number}]"
-        if plan.seconds is not None and befall.at_s >= plan.seconds:
-            yield f"{here}.at_s: {befall.at_s:g} lies behind the end at {plan.seconds:g}"
-        if number and befall.at_s < plan.befall[number - 1].at_s:
+        if plan.seconds is not None and fault.at_s >= plan.seconds:
+            yield f"{here}.at_s: {fault.at_s:g} is not before the end of the run at {plan.seconds:g}"
+        if number and fault.at_s < plan.befall[number - 1].at_s:
             yield (
-                f"{here}.at_s: {befall.at_s:g} lies before the one above it, "
+                f"{here}.at_s: {fault.at_s:g} is before that of the previous fault, "
                 f"{plan.befall[number - 1].at_s:g}"
             )
-        if befall.of_list():
-            struck = ["the list"]
-            if befall.backends or befall.zone or befall.cell != -1 or befall.share != 1.0:
-                yield f"{here}: `{befall.what}` befalls the list, not some backends"
+        if fault.is_discovery_fault():
+            affected = ["discovery"]
+            if fault.backends or fault.zone or fault.cell != -1 or fault.share != 1.0:
+                yield f"{here}: `{fault.what}` affects discovery and can't select backends"
         else:
-            unknown = sorted(set(befall.backends) - names)
+            unknown = sorted(set(fault.backends) - names)
             if unknown:
-                yield f"{here}.backends: there is no {', '.join(unknown)}"
-            struck = plan.struck(befall)
-            if not struck:
-                yield f"{here}: there is no such backend"
-        if befall.for_s != FOR_EVER and befall.what not in LASTING:
-            yield f"{here}.for_s: `{befall.what}` takes no time"
-        for name in struck:
-            for since, until, place, what in spans.get(name, ()):
-                if befall.at_s < until and befall.until() > since or befall.at_s == since:
+                yield f"{here}.backends: unknown backends {', '.join(unknown)}"
+            affected = plan.affected_backends(fault)
+            if not affected:
+                yield f"{here}: no backend matches zone {fault.zone!r}, cell {fault.cell} ('' and -1: any)"
+        if fault.for_s != UNTIL_END and fault.what not in LASTING_FAULTS:
+            yield f"{here}.for_s: `{fault.what}` has no duration"
+        for name in affected:
+            for start, end, place, kind in spans.get(name, ()):
+                if fault.at_s < end and fault.until() > start or fault.at_s == start:
                     yield (
-                        f"{here}: `{befall.what}` befalls {name} while {place}, `{what}`, "
-                        f"still does"
+                        f"{here}: `{fault.what}` overlaps {place}, `{kind}`, which also affects "
+                        f"{name}"
                     )
-            spans.setdefault(name, []).append((befall.at_s, befall.until(), here, befall.what))
+            spans.setdefault(name, []).append((fault.at_s, fault.until(), here, fault.what))
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -1,4 +1,4 @@
-"""The stand-in fleet as one process: hundreds of backends on loopback ports, an agent, a script, a ledger."""
+"""The stand-in fleet in one process: backends on loopback ports, discovery, faults and a ledger."""
 
 import asyncio
 import random
@@ -12,197 +12,215 @@
 
 from pierglade.audit.ledger import Ledger
 from pierglade.simulation.distributions import WorkDistribution
-from pierglade.testbed.backend import Stand
+from pierglade.testbed.backend import StandInBackend
 from pierglade.testbed.clock import RealClock
 from pierglade.testbed.discovery import Agent
-from pierglade.testbed.script import Script
+from pierglade.testbed.script import FaultInjector
 
-FLUSH = 1000.0  # 100 ms in tenths of a millisecond; the ledger is written that often
-IDLE_LOOK = 10000.0  # 1 s; how often connections that rest are looked for
-LATE_MS = 10.0  # p99 of its own lateness from which a run says that it was late
-REPEATS_MOST = 100000  # stamps that are remembered, all groups together
+LEDGER_FLUSH_INTERVAL_TICKS = 1000.0  # 100 ms
+IDLE_CHECK_INTERVAL_TICKS = 10000.0  # 1 s
+MAX_LATENESS_MS = 10.0  # a run whose p99 lateness is greater is reported as late
+MAX_IDEMPOTENCY_KEYS = 100000  # remembered keys of all deduplication groups together
 
 
 class CannotListen(Exception):
-    """An address that is taken; one line that names it."""
+    """An address could not be bound; the message is one line that names it."""
 
 
-class StandIn:
-    """A plan's fleet. Made and started inside a running asyncio loop.
+class StandInFleet:
+    """The fleet of a plan; it is created and started inside a running asyncio loop.
 
-    `say(event, **fields)` is told of what happens; by default nobody is.
+    `log_event(event, **fields)` is called for each fault that starts or ends.
     """
 
-    def __init__(self, plan, say=lambda event, **fields: None):
-        self.plan, self.say = plan, say
+    def __init__(self, plan, log_event=lambda event, **fields: None):
+        self.plan, self.log_event = plan, log_event
         self.clock = RealClock()
-        self.unix_ms = time.time() * 1000  # at the clock's zero
-        self.chance = random.Random(plan.seed)
+        self.unix_ms = time.time() * 1000  # Unix time at the clock's zero
+        self.random = random.Random(plan.seed)
         streams = np.random.SeedSequence(plan.seed).spawn(len(plan.request_class))
-        self.request_classes = {o.name.encode(): o for o in plan.request_class}
-        self.sizes = {
-            o.name: WorkDistribution(np.random.default_rng(s), o.spread, o.work_ms * 10, o.cv)
-            for o, s in zip(plan.request_class, streams)
+        self.request_classes = {
+            request_class.name.encode(): request_class for request_class in plan.request_class
+        }
+        self.work_distributions = {
+            request_class.name: WorkDistribution(
+                np.random.default_rng(stream),
+                request_class.spread,
+                request_class.work_ms * 10,
+                request_class.cv,
+            )
+            for request_class, stream in zip(plan.request_class, streams)
         }
         self.body = b"x" * plan.body_bytes
-        self.tasks, self.troubles = set(), []
+        self.tasks, self.errors = set(), []
         self.connections = 0
-        self.stamps, self.stamped = {}, deque()  # (group, stamp) to until when it is dropped
+        # (group, idempotency key) to its expiry, and the same in order of arrival.
+        self.key_expiries, self.expiry_queue = {}, deque()
         self.ledger = Ledger(
             plan.ledger.path, plan.ledger.most_mb, lambda: self.unix_ms + self.clock.now / 10
         )
-        self.stands, self.since = {}, {}
+        self.backends, self.started_ms = {}, {}
         self.agent = Agent(self)
-        self.script = Script(self)
+        self.fault_injector = FaultInjector(self)
 
     async def start(self):
-        """Listens everywhere; raises CannotListen where an address is taken."""
+        """Opens all listening sockets; raises CannotListen if an address can't be bound."""
         ports = {}
         for name, place in self.plan.names():
             port = place.port + ports.get(id(place), 0) if place.port else 0
             ports[id(place)] = ports.get(id(place), 0) + 1
             try:
-                self.stands[name] = Stand(self, name, place, port)
-                self.stands[name].listen()
-            except OSError as fault:
-                self.close_all()
+                self.backends[name] = StandInBackend(self, name, place, port)
+                self.backends[name].listen()
+            except OSError as error:
+                self.close_backends()
                 raise CannotListen(
-                    f"cannot listen on 127.0.0.1:{port} ({name}): {fault.strerror}"
+                    f"cannot listen on 127.0.0.1:{port} ({name}): {error.strerror}"
                 ) from None
         try:
             await self.agent.start(self.plan.discovery.port)
-        except OSError as fault:
-            self.close_all()
+        except OSError as error:
+            self.close_backends()
             raise CannotListen(
                 f"cannot listen on 127.0.0.1:{self.plan.discovery.port} (discovery): "
-                f"{fault.strerror}"
+                f"{error.strerror}"
             ) from None
-        self.since = dict.fromkeys(self.stands, 0)
-        self.agent.first([self.entry(stand) for stand in self.stands.values()])
-        self.script.start()
-        self.clock.after(FLUSH, self._flush)
-        self.clock.after(IDLE_LOOK, self._look_for_idle)
+        self.started_ms = dict.fromkeys(self.backends, 0)
+        self.agent.first([self.entry(backend) for backend in self.backends.values()])
+        self.fault_injector.start()
+        self.clock.after(LEDGER_FLUSH_INTERVAL_TICKS, self._flush_ledger)
+        self.clock.after(IDLE_CHECK_INTERVAL_TICKS, self._close_idle_connections)
         if self.plan.report.how != "none":
-            self.clock.after(self.plan.report.period_ms * 10, self._refresh)
+            self.clock.after(self.plan.report.period_ms * 10, self._update_load_reports)
 
     async def stop(self):
+        """Ends discovery and all backends, and closes the ledger."""
         await self.agent.stop()
-        self.close_all()
+        self.close_backends()
         self.ledger.close()
 
-    def close_all(self):
-        for stand in self.stands.values():
-            stand.close()
+    def close_backends(self):
+        """Closes all backends."""
+        for backend in self.backends.values():
+            backend.close()
 
-    # What backends ask of it.
+    # Called by backends.
 
     def next_connection(self):
+        """Returns the number of a new connection."""
         self.connections += 1
         return self.connections
 
     def spawn(self, coroutine):
+        """Runs a coroutine as a task; an error of it is recorded."""
         task = self.clock.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
 
-    def _ended(self, task):
+    def _task_done(self, task):
         self.tasks.discard(task)
-        fault = None if task.cancelled() else task.exception()
-        if fault is not None and not isinstance(fault, OSError):
-            self.trouble(repr(fault))
+        error = None if task.cancelled() else task.exception()
+        if error is not None and not isinstance(error, OSError):
+            self.record_error(repr(error))
 
-    def trouble(self, what):
-        if len(self.troubles) < 20:
-            self.troubles.append(what)
+    def record_error(self, message):
+        """Records an error of the fleet itself for the summary, up to 20 of them."""
+        if len(self.errors) < 20:
+            self.errors.append(message)
 
-    def is_repeat(self, stand, request_class, request):
-        """Whether this stamp was seen in its group and window; noted either way."""
+    def is_repeat(self, backend, request_class, request):
+        """Whether the idempotency key was seen in its group and window; a new key is stored."""
         now, key = self.clock.now, request.key or ""
-        place = stand.place
+        place = backend.place
         group = {"all": "", "zone": place.zone, "cell": (place.zone, place.cell)}[
             request_class.group
         ]
-        while self.stamped and (self.stamped[0][0] <= now or len(self.stamped) > REPEATS_MOST):
-            until, seen = self.stamped.popleft()
-            if self.stamps.get(seen) == until:
-                del self.stamps[seen]
-        if self.stamps.get((group, key), 0) > now:
+        while self.expiry_queue and (
+            self.expiry_queue[0][0] <= now or len(self.expiry_queue) > MAX_IDEMPOTENCY_KEYS
+        ):
+            expiry, group_and_key = self.expiry_queue.popleft()
+            if self.key_expiries.get(group_and_key) == expiry:
+                del self.key_expiries[group_and_key]
+        if self.key_expiries.get((group, key), 0) > now:
             return True
-        until = now + request_class.window_ms * 10
-        self.stamps[group, key] = until
-        self.stamped.append((until, (group, key)))
+        expiry = now + request_class.window_ms * 10
+        self.key_expiries[group, key] = expiry
+        self.expiry_queue.append((expiry, (group, key)))
         return False
 
-    # What the script asks of it.
+    # Called by the fault injector.
 
-    def entry(self, stand, status="SERVING"):
+    def entry(self, backend, status="SERVING"):
+        """Returns the entry of a backend in the endpoint list."""
         return {
-            "name": stand.name,
-            "address": stand.address,
-            "zone": stand.place.zone,
-            "type": stand.model.kind.name,
-            "group": stand.place.cell,
+            "name": backend.name,
+            "address": backend.address,
+            "zone": backend.place.zone,
+            "type": backend.model.kind.name,
+            "group": backend.place.cell,
             "status": status,
-            "weight": stand.model.kind.weight,
-            "since_ms": int(self.since.get(stand.name, 0)),
+            "weight": backend.model.kind.weight,
+            "since_ms": int(self.started_ms.get(backend.name, 0)),
         }
 
-    def list(self, stand, status, started=False, at_once=False):
+    def publish(self, backend, status, started=False, at_once=False):
+        """Publishes a new status of a backend; `started`: its process has just started."""
         if started:
-            self.since[stand.name] = self.unix_ms + self.clock.now / 10
-        self.agent.changed(self.entry(stand, status), at_once)
+            self.started_ms[backend.name] = self.unix_ms + self.clock.now / 10
+        self.agent.changed(self.entry(backend, status), at_once)
 
-    def rename(self, stand):
-        """The machine behind an address is another one: its name tells how many were there before."""
-        base, _, number = stand.name.partition("r")
-        self.stands[stand.name] = stand  # a script still finds it by the name in the plan
-        stand.name = f"{base}r{int(number or 0) + 1}"
+    def rename(self, backend):
+        """Names the new backend on an address after the number of its predecessors there."""
+        base, _, number = backend.name.partition("r")
+        self.backends[backend.name] = backend  # faults refer to it by its name in the plan
+        backend.name = f"{base}r{int(number or 0) + 1}"
 
-    def happened(self, befall, begins, who):
-        self.say("befalls" if begins else "over", what=befall.what, backends=len(who))
+    def report_fault(self, fault, is_start, names):
+        """Logs the start or the end of a fault."""
+        self.log_event("befalls" if is_start else "over", what=fault.what, backends=len(names))
 
-    # What comes again and again.
+    # Periodic tasks.
 
-    def _flush(self):
+    def _flush_ledger(self):
         self.ledger.flush()
-        self.clock.after(FLUSH, self._flush)
+        self.clock.after(LEDGER_FLUSH_INTERVAL_TICKS, self._flush_ledger)
 
-    def _look_for_idle(self):
-        for stand in self.stands.values():
-            stand.end_idle()
-        self.clock.after(IDLE_LOOK, self._look_for_idle)
+    def _close_idle_connections(self):
+        for backend in self.backends.values():
+            backend.close_idle_connections()
+        self.clock.after(IDLE_CHECK_INTERVAL_TICKS, self._close_idle_connections)
 
-    def _refresh(self):
-        for stand in self.stands.values():
-            stand.refresh(self.plan.report.period_ms / 1000)
-        self.clock.after(self.plan.report.period_ms * 10, self._refresh)
+    def _update_load_reports(self):
+        for backend in self.backends.values():
+            backend.update_load_report(self.plan.report.period_ms / 1000)
+        self.clock.after(self.plan.report.period_ms * 10, self._update_load_reports)
 
     def summary(self):
-        """Plain data: counts in all and by backend, its own lateness in ms, the ledger's state."""
-        late = self.clock.lateness_ms(0.99)
+        """Returns counts in total and by backend, the clock's lateness and the ledger's state."""
+        p99_lateness_ms = self.clock.lateness_ms(0.99)
         by_backend = {
-            stand.name: {
-                **stand.counts,
-                "tips": stand.model.overloads,
-                "falls": stand.model.collapses,
+            backend.name: {
+                **backend.counts,
+                "tips": backend.model.overloads,
+                "falls": backend.model.collapses,
             }
-            for stand in self.stands.values()
+            for backend in self.backends.values()
         }
-        whole = {
-            what: sum(each[what] for each in by_backend.values())
-            for what in next(iter(by_backend.values()))
+        totals = {
+            name: sum(counts[name] for counts in by_backend.values())
+            for name in next(iter(by_backend.values()))
         }
         return {
             "seconds": round(self.clock.now / 10000, 1),
-            "counts": whole,
+            "counts": totals,
             "backends": by_backend,
             "late_ms": {
                 "p50": self.clock.lateness_ms(0.5),
-                "p99": late,
-                "max": round(self.clock.latest / 10, 1),
+                "p99": p99_lateness_ms,
+                "max": round(self.clock.max_lateness / 10, 1),
             },
-            "late": late > LATE_MS,
-            "troubles": self.troubles,
+            "late": p99_lateness_ms > MAX_LATENESS_MS,
+            "troubles": self.errors,
             "ledger": {
                 "lines": self.ledger.written,
                 "missing": self.ledger.missing,
@@ -211,8 +229,8 @@
         }
 
 
-def say_json(event, **fields):
-    """One JSON line on standard output; whoever reads it may have gone."""
+def print_json(event, **fields):
+    """Prints an event as a JSON line; a closed standard output is ignored."""
     try:
         sys.stdout.write(msgspec.json.encode({"event": event, **fields}).decode() + "\n")
         sys.stdout.flush()
@@ -220,34 +238,34 @@
         pass
 
 
-async def serve(plan, say=say_json, with_parent=False):
-    """Plays a fleet until SIGTERM, SIGINT or the plan's end; returns its summary.
+async def serve(plan, log_event=print_json, with_parent=False):
+    """Runs a fleet until SIGTERM, SIGINT or the end of the plan; returns its summary.
 
-    `with_parent`: it also ends when standard input does, as that of a child whose parent has died.
-    Raises CannotListen, and OSError where the ledger can't be opened.
+    With `with_parent` it also ends when standard input is closed, as happens when the parent
+    process dies. Raises CannotListen, and OSError if the ledger can't be opened.
     """
-    fleet = StandIn(plan, say)
-    over = asyncio.Event()
+    fleet = StandInFleet(plan, log_event)
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     if with_parent:
 
-        def read():
+        def _read_stdin():
             if not sys.stdin.buffer.raw.read(1024):
                 loop.remove_reader(sys.stdin)
-                over.set()
+                stop_requested.set()
 
-        loop.add_reader(sys.stdin, read)
+        loop.add_reader(sys.stdin, _read_stdin)
     await fleet.start()
-    say(
+    log_event(
         "ready",
         discovery=fleet.agent.address,
         began_ms=round(fleet.unix_ms, 1),
-        backends={name: stand.address for name, stand in fleet.stands.items()},
+        backends={name: backend.address for name, backend in fleet.backends.items()},
     )
     try:
-        await asyncio.wait_for(over.wait(), plan.seconds)
+        await asyncio.wait_for(stop_requested.wait(), plan.seconds)
     except asyncio.TimeoutError:
         pass
     await fleet.stop()
--- a/pierglade/testbed/script.py
+++ b/pierglade/testbed/script.py
@@ -1,99 +1,105 @@
-"""Carries out what a plan says befalls the fleet, moment by moment."""
+"""Injects the faults of a plan into the stand-in fleet at their planned times."""
 
 from functools import partial
 
-PARTS = ("errors", "reset", "spoil", "refuse")
+RATIO_FAULTS = ("errors", "reset", "spoil", "refuse")  # faults that affect a fraction of requests
 
 
-class Script:
-    """`fleet` is the StandIn; `start` puts all moments on its clock."""
+class FaultInjector:
+    """Schedules and applies the faults of a plan; `fleet` is a StandInFleet."""
 
     def __init__(self, fleet):
         self.fleet, self.clock = fleet, fleet.clock
-        self.begins = {
+        self.start_handlers = {
             "crash": self._crash,
-            "hang": partial(self._model, "is_hanging", True),
-            "slow": lambda stand, befall: stand.set("slowdown", befall.times),
-            "pause": self._pause,
+            "hang": partial(self._set_model_attribute, "is_hanging", True),
+            "slow": lambda backend, fault: backend.set_model_attribute("slowdown", fault.times),
+            "pause": self._start_pauses,
             "drain": self._drain,
             "restart": self._restart,
             "replace": self._replace,
-            **{part: self._part for part in PARTS},
+            **{kind: self._set_fault_ratio for kind in RATIO_FAULTS},
         }
-        self.ends = {
-            "crash": self._start_again,
-            "hang": partial(self._model, "is_hanging", False),
-            "slow": lambda stand, befall: stand.set("slowdown", 1.0),
-            "pause": self._no_pause,
-            "drain": self._gone,
-            **{part: self._no_part for part in PARTS},
+        self.end_handlers = {
+            "crash": self._start_process,
+            "hang": partial(self._set_model_attribute, "is_hanging", False),
+            "slow": lambda backend, fault: backend.set_model_attribute("slowdown", 1.0),
+            "pause": self._end_pauses,
+            "drain": self._remove,
+            **{kind: self._clear_fault_ratio for kind in RATIO_FAULTS},
         }
-        self.list_begins = {
-            "late": lambda befall: setattr(self.fleet.agent, "late_by", befall.delay_s),
-            "silent": lambda befall: setattr(self.fleet.agent, "silent", True),
-            "broken": lambda befall: setattr(self.fleet.agent, "broken", True),
+        self.discovery_start_handlers = {
+            "late": lambda fault: setattr(self.fleet.agent, "added_delay_s", fault.delay_s),
+            "silent": lambda fault: setattr(self.fleet.agent, "is_silent", True),
+            "broken": lambda fault: setattr(self.fleet.agent, "truncates_messages", True),
         }
-        self.list_ends = {
-            "late": lambda befall: setattr(self.fleet.agent, "late_by", 0.0),
-            "silent": lambda befall: setattr(self.fleet.agent, "silent", False),
-            "broken": lambda befall: setattr(self.fleet.agent, "broken", False),
+        self.discovery_end_handlers = {
+            "late": lambda fault: setattr(self.fleet.agent, "added_delay_s", 0.0),
+            "silent": lambda fault: setattr(self.fleet.agent, "is_silent", False),
+            "broken": lambda fault: setattr(self.fleet.agent, "truncates_messages", False),
         }
 
     def start(self):
-        for befall in self.fleet.plan.befall:
-            self.clock.at(befall.at_s * 10000, self._strike, befall, True)
-            if befall.until() != befall.at_s and befall.for_s != float("inf"):
-                self.clock.at(befall.until() * 10000, self._strike, befall, False)
-
-    def _strike(self, befall, begins):
-        who = [] if befall.of_list() else self.fleet.plan.struck(befall)
-        self.fleet.ledger.note("befalls", what=befall.what, begins=begins, backends=who)
-        if befall.of_list():
-            (self.list_begins if begins else self.list_ends)[befall.what](befall)
+        """Schedules the start and the end of each fault on the fleet's clock."""
+        for fault in self.fleet.plan.befall:
+            self.clock.at(fault.at_s * 10000, self._apply, fault, True)
+            if fault.until() != fault.at_s and fault.for_s != float("inf"):
+                self.clock.at(fault.until() * 10000, self._apply, fault, False)
+
+    def _apply(self, fault, is_start):
+        names = [] if fault.is_discovery_fault() else self.fleet.plan.affected_backends(fault)
+        self.fleet.ledger.note("befalls", what=fault.what, begins=is_start, backends=names)
+        if fault.is_discovery_fault():
+            (self.discovery_start_handlers if is_start else self.discovery_end_handlers)[
+                fault.what
+            ](fault)
             self.fleet.agent.wake()
-        for name in who:
-            (self.begins if begins else self.ends)[befall.what](self.fleet.stands[name], befall)
-        self.fleet.happened(befall, begins, who)
-
-    def _model(self, what, value, stand, befall):
-        stand.set(what, value)
-
-    def _crash(self, stand, befall):
-        stand.crash()
-        self.fleet.list(stand, "DELETED")
-
-    def _start_again(self, stand, befall):
-        stand.start_again()
-        self.fleet.list(stand, "SERVING", started=True)
-
-    def _restart(self, stand, befall):
-        stand.crash()
-        self._start_again(stand, befall)
-
-    def _replace(self, stand, befall):
-        """Another machine behind the old address: a new name, cold."""
-        stand.crash()
-        self.fleet.list(stand, "DELETED")
-        self.fleet.rename(stand)
-        self._start_again(stand, befall)
-
-    def _drain(self, stand, befall):
-        stand.draining = True
-        self.fleet.list(stand, "DRAINING", at_once=True)
-
-    def _gone(self, stand, befall):
-        stand.crash()
-        self.fleet.list(stand, "DELETED")
-
-    def _pause(self, stand, befall):
-        stand.pause_after, stand.pause_for = befall.after, befall.pause_ms * 10
-        stand.settled = self.fleet.chance.randrange(befall.after)  # not all of them in step
-
-    def _no_pause(self, stand, befall):
-        stand.pause_after = 0
-
-    def _part(self, stand, befall):
-        stand.part[befall.what] = befall.part
-
-    def _no_part(self, stand, befall):
-        stand.part[befall.what] = 0.0
+        for name in names:
+            (self.start_handlers if is_start else self.end_handlers)[fault.what](
+                self.fleet.backends[name], fault
+            )
+        self.fleet.report_fault(fault, is_start, names)
+
+    def _set_model_attribute(self, name, value, backend, fault):
+        backend.set_model_attribute(name, value)
+
+    def _crash(self, backend, fault):
+        backend.crash()
+        self.fleet.publish(backend, "DELETED")
+
+    def _start_process(self, backend, fault):
+        backend.restart()
+        self.fleet.publish(backend, "SERVING", started=True)
+
+    def _restart(self, backend, fault):
+        backend.crash()
+        self._start_process(backend, fault)
+
+    def _replace(self, backend, fault):
+        """Replaces the backend by a cold one with a new name on the same address."""
+        backend.crash()
+        self.fleet.publish(backend, "DELETED")
+        self.fleet.rename(backend)
+        self._start_process(backend, fault)
+
+    def _drain(self, backend, fault):
+        backend.is_draining = True
+        self.fleet.publish(backend, "DRAINING", at_once=True)
+
+    def _remove(self, backend, fault):
+        backend.crash()
+        self.fleet.publish(backend, "DELETED")
+
+    def _start_pauses(self, backend, fault):
+        backend.pause_interval, backend.pause_duration = fault.after, fault.pause_ms * 10
+        # A random start keeps the backends from pausing in step.
+        backend.pause_counter = self.fleet.random.randrange(fault.after)
+
+    def _end_pauses(self, backend, fault):
+        backend.pause_interval = 0
+
+    def _set_fault_ratio(self, backend, fault):
+        backend.fault_ratios[fault.what] = fault.part
+
+    def _clear_fault_ratio(self, backend, fault):
+        backend.fault_ratios[fault.what] = 0.0
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -1,4 +1,4 @@
-"""The auditor finds each planted fault, finds nothing on a good run, and takes no hole for a pass."""
+"""The audit detects each injected fault, passes a good run, and passes no rule despite gaps."""
 
 import asyncio
 import json
@@ -43,7 +43,7 @@
     "kind": [{"cores": 1, "cold_from": 0.1, "cold_for_s": 60, "tip_multiple": 1.5, "tip_s": 0.5}],
     "offering": [{"name": "look", "work_ms": 20, "spread": "fixed", "hard_limit_ms": 2000}],
 }
-# fault of the node: (plan, path, method, budget)
+# Fault of the node to (changes of the plan, path, method, retry budget).
 CASES = {
     "none": ({}, "/look/x", "GET", None),
     "twice": ({}, "/look/x", "GET", None),
@@ -66,36 +66,44 @@
 }
 
 
-def judged(plan, budget):
-    """The settings, with slack for a machine busy with other tests; what is planted goes far beyond it."""
+def audit_settings(plan, budget):
+    """Returns settings with slack for a busy machine; the injected faults exceed it by far."""
     settings = settings_of_plan(plan, 200.0, budget)
     settings.slack_ms = 200.0
     return settings
 
 
 class Audits(TraceTest):
-    def played(self, fault):
-        """What the auditor says of a plain node with this fault planted, before a stand-in fleet."""
-        more, path, method, budget = CASES[fault]
+    def audit_run(self, fault):
+        """Audits a run of a plain node with this fault against a stand-in fleet; returns lines."""
+        changes, path, method, budget = CASES[fault]
         with tempfile.TemporaryDirectory() as folder:
-            ours, theirs = os.path.join(folder, "clients"), os.path.join(folder, "backends")
+            client_ledger, backend_ledger = (
+                os.path.join(folder, "clients"),
+                os.path.join(folder, "backends"),
+            )
             plan = plans.made(
-                {**BASE, **more, "ledger": {"path": theirs}, "discovery": {"notice_s": 0.1}}
+                {
+                    **BASE,
+                    **changes,
+                    "ledger": {"path": backend_ledger},
+                    "discovery": {"notice_s": 0.1},
+                }
             )
-            up, over = threading.Event(), threading.Event()
-            told = {}
+            started, stop_requested = threading.Event(), threading.Event()
+            discovery = {}
 
-            async def play():
-                fleet = fleets.StandIn(plan)
+            async def run_fleet():
+                fleet = fleets.StandInFleet(plan)
                 await fleet.start()
-                told.update(address=fleet.agent.address)
-                up.set()
-                await asyncio.to_thread(over.wait)
+                discovery.update(address=fleet.agent.address)
+                started.set()
+                await asyncio.to_thread(stop_requested.wait)
                 await fleet.stop()
 
-            fleet = threading.Thread(target=asyncio.run, args=(play(),))
-            fleet.start()
-            up.wait(10)
+            fleet_thread = threading.Thread(target=asyncio.run, args=(run_fleet(),))
+            fleet_thread.start()
+            started.wait(10)
             node = subprocess.Popen(
                 [
                     sys.executable,
@@ -104,62 +112,72 @@
                     "--fault",
                     fault,
                     "--discovery",
-                    told["address"],
+                    discovery["address"],
                     "--with-parent",
                 ],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
             )
             try:
-                where = json.loads(node.stdout.readline())["listen"]
+                address = json.loads(node.stdout.readline())["listen"]
                 moments = (
                     loads.moments([loads.ArrivalPattern(rate=60, seconds=1.5)], "even", 1) + 0.3
                 )
                 run.play(
                     run.Load(
-                        where,
+                        address,
                         path,
                         moments,
                         method,
                         timeout_s=0.3 if fault == "left" else 3.0,
-                        ledger=ours,
+                        ledger=client_ledger,
                     )
                 )
             finally:
                 node.kill()
                 node.communicate()
-                over.set()
-                fleet.join(10)
-            clients, holes = records.read(ours)
-            backends, more_holes = records.read(theirs)
-            verdict = rules.audit(judged(plan, budget), clients, backends, holes + more_holes)
-            kept = self.cut(plan, ours, theirs) if fault == "none" else []
+                stop_requested.set()
+                fleet_thread.join(10)
+            client_rows, client_gaps = records.read(client_ledger)
+            backend_rows, backend_gaps = records.read(backend_ledger)
+            verdict = rules.audit(
+                audit_settings(plan, budget),
+                client_rows,
+                backend_rows,
+                client_gaps + backend_gaps,
+            )
+            damage_lines = (
+                self.audit_damaged(plan, client_ledger, backend_ledger) if fault == "none" else []
+            )
         broken = sorted({each.rule for each in verdict.violations})
         first = verdict.violations[0] if verdict.violations else None
         return [
-            f"{fault}: {', '.join(broken) or 'all held'}, holes {len(verdict.gaps)}, a timeline "
+            f"{fault}: {', '.join(broken) or 'all held'}, gaps {len(verdict.gaps)}, a timeline "
             f"{bool(first and first.timeline)}"
-        ] + kept
+        ] + damage_lines
 
-    def cut(self, plan, ours, theirs):
-        """The same ledgers with a line cut in two, with a line missing, and none at all."""
+    def audit_damaged(self, plan, client_ledger, backend_ledger):
+        """Audits the same run with the backends' ledger truncated, empty, and with a bad line."""
         lines = []
-        whole = pathlib.Path(theirs).read_bytes()
-        for what, data in (
-            ("cut off", whole[: len(whole) // 2]),
+        intact = pathlib.Path(backend_ledger).read_bytes()
+        for damage, data in (
+            ("truncated", intact[: len(intact) // 2]),
             ("empty", b""),
-            ("spoilt", whole.replace(b'"event"', b"event", 1)),
+            ("malformed", intact.replace(b'"event"', b"event", 1)),
         ):
-            pathlib.Path(theirs).write_bytes(data)
-            clients, holes = records.read(ours)
-            backends, more = records.read(theirs)
-            verdict = rules.audit(judged(plan, None), clients, backends, holes + more)
-            passed = [rule for rule, how in verdict.held().items() if how]
-            lines.append(f"    backends' ledger {what}: held {passed}, {verdict.gaps[0].reason}")
+            pathlib.Path(backend_ledger).write_bytes(data)
+            client_rows, client_gaps = records.read(client_ledger)
+            backend_rows, backend_gaps = records.read(backend_ledger)
+            verdict = rules.audit(
+                audit_settings(plan, None), client_rows, backend_rows, client_gaps + backend_gaps
+            )
+            passed = [rule for rule, held in verdict.held().items() if held]
+            lines.append(f"    backends' ledger {damage}: held {passed}, {verdict.gaps[0].reason}")
         return lines
 
-    def test_each_planted_fault_and_a_good_run(self):
-        with ThreadPoolExecutor(4) as beside:
+    def test_each_injected_fault_and_a_good_run(self):
+        """Each fault of the node breaks its rule, and gaps in a ledger leave no rule as held."""
+        with ThreadPoolExecutor(4) as executor:
             self.check(
-                "audit", [line for lines in beside.map(self.played, CASES) for line in lines]
+                "audit", [line for lines in executor.map(self.audit_run, CASES) for line in lines]
             )
--- a/tests/testbed/test_testbed.py
+++ b/tests/testbed/test_testbed.py
@@ -1,4 +1,4 @@
-"""What many nodes do together: forty sets of decisions on one hand-moved clock, and counts over logs."""
+"""Many nodes together: forty balancers on one manual clock, and counts over logs."""
 
 import json
 import pathlib
@@ -16,7 +16,8 @@
 
 
 class Counts(TraceTest):
-    def test_added_up_over_nodes_and_nothing_guessed_from_what_cannot_be_read(self):
+    def test_counts_are_summed_over_nodes_and_unreadable_logs_are_errors(self):
+        """Counting fails with a message if there are no logs, or if a log has a truncated line."""
         logs = {
             "n0": [
                 (0, "started", {}),
@@ -35,36 +36,36 @@
         }
         lines = []
         with tempfile.TemporaryDirectory() as folder:
-            place = pathlib.Path(folder)
+            folder_path = pathlib.Path(folder)
 
             def count(*arguments):
-                ran = subprocess.run(
+                process = subprocess.run(
                     [sys.executable, COUNT, *arguments], capture_output=True, text=True
                 )
-                said = (
-                    (ran.stdout + ran.stderr)
+                output = (
+                    (process.stdout + process.stderr)
                     .replace(folder, "FOLDER")
                     .replace(str(COUNT), "count.py")
                 )
-                lines.extend([*said.splitlines(), f"exit {ran.returncode}"])
+                lines.extend([*output.splitlines(), f"exit {process.returncode}"])
 
             count(folder)
-            for node, told in logs.items():
-                text = [
+            for node, events in logs.items():
+                log_lines = [
                     json.dumps({"at_ms": 5e6 + at, "node": node, "event": event, **fields})
-                    for at, event, fields in told
+                    for at, event, fields in events
                 ]
-                text[0] = "a shell's word\n0.01 " + text[0]
-                (place / f"{node}.log").write_text("\n".join(text))
+                log_lines[0] = "output of a shell\n0.01 " + log_lines[0]
+                (folder_path / f"{node}.log").write_text("\n".join(log_lines))
             count(folder)
-            (place / "n2.log").write_text('{"at_ms": 5, "event"')
+            (folder_path / "n2.log").write_text('{"at_ms": 5, "event"')
             count(folder)
         count()
         self.check("fleet_counts", lines)
 
 
 class Together(TraceTest):
-    """Forty nodes and sixty backends; what is printed is the sum over all nodes."""
+    """Forty nodes with sixty backends; the traces show sums over all nodes."""
 
     def nodes(self, **changed):
         self.begin = self.now = 10000 * MS
@@ -81,27 +82,30 @@
             )
             for n in range(40)
         ]
-        self.tell(nodes, [listed(f"b{b}") for b in range(60)], True)
+        self.update_endpoints(nodes, [listed(f"b{number}") for number in range(60)], True)
         return nodes
 
-    def tell(self, nodes, entries, whole=False):
+    def update_endpoints(self, nodes, entries, is_snapshot=False):
         for node in nodes:
-            node.endpoints_updated(self.now, entries, whole)
+            node.endpoints_updated(self.now, entries, is_snapshot)
 
-    def run_for(self, nodes, ms, carry):
-        """Moves the clock on, and counts what is carried out in each second."""
+    def run_for(self, nodes, ms, carry_out):
+        """Advances the clock; returns what `carry_out` counted of the decisions of each second."""
         end, seconds = self.now + ms * MS, [0] * (ms // 1000)
         while (wake := min((node.next_wakeup(self.now) or end, n) for n, node in enumerate(nodes)))[
             0
         ] < end:
             self.now, node = wake[0], nodes[wake[1]]
             while (decision := node.next_decision(self.now)) is not None:
-                seconds[(self.now - self.begin) // (1000 * MS)] += carry(node, decision) or 0
+                seconds[(self.now - self.begin) // (1000 * MS)] += carry_out(node, decision) or 0
         return " ".join(map(str, seconds))
 
-    def test_calls_to_discovery_that_is_lost_to_all_at_once(self):
-        """Asked again after 0.5 to 4 s by each of forty nodes, a discovery that serves three calls a second
-        never got to the end of its queue, and no node heard a change."""
+    def test_polls_of_discovery_are_spread_after_all_nodes_lost_it(self):
+        """Guards against overloading discovery after an outage.
+
+        When each of forty nodes retried after 0.5 to 4 s, a discovery that served three polls a
+        second never emptied its queue, and no node received a change.
+        """
         nodes = self.nodes(polls_endpoints=True)
 
         def refuse(node, decision):
@@ -111,74 +115,93 @@
         for node in nodes:
             self.assertEqual(node.next_decision(self.now), PollEndpoints())
             node.discovery_lost(self.now)
-        self.check("fleet_calls", ["calls in each second: " + self.run_for(nodes, 60000, refuse)])
+        self.check("fleet_calls", ["polls in each second: " + self.run_for(nodes, 60000, refuse)])
+
+    def test_subsets_cover_backends_evenly(self):
+        """Guards against uneven subsets and against needless changes of them.
 
-    def test_views_go_evenly_round(self):
-        """Drawn by chance, some backends were in two thirds more views than the mean; evened at each change
-        of the list, the views of a third of the nodes moved with each."""
+        With random subsets, some backends were in two thirds more subsets than the mean; when the
+        subsets were rebalanced at each change of the list, those of a third of the nodes changed
+        each time.
+        """
         nodes, lines, before = self.nodes(), [], [set()] * 40
-        for n in range(
-            -1, 76
-        ):  # Six in ten backends are replaced within 7 s; then nothing happens.
+        # Six in ten backends are replaced within 7 s; then the list stays as it is.
+        for n in range(-1, 76):
             if 0 <= n < 36:
                 self.now += 200 * MS
-                self.tell(nodes, [listed(f"c{n}"), listed(f"b{n}", EndpointState.REMOVED)])
+                self.update_endpoints(
+                    nodes, [listed(f"c{n}"), listed(f"b{n}", EndpointState.REMOVED)]
+                )
             elif n >= 36:
                 self.now += 5000 * MS
-                self.tell(nodes, [])
+                self.update_endpoints(nodes, [])
             if n in (-1, 11, 23, 35, 75):
-                held = [{node.endpoints.names[b] for b in node.rotation.subset} for node in nodes]
-                seen = [
-                    sum(nodes[0].endpoints.names[b] in view for view in held)
-                    for b in nodes[0].rotation.by_rank
+                subsets = [
+                    {node.endpoints.names[index] for index in node.rotation.subset}
+                    for node in nodes
+                ]
+                node_counts = [
+                    sum(nodes[0].endpoints.names[index] in subset for subset in subsets)
+                    for index in nodes[0].rotation.by_rank
                 ]
-                moved = sum(len(view - old) for view, old in zip(held, before))
+                added = sum(len(subset - old) for subset, old in zip(subsets, before))
                 lines.append(
-                    f"{self.now / MS - 10000:8.1f}  {min(seen)} to {max(seen)} nodes see each of "
-                    f"{len(seen)} backends, {moved} new in views"
+                    f"{self.now / MS - 10000:8.1f}  {min(node_counts)} to {max(node_counts)} nodes "
+                    f"use each of {len(node_counts)} backends, {added} added to subsets"
                 )
-                before = held
+                before = subsets
         self.check("fleet_views", lines)
 
-    def test_a_dead_backend_is_not_asked_by_all_at_once(self):
-        """Each node probes what it lost; the rate that the backend sees is bounded, and it is found soon."""
-        seers, found = (
+    def test_health_checks_of_a_dead_backend_are_bounded(self):
+        """Each node probes a backend that it ejected.
+
+        The backend must not be probed by all nodes at once, and its recovery must be noticed soon.
+        """
+        using_nodes, recovered_after = (
             [node for node in self.nodes() if node.endpoints.index["b7"] in node.rotation.subset],
             {},
         )
-        for node in seers:
+        for node in using_nodes:
             node.outliers.eject(node.endpoints.index["b7"], EjectionReason.FAILING, self.now)
 
         def probe(node, decision):
-            away = self.now - self.begin - 10000 * MS
-            node.health_checked(self.now, "b7", away > 0, 5)
-            if away > 0:
-                found.setdefault(node, away)
+            since_recovery = self.now - self.begin - 10000 * MS
+            node.health_checked(self.now, "b7", since_recovery > 0, 5)
+            if since_recovery > 0:
+                recovered_after.setdefault(node, since_recovery)
             return type(decision) is CheckHealth
 
-        rates = self.run_for(seers, 16000, probe)
-        last = max(found.values()) / 10000
+        rates = self.run_for(using_nodes, 16000, probe)
+        last = max(recovered_after.values()) / 10000
         self.check(
             "fleet_dead",
             [
-                f"{len(seers)} nodes see it; probes in each second: {rates}",
-                f"{len(found)} found it back, the last {last:.1f} s after",
+                f"{len(using_nodes)} nodes use it; probes in each second: {rates}",
+                f"{len(recovered_after)} noticed its recovery, the last one after {last:.1f} s",
             ],
         )
 
-    def test_a_cold_backend_gets_what_it_can_from_all_together(self):
-        """Held to half the usual pace until warm, six in ten backends that were replaced had idle cores; over
-        three times what it can do for 2 s, by all nodes together, one falls over."""
+    def test_slow_start_limits_the_load_from_all_nodes_together(self):
+        """Guards against idle cores and against collapse of backends in slow start.
+
+        Limited to half the usual rate until warm, the six in ten backends that were replaced had
+        idle cores. A backend that all nodes together send more than three times its capacity for 2 s
+        collapses.
+        """
         nodes, lines = self.nodes(slow_start_capacity=0.36, slow_start_overload=3.0), []
-        self.tell(nodes, [listed("cold", started=self.now)])
-        seers = [node for node in nodes if node.endpoints.index["cold"] in node.rotation.subset]
-        warm = nodes[0].slow_start.warm_rate * nodes[0].endpoints.size[0] * 10000 * len(seers)
-        for second in range(8):  # Each sends all that it may, as with work waiting all the time.
+        self.update_endpoints(nodes, [listed("cold", started=self.now)])
+        using_nodes = [
+            node for node in nodes if node.endpoints.index["cold"] in node.rotation.subset
+        ]
+        warm_rate = (
+            nodes[0].slow_start.warm_rate * nodes[0].endpoints.size[0] * 10000 * len(using_nodes)
+        )
+        for second in range(8):  # Each node sends all that it may, as if requests always waited.
             sent = 0
             for self.now in range(
                 self.begin + second * 10000, self.begin + (second + 1) * 10000, MS
             ):
-                for node in seers:
+                for node in using_nodes:
                     cold = node.endpoints.index["cold"]
                     if node.slow_start.allows(
                         cold,
@@ -189,9 +212,9 @@
                     ):
                         node.slow_start.attempt_sent(cold, self.now)
                         sent += 1
-            can = 0.36 + 0.64 * second / 8
+            capacity = 0.36 + 0.64 * second / 8
             lines.append(
-                f"second {second}: {sent} sent by {len(seers)} nodes, it can do {can:.2f} of a warm "
-                f"one's {warm:.0f}, and falls over at {3 * can * warm:.0f}"
+                f"second {second}: {sent} sent by {len(using_nodes)} nodes, capacity {capacity:.2f} of "
+                f"{warm_rate:.0f} when warm, collapses at {3 * capacity * warm_rate:.0f}"
             )
         self.check("together_cold", lines)
