--- a/pierglade/testbed/discovery.py
+++ b/pierglade/testbed/discovery.py
@@ -19,7 +19,8 @@
         self.changes = []  # (index, entry)
         self.list_changed = asyncio.Event()
         self.is_silent = False
-        self.added_delay_s, self.truncates_messages = 0.0, False
+        # Seconds added to `notice_s`, and whether messages end in the middle.
+        self.late_by, self.truncates_messages = 0.0, False
         self.watches, self.server, self.address = set(), None, ""
         self.sent = self.heard = 0  # bytes of HTTP sent and received on all connections
         self.encode = msgspec.json.Encoder().encode
@@ -47,9 +48,7 @@
 
     def changed(self, entry, at_once=False):
         """Schedules the publication of a changed entry."""
-        delay = (
-            0.0 if at_once else (self.fleet.plan.discovery.notice_s + self.added_delay_s) * 10000
-        )
+        delay = 0.0 if at_once else (self.fleet.plan.discovery.notice_s + self.late_by) * 10000
         self.clock.after(delay, self._tell, entry)
 
     def _tell(self, entry):
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -241,7 +241,7 @@
                 yield f"{here}.backends: unknown backends {', '.join(unknown)}"
             affected = plan.affected_backends(fault)
             if not affected:
-                yield f"{here}: no backend matches zone {fault.zone!r}, cell {fault.cell} ('' and -1: any)"
+                yield f"{here}: no backend matches its `zone` and `cell`"
         if fault.for_s != UNTIL_END and fault.what not in LASTING_FAULTS:
             yield f"{here}.for_s: `{fault.what}` has no duration"
         for name in affected:
--- a/pierglade/testbed/script.py
+++ b/pierglade/testbed/script.py
@@ -29,12 +29,12 @@
             **{kind: self._clear_fault_ratio for kind in RATIO_FAULTS},
         }
         self.discovery_start_handlers = {
-            "late": lambda fault: setattr(self.fleet.agent, "added_delay_s", fault.delay_s),
+            "late": lambda fault: setattr(self.fleet.agent, "late_by", fault.delay_s),
             "silent": lambda fault: setattr(self.fleet.agent, "is_silent", True),
             "broken": lambda fault: setattr(self.fleet.agent, "truncates_messages", True),
         }
         self.discovery_end_handlers = {
-            "late": lambda fault: setattr(self.fleet.agent, "added_delay_s", 0.0),
+            "late": lambda fault: setattr(self.fleet.agent, "late_by", 0.0),
             "silent": lambda fault: setattr(self.fleet.agent, "is_silent", False),
             "broken": lambda fault: setattr(self.fleet.agent, "truncates_messages", False),
         }
--- a/tests/testbed/test_stand_in_backend.py
+++ b/tests/testbed/test_stand_in_backend.py
@@ -134,8 +134,10 @@
                 deadline = time.monotonic() + 5
                 while time.monotonic() < deadline and set(fleet.agent.entries) != expected:
                     time.sleep(0.001)
-                names = sorted(fleet.agent.entries)
-                is_in_slow_start = backend.model.started_at is not None
+                names, is_in_slow_start = (
+                    sorted(fleet.agent.entries),
+                    backend.model.started_at is not None,
+                )
                 return lines + [
                     f"    ended: {request(backend.address)}, named {backend.name}, "
                     f"in slow start {is_in_slow_start}, listed {' '.join(names)}"
