--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -248,7 +248,7 @@
             for start, end, place, kind in spans.get(name, ()):
                 if fault.at_s < end and fault.until() > start or fault.at_s == start:
                     yield (
-                        f"{here}: `{fault.what}` overlaps {place}, `{kind}`, which also affects "
-                        f"{name}"
+                        f"{here}: `{fault.what}` affects {name} while {place}, `{kind}`, "
+                        f"still does; faults must not overlap"
                     )
             spans.setdefault(name, []).append((fault.at_s, fault.until(), here, fault.what))
