--- a/pierglade/scale/__init__.py
+++ b/pierglade/scale/__init__.py
@@ -1,4 +1,4 @@
-"""Scale runs: hollow nodes and backends by the thousand beside a few real nodes, from one plan.
+"""Scale runs: thousands of hollow nodes and backends beside a few real nodes, from one plan.
 
-Not for service. `pierglade.scale.play.play` is the name to start with; `fit` says how a figure grows.
+Not for production. `pierglade.scale.play.play` is the entry point; `fit` describes how a figure grows.
 """
--- a/pierglade/scale/child.py
+++ b/pierglade/scale/child.py
@@ -1,6 +1,7 @@
-"""What the processes of a scale run have in common: they answer each line of JSON on standard input.
+"""The command protocol of the processes of a scale run.
 
-The first line on standard output says that they are up. They end with their standard input.
+A process writes one line of JSON to standard output when it has started, then answers each line of JSON
+on standard input. It exits when standard input is closed.
 """
 
 import asyncio
@@ -9,30 +10,32 @@
 
 import msgspec
 
-LINE_MOST = 1 << 24  # bytes of a command
+MAX_COMMAND_BYTES = 1 << 24
 
 
-def say(told):
-    """One line to whoever started this."""
-    data = msgspec.json.encode(told) + b"\n"
+def write_message(message):
+    """Writes a message to the parent process, as one line of JSON."""
+    data = msgspec.json.encode(message) + b"\n"
     while data:
         data = data[os.write(1, data) :]
 
 
-def fail(line):
-    print(line, file=sys.stderr)
+def exit_with_error(message):
+    """Prints an error of one line and exits with 2."""
+    print(message, file=sys.stderr)
     sys.exit(2)
 
 
-async def obey(commands):
-    """Carries out `commands[name](**rest)` for each line until there is no more."""
+async def serve_commands(commands):
+    """Runs and answers each command until standard input ends."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(LINE_MOST)
+    reader = asyncio.StreamReader(MAX_COMMAND_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        say(answer(commands, line))
+        write_message(run_command(commands, line))
 
 
-def answer(commands, line):
-    told = msgspec.json.decode(line)
-    return commands[told.pop("do")](**told) or {}
+def run_command(commands, line):
+    """Calls `commands[name]` with the arguments in a line of JSON; `do` is the name."""
+    command = msgspec.json.decode(line)
+    return commands[command.pop("do")](**command) or {}
--- a/pierglade/scale/fit.py
+++ b/pierglade/scale/fit.py
@@ -1,33 +1,37 @@
-"""How a figure grows along an axis: constant, linear or with the square, by least squares. No I/O."""
+"""Fits how a figure grows along an axis: constant, linear or quadratic, by least squares. No I/O."""
 
 import math
 from dataclasses import dataclass
 
 SHAPES = {"constant": None, "linear": 1, "square": 2}
-EVEN = 0.1  # of the mean; figures no farther apart than that don't grow
+CONSTANT_SPREAD_RATIO = 0.1  # of the mean; figures that differ by no more count as constant
 
 
 @dataclass(slots=True)
 class Fit:
+    """A fitted curve of one shape."""
+
     shape: str
-    base: float  # the figure where the axis is at 0
-    slope: float  # for each unit of the axis, or for its square; 0 where it is constant
-    error: float  # root mean square of what is left, over the mean of the figures
-    exponent: float  # by least squares of the logarithms; nan where a figure is not over 0
+    base: float  # the figure at 0 on the axis
+    slope: float  # per unit of the axis, or per unit squared; 0 for a constant
+    error: float  # root mean square of the residuals, divided by the mean of the figures
+    exponent: float  # by least squares of the logarithms; nan unless all values are positive
 
     def at(self, x):
+        """Returns the fitted figure at `x`."""
         power = SHAPES[self.shape]
         return self.base if power is None else self.base + self.slope * x**power
 
 
 def fit(points):
-    """The Fit of [(x, y)], of which there are three at least: the shape with the least error.
+    """Returns the Fit of [(x, y)], of at least three points, whose shape has the smallest error.
 
-    An error is that of the points over those that the shape leaves free, so that a slope has to earn itself.
-    What falls along an axis is taken for constant with that error: no need does.
+    The error is taken over the degrees of freedom that the shape leaves, so that a slope is chosen only
+    where it reduces the error enough. A figure that falls along the axis is fitted as constant, with the
+    error of that, as no resource need falls.
     """
     if len(points) < 3:
-        raise ValueError("a shape needs three points at least")
+        raise ValueError(f"a fit needs at least three points; got {len(points)}")
     mean = math.fsum(y for _, y in points) / len(points)
     exponent = _exponent(points)
     fits = []
@@ -35,23 +39,29 @@
         base, slope = (mean, 0.0) if power is None else _line([(x**power, y) for x, y in points])
         if slope < 0:
             continue
-        one = Fit(shape, base, slope, 0.0, exponent)
-        free = len(points) - (1 if power is None else 2)
-        left = math.sqrt(math.fsum((y - one.at(x)) ** 2 for x, y in points) / free)
-        one.error = left / abs(mean) if mean else (0.0 if left == 0 else math.inf)
-        fits.append(one)
+        candidate = Fit(shape, base, slope, 0.0, exponent)
+        degrees_of_freedom = len(points) - (1 if power is None else 2)
+        residual = math.sqrt(
+            math.fsum((y - candidate.at(x)) ** 2 for x, y in points) / degrees_of_freedom
+        )
+        candidate.error = residual / abs(mean) if mean else (0.0 if residual == 0 else math.inf)
+        fits.append(candidate)
     figures = [y for _, y in points]
-    if max(figures) - min(figures) <= EVEN * abs(mean):
+    if max(figures) - min(figures) <= CONSTANT_SPREAD_RATIO * abs(mean):
         return fits[0]
-    return min(fits, key=lambda one: one.error)
+    return min(fits, key=lambda candidate: candidate.error)
 
 
 def _line(points):
-    """(base, slope) of the straight line of least squares."""
+    """Returns (base, slope) of the least-squares line."""
     count = len(points)
-    mean_x, mean_y = (math.fsum(p[i] for p in points) / count for i in (0, 1))
-    spread = math.fsum((x - mean_x) ** 2 for x, _ in points)
-    slope = math.fsum((x - mean_x) * (y - mean_y) for x, y in points) / spread if spread else 0.0
+    mean_x, mean_y = (math.fsum(point[i] for point in points) / count for i in (0, 1))
+    variation_x = math.fsum((x - mean_x) ** 2 for x, _ in points)
+    slope = (
+        math.fsum((x - mean_x) * (y - mean_y) for x, y in points) / variation_x
+        if variation_x
+        else 0.0
+    )
     return mean_y - slope * mean_x, slope
 
 
--- a/pierglade/scale/guard.py
+++ b/pierglade/scale/guard.py
@@ -1,6 +1,7 @@
-"""How much a run takes, looked at as it runs: it ends itself where that is over what it may.
+"""Resource use of a run, and the guard that stops a run which exceeds its limits.
 
-`cpu_s` and `rss_mb` are of one process by its id, `pss_mb` shares what processes share.
+`cpu_s` and `rss_mb` concern one process by its ID; `pss_mb` divides memory among the processes that
+share it.
 """
 
 import os
@@ -9,88 +10,104 @@
 
 import psutil
 
-LOOK_S = 0.25  # between two looks
+CHECK_INTERVAL_S = 0.25
 
 
 class Over(Exception):
-    """It took more than it may; one line."""
+    """A run exceeded its memory or process limit; the message is one line."""
 
 
 def cpu_s(pid):
-    """(s of processor time, s that it waited for a processor) of all its threads that live."""
-    used = waited = 0
+    """Returns (s of CPU time, s of waiting for a core) of all current threads of a process."""
+    used_ns = waited_ns = 0
     for thread in os.listdir(f"/proc/{pid}/task"):
         try:
             with open(f"/proc/{pid}/task/{thread}/schedstat") as file:
-                words = file.read().split()
+                fields = file.read().split()
         except (FileNotFoundError, ProcessLookupError):
-            continue  # it has ended since the names were read
-        used, waited = used + int(words[0]), waited + int(words[1])
-    return used / 1e9, waited / 1e9
+            continue  # the thread has ended since the directory was listed
+        used_ns, waited_ns = used_ns + int(fields[0]), waited_ns + int(fields[1])
+    return used_ns / 1e9, waited_ns / 1e9
 
 
 def rss_mb(pid):
+    """Returns the resident memory of a process in MB."""
     return psutil.Process(pid).memory_info().rss / (1 << 20)
 
 
 def pss_mb(pid):
+    """Returns the proportional share of a process in resident memory, in MB."""
     with open(f"/proc/{pid}/smaps_rollup") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("Pss:")) / 1024
 
 
-class Guard:
-    """`look()` compares what `processes()` takes, [(name, pid)], with what is allowed; raises Over."""
+class ResourceGuard:
+    """Compares the memory and the number of processes of a run with its limits.
 
-    def __init__(self, most_mb, most, processes, rss=rss_mb):
-        self.most_mb, self.most, self.processes, self.rss = most_mb, most, processes, rss
-        self.peak = {}  # name: MB, since the last `take`
+    `list_processes()` returns [(name, pid)]; processes of one name are added up in the peaks.
+    """
+
+    def __init__(self, max_mb, max_count, list_processes, rss=rss_mb):
+        self.max_mb, self.max_count, self.list_processes, self.rss = (
+            max_mb,
+            max_count,
+            list_processes,
+            rss,
+        )
+        self.peak = {}  # name: MB, since the last `take_peaks`
         self.peak_mb = self.peak_count = 0
 
-    def look(self):
-        taken, count = {}, 0
-        for name, pid in self.processes():
+    def check(self):
+        """Measures all processes; raises Over if a limit is exceeded."""
+        used_mb, count = {}, 0
+        for name, pid in self.list_processes():
             try:
-                taken[name] = taken.get(name, 0.0) + self.rss(pid)
+                used_mb[name] = used_mb.get(name, 0.0) + self.rss(pid)
                 count += 1
             except (psutil.NoSuchProcess, ProcessLookupError, FileNotFoundError):
-                continue  # whether it should have ended, others look
-        for name, mb in taken.items():
+                continue  # unexpected exits are detected elsewhere
+        for name, mb in used_mb.items():
             self.peak[name] = max(self.peak.get(name, 0.0), mb)
-        total = sum(taken.values())
-        self.peak_mb, self.peak_count = max(self.peak_mb, total), max(self.peak_count, count)
-        if total > self.most_mb:
+        total_mb = sum(used_mb.values())
+        self.peak_mb, self.peak_count = max(self.peak_mb, total_mb), max(self.peak_count, count)
+        if total_mb > self.max_mb:
+            raise Over(
+                f"the run used {total_mb:,.0f} MB, at most {self.max_mb:,.0f} MB are allowed; "
+                f"it was stopped"
+            )
+        if count > self.max_count:
             raise Over(
-                f"the run took {total:,.0f} MB, {self.most_mb:,.0f} are allowed; it was ended"
+                f"the run had {count} processes, at most {self.max_count} are allowed; "
+                f"it was stopped"
             )
-        if count > self.most:
-            raise Over(f"the run had {count} processes, {self.most} are allowed; it was ended")
 
-    def take(self):
-        """The highest of each since the last time, and from now on anew."""
+    def take_peaks(self):
+        """Returns the peak MB by process name since the last call, and resets the peaks."""
         peak, self.peak = self.peak, {}
         return peak
 
 
-class Watch(threading.Thread):
-    """Looks again and again; what was over stands in `fault`."""
+class GuardThread(threading.Thread):
+    """Checks a guard at regular intervals; `error` is the Over that it raised, if any."""
 
     def __init__(self, guard):
         super().__init__(daemon=True)
-        self.guard, self.fault, self.ends = guard, None, threading.Event()
+        self.guard, self.error, self.stop_requested = guard, None, threading.Event()
 
     def run(self):
-        while not self.ends.wait(LOOK_S):
+        """Checks until a limit is exceeded or a stop is requested."""
+        while not self.stop_requested.wait(CHECK_INTERVAL_S):
             try:
-                self.guard.look()
-            except Over as fault:
-                self.fault = fault
+                self.guard.check()
+            except Over as error:
+                self.error = error
                 return
 
 
-def wait(seconds, look, step=0.05):
-    """Waits so long, `look()` called meanwhile."""
-    until = time.monotonic() + seconds
-    while (left := until - time.monotonic()) > 0:
-        look()
-        time.sleep(min(step, left))
-    look()
+def wait(seconds, check, interval_s=0.05):
+    """Waits for some seconds and calls `check()` at regular intervals meanwhile."""
+    deadline = time.monotonic() + seconds
+    while (remaining_s := deadline - time.monotonic()) > 0:
+        check()
+        time.sleep(min(interval_s, remaining_s))
+    check()
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -1,8 +1,9 @@
-"""`python -m pierglade.scale.hollow SPEC`: hollow nodes, many or one to a process.
+"""`python -m pierglade.scale.hollow SPEC`: hollow nodes, one or many in a process.
 
-A hollow node has its own real watch on a socket (`pierglade.proxy.discovery`) and reads each message itself. A
-full one holds the list and the settings in a real reducer over the real decisions, as a node does that nobody
-asks. One that only watches accounts what it was told: the version, and where the list is not as at the start.
+A hollow node has a real watch on a socket of its own (`pierglade.proxy.discovery`) and parses each
+message itself. A full one stores the list and the settings in a real reducer and balancer, like a
+node that receives no requests. A watch-only one records only the version and the entries that differ
+from the initial list.
 SPEC is a JSON file: `plan`, `discovery`, `port_of_backends`, `first`, `count`, `full`, `config`.
 """
 
@@ -27,269 +28,317 @@
     TimerFired,
 )
 from pierglade.proxy.state.machine import ProxyStateMachine
-from pierglade.reconfiguration import quota_changes as shares
+from pierglade.reconfiguration import quota_changes
 from pierglade.scale import child
-from pierglade.scale.plan import Plan, names
+from pierglade.scale.plan import Plan, backend_names
 
-FIRST = 1  # the version of the list that all are started with
+INITIAL_VERSION = 1  # of the list that all nodes start with
 STATES = {
     EndpointState.READY: "SERVING",
     EndpointState.DRAINING: "DRAINING",
     EndpointState.REMOVED: "DELETED",
 }
-LOADED = "settings_applied"  # the note of a node that serves under new settings
+SETTINGS_APPLIED = "settings_applied"  # log event of a node whose new settings are in force
 
 
-class Hollow:
-    """What both kinds have: a watch, and when which version was in force."""
+class HollowNode:
+    """The base of both kinds: a watch, and the times at which each version was in force."""
 
     def __init__(self, number, discovery):
         self.number, self.address = number, discovery
-        self.stamps = []  # (version, monotonic moment) of the list, as it came to be in force
-        self.downs = []  # [from, to], as it was restarted
-        self.twice = self.lost = self.faults = 0
-        self.index = FIRST
-        self.begin()
-        self.follow(FIRST)
-
-    def follow(self, index):
+        self.version_times = []  # (version of the list, monotonic time at which it was in force)
+        self.down_intervals = []  # [start, end] of each restart, monotonic
+        self.duplicate_changes = self.watch_losses = self.errors = 0
+        self.index = INITIAL_VERSION
+        self.reset()
+        self.create_watch(INITIAL_VERSION)
+
+    def create_watch(self, index):
+        """Creates a discovery client that continues from a version; `start` runs it."""
         self.discovery = DiscoveryClient(self.address, self, index)
         self.discovery.is_polled = lambda: False
 
     def start(self):
+        """Runs the discovery client in a greenlet of its own."""
         gevent.spawn(self._run, self.discovery)
 
     def _run(self, discovery):
         while True:
             try:
                 return discovery.run()
-            except Exception as fault:
-                self.faults += 1
-                print(f"node {self.number}: {fault!r}", file=sys.stderr)
+            except Exception as error:
+                self.errors += 1
+                print(
+                    f"hollow node {self.number}: watch failed, retrying: {error!r}", file=sys.stderr
+                )
                 gevent.sleep(0.1)
 
-    def down(self):
+    def stop(self):
+        """Closes the watch, as a node that is stopped."""
         self.discovery.stop()
-        self.downs.append([monotonic(), float("inf")])
-
-    def up(self):
-        """As a new process of that name: it knows the list of the start, and follows from there."""
-        self.downs[-1][1] = monotonic()
-        self.index = FIRST
-        self.begin()
-        self.follow(FIRST)
+        self.down_intervals.append([monotonic(), float("inf")])
+
+    def restart(self):
+        """Starts as a new process of the node would, with the initial list."""
+        self.down_intervals[-1][1] = monotonic()
+        self.index = INITIAL_VERSION
+        self.reset()
+        self.create_watch(INITIAL_VERSION)
         self.start()
 
     def tell(self, event):
+        """Handles an event of the discovery client."""
         if isinstance(event, DiscoveryLost):
-            self.lost += 1
+            self.watch_losses += 1
         elif isinstance(event, EndpointsUpdated):
             document = event.document
-            index, told = document["index"], document["endpoints"]
-            if told and not document["snapshot"] and self.index is not None and index <= self.index:
-                self.twice += 1
-        self.take(event)
+            index, entries = document["index"], document["endpoints"]
+            if (
+                entries
+                and not document["snapshot"]
+                and self.index is not None
+                and index <= self.index
+            ):
+                self.duplicate_changes += 1
+        self.apply(event)
         if isinstance(event, EndpointsUpdated) and self.index is not None:
-            self.stamps.append((self.index, monotonic()))
+            self.version_times.append((self.index, monotonic()))
 
-    def delay(self, index, at):
-        """s until that version was in force; None where it was not, False where it was down meanwhile."""
-        if any(begin <= at < end for begin, end in self.downs):
+    def version_delay(self, index, changed_at):
+        """Returns the s from a change until its version was in force.
+
+        Returns None if it never was, and False if the node was down at the time of the change.
+        """
+        if any(begin <= changed_at < end for begin, end in self.down_intervals):
             return False
-        # What came before the change was told in a version before it.
-        return next((moment - at for version, moment in self.stamps if version >= index), None)
+        # Each version received before the change is lower than that of the change.
+        return next(
+            (time - changed_at for version, time in self.version_times if version >= index), None
+        )
 
 
-class Watching(Hollow):
-    """Holds no list: `other` is where what it was told differs from the start."""
+class WatchOnlyNode(HollowNode):
+    """Stores no list, only the entries that differ from the initial list (`differences`)."""
 
-    def __init__(self, number, discovery, at_first):
-        self.at_first = at_first
+    def __init__(self, number, discovery, initial_names):
+        self.initial_names = initial_names
         super().__init__(number, discovery)
 
-    def begin(self):
-        self.other = {}
+    def reset(self):
+        """Returns to the initial list."""
+        self.differences = {}
 
-    def take(self, event):
+    def apply(self, event):
+        """Records the version and the differences in a message of the watch."""
         if not isinstance(event, EndpointsUpdated):
             return
         document = event.document
         if document["snapshot"]:
-            self.other = {}
-            if len(document["endpoints"]) < len(self.at_first):
-                told = {entry["name"] for entry in document["endpoints"]}
-                self.other = {name: ["DELETED", 0] for name in self.at_first if name not in told}
+            self.differences = {}
+            if len(document["endpoints"]) < len(self.initial_names):
+                names = {entry["name"] for entry in document["endpoints"]}
+                self.differences = {
+                    name: ["DELETED", 0] for name in self.initial_names if name not in names
+                }
         elif self.index is None:
             return self.discovery.resync()
         for entry in document["endpoints"]:
             if entry["status"] != "SERVING" or entry["since_ms"]:
-                self.other[entry["name"]] = [entry["status"], entry["since_ms"]]
+                self.differences[entry["name"]] = [entry["status"], entry["since_ms"]]
             else:
-                self.other.pop(entry["name"], None)
+                self.differences.pop(entry["name"], None)
         self.index = document["index"]
 
-    def wrong(self, changed):
+    def count_wrong(self, changed):
+        """Returns how many backends have another status than in discovery's `changed` entries."""
         return sum(
-            self.other.get(name, ["SERVING", 0])[0] != changed.get(name, ["SERVING", 0])[0]
-            for name in {*self.other, *changed}
+            self.differences.get(name, ["SERVING", 0])[0] != changed.get(name, ["SERVING", 0])[0]
+            for name in {*self.differences, *changed}
         )
 
 
-class Full(Hollow):
-    """The real reducer, told of the list and of settings alone."""
+class FullNode(HollowNode):
+    """Runs the real reducer, which receives only list and settings changes."""
 
-    def __init__(self, number, discovery, clock, at_first):
-        self.clock, self.at_first = clock, at_first
-        self.list_s, self.settings_s, self.settings_at = [], [], []
+    def __init__(self, number, discovery, clock, initial_names):
+        self.clock, self.initial_names = clock, initial_names
+        # CPU time of each list and settings change, and (version, monotonic time) of each applied one.
+        self.list_s, self.settings_s, self.settings_times = [], [], []
         super().__init__(number, discovery)
 
-    def begin(self):
-        self.place, self.version = config_from_environ(os.environ), 0
-        place = self.place
+    def reset(self):
+        """Creates the reducer anew from the configuration file."""
+        self.config, self.version = config_from_environ(os.environ), 0
+        config = self.config
         self.timer = Timer(self.clock, lambda late: self.tell(TimerFired()))
         self.reducer = ProxyStateMachine(
-            place.seed,
-            place.settings,
+            config.seed,
+            config.settings,
             self.clock.now(),
-            place.sockets,
-            place.discovery,
-            place.document,
+            config.sockets,
+            config.discovery,
+            config.document,
         )
-        self.reducer.endpoints.restore(place.known)
-        place.known = {}  # as a node does: the reducer has what it needs of it
+        self.reducer.endpoints.restore(config.known)
+        config.known = {}  # frees the memory, as a node does: the reducer has its own copy
 
-    def take(self, event):
-        began = thread_time()
+    def apply(self, event):
+        """Applies an event to the reducer and carries out the effects that concern discovery."""
+        started_at = thread_time()
         effects = self.reducer.apply(self.clock.now(), event)
-        took = thread_time() - began
+        cpu_time_s = thread_time() - started_at
         self.index = self.reducer.endpoints.version
         if isinstance(event, EndpointsUpdated):
-            self.list_s.append(took)
+            self.list_s.append(cpu_time_s)
         for effect in effects:
             if isinstance(effect, ResyncEndpoints):
                 self.discovery.resync()
             elif isinstance(effect, PollDiscovery):
                 self.discovery.ask()
-            elif isinstance(effect, LogEvent) and effect.event == LOADED:
-                self.settings_at.append((self.version, monotonic()))
+            elif isinstance(effect, LogEvent) and effect.event == SETTINGS_APPLIED:
+                self.settings_times.append((self.version, monotonic()))
         self.timer.set(self.reducer.next_wakeup(self.clock.now()))
 
-    def read_again(self):
-        """What a host does at SIGHUP (`Host._reread`); the one place here that knows how."""
-        began = thread_time()
-        place = in_steps(reload_steps(self.place))
+    def reload_settings(self):
+        """Reloads the configuration file, as a node does on SIGHUP (`Host._reread`)."""
+        started_at = thread_time()
+        config = in_steps(reload_steps(self.config))
         difference = in_steps(
-            shares.steps(self.reducer.balancers.settings.tenants, place.settings.tenants.shares)
+            quota_changes.steps(
+                self.reducer.balancers.settings.tenants, config.settings.tenants.shares
+            )
         )
-        self.version = place.document["version"]
-        self.tell(ConfigurationLoaded(place.discovery, place.document, place.settings, difference))
-        self.settings_s.append(thread_time() - began)
+        self.version = config.document["version"]
+        self.tell(
+            ConfigurationLoaded(config.discovery, config.document, config.settings, difference)
+        )
+        self.settings_s.append(thread_time() - started_at)
 
-    def wrong(self, changed):
+    def count_wrong(self, changed):
+        """Returns how many backends have another status than in discovery's `changed` entries."""
         backends = self.reducer.endpoints.records
         count = 0
-        for name in self.at_first:
+        for name in self.initial_names:
             backend, status = backends.get(name), changed.get(name, ["SERVING", 0])[0]
             count += (STATES[backend.state] if backend is not None else "DELETED") != status
         return count
 
 
-class Process:
-    def __init__(self, spec, at_first):
-        self.all, numbers = [], range(spec["first"], spec["first"] + spec["count"])
+class HollowProcess:
+    """The hollow nodes of one process, and the commands that it carries out."""
+
+    def __init__(self, spec, initial_names):
+        self.nodes, numbers = [], range(spec["first"], spec["first"] + spec["count"])
         if spec["full"]:
             os.environ["BALANCER_CONFIG"] = spec["config"]
             clock = Clock()
             for number in numbers:
-                self.all.append(Full(number, spec["discovery"], clock, at_first))
+                self.nodes.append(FullNode(number, spec["discovery"], clock, initial_names))
         else:
-            self.all = [Watching(number, spec["discovery"], at_first) for number in numbers]
-        for node in self.all:
+            self.nodes = [
+                WatchOnlyNode(number, spec["discovery"], initial_names) for number in numbers
+            ]
+        for node in self.nodes:
             node.start()
 
     # Commands.
 
     def settings(self):
-        for node in self.all:
-            # Not within this command: it may take seconds, and whoever told it tells others too.
-            gevent.spawn(node.read_again)
+        """Makes all nodes reload their settings, after the command is answered."""
+        for node in self.nodes:
+            # A reload may take seconds, while the sender of the command has other processes to notify.
+            gevent.spawn(node.reload_settings)
 
     def down(self, numbers):
-        for node in self._of(numbers):
-            node.down()
+        """Stops nodes."""
+        for node in self._nodes_with(numbers):
+            node.stop()
 
     def up(self, numbers):
-        for node in self._of(numbers):
-            node.up()
+        """Restarts nodes."""
+        for node in self._nodes_with(numbers):
+            node.restart()
 
-    def _of(self, numbers):
-        wanted = set(numbers)
-        return [node for node in self.all if node.number in wanted]
+    def _nodes_with(self, numbers):
+        requested = set(numbers)
+        return [node for node in self.nodes if node.number in requested]
 
     def versions(self):
-        return {"versions": [node.index or 0 for node in self.all]}
+        """Returns the list version of each node; 0 for a node that waits for the whole list."""
+        return {"versions": [node.index or 0 for node in self.nodes]}
 
     def delays(self, told, settings):
-        """ms until each of these (version, moment) was in force, node by node; -1 where it was not. Then they
-        are forgotten."""
-        of_list, of_settings = [], []
-        for index, at in told:
-            delays = [node.delay(index, at) for node in self.all]
-            of_list.append(
+        """Returns the ms until each change was in force, by node, and the CPU ms that the changes took.
+
+        `told` and `settings` are the (version, monotonic time) pairs of the list and settings changes.
+        A delay of -1 means never; nodes that were down at the time are left out. Clears all records.
+        """
+        list_delays, settings_delays = [], []
+        for index, changed_at in told:
+            delays = [node.version_delay(index, changed_at) for node in self.nodes]
+            list_delays.append(
                 [
-                    -1 if each is None else round(each * 1000, 1)
-                    for each in delays
-                    if each is not False
+                    -1 if delay is None else round(delay * 1000, 1)
+                    for delay in delays
+                    if delay is not False
                 ]
             )
-        full = [node for node in self.all if isinstance(node, Full)]
-        for version, at in settings:
-            moments = [
-                next((m for v, m in node.settings_at if v >= version), None) for node in full
+        full_nodes = [node for node in self.nodes if isinstance(node, FullNode)]
+        for version, changed_at in settings:
+            applied_times = [
+                next((time for applied, time in node.settings_times if applied >= version), None)
+                for node in full_nodes
             ]
-            of_settings.append([-1 if m is None else round((m - at) * 1000, 1) for m in moments])
-        work = {
-            "list_ms": [each * 1000 for node in full for each in node.list_s],
-            "settings_ms": [each * 1000 for node in full for each in node.settings_s],
+            settings_delays.append(
+                [
+                    -1 if time is None else round((time - changed_at) * 1000, 1)
+                    for time in applied_times
+                ]
+            )
+        cpu_times = {
+            "list_ms": [cpu_s * 1000 for node in full_nodes for cpu_s in node.list_s],
+            "settings_ms": [cpu_s * 1000 for node in full_nodes for cpu_s in node.settings_s],
         }
-        for node in full:
-            node.list_s, node.settings_s, node.settings_at = [], [], []
-        for node in self.all:
-            node.stamps, node.downs = [], []
-        return {"list": of_list, "settings": of_settings, **work}
+        for node in full_nodes:
+            node.list_s, node.settings_s, node.settings_times = [], [], []
+        for node in self.nodes:
+            node.version_times, node.down_intervals = [], []
+        return {"list": list_delays, "settings": settings_delays, **cpu_times}
 
     def check(self, index, changed):
-        """How many hold that version and that list, and what they were told twice or lost."""
+        """Returns how many nodes have that version and that list, and the counts of anomalies."""
         return {
-            "nodes": len(self.all),
-            "current": sum(node.index == index for node in self.all),
-            "right": sum(not node.wrong(changed) for node in self.all),
-            "twice": sum(node.twice for node in self.all),
-            "lost": sum(node.lost for node in self.all),
-            "faults": sum(node.faults for node in self.all),
+            "nodes": len(self.nodes),
+            "current": sum(node.index == index for node in self.nodes),
+            "right": sum(not node.count_wrong(changed) for node in self.nodes),
+            "twice": sum(node.duplicate_changes for node in self.nodes),
+            "lost": sum(node.watch_losses for node in self.nodes),
+            "faults": sum(node.errors for node in self.nodes),
         }
 
 
 def main():
+    """Runs the hollow nodes of a SPEC file."""
     with open(sys.argv[1], "rb") as file:
         spec = msgspec.json.decode(file.read())
-    at_first = names(msgspec.convert(spec["plan"], Plan))
-    commands = FileObjectPosix(0, "rb", closefd=False)
-    child.say({"imported": True})
-    commands.readline()  # told to go on, once it was seen how much a process takes with no node in it
+    initial_names = backend_names(msgspec.convert(spec["plan"], Plan))
+    command_input = FileObjectPosix(0, "rb", closefd=False)
+    child.write_message({"imported": True})
+    # The parent measures the memory of the process without nodes, then sends a first line.
+    command_input.readline()
     try:
-        process = Process(spec, at_first)
-    except UnusableConfigError as fault:
-        child.fail(str(fault))
+        process = HollowProcess(spec, initial_names)
+    except UnusableConfigError as error:
+        child.exit_with_error(str(error))
     gc.freeze()
     gc.set_threshold(GARBAGE, 20, 20)
-    child.say({"nodes": len(process.all)})
-    known = {
+    child.write_message({"nodes": len(process.nodes)})
+    commands = {
         name: getattr(process, name)
         for name in ("settings", "down", "up", "versions", "delays", "check")
     }
-    while line := commands.readline():
-        child.say(child.answer(known, line))
+    while line := command_input.readline():
+        child.write_message(child.run_command(commands, line))
 
 
 if __name__ == "__main__":
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -1,6 +1,7 @@
-"""A scale run's plan, read from TOML: how many of what, the load, the scenes; and what it will take.
+"""Reads the plan of a scale run from TOML, estimates its resources and builds its input data.
 
-Times carry their unit in the name. What can't be used is one line that names the place.
+A plan gives the numbers of nodes, backends and tenants, the load and the scenes. The names of times
+end in their unit. An invalid plan raises an error of one line that names the key.
 """
 
 from typing import Annotated, Literal
@@ -20,35 +21,42 @@
 )
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
-Some = Annotated[int, Meta(ge=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 SCENES = ("calm", "list", "settings", "restarts", "zone", "discovery")
-REPEATS = {"look": "harmless", "pay": "one-shot"}  # what a repeat of each offering may do
+# Whether a request of each class may be repeated.
+REQUEST_CLASS_REPEATS = {"look": "harmless", "pay": "one-shot"}
 AXES = ("nodes", "backends", "tenants")
 DAY_S = 86400
-MOST_BACKENDS = 60000  # addresses that fit behind 127.1.0.0
-PROCESSES = 200  # a run never has more
-HALF = 0.5  # of the machine's memory; likewise
-TAIL_S = {
-    "settings": 6.0
-}  # at the end of a scene nothing begins: what did is to be seen in force, and over
-TAIL_ELSE_S = 3.0
-# What a process takes, MB: measured at 6,800 backends and 47,000 tenants, rounded up; only to refuse by.
+MAX_BACKENDS = 60000  # fits the addresses of 127.1.0.0/16
+MAX_PROCESSES = 200  # of one run
+MAX_MEMORY_RATIO = 0.5  # fraction of the machine's memory that one run may take
+# No change begins at the end of a scene, so that each earlier one takes effect and completes in it.
+TAIL_S = {"settings": 6.0}
+DEFAULT_TAIL_S = 3.0  # of any other scene
+# Memory of a process, and of each backend and tenant that it stores. Rounded up from processes with
+# 6,800 backends and 47,000 tenants; used only to reject plans that are too large.
 BASE_MB, BACKEND_KB, TENANT_KB = 40.0, 8.0, 2.0
-WATCH_KB, ENTRY_KB = 60.0, 0.2  # a watch; an entry of the list on its way
+WATCH_KB, ENTRY_KB = 60.0, 0.2  # of an open watch; of a list entry while it is received
 
 
 class Nodes(Struct):
-    """All nodes; what `loaded`, `idle` and `full` leave only holds its watch and accounts versions."""
+    """The numbers of nodes.
+
+    Nodes beyond `loaded`, `idle` and `full` are hollow ones that only keep a watch open and record
+    versions.
+    """
 
     count: Count = 720
-    loaded: Some = 2  # real ones, with requests
-    idle: Some = 1  # real ones, without
-    full: Some = 4  # hollow ones that hold the list and the settings, a process each
-    processes: Count = 4  # that the others share
+    loaded: NonNegativeInt = 2  # real nodes that receive requests
+    idle: NonNegativeInt = 1  # real nodes without requests
+    full: NonNegativeInt = 4  # hollow nodes that store the list and the settings, one process each
+    processes: Count = 4  # shared by the watch-only nodes
 
 
 class Backends(Struct):
-    count: Annotated[int, Meta(ge=10, le=MOST_BACKENDS)] = 6800
+    """The hollow backends: number, layout, response time and port (0: any free port)."""
+
+    count: Annotated[int, Meta(ge=10, le=MAX_BACKENDS)] = 6800
     services: Count = 210
     zones: Count = 10
     answer_ms: NotNegative = 20.0
@@ -56,73 +64,83 @@
 
 
 class Tenants(Struct):
+    """The number of tenants in the settings."""
+
     count: Count = 47000
 
 
 class Load(Struct):
-    """What each loaded node gets, and the backend that the same is sent to straight."""
+    """The load of each loaded node, and of the one sender that bypasses the nodes."""
 
     rate: Positive = 236.0
     spacing: Literal["even", "poisson"] = "poisson"
-    one_shot: Share = 0.3  # share of the requests that must not run twice
+    one_shot: Share = 0.3  # fraction of the requests that must not run twice
     limit_ms: Positive = 3000.0
 
 
-class Day(Struct):
-    """A day of the target."""
+class DailyChanges(Struct):
+    """Settings changes and backend restarts per day at the target size."""
 
     changes: Positive = 760.0
     restarts: Positive = 1700.0
 
 
 class Discovery(Struct):
+    """The discovery process: its port (0: any free port) and the heartbeat interval of a watch."""
+
     port: Port = 0
     heartbeat_s: Positive = 2.0
 
 
 class Limits(Struct):
-    """Lower than what holds in any case, if at all."""
+    """Limits of the run, on top of the fixed ones of half the memory and 200 processes."""
 
-    memory_mb: NotNegative = 0.0  # 0: half of the machine's
-    processes: Annotated[int, Meta(ge=1, le=PROCESSES)] = PROCESSES
+    memory_mb: NotNegative = 0.0  # 0: half of the machine's memory
+    processes: Annotated[int, Meta(ge=1, le=MAX_PROCESSES)] = MAX_PROCESSES
 
 
 class Scene(Struct):
+    """One phase of a run, with one kind of change."""
+
     what: Literal[SCENES]
     seconds: Annotated[float, Meta(ge=2, le=3600)] = 20.0
-    multiple: Positive = (
-        100.0  # how many times faster than in a day, for list, settings and restarts
-    )
-    down_s: Positive = 1.0  # for discovery: until it is back
+    # Rate of changes as a multiple of the daily rate; for list, settings and restarts.
+    multiple: Positive = 100.0
+    down_s: Positive = 1.0  # how long discovery is down, for the discovery scene
 
     def tail_s(self):
-        return TAIL_S.get(self.what, TAIL_ELSE_S)
+        """Returns the time at the end of the scene in which no change begins."""
+        return TAIL_S.get(self.what, DEFAULT_TAIL_S)
 
 
 class Budget(Struct):
-    """What the operators allow."""
+    """What the operators allow for control at the target size."""
 
-    cpu_share: Positive = 0.022  # of a core, control, a node
-    memory_mb: Positive = 64.0  # over an empty node
+    cpu_share: Positive = 0.022  # fraction of a core per node, for control
+    memory_mb: Positive = 64.0  # of a node, beyond that of an empty node
     bytes_s: Positive = 9000.0
     in_force_s: Positive = 13.0
-    added_ms: Positive = 1.4  # 99 in 100
-    worst_ms: Positive = 20.0  # answer as one tenant's share changes, over the worst straight then
+    added_ms: Positive = 1.4  # added by a node to the p99 latency
+    worst_ms: Positive = (
+        20.0  # slowest response while one tenant's quota changes, beyond the slowest without a node
+    )
     ready_s: Positive = 10.0
 
 
 class Axes(Struct):
-    """Each axis at shares of its target while the others stay at the least."""
+    """Each axis grows through fractions of its target while the others stay at their minimum."""
 
     shares: Annotated[list[Annotated[float, Meta(gt=0, le=1)]], Meta(min_length=3)] = msgspec.field(
         default_factory=lambda: [0.125, 0.25, 0.5, 1.0]
     )
-    nodes: tuple[Count, Count] = (20, 720)  # least, target
+    nodes: tuple[Count, Count] = (20, 720)  # minimum, target
     backends: tuple[Count, Count] = (32, 6800)
     tenants: tuple[Count, Count] = (100, 47000)
 
 
 class Plan(Struct):
+    """The whole plan of a scale run."""
+
     scene: Annotated[list[Scene], Meta(min_length=1)]
     title: str = ""
     seed: int = 1
@@ -130,145 +148,163 @@
     backends: Backends = msgspec.field(default_factory=Backends)
     tenants: Tenants = msgspec.field(default_factory=Tenants)
     load: Load = msgspec.field(default_factory=Load)
-    day: Day = msgspec.field(default_factory=Day)
+    day: DailyChanges = msgspec.field(default_factory=DailyChanges)
     discovery: Discovery = msgspec.field(default_factory=Discovery)
     limits: Limits = msgspec.field(default_factory=Limits)
-    warm_s: NotNegative = 5.0  # of requests before the first scene
+    warm_s: NotNegative = 5.0  # time with requests before the first scene
     budget: Budget = msgspec.field(default_factory=Budget)
     axes: Axes | None = None
 
-    def watch_only(self):
+    def watch_only_count(self):
+        """Returns the number of hollow nodes that only keep a watch open."""
         return self.nodes.count - self.nodes.loaded - self.nodes.idle - self.nodes.full
 
     def seconds(self):
-        """Of requests."""
+        """Returns for how long requests are sent, warm-up included."""
         return self.warm_s + sum(scene.seconds for scene in self.scene)
 
-    def groups(self):
-        """The hollow processes: {name: (first number, how many, whether they are full)}."""
-        told, number = {}, self.nodes.loaded + self.nodes.idle
-        for each in range(self.nodes.full):
-            told[f"full {each}"] = (number, 1, True)
+    def hollow_groups(self):
+        """Returns the hollow processes: {name: (first node number, node count, whether full)}."""
+        groups, number = {}, self.nodes.loaded + self.nodes.idle
+        for index in range(self.nodes.full):
+            groups[f"full {index}"] = (number, 1, True)
             number += 1
-        left, sharers = self.watch_only(), min(self.nodes.processes, self.watch_only())
-        for each in range(sharers):
-            many = left // sharers + (each < left % sharers)
-            told[f"hollow {each}"] = (number, many, False)
-            number += many
-        return told
-
-    def processes(self):
-        """How many a run has: ours, discovery, the backends, hollow ones, real ones, senders and an empty
-        node."""
-        return 5 + len(self.groups()) + 2 * self.nodes.loaded + self.nodes.idle
+        nodes, processes = (
+            self.watch_only_count(),
+            min(self.nodes.processes, self.watch_only_count()),
+        )
+        for index in range(processes):
+            count = nodes // processes + (index < nodes % processes)
+            groups[f"hollow {index}"] = (number, count, False)
+            number += count
+        return groups
+
+    def process_count(self):
+        """Returns the number of processes of a run.
+
+        These are the command itself, discovery, the backends, the hollow processes, the real nodes,
+        the senders and an empty node.
+        """
+        return 5 + len(self.hollow_groups()) + 2 * self.nodes.loaded + self.nodes.idle
 
     def memory_mb(self):
-        """What a run will take, at its most."""
-        whole = self.nodes.loaded + self.nodes.idle + self.nodes.full
-        holds = (self.backends.count * BACKEND_KB + self.tenants.count * TENANT_KB) / 1024
-        # Where all get the whole list at once: read in pieces, put together, parsed.
-        watch = (WATCH_KB + 4 * self.backends.count * ENTRY_KB) / 1024
-        return self.processes() * BASE_MB + whole * holds + self.nodes.count * watch
+        """Returns an estimate of the peak memory of a run."""
+        storing_nodes = self.nodes.loaded + self.nodes.idle + self.nodes.full
+        stored_mb = (self.backends.count * BACKEND_KB + self.tenants.count * TENANT_KB) / 1024
+        # All nodes may receive the whole list at once: each buffers, joins and parses it.
+        watch_mb = (WATCH_KB + 4 * self.backends.count * ENTRY_KB) / 1024
+        return (
+            self.process_count() * BASE_MB + storing_nodes * stored_mb + self.nodes.count * watch_mb
+        )
 
-    def most_mb(self):
-        half = psutil.virtual_memory().total * HALF / (1 << 20)
-        return min(half, self.limits.memory_mb or half)
+    def max_memory_mb(self):
+        """Returns the memory that a run may take."""
+        machine_limit_mb = psutil.virtual_memory().total * MAX_MEMORY_RATIO / (1 << 20)
+        return min(machine_limit_mb, self.limits.memory_mb or machine_limit_mb)
 
 
 def read(path):
-    """The Plan in the TOML file at `path`; raises InvalidPlanError with one line that names the place."""
-    return made(tables(path), path)
+    """Returns the Plan in the TOML file at `path`.
 
+    Raises InvalidPlanError with one line that names the key.
+    """
+    return plan_from(tables(path), path)
 
-def made(raw, path="plan"):
-    """The same from a mapping."""
+
+def plan_from(raw, path="plan"):
+    """Returns the Plan in a mapping; raises InvalidPlanError, with `path` in front of the message."""
     try:
         plan = msgspec.convert(raw, Plan)
-    except msgspec.ValidationError as fault:
-        raise InvalidPlanError(f"{path}: {fault}") from None
-    if plan.watch_only() < 0:
+    except msgspec.ValidationError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
+    if plan.watch_only_count() < 0:
         raise InvalidPlanError(
-            f"{path}: $.nodes.count: {plan.nodes.count}, fewer than `loaded`, `idle` and `full`"
+            f"{path}: $.nodes.count is {plan.nodes.count}; expected at least the sum of `loaded`, "
+            f"`idle` and `full`"
         )
     if not plan.nodes.loaded + plan.nodes.idle:
-        raise InvalidPlanError(f"{path}: $.nodes: no real node; `loaded` or `idle` is over 0")
+        raise InvalidPlanError(
+            f"{path}: $.nodes has no real node; expected `loaded` or `idle` to be 1 or more"
+        )
     for number, scene in enumerate(plan.scene):
         if scene.what != "calm" and scene.seconds <= scene.tail_s() + 1:
             raise InvalidPlanError(
-                f"{path}: $.scene[{number}].seconds: over {scene.tail_s() + 1:g}, as nothing "
-                f"begins in its last {scene.tail_s():g}"
+                f"{path}: $.scene[{number}].seconds is {scene.seconds:g}; expected more than "
+                f"{scene.tail_s() + 1:g}, as no change begins in the last {scene.tail_s():g} s"
             )
     for name in AXES if plan.axes else ():
-        least, target = getattr(plan.axes, name)
-        if least > target:
+        minimum, target = getattr(plan.axes, name)
+        if minimum > target:
             raise InvalidPlanError(
-                f"{path}: $.axes.{name}: the least, {least}, is over the target, {target}"
+                f"{path}: $.axes.{name}: the minimum is {minimum}; expected at most the target, "
+                f"{target}"
             )
     return plan
 
 
-def refuse(plan, path="plan"):
-    """Raises InvalidPlanError if a run would take more than it may."""
-    if plan.processes() > plan.limits.processes:
+def check_limits(plan, path="plan"):
+    """Raises InvalidPlanError if a run would need more processes or memory than allowed."""
+    if plan.process_count() > plan.limits.processes:
         raise InvalidPlanError(
-            f"{path}: it would take {plan.processes()} processes, {plan.limits.processes} are "
-            f"allowed"
+            f"{path}: the run needs {plan.process_count()} processes; at most "
+            f"{plan.limits.processes} are allowed"
         )
-    if plan.memory_mb() > plan.most_mb():
+    if plan.memory_mb() > plan.max_memory_mb():
         raise InvalidPlanError(
-            f"{path}: it would take about {plan.memory_mb():,.0f} MB, {plan.most_mb():,.0f} are "
-            f"allowed (at most half of the machine's)"
+            f"{path}: the run needs about {plan.memory_mb():,.0f} MB of memory; at most "
+            f"{plan.max_memory_mb():,.0f} MB are allowed (never more than half of the machine's)"
         )
 
 
-# What the run is made of.
+# The input data of a run.
 
 
-def names(plan):
-    """Of all backends, in order: a service and its number there."""
+def backend_names(plan):
+    """Returns the names of all backends in order, each made of its service and its number there."""
     services = plan.backends.services
     return [f"svc-{i % services}-b{i // services}" for i in range(plan.backends.count)]
 
 
-def address(number, port):
-    """Of backend `number`: 127.1.0.1 and on, 250 to a row."""
+def backend_address(number, port):
+    """Returns the address of backend `number`: from 127.1.0.1 on, 250 addresses to a /24 block."""
     return f"127.1.{number // 250}.{number % 250 + 1}:{port}"
 
 
 def zone_of(number, plan):
+    """Returns the number of the zone of backend `number`."""
     return number // plan.backends.services % plan.backends.zones
 
 
-def entries(plan, port):
-    """The list at the start, as discovery tells it."""
+def endpoint_entries(plan, port):
+    """Returns the initial endpoint list, as discovery reports it."""
     return [
         {
             "name": name,
-            "address": address(number, port),
+            "address": backend_address(number, port),
             "zone": f"z{zone_of(number, plan)}",
             "group": number % 4,
             "status": "SERVING",
             "weight": 1.0,
             "since_ms": 0,
         }
-        for number, name in enumerate(names(plan))
+        for number, name in enumerate(backend_names(plan))
     ]
 
 
-def document(plan, number, discovery, management, entries):
-    """The platform's document that node `number` starts on."""
-    # Twice what comes, were it to come to all nodes alike: no tenant is over its share.
-    per_s = round(2 * plan.load.rate * plan.nodes.count / plan.tenants.count, 3)
+def node_document(plan, number, discovery, management, entries):
+    """Returns the platform document that node `number` starts with."""
+    # Twice the tenant's rate if all nodes were loaded alike, so that no tenant exceeds its quota.
+    quota_per_s = round(2 * plan.load.rate * plan.nodes.count / plan.tenants.count, 3)
     limit_us = int(plan.load.limit_ms * 1000)
     request_classes = [
         {
             "name": name,
-            "idempotency": repeats,
+            "idempotency": idempotency,
             "expectedTimeUs": limit_us,
             "hardLimitUs": limit_us,
             "credit": 1,
         }
-        for name, repeats in (("look", "free"), ("pay", "single_shot"))
+        for name, idempotency in (("look", "free"), ("pay", "single_shot"))
     ]
     return {
         "name": f"n{number}",
@@ -281,7 +317,8 @@
         "settings": {
             "offerings": request_classes,
             "customers": [
-                {"name": f"tenant-{k}", "quotaPerS": per_s} for k in range(plan.tenants.count)
+                {"name": f"tenant-{index}", "quotaPerS": quota_per_s}
+                for index in range(plan.tenants.count)
             ],
             "limits": {
                 "mostTrips": 3,
@@ -302,26 +339,28 @@
     }
 
 
-def events_of(scene, plan):
-    """The moments in s, from the scene's begin, at which something happens in it."""
+def change_offsets_s(scene, plan):
+    """Returns the times of the scene's changes, in s from its start."""
     if scene.what == "calm":
         return []
     if scene.what in ("zone", "discovery"):
         return [1.0]
-    day = plan.day.restarts if scene.what == "restarts" else plan.day.changes
-    span = scene.seconds - scene.tail_s() - 1
-    gap = DAY_S / (day * scene.multiple)
-    count = max(1, int(span / gap))
+    per_day = plan.day.restarts if scene.what == "restarts" else plan.day.changes
+    span_s = scene.seconds - scene.tail_s() - 1
+    interval_s = DAY_S / (per_day * scene.multiple)
+    count = max(1, int(span_s / interval_s))
     if scene.what == "list":
-        count += count % 2  # what drains serves again
-    return [1.0 + gap * k for k in range(count)]
+        count += count % 2  # each drained backend is returned to service
+    return [1.0 + interval_s * index for index in range(count)]
 
 
-def at_axis(plan, axis, share):
-    """The plan of one point: `axis` at that share of its target, the others at the least."""
+def axis_point(plan, axis, share):
+    """Returns the plan of one point: `axis` at a fraction of its target, the others at the minimum."""
     point = msgspec.convert(msgspec.to_builtins(plan), Plan)
     for name in AXES:
-        least, target = getattr(plan.axes, name)
-        getattr(point, name).count = max(least, round(target * share)) if name == axis else least
+        minimum, target = getattr(plan.axes, name)
+        getattr(point, name).count = (
+            max(minimum, round(target * share)) if name == axis else minimum
+        )
     point.backends.services = min(plan.backends.services, max(1, point.backends.count // 32))
     return point
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -1,4 +1,7 @@
-"""One scale run: everything is started, told, loaded, looked at and ended; nothing of it is left."""
+"""Runs one scale plan: starts all processes, runs the scenes under load and checks the results.
+
+No process and no file of a run outlives it.
+"""
 
 import heapq
 import http.client
@@ -18,178 +21,194 @@
 from pierglade.load.recorder import LatencyRecorder
 from pierglade.processes.children import ChildExitedError, Children, free_port
 from pierglade.scale import figures
-from pierglade.scale.guard import Guard, Over, Watch, cpu_s, pss_mb, rss_mb, wait
+from pierglade.scale.guard import GuardThread, Over, ResourceGuard, cpu_s, pss_mb, rss_mb, wait
 from pierglade.scale.plan import (
-    REPEATS,
+    REQUEST_CLASS_REPEATS,
     Tenants,
-    document,
-    entries,
-    events_of,
-    names,
-    refuse,
+    backend_names,
+    change_offsets_s,
+    check_limits,
+    endpoint_entries,
+    node_document,
     zone_of,
 )
 
-ANSWER_IN_S = 60.0  # a process of ours that has not answered a command by then hangs
-READY_IN_S = 30.0
-SETTLES_S = 1.5  # from the last start to the load's first request
-REAL_LAST_S = 5.0  # likewise, for each real node to tell the right list
-LAST_S = 15.0  # from the load's end until all hold the last version; longer is told as not in force
-NODE_DOWN_S, DRAINS_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4  # in a restart
-OUTSIDE = "127.1.255.254"  # an address that is no backend's: what is asked straight
-STEP = 7919  # a prime: tenants and backends that change one after the other lie far apart
+ANSWER_TIMEOUT_S = 60.0  # a process that has not answered a command by then counts as hanging
+READY_TIMEOUT_S = 30.0  # for a real node to be ready, and for all watches to be open
+SETTLE_S = 1.5  # from the last start to the first request
+REAL_NODE_TIMEOUT_S = 5.0  # after the load, for each real node to report the right list
+# After the load, for all hollow nodes to store the last version; a later one counts as not in force.
+LAST_VERSION_TIMEOUT_S = 15.0
+NODE_DOWN_S, DRAIN_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4  # phases of a restart
+DIRECT_IP = "127.1.255.254"  # belongs to no backend; target of the requests that bypass the nodes
+STRIDE = 7919  # prime, so that tenants and backends that change in succession lie far apart
 
 
 class Failed(Exception):
-    """The run could not be made; one line."""
+    """A run could not be completed; the message is one line, `status` the exit code of the command."""
 
     def __init__(self, line, status=3):
         super().__init__(line)
-        self.status = status  # of the command
+        self.status = status
 
 
-def play(plan, path="plan", say=lambda line: None):
-    """Plays a Plan; returns plain data (`figures.summary`).
+def play(plan, path="plan", report_progress=lambda line: None):
+    """Runs a Plan; returns plain data (`figures.summary`).
 
-    Raises InvalidPlanError before anything is started, Failed where nothing is to be learned, Over where it took
-    more than it may, StoppedBySignalError by a signal.
+    Raises InvalidPlanError before anything is started, Failed if the run could not be completed,
+    Over if it exceeded its memory or process limit, StoppedBySignalError on SIGTERM and SIGINT.
     """
-    refuse(plan, path)
+    check_limits(plan, path)
     with Children() as children:
-        one = _Play(plan, children, say)
+        scale_run = _ScaleRun(plan, children, report_progress)
         try:
-            return one.whole()
-        except ChildExitedError as fault:
-            # A port that is taken is bad input; any other end is a run not to be trusted.
-            raise Failed(str(fault), 2 if " ended with 2" in str(fault) else 3) from None
+            return scale_run.execute()
+        except ChildExitedError as error:
+            # Status 2 means bad input, such as a port in use; any other makes the run unreliable.
+            raise Failed(str(error), 2 if " ended with 2" in str(error) else 3) from None
         except (BrokenPipeError, ConnectionError):
             children.look()
-            raise Failed("a process of the run no longer answers") from None
+            raise Failed(
+                "lost the connection to a process of the run, which has not exited"
+            ) from None
         finally:
-            one.end()
-
-
-class _Play:
-    def __init__(self, plan, children, say):
-        self.plan, self.children, self.say = plan, children, say
-        self.names = names(plan)
-        self.ahead = time.time() - time.monotonic()
-        self.documents, self.paths, self.logs, self.real = {}, {}, {}, {}
-        self.downs = {}  # real node: [[from, to], ...]
-        self.base_mb = {}  # process: MB with no node in it
-        self.cpu_gone, self.waited_gone = (
-            {},
-            {},
-        )  # name: s of processes of that name that have ended
-        self.sent_gone = self.heard_gone = 0
+            scale_run.stop_guard()
+
+
+class _ScaleRun:
+    """The processes, the schedule and the results of one run."""
+
+    def __init__(self, plan, children, report_progress):
+        self.plan, self.children, self.report_progress = plan, children, report_progress
+        self.backend_names = backend_names(plan)
+        self.unix_offset_s = time.time() - time.monotonic()
+        self.documents, self.document_paths, self.node_logs, self.node_addresses = {}, {}, {}, {}
+        self.down_intervals = {}  # number of a real node: [[start, end], ...]
+        self.base_mb = {}  # hollow process: MB before it creates its nodes
+        # Process name: s used and s waited by ended processes of that name.
+        self.ended_cpu_s, self.ended_wait_s = {}, {}
+        # Bytes of discovery processes that have ended.
+        self.ended_sent_bytes = self.ended_received_bytes = 0
         self.changed_tenants = self.changed_backends = self.incarnation = 0
-        self.due, self.count = [], 0
-        self.watch, self.senders = None, []
-        self.passed = set()  # names whose end is meant
-        self.threads, self.ready_s, self.scenes, self.faults = [], [], [], []
-        self.guard = Guard(plan.most_mb(), plan.limits.processes, self._processes)
+        self.scheduled, self.scheduled_count = [], 0
+        self.guard_thread, self.senders = None, []
+        self.expected_exits = set()  # names of processes
+        self.threads, self.ready_times_s, self.scenes, self.restart_errors = [], [], [], []
+        self.guard = ResourceGuard(
+            plan.max_memory_mb(), plan.limits.processes, self._list_processes
+        )
 
     # Processes.
 
-    def _processes(self):
-        told = [(name, process.pid) for name, (process, _) in list(self.children.running.items())]
-        return [("run", os.getpid()), *told]
+    def _list_processes(self):
+        children = [
+            (name, process.pid) for name, (process, _) in list(self.children.running.items())
+        ]
+        return [("run", os.getpid()), *children]
 
-    def look(self):
-        if self.watch is not None and self.watch.fault is not None:
-            raise self.watch.fault
+    def check(self):
+        """Raises if a limit was exceeded, a process exited unexpectedly or a restart failed."""
+        if self.guard_thread is not None and self.guard_thread.error is not None:
+            raise self.guard_thread.error
         for name, (process, _) in list(self.children.running.items()):
-            if name not in self.passed and process.poll() is not None:
+            if name not in self.expected_exits and process.poll() is not None:
                 raise ChildExitedError(self.children._how(name))
-        if self.faults:
-            raise Failed(self.faults[0])
+        if self.restart_errors:
+            raise Failed(self.restart_errors[0])
 
-    def _spec(self, name, **spec):
+    def _write_spec(self, name, **spec):
         path = self.children.path(name.replace(" ", "-") + ".spec")
         with open(path, "wb") as file:
             file.write(msgspec.json.encode({"plan": self.plan, **spec}))
         return path
 
     def _start(self, role, name, **spec):
-        told = self.children.start(name, f"pierglade.scale.{role}", self._spec(name, **spec))
-        self.guard.look()
-        return told
+        first_line = self.children.start(
+            name, f"pierglade.scale.{role}", self._write_spec(name, **spec)
+        )
+        self.guard.check()
+        return first_line
 
-    def put(self, name, **command):
+    def send_command(self, name, **command):
+        """Sends a command to a process without waiting for its answer."""
         stdin = self.children.running[name][0].stdin
         stdin.write(msgspec.json.encode(command) + b"\n")
         stdin.flush()
 
-    def get(self, name):
-        """The line that it answers."""
+    def read_answer(self, name):
+        """Returns the decoded answer of a process to the last command."""
         stdout = self.children.running[name][0].stdout
-        until = time.monotonic() + ANSWER_IN_S
+        deadline = time.monotonic() + ANSWER_TIMEOUT_S
         while not select.select([stdout], [], [], 0.2)[0]:
-            self.look()
-            if time.monotonic() > until:
-                raise Failed(f"{name} did not answer within {ANSWER_IN_S:g} s")
+            self.check()
+            if time.monotonic() > deadline:
+                raise Failed(f"{name} did not answer a command within {ANSWER_TIMEOUT_S:g} s")
         line = stdout.readline()
         if not line:
             self.children.running[name][0].wait()
             raise ChildExitedError(self.children._how(name))
         return msgspec.json.decode(line)
 
-    def ask(self, name, **command):
-        self.put(name, **command)
-        return self.get(name)
+    def request(self, name, **command):
+        """Sends a command to a process and returns its answer."""
+        self.send_command(name, **command)
+        return self.read_answer(name)
 
-    def ask_all(self, some, **command):
-        """{name: answer} of several at once."""
-        for name in some:
-            self.put(name, **command)
-        return {name: self.get(name) for name in some}
+    def request_all(self, processes, **command):
+        """Sends a command to several processes at once; returns {name: answer}."""
+        for name in processes:
+            self.send_command(name, **command)
+        return {name: self.read_answer(name) for name in processes}
 
     # The start.
 
-    def whole(self):
+    def execute(self):
+        """Starts all processes, runs the scenes and returns the summary."""
         plan = self.plan
-        self.say("starting")
-        began = time.monotonic()
+        self.report_progress("starting")
+        started_at = time.monotonic()
         path = self.children.path
         self.port = self._start(
             "backends", "backends", port=plan.backends.port, ledger=path("backends.jsonl")
         )["port"]
-        self.entries = entries(plan, self.port)
+        self.entries = endpoint_entries(plan, self.port)
         self._start_discovery(port=plan.discovery.port)
-        self.groups = plan.groups()
-        self._start_hollow()
-        self.empty_mb = self._empty_node()
+        self.groups = plan.hollow_groups()
+        self._start_hollow_nodes()
+        self.empty_node_mb = self._measure_empty_node()
         for number in range(plan.nodes.loaded + plan.nodes.idle):
-            self.downs[number] = []
-            self._start_real(number)
-        for number in self.real:
-            self._until_ready(number, time.monotonic())
-        self._until_watched()
+            self.down_intervals[number] = []
+            self._start_real_node(number)
+        for number in self.node_addresses:
+            self._wait_until_ready(number, time.monotonic())
+        self._wait_for_watches()
         self._start_senders()
-        wait(SETTLES_S, self.look)
-        self.say(f"started in {time.monotonic() - began:.1f} s; {plan.seconds():g} s of scenes")
+        wait(SETTLE_S, self.check)
+        self.report_progress(
+            f"started in {time.monotonic() - started_at:.1f} s; {plan.seconds():g} s of scenes"
+        )
         for name in self.senders:
-            self.put(name, do="")
-        self.begins = time.monotonic()
-        self.watch = Watch(self.guard)
-        self.watch.start()
-        self._play_scenes()
-        tally = self._collect()
-        last = self._settled()
-        checks = self._check()
-        self.look()
+            self.send_command(name, do="")
+        self.load_started_at = time.monotonic()
+        self.guard_thread = GuardThread(self.guard)
+        self.guard_thread.start()
+        self._run_scenes()
+        tally = self._collect_tallies()
+        last_version = self._wait_for_last_version()
+        checks = self._check_lists()
+        self.check()
         self.children.end("backends")
-        return figures.summary(plan, self, tally, last, checks, *self._requests())
+        return figures.summary(plan, self, tally, last_version, checks, *self._audit_requests())
 
     def _start_discovery(self, **spec):
         self.incarnation += 1
         ledger = self.children.path(f"discovery-{self.incarnation}.jsonl")
-        told = self._start(
+        first_line = self._start(
             "discovery", "discovery", port_of_backends=self.port, ledger=ledger, **spec
         )
-        self.discovery = told["address"]
+        self.discovery = first_line["address"]
 
-    def _start_hollow(self):
+    def _start_hollow_nodes(self):
         for name, (first, count, full) in self.groups.items():
             config = ""
             if full:
@@ -205,38 +224,43 @@
                 port_of_backends=self.port,
             )
             self.base_mb[name] = rss_mb(self.children.running[name][0].pid)
-        self.full = [name for name, (_, _, full) in self.groups.items() if full]
+        self.full_groups = [name for name, (_, _, full) in self.groups.items() if full]
         for name in self.groups:
-            self.put(name, do="")
+            self.send_command(name, do="")
         for name in self.groups:
-            self.get(name)
-        self.guard.look()
+            self.read_answer(name)
+        self.guard.check()
 
     def _write_document(self, number, management):
-        self.documents[number] = document(
+        self.documents[number] = node_document(
             self.plan, number, self.discovery, management, self.entries
         )
         first = next(iter(self.documents.values()))
-        # One list of tenants for all, so that a change of one is a change of it in all.
+        # All documents refer to one list of tenants, so that a change of it applies to all of them.
         self.documents[number]["settings"]["customers"] = first["settings"]["customers"]
-        self.paths[number] = self.children.path(f"node-{number}.json")
-        os.replace(self._write(number), self.paths[number])
-        return self.paths[number]
-
-    def _write(self, number):
-        """Aside: put in its place afterwards, so that nobody reads half a file."""
-        aside = self.paths[number] + ".new"
-        with open(aside, "wb") as file:
+        self.document_paths[number] = self.children.path(f"node-{number}.json")
+        os.replace(self._write_new_file(number), self.document_paths[number])
+        return self.document_paths[number]
+
+    def _write_new_file(self, number):
+        """Writes a document to a temporary file and returns its path.
+
+        The caller renames it to the final path, so that no process reads an incomplete file.
+        """
+        new_path = self.document_paths[number] + ".new"
+        with open(new_path, "wb") as file:
             file.write(orjson.dumps(self.documents[number]))
-        return aside
+        return new_path
 
-    def _empty_node(self):
-        """MB of a node that has one backend and one tenant, and a discovery that is not there."""
-        small = msgspec.structs.replace(self.plan, tenants=Tenants(count=1))
+    def _measure_empty_node(self):
+        """Returns the MB of a node with one backend, one tenant and an unreachable discovery."""
+        empty_plan = msgspec.structs.replace(self.plan, tenants=Tenants(count=1))
         path = self.children.path("empty.json")
         with open(path, "wb") as file:
             file.write(
-                orjson.dumps(document(small, 0, f"127.0.0.1:{free_port()}", None, self.entries[:1]))
+                orjson.dumps(
+                    node_document(empty_plan, 0, f"127.0.0.1:{free_port()}", None, self.entries[:1])
+                )
             )
         self.children.start_logged(
             "empty node",
@@ -245,46 +269,55 @@
             cwd=HERE,
             env={"BALANCER_CONFIG": path, "PYTHONPATH": HERE},
         )
-        wait(0.5, self.look)
-        taken = rss_mb(self.children.running["empty node"][0].pid)
-        self.guard.look()
+        wait(0.5, self.check)
+        used_mb = rss_mb(self.children.running["empty node"][0].pid)
+        self.guard.check()
         self.children.end("empty node")
-        return taken
+        return used_mb
 
-    def _start_real(self, number):
-        if number not in self.paths:
+    def _start_real_node(self, number):
+        if number not in self.document_paths:
             self._write_document(number, f"127.0.0.1:{free_port()}")
-        log = self.children.path(f"node-{number}-{len(self.logs.setdefault(number, []))}.log")
-        self.logs[number].append([log, 0])
-        told = self.children.start_logged(
+        log = self.children.path(f"node-{number}-{len(self.node_logs.setdefault(number, []))}.log")
+        self.node_logs[number].append([log, 0])  # path, bytes read so far
+        started = self.children.start_logged(
             f"node {number}",
             ["-c", START],
             log,
             cwd=HERE,
-            env={"BALANCER_CONFIG": self.paths[number], "PYTHONPATH": HERE},
+            env={"BALANCER_CONFIG": self.document_paths[number], "PYTHONPATH": HERE},
         )
-        self.real[number] = told["listen"]
-        self.guard.look()
-
-    def _until_ready(self, number, since):
-        while _get(self.real[number], "/health/ready")[0] != 200:
-            self.look()
-            if time.monotonic() - since > READY_IN_S:
-                raise Failed(f"node {number} was not ready within {READY_IN_S:g} s")
+        self.node_addresses[number] = started["listen"]
+        self.guard.check()
+
+    def _wait_until_ready(self, number, since):
+        while _http_get(self.node_addresses[number], "/health/ready")[0] != 200:
+            self.check()
+            if time.monotonic() - since > READY_TIMEOUT_S:
+                raise Failed(f"node {number} was not ready within {READY_TIMEOUT_S:g} s")
             time.sleep(0.02)
         return time.monotonic() - since
 
-    def _until_watched(self):
-        until = time.monotonic() + READY_IN_S
-        while (told := self.ask("discovery", do="figures"))["watches"] < self.plan.nodes.count:
-            if time.monotonic() > until:
-                raise Failed(f"{told['watches']} of {self.plan.nodes.count} watches are open")
-            wait(0.1, self.look)
+    def _wait_for_watches(self):
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while (totals := self.request("discovery", do="figures"))[
+            "watches"
+        ] < self.plan.nodes.count:
+            if time.monotonic() > deadline:
+                raise Failed(
+                    f"only {totals['watches']} of {self.plan.nodes.count} watches were open after "
+                    f"{READY_TIMEOUT_S:g} s"
+                )
+            wait(0.1, self.check)
 
     def _start_senders(self):
-        """One before each loaded node, and one straight to a backend; they begin when they are told."""
-        targets = [(self.real[number], f"n{number}") for number in range(self.plan.nodes.loaded)]
-        for number, (target, node) in enumerate([*targets, (f"{OUTSIDE}:{self.port}", "straight")]):
+        """Starts a sender for each loaded node, and one that bypasses the nodes; each waits for a command."""
+        targets = [
+            (self.node_addresses[number], f"n{number}") for number in range(self.plan.nodes.loaded)
+        ]
+        for number, (target, node) in enumerate(
+            [*targets, (f"{DIRECT_IP}:{self.port}", "straight")]
+        ):
             self.senders.append(f"sender {node}")
             self._start(
                 "sender",
@@ -295,24 +328,25 @@
                 ledger=self.children.path(f"clients-{node}.jsonl"),
             )
 
-    def _collect(self):
-        """The Tally of all senders, each of which has heard all its answers."""
+    def _collect_tallies(self):
+        """Returns the merged LatencyRecorder of all senders, once each has all its responses."""
         tally = LatencyRecorder()
         for name in self.senders:
-            tally.merge(self.get(name)["tally"].encode())
+            tally.merge(self.read_answer(name)["tally"].encode())
         return tally
 
     # The scenes.
 
-    def at(self, moment, call, *what):
-        self.count += 1
-        heapq.heappush(self.due, (moment, self.count, call, what))
+    def schedule(self, moment, action, *arguments):
+        """Schedules a call of `action` for a monotonic time."""
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (moment, self.scheduled_count, action, arguments))
 
-    def _play_scenes(self):
-        begin = self.begins + self.plan.warm_s
-        self._until(begin)
+    def _run_scenes(self):
+        begin = self.load_started_at + self.plan.warm_s
+        self._run_until(begin)
         for scene in self.plan.scene:
-            self.say(f"{scene.what}, {scene.seconds:g} s")
+            self.report_progress(f"{scene.what}, {scene.seconds:g} s")
             self.scene = {
                 "what": scene.what,
                 "begin": begin,
@@ -321,129 +355,146 @@
                 "list": [],
                 "settings": [],
                 "back": [],
-                "before": self._mark(),
+                "before": self._resource_totals(),
             }
-            self.guard.take()
-            play = {
+            self.guard.take_peaks()
+            change = {
                 "list": self._drain_or_serve,
                 "settings": self._change_tenant,
                 "restarts": self._restart,
-                "zone": self._lose_zone,
-                "discovery": self._lose_discovery,
+                "zone": self._stop_zone,
+                "discovery": self._kill_discovery,
             }.get(scene.what)
-            for number, moment in enumerate(events_of(scene, self.plan)):
-                self.at(begin + moment, play, number)
+            for number, offset_s in enumerate(change_offsets_s(scene, self.plan)):
+                self.schedule(begin + offset_s, change, number)
             begin += scene.seconds
-            self._until(begin)
+            self._run_until(begin)
             for thread in self.threads:
                 thread.join()
-            self.scene["after"], self.scene["peak"] = self._mark(), self.guard.take()
-            self._ask_delays()
+            self.scene["after"], self.scene["peak"] = (
+                self._resource_totals(),
+                self.guard.take_peaks(),
+            )
+            self._collect_delays()
             self.scenes.append(self.scene)
 
-    def _until(self, moment):
-        """Plays what is due until then."""
+    def _run_until(self, moment):
+        """Makes the scheduled calls that become due until a monotonic time."""
         while (now := time.monotonic()) < moment:
-            if self.due and self.due[0][0] <= now:
-                _, _, call, what = heapq.heappop(self.due)
-                call(*what)
-                self.look()
+            if self.scheduled and self.scheduled[0][0] <= now:
+                _, _, action, arguments = heapq.heappop(self.scheduled)
+                action(*arguments)
+                self.check()
                 continue
-            until = min(moment, self.due[0][0]) if self.due else moment
-            wait(max(0.0, until - now), self.look)
+            wakeup = min(moment, self.scheduled[0][0]) if self.scheduled else moment
+            wait(max(0.0, wakeup - now), self.check)
 
-    def _mark(self):
-        """CPU so far of each, how long it waited for one, and what discovery has sent and heard."""
-        cpu, waited = dict(self.cpu_gone), dict(self.waited_gone)
-        for name, pid in self._processes():
+    def _resource_totals(self):
+        """Returns the running totals of the run.
+
+        These are the CPU time of each process, its wait for a core, and the bytes that discovery has
+        sent and received.
+        """
+        cpu, waited = dict(self.ended_cpu_s), dict(self.ended_wait_s)
+        for name, pid in self._list_processes():
             with suppress(OSError):
-                used, waits = cpu_s(pid)
-                cpu[name], waited[name] = cpu.get(name, 0.0) + used, waited.get(name, 0.0) + waits
-        told = self.ask("discovery", do="figures")
+                used_s, waited_s = cpu_s(pid)
+                cpu[name], waited[name] = (
+                    cpu.get(name, 0.0) + used_s,
+                    waited.get(name, 0.0) + waited_s,
+                )
+        totals = self.request("discovery", do="figures")
         return {
             "at": time.monotonic(),
             "cpu": cpu,
             "waited": waited,
-            "sent": told["sent"] + self.sent_gone,
-            "heard": told["heard"] + self.heard_gone,
+            "sent": totals["sent"] + self.ended_sent_bytes,
+            "heard": totals["heard"] + self.ended_received_bytes,
         }
 
-    def _gone(self, name):
-        """Its processor time is kept, as another process is to have its name."""
+    def _store_cpu_time(self, name):
+        """Stores the CPU time of a process that is about to end, as its successor has the same name."""
         with suppress(OSError):
-            used, waits = cpu_s(self.children.running[name][0].pid)
-            self.cpu_gone[name] = self.cpu_gone.get(name, 0.0) + used
-            self.waited_gone[name] = self.waited_gone.get(name, 0.0) + waits
+            used_s, waited_s = cpu_s(self.children.running[name][0].pid)
+            self.ended_cpu_s[name] = self.ended_cpu_s.get(name, 0.0) + used_s
+            self.ended_wait_s[name] = self.ended_wait_s.get(name, 0.0) + waited_s
 
-    def _tell(self, changes, of="list"):
-        told = self.ask("discovery", do="tell", changes=changes)
-        self.scene[of].append((told["index"], told["at"]))
+    def _publish(self, changes, key="list"):
+        answer = self.request("discovery", do="tell", changes=changes)
+        self.scene[key].append((answer["index"], answer["at"]))
 
-    def _backend(self):
+    def _next_backend(self):
         self.changed_backends += 1
-        return self.names[self.changed_backends * STEP % len(self.names)]
+        return self.backend_names[self.changed_backends * STRIDE % len(self.backend_names)]
 
     def _drain_or_serve(self, number):
         if number % 2 == 0:
-            self.drained = self._backend()
-        self._tell([[self.drained, "SERVING" if number % 2 else "DRAINING", 0]])
+            self.drained_backend = self._next_backend()
+        self._publish([[self.drained_backend, "SERVING" if number % 2 else "DRAINING", 0]])
 
     def _change_tenant(self, number):
-        """One tenant's share, in the file of each node that holds settings."""
+        """Changes one tenant's quota in the document of each node that stores the settings."""
         self.changed_tenants += 1
         tenants = next(iter(self.documents.values()))["settings"]["customers"]
-        tenant = tenants[self.changed_tenants * STEP % len(tenants)]
+        tenant = tenants[self.changed_tenants * STRIDE % len(tenants)]
         tenant["quotaPerS"] = round(tenant["quotaPerS"] * 1.5, 3)
-        for told in self.documents.values():
-            told["version"] = self.changed_tenants  # which nodes skip
-        asides = {number: self._write(number) for number in self.documents}
-        for number, aside in asides.items():
-            os.replace(aside, self.paths[number])
+        for document in self.documents.values():
+            document["version"] = (
+                self.changed_tenants
+            )  # ignored by real nodes; hollow ones report it
+        new_paths = {number: self._write_new_file(number) for number in self.documents}
+        for number, new_path in new_paths.items():
+            os.replace(new_path, self.document_paths[number])
         self.scene["settings"].append((self.changed_tenants, time.monotonic()))
-        for number in self.real:
+        for number in self.node_addresses:
             self.children.running[f"node {number}"][0].send_signal(signal.SIGHUP)
-        self.ask_all(self.full, do="settings")
+        self.request_all(self.full_groups, do="settings")
 
     def _restart(self, number):
-        """A backend, or a node as often as they are among both; first a real one and a full one too."""
-        now, every = time.monotonic(), self.plan.backends.count + self.plan.nodes.count
+        """Restarts a backend or a node, in proportion to their numbers.
+
+        The first restart of a scene also restarts a real node and a full hollow one.
+        """
+        now, backends_and_nodes = time.monotonic(), self.plan.backends.count + self.plan.nodes.count
         if number == 0:
             if self.plan.nodes.idle:
                 self._restart_real(self.plan.nodes.loaded)
-            if self.full:
-                self._nodes_down([self.groups[self.full[0]][0]])
-                self.at(now + NODE_DOWN_S, self._nodes_up, [self.groups[self.full[0]][0]])
-        watching = [
-            first + each
+            if self.full_groups:
+                self._stop_nodes([self.groups[self.full_groups[0]][0]])
+                self.schedule(
+                    now + NODE_DOWN_S, self._restart_nodes, [self.groups[self.full_groups[0]][0]]
+                )
+        watch_only_nodes = [
+            first + index
             for first, count, full in self.groups.values()
             if not full
-            for each in range(count)
+            for index in range(count)
         ]
-        if watching and (number + 1) * STEP % every < self.plan.nodes.count:
-            node = [watching[number * STEP % len(watching)]]
-            self._nodes_down(node)
-            return self.at(now + NODE_DOWN_S, self._nodes_up, node)
-        backend = self._backend()
-        self._tell([[backend, "DRAINING", 0]])
-        self.at(now + DRAINS_S, self._backends_end, [backend])
-        self.at(now + DRAINS_S + BACKEND_DOWN_S, self._backends_come, [backend])
-
-    def _backends_end(self, some):
-        self.ask("backends", do="die", names=some)
-
-    def _backends_come(self, some):
-        self.ask("backends", do="live", names=some)
+        if watch_only_nodes and (number + 1) * STRIDE % backends_and_nodes < self.plan.nodes.count:
+            nodes = [watch_only_nodes[number * STRIDE % len(watch_only_nodes)]]
+            self._stop_nodes(nodes)
+            return self.schedule(now + NODE_DOWN_S, self._restart_nodes, nodes)
+        backend = self._next_backend()
+        self._publish([[backend, "DRAINING", 0]])
+        self.schedule(now + DRAIN_S, self._stop_backends, [backend])
+        self.schedule(now + DRAIN_S + BACKEND_DOWN_S, self._start_backends, [backend])
+
+    def _stop_backends(self, names):
+        self.request("backends", do="die", names=names)
+
+    def _start_backends(self, names):
+        self.request("backends", do="live", names=names)
         since_ms = int(time.time() * 1000)
-        self._tell([[name, "SERVING", since_ms] for name in some])
+        self._publish([[name, "SERVING", since_ms] for name in names])
 
-    def _nodes_down(self, numbers):
-        self.ask_all(self._with(numbers), do="down", numbers=numbers)
+    def _stop_nodes(self, numbers):
+        self.request_all(self._processes_of(numbers), do="down", numbers=numbers)
 
-    def _nodes_up(self, numbers):
-        self.ask_all(self._with(numbers), do="up", numbers=numbers)
+    def _restart_nodes(self, numbers):
+        self.request_all(self._processes_of(numbers), do="up", numbers=numbers)
 
-    def _with(self, numbers):
-        """The processes that hold these nodes."""
+    def _processes_of(self, numbers):
+        """Returns the names of the hollow processes of these nodes."""
         return [
             name
             for name, (first, count, _) in self.groups.items()
@@ -453,209 +504,234 @@
     def _restart_real(self, number):
         name = f"node {number}"
 
-        def again():
+        def restart():
             try:
-                self.downs[number].append([time.monotonic(), float("inf")])
-                self._gone(name)
+                self.down_intervals[number].append([time.monotonic(), float("inf")])
+                self._store_cpu_time(name)
                 self.children.end(name)
-                began = time.monotonic()
-                self._start_real(number)
-                self.ready_s.append(self._until_ready(number, began))
-                self.downs[number][-1][1] = time.monotonic()
-            except (ChildExitedError, Failed, Over) as fault:
-                self.faults.append(str(fault))
-
-        thread = threading.Thread(target=again, daemon=True)
+                started_at = time.monotonic()
+                self._start_real_node(number)
+                self.ready_times_s.append(self._wait_until_ready(number, started_at))
+                self.down_intervals[number][-1][1] = time.monotonic()
+            except (ChildExitedError, Failed, Over) as error:
+                self.restart_errors.append(str(error))
+
+        thread = threading.Thread(target=restart, daemon=True)
         self.threads.append(thread)
         thread.start()
 
-    def _lose_zone(self, _):
-        """One in ten backends, and one in ten of the nodes that only watch."""
+    def _stop_zone(self, _):
+        """Stops the backends and the watch-only nodes of one zone, and restarts them later."""
         plan, now = self.plan, time.monotonic()
-        gone = [name for number, name in enumerate(self.names) if zone_of(number, plan) == 0]
-        nodes = [
-            first + each
+        lost_backends = [
+            name for number, name in enumerate(self.backend_names) if zone_of(number, plan) == 0
+        ]
+        lost_nodes = [
+            first + index
             for first, count, full in self.groups.values()
             if not full
-            for each in range(count)
-            if (first + each) % plan.backends.zones == 0
+            for index in range(count)
+            if (first + index) % plan.backends.zones == 0
         ]
-        self._backends_end(gone)
-        self._nodes_down(nodes)
-        self._tell([[name, "DELETED", 0] for name in gone])
-        back = now + (self.scene["end"] - now - self.scene["plan"].tail_s()) / 2
-        self.at(back, self._backends_come, gone)
-        self.at(back, self._nodes_up, nodes)
-
-    def _lose_discovery(self, _):
-        """Killed under all watches, and back at the same place without its history."""
-        self._mark_gone()
-        self.state = self.ask("discovery", do="state")
-        self.passed.add("discovery")
+        self._stop_backends(lost_backends)
+        self._stop_nodes(lost_nodes)
+        self._publish([[name, "DELETED", 0] for name in lost_backends])
+        restart_at = now + (self.scene["end"] - now - self.scene["plan"].tail_s()) / 2
+        self.schedule(restart_at, self._start_backends, lost_backends)
+        self.schedule(restart_at, self._restart_nodes, lost_nodes)
+
+    def _kill_discovery(self, _):
+        """Kills discovery while all watches are open; it restarts at its address without history."""
+        self._store_discovery_totals()
+        self.discovery_state = self.request("discovery", do="state")
+        self.expected_exits.add("discovery")
         process, _ = self.children.running["discovery"]
         process.kill()
         process.wait()
         self.children.end("discovery")
-        self.at(time.monotonic() + self.scene["plan"].down_s, self._discovery_comes)
+        self.schedule(time.monotonic() + self.scene["plan"].down_s, self._restart_discovery)
 
-    def _mark_gone(self):
-        self._gone("discovery")
-        told = self.ask("discovery", do="figures")
-        self.sent_gone += told["sent"]
-        self.heard_gone += told["heard"]
+    def _store_discovery_totals(self):
+        self._store_cpu_time("discovery")
+        totals = self.request("discovery", do="figures")
+        self.ended_sent_bytes += totals["sent"]
+        self.ended_received_bytes += totals["heard"]
 
-    def _discovery_comes(self):
-        index = self.state["index"] + 1
+    def _restart_discovery(self):
+        index = self.discovery_state["index"] + 1
         self._start_discovery(
-            port=int(self.discovery.rpartition(":")[2]), index=index, changed=self.state["changed"]
+            port=int(self.discovery.rpartition(":")[2]),
+            index=index,
+            changed=self.discovery_state["changed"],
         )
-        self.passed.discard("discovery")
+        self.expected_exits.discard("discovery")
         now = time.monotonic()
         self.scene["back"].append((index, now))
-        backend = self._backend()
-        # Told while all the watches come back.
-        self.at(now + 0.2, self._tell, [[backend, "DRAINING", 0]])
-        self.at(now + 2.0, self._tell, [[backend, "SERVING", 0]])
+        backend = self._next_backend()
+        # Published while all watches are being re-established.
+        self.schedule(now + 0.2, self._publish, [[backend, "DRAINING", 0]])
+        self.schedule(now + 2.0, self._publish, [[backend, "SERVING", 0]])
 
-    # What came of it.
+    # Results.
 
-    def _ask_delays(self):
-        """When each change of the scene was in force, at hollow nodes and at real ones."""
+    def _collect_delays(self):
+        """Collects how long each change of the scene took to be in force, at hollow and real nodes."""
         scene = self.scene
-        told, moments = scene["list"] + scene["back"], scene["settings"]
-        answers = self.ask_all(self.groups, do="delays", told=told, settings=moments)
-        of_list = [
-            [ms for answer in answers.values() for ms in answer["list"][k]]
-            for k in range(len(told))
+        list_changes, settings_changes = scene["list"] + scene["back"], scene["settings"]
+        answers = self.request_all(
+            self.groups, do="delays", told=list_changes, settings=settings_changes
+        )
+        list_delays = [
+            [ms for answer in answers.values() for ms in answer["list"][index]]
+            for index in range(len(list_changes))
         ]
-        of_settings = [
-            [ms for answer in answers.values() for ms in answer["settings"][k]]
-            for k in range(len(moments))
+        settings_delays = [
+            [ms for answer in answers.values() for ms in answer["settings"][index]]
+            for index in range(len(settings_changes))
         ]
         scene["work"] = {
             key: [ms for answer in answers.values() for ms in answer[key]]
             for key in ("list_ms", "settings_ms")
         }
-        for number in self.real:
+        for number in self.node_addresses:
             lines = self._log_lines(number)
-            lists = [line for line in lines if line["event"] == "endpoints_updated"]
-            for k, (index, at) in enumerate(scene["list"]):
-                if not any(begin <= at < end for begin, end in self.downs[number]):
-                    of_list[k].append(figures.since(at, lists, index))
-            loaded = [line for line in lines if line["event"] == "settings_applied"]
-            for k, (_, at) in enumerate(moments):
-                of_settings[k].append(figures.since(at, loaded))
-            scene.setdefault("events", {})[number] = figures.counted(lines)
-        first = len(scene["list"])
-        scene["list_delays"], scene["back_delays"] = of_list[:first], of_list[first:]
-        scene["settings_delays"] = of_settings
+            list_lines = [line for line in lines if line["event"] == "endpoints_updated"]
+            for position, (version, changed_at) in enumerate(scene["list"]):
+                if not any(begin <= changed_at < end for begin, end in self.down_intervals[number]):
+                    list_delays[position].append(figures.delay_ms(changed_at, list_lines, version))
+            settings_lines = [line for line in lines if line["event"] == "settings_applied"]
+            for position, (_, changed_at) in enumerate(settings_changes):
+                settings_delays[position].append(figures.delay_ms(changed_at, settings_lines))
+            scene.setdefault("events", {})[number] = figures.count_notable_events(lines)
+        list_count = len(scene["list"])
+        scene["list_delays"], scene["back_delays"] = (
+            list_delays[:list_count],
+            list_delays[list_count:],
+        )
+        scene["settings_delays"] = settings_delays
 
     def _log_lines(self, number):
-        """What a node wrote since the last time; `at` is the monotonic moment."""
-        told = []
-        for place in self.logs[number]:
-            with open(place[0], "rb") as file:
-                file.seek(place[1])
+        """Returns the log lines of a real node since the last call; `at` is the monotonic time."""
+        parsed_lines = []
+        for log in self.node_logs[number]:
+            with open(log[0], "rb") as file:
+                file.seek(log[1])
                 data = file.read()
-            whole = data[: data.rfind(b"\n") + 1]
-            place[1] += len(whole)
-            for line in whole.splitlines():
+            complete_lines = data[: data.rfind(b"\n") + 1]
+            log[1] += len(complete_lines)
+            for line in complete_lines.splitlines():
                 line = orjson.loads(line)
                 if "at_ms" in line:
-                    line["at"] = line["at_ms"] / 1000 - self.ahead
-                told.append(line)
-        return told
+                    line["at"] = line["at_ms"] / 1000 - self.unix_offset_s
+                parsed_lines.append(line)
+        return parsed_lines
 
-    def _settled(self):
-        """s until all hollow nodes hold the last version, and that version's number."""
+    def _wait_for_last_version(self):
+        """Waits until all hollow nodes store the last version; returns how long, and discovery's state."""
         since = time.monotonic()
-        state = self.ask("discovery", do="state")
-        while time.monotonic() < since + LAST_S:
-            told = self.ask_all(self.groups, do="versions")
+        state = self.request("discovery", do="state")
+        while time.monotonic() < since + LAST_VERSION_TIMEOUT_S:
+            answers = self.request_all(self.groups, do="versions")
             if all(
-                version == state["index"] for each in told.values() for version in each["versions"]
+                version == state["index"]
+                for answer in answers.values()
+                for version in answer["versions"]
             ):
                 break
-            wait(0.1, self.look)
+            wait(0.1, self.check)
         return {"after_s": round(time.monotonic() - since, 2), **state}
 
-    def _check(self):
-        """Who holds which version and which list; real ones tell it in the operators' call."""
-        state = self.ask("discovery", do="state")
-        answers = self.ask_all(self.groups, do="check", **state)
+    def _check_lists(self):
+        """Compares the version and the list of each node with discovery's.
+
+        Real nodes report their list at the management endpoint `/backends`.
+        """
+        state = self.request("discovery", do="state")
+        answers = self.request_all(self.groups, do="check", **state)
         hollow = {
             key: sum(answer[key] for answer in answers.values())
             for key in ("nodes", "current", "right", "twice", "lost", "faults")
         }
-        wrong = {f"n{number}": self._wrong(number, state["changed"]) for number in self.real}
-        pss = {name: pss_mb(pid) for name, pid in self._processes()}
+        wrong_counts = {
+            f"n{number}": self._count_wrong_backends(number, state["changed"])
+            for number in self.node_addresses
+        }
+        pss = {name: pss_mb(pid) for name, pid in self._list_processes()}
         return {
             "version": state["index"],
             "hollow": hollow,
             "pss_mb": pss,
             "real": {
-                "nodes": len(self.real),
-                "wrong": wrong,
-                "right": sum(count == 0 for count in wrong.values()),
+                "nodes": len(self.node_addresses),
+                "wrong": wrong_counts,
+                "right": sum(count == 0 for count in wrong_counts.values()),
             },
-            "watches": self.ask("discovery", do="figures")["watches"],
+            "watches": self.request("discovery", do="figures")["watches"],
         }
 
-    def _wrong(self, number, changed):
-        """How many backends a real node tells otherwise than discovery, which it may yet hear; -1: it doesn't
-        answer."""
-        until, wrong = time.monotonic() + REAL_LAST_S, -1
-        while wrong and time.monotonic() < until:
-            status, body = _get(self.documents[number]["management"], "/backends", 5.0)
+    def _count_wrong_backends(self, number, changed):
+        """Returns how many backends a real node reports differently from discovery.
+
+        Waits for the node to receive the last change; returns -1 if it does not answer.
+        """
+        deadline, wrong_count = time.monotonic() + REAL_NODE_TIMEOUT_S, -1
+        while wrong_count and time.monotonic() < deadline:
+            status, body = _http_get(self.documents[number]["management"], "/backends", 5.0)
             if status == 200:
-                rows = {row["name"]: row["state"] for row in orjson.loads(body)["backends"]}
-                wrong = figures.wrong_rows(rows, self.names, changed)
-            if wrong:
-                wait(0.2, self.look)
-        return wrong
-
-    def _requests(self):
-        """(the rows of clients through nodes, those straight, the verdict of the auditor)."""
-        read = [
+                states = {row["name"]: row["state"] for row in orjson.loads(body)["backends"]}
+                wrong_count = figures.count_wrong_states(states, self.backend_names, changed)
+            if wrong_count:
+                wait(0.2, self.check)
+        return wrong_count
+
+    def _audit_requests(self):
+        """Returns the client rows through nodes, the client rows without nodes and the audit verdict."""
+        node_ledgers = [
             records.read(self.children.path(f"clients-n{number}.jsonl"))
             for number in range(self.plan.nodes.loaded)
         ]
-        straight, _ = records.read(self.children.path("clients-straight.jsonl"))
-        clients = sorted((row for rows, _ in read for row in rows), key=lambda row: row["t_ms"])
-        backends, holes = records.read(self.children.path("backends.jsonl"))
+        direct_rows, _ = records.read(self.children.path("clients-straight.jsonl"))
+        client_rows = sorted(
+            (row for rows, _ in node_ledgers for row in rows), key=lambda row: row["t_ms"]
+        )
+        backend_rows, gaps = records.read(self.children.path("backends.jsonl"))
         if not self.plan.nodes.loaded:
-            holes = []
+            gaps = []
         for number in range(1, self.incarnation + 1):
             rows, _ = records.read(self.children.path(f"discovery-{number}.jsonl"))
-            backends += rows
-        backends.sort(key=lambda row: row["t_ms"])
-        limit = self.plan.load.limit_ms
+            backend_rows += rows
+        backend_rows.sort(key=lambda row: row["t_ms"])
+        limit_ms = self.plan.load.limit_ms
         settings = AuditSettings(
             drain_grace_ms=500.0,
             request_classes={
-                name: request_class_rules(repeats, "all", 0.0, limit)
-                for name, repeats in REPEATS.items()
+                name: request_class_rules(repeats, "all", 0.0, limit_ms)
+                for name, repeats in REQUEST_CLASS_REPEATS.items()
             },
         )
         verdict = rules.audit(
-            settings, clients, backends, [hole for _, some in read for hole in some] + holes
+            settings,
+            client_rows,
+            backend_rows,
+            [gap for _, ledger_gaps in node_ledgers for gap in ledger_gaps] + gaps,
         )
-        return clients, straight, verdict
+        return client_rows, direct_rows, verdict
 
-    def end(self):
-        if self.watch is not None:
-            self.watch.ends.set()
+    def stop_guard(self):
+        """Stops the guard thread, if it was started."""
+        if self.guard_thread is not None:
+            self.guard_thread.stop_requested.set()
 
 
-def _get(address, path, wait_s=1.0):
-    """(status, body) of a call; (0, b"") where there is none in time."""
+def _http_get(address, path, timeout_s=1.0):
+    """Returns (status, body) of a GET request; (0, b"") if there is no response in time."""
     host, _, port = address.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=wait_s)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
-        link.request("GET", path)
-        answer = link.getresponse()
-        return answer.status, answer.read()
+        connection.request("GET", path)
+        response = connection.getresponse()
+        return response.status, response.read()
     except (OSError, http.client.HTTPException):
         return 0, b""
     finally:
-        link.close()
+        connection.close()
--- a/pierglade/scale/report.py
+++ b/pierglade/scale/report.py
@@ -1,159 +1,164 @@
-"""The tables of a scale run, and the shapes of its axes."""
+"""Formats the tables of a scale run, and runs and fits its axes."""
 
 import math
 
 from pierglade.scale.fit import fit
-from pierglade.scale.plan import AXES, at_axis, refuse
+from pierglade.scale.plan import AXES, axis_point, check_limits
 
 
-def axes(plan, path, play, say):
-    """Plays each axis at each share; {"runs": [...], "fits": [...]}."""
+def axes(plan, path, play, report_progress):
+    """Runs each axis at each fraction of its target; returns {"runs": [...], "fits": [...]}."""
     from pierglade.simulation.plan import InvalidPlanError
 
     if plan.axes is None:
-        raise InvalidPlanError(f"{path}: $.axes: there is none")
+        raise InvalidPlanError(
+            f"{path}: $.axes is missing; expected a table, as axes were requested"
+        )
     points = [
-        (axis, share, at_axis(plan, axis, share)) for axis in AXES for share in plan.axes.shares
+        (axis, share, axis_point(plan, axis, share)) for axis in AXES for share in plan.axes.shares
     ]
     for _, _, point in points:
-        refuse(point, path)
+        check_limits(point, path)
     runs = []
     for axis, share, point in points:
-        say(f"{axis} at {share:g}")
+        report_progress(f"{axis} at {share:g} of the target")
         runs.append(
             {
                 "axis": axis,
                 "share": share,
                 "x": getattr(point, axis).count,
-                **play(point, path, say),
+                **play(point, path, report_progress),
             }
         )
     return {"title": plan.title, "runs": runs, "fits": fits(runs)}
 
 
 def fits(runs):
-    """How each figure grows that all points of an axis tell, as plain data."""
-    told = []
+    """Returns how each figure grows that all points of an axis have, as plain data."""
+    results = []
     for axis in AXES:
-        some = [run for run in runs if run["axis"] == axis]
-        for what in some[0]["measures"] if some else ():
-            points = [(run["x"], run["measures"].get(what)) for run in some]
+        axis_runs = [run for run in runs if run["axis"] == axis]
+        for figure in axis_runs[0]["measures"] if axis_runs else ():
+            points = [(run["x"], run["measures"].get(figure)) for run in axis_runs]
             if any(y is None or math.isnan(y) for _, y in points):
                 continue
-            one = fit(points)
-            told.append(
+            curve = fit(points)
+            results.append(
                 {
                     "axis": axis,
-                    "what": what,
-                    "shape": one.shape,
-                    "base": one.base,
-                    "slope": one.slope,
-                    "error": one.error,
+                    "what": figure,
+                    "shape": curve.shape,
+                    "base": curve.base,
+                    "slope": curve.slope,
+                    "error": curve.error,
                     "points": points,
-                    "exponent": None if math.isnan(one.exponent) else one.exponent,
+                    "exponent": None if math.isnan(curve.exponent) else curve.exponent,
                 }
             )
-    return told
+    return results
 
 
-def axes_lines(told):
+def axes_lines(results):
+    """Yields the lines of the fits for people."""
     for axis in AXES:
         yield f"{axis}"
-        for one in told["fits"]:
-            if one["axis"] == axis:
-                figures = "  ".join(f"{y:g}" for _, y in one["points"])
-                each = {
+        for row in results["fits"]:
+            if row["axis"] == axis:
+                figures = "  ".join(f"{y:g}" for _, y in row["points"])
+                growth = {
                     "constant": "",
-                    "linear": f" + {one['slope']:.3g} each",
-                    "square": f" + {one['slope']:.3g} each square",
-                }[one["shape"]]
+                    "linear": f" + {row['slope']:.3g} per unit",
+                    "square": f" + {row['slope']:.3g} per unit squared",
+                }[row["shape"]]
                 yield (
-                    f"  {one['what']:56} {one['shape']:9} {one['base']:.3g}{each}, "
-                    f"error {one['error']:.0%}   [{figures}]"
+                    f"  {row['what']:56} {row['shape']:9} {row['base']:.3g}{growth}, "
+                    f"error {row['error']:.0%}   [{figures}]"
                 )
 
 
-def lines(told):
-    """The tables for people."""
-    sizes = told["sizes"]
+def lines(results):
+    """Yields the lines of the tables for people."""
+    sizes = results["sizes"]
     yield (
         f"{sizes['nodes']} nodes: {sizes['loaded']} real with requests, {sizes['idle']} real without, "
-        f"{sizes['full hollow']} hollow with list and settings, {sizes['watch only']} that hold a watch "
-        f"alone; {sizes['backends']} backends in {sizes['services']} services, {sizes['tenants']} tenants"
+        f"{sizes['full hollow']} hollow with list and settings, {sizes['watch only']} hollow with a watch "
+        f"only; {sizes['backends']} backends in {sizes['services']} services, {sizes['tenants']} tenants"
     )
     yield (
-        f"an empty node {told['empty_node_mb']:g} MB; all of it {told['most_mb']} MB and "
-        f"{told['most_processes']} processes at most (estimated {told['estimated_mb']} MB)"
+        f"an empty node {results['empty_node_mb']:g} MB; the run at its peak {results['most_mb']} MB and "
+        f"{results['most_processes']} processes (estimated {results['estimated_mb']} MB)"
     )
     yield ""
     yield (
-        f"{'scene':11}{'changes':>9}  {'in force at first, half, 99 in 100, last (ms)':48}"
-        f"{'p99 ms':>20}{'worst ms':>10}  with 200"
+        f"{'scene':11}{'changes':>9}  {'in force after, ms: first, median, p99, last':48}"
+        f"{'p99 ms':>20}{'worst ms':>10}  status 200"
     )
-    for scene in told["scenes"]:
+    for scene in results["scenes"]:
         for key in ("list", "settings", "back"):
             if scene[key]:
-                yield _scene(scene, key)
+                yield _scene_line(scene, key)
         if not (scene["list"] or scene["settings"] or scene["back"]):
-            yield _scene(scene, None)
+            yield _scene_line(scene, None)
     yield ""
-    roles = list(told["scenes"][0]["cpu_share"])
+    roles = list(results["scenes"][0]["cpu_share"])
     yield (
         f"{'% of a core':16}"
         + "".join(f"{role:>14}" for role in roles)
-        + f"{'B/s a node out':>16}{'in':>8}"
+        + f"{'B/s/node out':>16}{'in':>8}"
     )
-    for scene in told["scenes"]:
+    for scene in results["scenes"]:
         yield (
             f"  {scene['what']:14}"
             + "".join(f"{scene['cpu_share'][role] * 100:14.3f}" for role in roles)
             + f"{scene['sent_s_node']:16.1f}{scene['heard_s_node']:8.2f}"
         )
-    yield "waited for a core, % of the time in which there was work"
-    for scene in told["scenes"]:
+    yield "waited for a core, % of the time with work to do"
+    for scene in results["scenes"]:
         yield (
             f"  {scene['what']:14}"
             + "".join(f"{scene['waited_share'][role] * 100:14.1f}" for role in roles)
         )
     yield ""
-    width = max(len(row["what"]) for row in told["needs"]) + 2 if told["needs"] else 0
+    width = max(len(row["what"]) for row in results["needs"]) + 2 if results["needs"] else 0
     yield f"{'need against budget':{width}}{'need':>12}{'budget':>10}{'ratio':>9}"
-    for row in told["needs"]:
-        over = "  over" if row["ratio"] > 1 else ""
+    for row in results["needs"]:
+        over_budget = "  over budget" if row["ratio"] > 1 else ""
         yield (
             f"{row['what']:{width}}{row['need']:12.4g}{row['budget']:10.4g}{row['ratio']:9.3f}  "
-            f"{row['unit']}{over}"
+            f"{row['unit']}{over_budget}"
         )
     yield ""
-    count = told["counts"]
-    held = ", ".join(
-        f"{rule}: {'held' if ok else 'not told' if ok is None else 'BROKEN'}"
-        for rule, ok in count["rules"].items()
+    counts = results["counts"]
+    rules = ", ".join(
+        f"{rule}: {'kept' if is_kept else 'undecided' if is_kept is None else 'BROKEN'}"
+        for rule, is_kept in counts["rules"].items()
         if rule not in ("cold", "budget")
     )
-    hollow, real = count["hollow"], count["real"]
+    hollow, real = counts["hollow"], counts["real"]
     yield (
-        f"version {count['version']}: {hollow['current']} of {hollow['nodes']} hollow nodes have it, "
-        f"{hollow['right']} with the right list, {real['right']} of {real['nodes']} real ones; "
-        f"told twice {hollow['twice']}, watches lost {hollow['lost']}"
+        f"version {counts['version']}: {hollow['current']} of {hollow['nodes']} hollow nodes have it; "
+        f"right list: {hollow['right']} hollow nodes, {real['right']} of {real['nodes']} real ones; "
+        f"duplicate changes {hollow['twice']}, watches lost {hollow['lost']}"
     )
-    yield f"{count['planned']} requests, {count['answered']} answered {count['statuses']}; {held}"
+    yield f"{counts['planned']} requests, {counts['answered']} answered {counts['statuses']}; {rules}"
 
 
-def _scene(scene, key):
-    told, added = scene[key] if key else None, scene["p99_ms"]
-    force = ""
-    if told and "last_ms" in told:
-        force = "  ".join(
-            f"{told[name]:g}" for name in ("first_ms", "half_ms", "p99_ms", "last_ms")
+def _scene_line(scene, key):
+    delays, p99_ms = scene[key] if key else None, scene["p99_ms"]
+    in_force = ""
+    if delays and "last_ms" in delays:
+        in_force = "  ".join(
+            f"{delays[name]:g}" for name in ("first_ms", "half_ms", "p99_ms", "last_ms")
+        )
+        in_force += f" of {delays['nodes']}" + (
+            f", {delays['never']} never" if delays["never"] else ""
         )
-        force += f" of {told['nodes']}" + (f", {told['never']} never" if told["never"] else "")
-    changes = str(told["changes"]) if told else ""
-    worst = scene["worst_ms"]["through"]
-    delay = f"{added['through']} - {added['straight']}" if added["through"] is not None else ""
+    changes = str(delays["changes"]) if delays else ""
+    worst_ms = scene["worst_ms"]["through"]
+    latency = f"{p99_ms['through']} - {p99_ms['straight']}" if p99_ms["through"] is not None else ""
     name = scene["what"] + (" (back)" if key == "back" else "")
-    good, asked = scene["answered_200"]
+    ok_count, request_count = scene["answered_200"]
     return (
-        f"{name:17}{changes:>3}  {force:48}{delay:>20}{'' if worst is None else f'{worst:g}':>10}"
-        f"  {good} of {asked}"
+        f"{name:17}{changes:>3}  {in_force:48}{latency:>20}{'' if worst_ms is None else f'{worst_ms:g}':>10}"
+        f"  {ok_count} of {request_count}"
     )
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -1,7 +1,7 @@
-"""`python -m pierglade.scale.sender SPEC`: the open-loop generator before one address, a process of its own.
+"""`python -m pierglade.scale.sender SPEC`: an open-loop load generator for one address.
 
-SPEC is a JSON file: `plan`, `target`, `node`, `number`, `ledger`. It begins at the first line on standard
-input, tells its tally once all is answered, and ends with its standard input.
+SPEC is a JSON file: `plan`, `target`, `node`, `number`, `ledger`. It starts at the first line on
+standard input, writes its tally once all requests are done, and exits when standard input is closed.
 """
 
 import gc
@@ -12,55 +12,60 @@
 import msgspec
 import numpy as np
 
-from pierglade.load import run as loads
+from pierglade.load import run as load_run
 from pierglade.load.plan import ArrivalPattern, RecordedRequest, moments
 from pierglade.scale import child
-from pierglade.scale.plan import REPEATS, Plan
+from pierglade.scale.plan import REQUEST_CLASS_REPEATS, Plan
 
 
-def load_of(spec):
-    """Requests of chance, each of one offering and one tenant; the same for the same plan and number."""
+def load_from_spec(spec):
+    """Returns the load: random requests, each with a request class and a tenant.
+
+    It is the same for the same plan and sender number.
+    """
     plan, seed = msgspec.convert(spec["plan"], Plan), [spec["plan"]["seed"], spec["number"]]
-    at = moments(
+    planned_at = moments(
         [ArrivalPattern(seconds=plan.seconds(), rate=plan.load.rate)], plan.load.spacing, seed
     )
-    chance = np.random.default_rng([*seed, 1])
-    one_shot = chance.random(len(at)) < plan.load.one_shot
-    tenants = chance.integers(plan.tenants.count, size=len(at))
+    random = np.random.default_rng([*seed, 1])
+    is_one_shot = random.random(len(planned_at)) < plan.load.one_shot
+    tenants = random.integers(plan.tenants.count, size=len(planned_at))
     rows = [
-        RecordedRequest(float(moment), "pay" if once else "look", f"tenant-{tenant}")
-        for moment, once, tenant in zip(at, one_shot, tenants)
+        RecordedRequest(float(moment), "pay" if one_shot else "look", f"tenant-{tenant}")
+        for moment, one_shot, tenant in zip(planned_at, is_one_shot, tenants)
     ]
-    return loads.Load(
+    return load_run.Load(
         spec["target"],
         "/",
-        at,
+        planned_at,
         timeout_s=plan.load.limit_ms / 1000,
         seed=sum(seed),
         rows=rows,
-        repeats=REPEATS,
+        repeats=REQUEST_CLASS_REPEATS,
         node=spec["node"],
         ledger=spec["ledger"],
     )
 
 
-def _end_with_input():
+def _exit_at_end_of_input():
     while os.read(0, 1024):
         pass
     os._exit(0)
 
 
 def main():
+    """Sends the load of a SPEC file."""
     with open(sys.argv[1], "rb") as file:
-        load = load_of(msgspec.json.decode(file.read()))
-    child.say({"planned": len(load.moments)})
+        load = load_from_spec(msgspec.json.decode(file.read()))
+    child.write_message({"planned": len(load.moments)})
     if not os.read(0, 1024):
         return
-    threading.Thread(target=_end_with_input, daemon=True).start()
+    threading.Thread(target=_exit_at_end_of_input, daemon=True).start()
     gc.freeze()
-    gc.disable()  # a collection is a stall of the sender; what it leaves is bounded by the plan
-    tally = loads.play(load)
-    child.say({"tally": tally.encoded().decode()})
+    # A collection would stall the sender; the size of the plan bounds the garbage.
+    gc.disable()
+    tally = load_run.play(load)
+    child.write_message({"tally": tally.encoded().decode()})
     threading.Event().wait()
 
 
