--- a/pierglade/scale/figures.py
+++ b/pierglade/scale/figures.py
@@ -149,8 +149,10 @@
     return round(float(np.percentile(values, percentage)), 2) if len(values) else None
 
 
-def _difference(a, b):
-    return round(a - b, 2) if a is not None and b is not None else None
+def _difference(minuend, subtrahend):
+    return (
+        round(minuend - subtrahend, 2) if minuend is not None and subtrahend is not None else None
+    )
 
 
 def scene_figures(
@@ -338,6 +340,7 @@
     rows = []
 
     def add(what, need, budgeted, unit):
+        """Adds a row, unless the run did not measure the need."""
         if need is not None and not (isinstance(need, float) and math.isnan(need)):
             rows.append(
                 {
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -224,12 +224,12 @@
         )
     if not plan.nodes.loaded + plan.nodes.idle:
         raise InvalidPlanError(
-            f"{path}: $.nodes has no real node; expected `loaded` or `idle` to be 1 or more"
+            f"{path}: $.nodes has no real node; expected `loaded` or `idle` over 0"
         )
     for number, scene in enumerate(plan.scene):
         if scene.what != "calm" and scene.seconds <= scene.tail_s() + 1:
             raise InvalidPlanError(
-                f"{path}: $.scene[{number}].seconds is {scene.seconds:g}; expected more than "
+                f"{path}: $.scene[{number}].seconds is too short; expected more than "
                 f"{scene.tail_s() + 1:g}, as no change begins in the last {scene.tail_s():g} s"
             )
     for name in AXES if plan.axes else ():
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -505,6 +505,7 @@
         name = f"node {number}"
 
         def restart():
+            """Ends the node and starts it anew; runs in a thread, so that it does not delay other changes."""
             try:
                 self.down_intervals[number].append([time.monotonic(), float("inf")])
                 self._store_cpu_time(name)
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -28,11 +28,11 @@
         [ArrivalPattern(seconds=plan.seconds(), rate=plan.load.rate)], plan.load.spacing, seed
     )
     random = np.random.default_rng([*seed, 1])
-    is_one_shot = random.random(len(planned_at)) < plan.load.one_shot
+    unsafe_flags = random.random(len(planned_at)) < plan.load.one_shot
     tenants = random.integers(plan.tenants.count, size=len(planned_at))
     rows = [
-        RecordedRequest(float(moment), "pay" if one_shot else "look", f"tenant-{tenant}")
-        for moment, one_shot, tenant in zip(planned_at, is_one_shot, tenants)
+        RecordedRequest(float(moment), "pay" if is_unsafe else "look", f"tenant-{tenant}")
+        for moment, is_unsafe, tenant in zip(planned_at, unsafe_flags, tenants)
     ]
     return load_run.Load(
         spec["target"],
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -137,6 +137,7 @@
         self.check("scale_plans", lines)
 
     def test_committed_plans_are_within_the_limits(self):
+        """Guards against plans in experiments/scale that this machine rejects."""
         for path in sorted((ROOT / "experiments" / "scale").glob("*.toml")):
             with self.subTest(path.name):
                 plans.check_limits(plans.read(str(path)))
@@ -155,6 +156,7 @@
         self.assertLess(len(json.dumps(plans.endpoint_entries(plan, 65535))), 1 << 20)
 
     def test_an_axis_point_changes_one_axis_only(self):
+        """The other axes are at their minimum, and the original plan is not modified."""
         plan = plans.plan_from(tiny(axes={"backends": [32, 6800]}))
         point = plans.axis_point(plan, "backends", 0.25)
         self.assertEqual(
@@ -192,11 +194,13 @@
         self.assertEqual(self.node.duplicate_changes, 1)
 
     def test_the_whole_list_replaces_earlier_changes(self):
+        """Guards against changes that survive a snapshot; a backend missing from it counts as deleted."""
         self.receive(2, a="DRAINING")
         self.receive(9, is_snapshot=True, b="SERVING", c="DRAINING")
         self.assertEqual(self.node.count_wrong({"a": ["DELETED", 0], "c": ["DRAINING", 0]}), 0)
 
     def test_when_a_version_was_in_force(self):
+        """Guards against delays of changes that a node received late, never or while it was down."""
         at = time.monotonic()
         self.receive(3, a="DRAINING")
         # A later version includes the change.
@@ -225,6 +229,7 @@
         self.assertEqual(figures.worst_delay_percentiles([[-1, -1]]), {"changes": 1, "never": 2})
 
     def test_a_truncated_log_line_counts_as_the_version(self):
+        """A log line that was cut for its length has no version; its change must not count as missing."""
         lines = [{"at": 1.0, "index": 4}, {"at": 2.0, "cut": 5000}, {"at": 3.0, "index": 9}]
         delays = [
             figures.delay_ms(at, lines, index)
@@ -281,6 +286,7 @@
             resource_guard.check()
 
     def test_processes_of_one_name_count_separately(self):
+        """Guards against a process limit that counts names, as a restarted process keeps its name."""
         processes = [("node 0", 1), ("node 0", 2), ("node 0", 3)]
         resource_guard = guard.ResourceGuard(100.0, 2, lambda: processes, lambda pid: 10.0)
         with self.assertRaises(guard.Over):
@@ -306,6 +312,7 @@
         self.assertEqual(figures._waited_ratio(1.0, 3.0), 0.25)
 
     def test_a_thread_that_ends_while_it_is_read(self):
+        """Guards against a failed run when a listed thread ends before its times are read."""
         thread_ids = os.listdir(f"/proc/{os.getpid()}/task")
         with mock.patch.object(guard.os, "listdir", lambda path: [*thread_ids, "999999999"]):
             used, _ = guard.cpu_s(os.getpid())
