--- a/pierglade/proxy/state/__init__.py
+++ b/pierglade/proxy/state/__init__.py
@@ -1,4 +1,4 @@
-"""All state of a proxy process, part by part: connections, endpoints, lifecycle.
+"""All state of a proxy process, one component per module: connections, endpoints, lifecycle.
 
-No I/O. `net/reducer.py` is the door: nothing else calls in here.
+No I/O. `machine.py` is the only entry point: events go in there and effects come out.
 """
--- a/pierglade/proxy/state/attempts.py
+++ b/pierglade/proxy/state/attempts.py
@@ -1,4 +1,4 @@
-"""The balancer's decisions carried out: attempts sent, ended and cancelled."""
+"""Executes the balancer's decisions: sends, aborts and reports attempts."""
 
 from pierglade.model.decision import (
     CancelAttempt,
@@ -16,8 +16,8 @@
     set_state,
 )
 from pierglade.proxy.state.constants import (
-    MARGIN,
-    REST,
+    DEADLINE_MARGIN,
+    REUSE_DELAY,
 )
 from pierglade.proxy.state.effects import (
     PollDiscovery,
@@ -25,9 +25,11 @@
 )
 
 # Times are tenths of a millisecond.
-APART = 10  # 1 ms; from aborting an attempt to the first byte of the next one, elsewhere
-FLOW_FOR = 36000000  # 1 h; no attempt takes so long, and until its body is whole it is not late
-REPLACED = http.HOP_BY_HOP | {b"x-expires-in-ms"}  # headers of a request that are written anew
+RESEND_DELAY = 10  # 1 ms; between aborting an attempt and the first byte of the next one
+# 1 h; longer than any upload. Until its body is whole, an attempt must not time out.
+MAX_BODY_DURATION = 36000000
+# Request headers that are not forwarded but written anew.
+REPLACED_HEADERS = http.HOP_BY_HOP | {b"x-expires-in-ms"}
 
 
 class AttemptDispatcher:
@@ -41,144 +43,156 @@
         self.endpoints = endpoints
         self.downstream = downstream
         self.upstream = upstream
-        self.connections = {}  # attempt to its UpstreamConnection
+        self.connections = {}  # UpstreamConnection by attempt
 
-    def connect(self, health_checks):
-        """The parts that are made after this one."""
+    def set_dependencies(self, health_checks):
+        """Sets the components that are created after this one."""
         self.health_checks = health_checks
 
-    def carry_out_decisions(self):
-        """Carries out the decisions until there is none."""
-        for node in list(self.balancers.earlier):
-            self._carry_out_from(node)
+    def execute_decisions(self):
+        """Executes the pending decisions of all balancers; drops earlier ones without requests."""
+        for balancer in list(self.balancers.earlier):
+            self._execute_decisions_of(balancer)
             if not (
                 any(
-                    client.request.owner is node
+                    client.request.owner is balancer
                     for client in self.downstream.by_state[AWAITING_RESPONSE]
                 )
-                or any(attempt.request.owner is node for attempt in self.connections)
+                or any(attempt.request.owner is balancer for attempt in self.connections)
             ):
-                self.balancers.earlier.remove(node)
+                self.balancers.earlier.remove(balancer)
                 self.step.log("settings_retired")
-        self._carry_out_from(self.balancers.current)
+        self._execute_decisions_of(self.balancers.current)
 
-    def _carry_out_from(self, node):
+    def _execute_decisions_of(self, balancer):
         now = self.step.now
-        while (decision := node.next_decision(now)) is not None:
+        while (decision := balancer.next_decision(now)) is not None:
             match decision:
                 case SendAttempt(attempt):
                     self.counters.count("trials" if attempt.is_trial else "attempts")
                     flow = attempt.request.host_context.message.flow
                     if flow is not None and not flow.whole:
-                        # It has not begun for the backend, and can be neither late nor silent.
-                        attempt.sent_at = attempt.timeout_at = now + FLOW_FOR
+                        # The backend executes it only once whole: until then it is not late.
+                        attempt.sent_at = attempt.timeout_at = now + MAX_BODY_DURATION
                     self.send(attempt)
                 case CancelAttempt(attempt):
                     if attempt.outcome is None:
                         self.abort(attempt, "cancelled")
-                        self.ended(attempt, Outcome.CANCELLED)
+                        self.report_outcome(attempt, Outcome.CANCELLED)
                 case CheckHealth(backend):
                     self.counters.count("health_checks")
-                    self.health_checks.start(node.endpoint_name(backend))
+                    self.health_checks.start(balancer.endpoint_name(backend))
                 case PollEndpoints():
                     self.counters.count("endpoint_polls")
                     self.step.emit(PollDiscovery())
                 case RejectRequest(request) | FailRequest(request):
-                    # Overdue in the turn in which this was decided, it has its answer, and must not
-                    # get another.
+                    # If the deadline passed in this same step, the request is already answered and
+                    # must not be answered again.
                     if request.host_context.request is request:
                         self.downstream.respond_without_backend(
                             request, type(decision) is RejectRequest
                         )
 
-    def ended(self, attempt, outcome, done=False):
-        """Reports the outcome of an attempt to its balancer."""
+    def report_outcome(self, attempt, outcome, answered=False):
+        """Reports the outcome of an attempt to its balancer; `answered`: by the backend."""
         self.connections.pop(attempt, None)
         attempt.sent_at = min(attempt.sent_at, self.step.now)
-        # The proxy's own event-loop lag is no latency of the backend.
+        # The lag of the proxy's own event loop does not count as latency of the backend.
         attempt.request.owner.attempt_ended(
-            self.step.now, attempt, outcome, max(1, self.step.came - attempt.sent_at), done
+            self.step.now,
+            attempt,
+            outcome,
+            max(1, self.step.arrived_at - attempt.sent_at),
+            answered,
         )
 
     def abort(self, attempt, reason):
-        """Nothing more is sent for the attempt, and no response is taken."""
-        link = self.connections.get(attempt)
-        if link is not None:
-            link.attempt = None
-            attempt.request.host_context.dropped = self.step.now
-            self.upstream.close(link, reason)
+        """Closes the attempt's connection, so that nothing more is sent and no response is read."""
+        connection = self.connections.get(attempt)
+        if connection is not None:
+            connection.attempt = None
+            attempt.request.host_context.last_abort_at = self.step.now
+            self.upstream.close(connection, reason)
 
     def send(self, attempt):
-        """Sends an attempt on a kept connection, or on a new one."""
+        """Sends an attempt on an idle connection, or on a new one."""
         backend = self.endpoints.records.get(attempt.request.owner.endpoint_name(attempt.backend))
         flow = attempt.request.host_context.message.flow
         if flow is not None and flow.spent():
-            return self.ended(
-                attempt, Outcome.NOT_SENT
-            )  # Some of its body went with an earlier one.
+            # Part of its body was consumed by an earlier attempt and cannot be sent again.
+            return self.report_outcome(attempt, Outcome.NOT_SENT)
         if backend is None or self.endpoints.is_draining(backend):
-            return self.ended(attempt, Outcome.REJECTED_UNPROCESSED)
-        # The last one used is used next, so that the rest grow old and are closed; but not at once.
-        link = next(
-            (link for link in reversed(backend.idle) if self.step.now - link.since >= REST), None
+            return self.report_outcome(attempt, Outcome.REJECTED_UNPROCESSED)
+        # The most recently used connection is used next, so that surplus ones reach the idle
+        # timeout; but none is reused within REUSE_DELAY.
+        connection = next(
+            (
+                connection
+                for connection in reversed(backend.idle)
+                if self.step.now - connection.since >= REUSE_DELAY
+            ),
+            None,
         )
-        if link is not None:
-            backend.idle.remove(link)
-            set_state(link, BUSY, self.upstream.by_state)
-            self.connections[attempt], link.attempt = link, attempt
-            self.upstream.watch(link)
-            self.write(link)
+        if connection is not None:
+            backend.idle.remove(connection)
+            set_state(connection, BUSY, self.upstream.by_state)
+            self.connections[attempt], connection.attempt = connection, attempt
+            self.upstream.restart_timeout(connection)
+            self.write(connection)
             return
-        link = self.upstream.open(backend)
-        if link is None:
-            return self.ended(attempt, Outcome.NOT_SENT)
-        self.connections[attempt], link.attempt = link, attempt
-        self.upstream.watch(link)
+        connection = self.upstream.open(backend)
+        if connection is None:
+            return self.report_outcome(attempt, Outcome.NOT_SENT)
+        self.connections[attempt], connection.attempt = connection, attempt
+        self.upstream.restart_timeout(connection)
 
-    def _write_later(self, queued):
-        link, attempt = queued
-        if link.attempt is attempt and link.state is BUSY:
-            self.write(link)
+    def _write_delayed(self, pending):
+        connection, attempt = pending
+        if connection.attempt is attempt and connection.state is BUSY:
+            self.write(connection)
 
-    def write(self, link):
-        """Sends the request of an attempt on its connection, unless that is of no use any more."""
-        attempt, backend = link.attempt, link.backend
-        # Time has passed since it was decided: until the link came up, or the one before was ended.
-        if attempt.request.completed or self.step.now >= attempt.timeout_at - MARGIN:
-            # The client has left or has its response, also where attempts may not be cancelled.
-            return self.withdraw(link, Outcome.NOT_SENT)
+    def write(self, connection):
+        """Writes an attempt to its connection, or withdraws it if it is obsolete."""
+        attempt, backend = connection.attempt, connection.backend
+        # Time has passed since the decision, while the connection was being established or an
+        # aborted attempt was being closed.
+        if attempt.request.completed or self.step.now >= attempt.timeout_at - DEADLINE_MARGIN:
+            # The client has disconnected or has its response, also where cancelling is off.
+            return self.withdraw(connection, Outcome.NOT_SENT)
         if self.endpoints.is_draining(backend):
-            # The grace is not used: discovery may have queued the agent of it well before it queued
-            # us.
-            return self.withdraw(link, Outcome.REJECTED_UNPROCESSED)
-        if link.address != backend.address:
-            # Another process may have the address by now, which is queued other things of itself.
-            return self.withdraw(link, None)
-        if self.step.now < attempt.request.host_context.dropped + APART:
-            # Two connections have no order between them: the end of the one is to be there before
-            # the other's first byte, or the backends see two out at once.
-            return self.timers.at(
-                attempt.request.host_context.dropped + APART, self._write_later, (link, attempt)
+            # The drain grace period is not used: discovery may have notified the backend well
+            # before it notified this process.
+            return self.withdraw(connection, Outcome.REJECTED_UNPROCESSED)
+        if connection.address != backend.address:
+            # Another process may have the old address by now, in a state that is not known here.
+            return self.withdraw(connection, None)
+        if self.step.now < attempt.request.host_context.last_abort_at + RESEND_DELAY:
+            # Two connections are not ordered: the end of the aborted attempt must arrive before the
+            # first byte of the next one, or the backends see two attempts in flight at once.
+            return self.timers.schedule(
+                attempt.request.host_context.last_abort_at + RESEND_DELAY,
+                self._write_delayed,
+                (connection, attempt),
             )
         message = attempt.request.host_context.message
-        headers = http.passed_on(message, REPLACED)
+        headers = http.passed_on(message, REPLACED_HEADERS)
         flow, request = message.flow, attempt.request
         length, body = len(message.body), message.body
-        left = attempt.timeout_at - MARGIN - self.step.now
+        time_left = attempt.timeout_at - DEADLINE_MARGIN - self.step.now
         if flow is not None:
             length, body = flow.size if flow.whole else flow.length, flow
             if not flow.whole:
-                left = request.deadline - request.arrived_at - MARGIN
-        headers.append((b"X-Expires-In-Ms", b"%d" % max(1, left // 10)))
+                time_left = request.deadline - request.arrived_at - DEADLINE_MARGIN
+        headers.append((b"X-Expires-In-Ms", b"%d" % max(1, time_left // 10)))
         method = b"GET" if message.method == b"HEAD" else message.method
         head = http.request_head(method, http.target(message.url), headers, length)
-        self.step.emit(SendRequest(link, head, body))
+        self.step.emit(SendRequest(connection, head, body))
 
-    def withdraw(self, link, outcome):
-        """Takes the attempt, unwritten, off its connection; no outcome: it is sent elsewhere."""
-        attempt, link.attempt = link.attempt, None
-        self.upstream.release(link, True)
+    def withdraw(self, connection, outcome):
+        """Takes an unwritten attempt off its connection; without `outcome`, sends it elsewhere."""
+        attempt, connection.attempt = connection.attempt, None
+        self.upstream.release(connection, True)
         if outcome is None:
             self.connections.pop(attempt)
             return self.send(attempt)
-        self.ended(attempt, outcome)
+        self.report_outcome(attempt, outcome)
--- a/pierglade/proxy/state/balancers.py
+++ b/pierglade/proxy/state/balancers.py
@@ -1,4 +1,4 @@
-"""The balancers in use: that of the settings in force, and those of earlier ones."""
+"""The balancers in use: one for the current settings, and those of earlier settings."""
 
 import random
 from dataclasses import replace
@@ -8,13 +8,12 @@
 from pierglade.model.request import Idempotency
 
 # Times are tenths of a millisecond.
-RETENTION_FACTOR = (
-    2  # times the longest request timeout; then nothing in flight concerns a removed backend
-)
+# Multiple of the longest request timeout; after it nothing in flight refers to a removed backend.
+RETENTION_FACTOR = 2
 
 
 class Balancers:
-    """The balancer that takes requests, and the earlier ones that have unfinished requests."""
+    """The balancer that takes new requests, and earlier ones that have unfinished requests."""
 
     def __init__(self, step, seed, settings):
         self.step = step
@@ -23,11 +22,12 @@
         self.apply_settings(settings, step.now)
 
     def apply_settings(self, settings, now):
-        """A new balancer takes requests from now on, under other settings."""
+        """Creates a balancer for new settings; it takes all requests from now on."""
         self.settings, self.current = settings, Balancer(self.seed, settings, now, self.current)
         self.request_classes = {each.name.encode(): each for each in settings.request_classes}
-        # A stamped one whose request brings no id of its own: what it does must not be done twice.
-        self.without_key = {
+        # For a keyed request whose id the proxy assigned: it carries no idempotency key, so it must
+        # not be executed twice.
+        self.unkeyed_classes = {
             each.name.encode(): replace(each, idempotency=Idempotency.UNSAFE)
             for each in settings.request_classes
             if each.idempotency == Idempotency.KEYED
@@ -36,7 +36,7 @@
             [each.priority_weight for each in settings.request_classes],
             random.Random(f"{self.seed} press").random,
         )
-        self.refusals = {}  # prepared, by their Retry-After
+        self.refusals = {}  # prepared 503 heads by Retry-After value
         self.removal_retention = RETENTION_FACTOR * max(
             each.request_timeout for each in settings.request_classes
         )
--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -1,22 +1,22 @@
-"""The connections that the proxy's state machine keeps, and what each of them is doing."""
+"""Records of client and backend connections and of endpoints."""
 
 from enum import StrEnum
 
 
 class ConnectionState(StrEnum):
-    """What a connection is doing.
+    """The state of a connection.
 
     A StrEnum, as members are dictionary keys in every request: its hash is that of a string,
     where a plain Enum computes one in Python.
     """
 
     # Downstream.
-    NEW = "new"  # no byte has come yet
+    NEW = "new"  # no byte has been received yet
     IDLE = "idle"  # upstream as well
     READING_REQUEST = "reading_request"
     AWAITING_RESPONSE = "awaiting_response"
     WRITING_RESPONSE = "writing_response"
-    LINGERING = "lingering"  # answered for the last time: the client is to close
+    LINGERING = "lingering"  # the last response is sent, and the client has not closed yet
     CLOSED = "closed"  # upstream as well
     # Upstream.
     CONNECTING = "connecting"
@@ -24,17 +24,17 @@
 
 
 class CloseCause(StrEnum):
-    """How a connection to a backend came to its end, as far as outcomes differ."""
+    """Why a connection to a backend ended, as far as the outcome of an attempt depends on it."""
 
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    STALE = "stale"  # a kept connection was found closed before a byte was written
+    STALE = "stale"  # an idle connection was found closed before a byte was written
     MALFORMED_RESPONSE = "malformed_response"
-    CLIENT_GONE = "client_gone"  # the request's client left in the middle of its body
+    CLIENT_GONE = "client_gone"  # the client disconnected before its request body was whole
 
 
-# Under their own names as well: reading a member from its class runs Python code in CPython 3.11,
-# 0.2 us of it, about twenty times in a request.
+# Also as module names: in CPython 3.11, reading a member from its class runs Python code that takes
+# 0.2 us, about twenty times in a request.
 (
     NEW,
     IDLE,
@@ -49,87 +49,87 @@
 
 
 class DownstreamConnection:
-    """A client's connection, and the request on it that awaits its response."""
+    """A client's connection and its pending request."""
 
     __slots__ = (
-        "dropped",
-        "due",
-        "headed",
+        "body_size_at_last_check",
+        "head_received_at",
         "id",
         "io",
         "is_closing",
         "known",
         "last",
+        "last_abort_at",
         "message",
-        "passed",
-        "queued",
+        "passed_shedding",
         "request",
         "since",
         "source",
         "state",
-        "taken",
+        "timer",
+        "timer_queued_at",
     )
 
     def __init__(self, io):
         self.io = io
-        self.state = ConnectionState.NEW  # no byte has come yet
+        self.state = ConnectionState.NEW
         self.since = 0  # when it was opened or became idle
-        self.due = self.queued = None
+        self.timer = self.timer_queued_at = None
         self.message = self.request = self.id = None
-        self.last = False  # it ends with its next answer
-        self.is_closing = False  # it was asked to close, and does unless something of it is unread
-        self.headed = 0  # when the head of what it sends was whole
-        self.taken = -1  # bytes of its body when it was last looked at
-        self.source = None  # the upstream connection whose response is forwarded as it comes
-        self.dropped = 0  # when the proxy last ended an attempt of its request
-        self.passed = False  # not shed at a glance, though others are
-        self.known = False  # of an address that has priority over strangers
+        self.last = False  # it is closed after its next response
+        self.is_closing = False  # a close was requested; it is served if it has unread bytes
+        self.head_received_at = 0  # when the head of the current request was whole
+        self.body_size_at_last_check = -1  # bytes
+        self.source = None  # the upstream connection whose response is being streamed to it
+        self.last_abort_at = 0  # when the proxy last aborted an attempt of its request
+        self.passed_shedding = False  # the current request was checked unparsed and not shed
+        self.known = False  # its address has priority over unknown ones
 
 
 class UpstreamConnection:
-    """A connection to a backend, and the attempt or health check on it."""
+    """A connection to a backend and the attempt or health check on it."""
 
     __slots__ = (
         "address",
         "attempt",
         "backend",
         "cut",
-        "due",
         "flow",
         "io",
         "probing",
-        "queued",
-        "reader",
-        "replying",
+        "receiver",
+        "response_piece_due_at",
         "since",
         "state",
+        "timer",
+        "timer_queued_at",
     )
 
     def __init__(self, backend):
         self.io = None
         self.backend, self.address = backend, backend.address
         self.state = ConnectionState.CONNECTING
-        self.due = self.queued = None
+        self.timer = self.timer_queued_at = None
         self.attempt = None
         self.probing = False
-        self.replying = 0  # by when the response that has begun is to go on; 0: none has
-        self.cut = False  # it was ended in the middle of something
-        self.flow = self.reader = None  # a response that is forwarded as it comes, and its client
-        self.since = 0
+        self.response_piece_due_at = 0  # when the next piece of a response is due; 0: none is
+        self.cut = False  # it was closed while busy
+        self.flow = self.receiver = None  # the response being streamed, and its client's connection
+        self.since = 0  # when it was opened or became idle
 
 
 class EndpointRecord:
-    """Where a backend is reached, and which connections to it are open."""
+    """Address and state of a backend and its open connections."""
 
     __slots__ = (
         "address",
-        "coming_up",
+        "connecting_count",
         "draining_since",
         "entry",
+        "health_check_connection",
         "idle",
         "links",
         "name",
-        "probed_on",
         "started",
         "state",
         "was_draining",
@@ -137,18 +137,18 @@
 
     def __init__(self, name, address, started):
         self.name, self.address, self.started = name, address, started
-        self.state = None  # the EndpointState that discovery told last
-        self.draining_since = None  # since when it is draining or is gone
+        self.state = None  # the last EndpointState that discovery reported
+        self.draining_since = None  # since when it is draining or removed
         self.was_draining = False  # it was listed as draining since it was last ready
-        self.idle = []  # the last one used last
-        self.links = 0  # open ones, the idle included
-        self.coming_up = 0  # of these, those that are not up yet
-        self.probed_on = None  # the connection of a health check without a result yet
-        self.entry = None  # the last Endpoint of discovery
+        self.idle = []  # idle connections, the most recently used last
+        self.links = 0  # open connections, including idle ones
+        self.connecting_count = 0  # of these, those that are not established yet
+        self.health_check_connection = None  # the connection of a pending health check
+        self.entry = None  # the last Endpoint that discovery reported
 
 
 def set_state(connection, state, by_state):
-    """Moves a connection to a state, last of those that are in it."""
+    """Moves a connection to a state, behind the others in that state."""
     by_state[connection.state].pop(connection, None)
     connection.state = state
     by_state[state][connection] = None
--- a/pierglade/proxy/state/counters.py
+++ b/pierglade/proxy/state/counters.py
@@ -1,11 +1,11 @@
-"""Counts of what is done too often for a log line each."""
+"""Counters of events that are too frequent for a log line each."""
 
 from collections import Counter
 
 from pierglade.proxy.state.constants import LOG_INTERVAL
 
 # Times are tenths of a millisecond.
-# What is counted, in the order in which it is logged.
+# The counted events, in the order in which they are logged.
 COUNTERS = (
     "endpoint_polls",
     "request_rejected",
@@ -21,22 +21,22 @@
 
 
 class EventCounters:
-    """Counts events, and logs them together once in LOG_INTERVAL."""
+    """Counts events and logs all counts together once per LOG_INTERVAL."""
 
     def __init__(self, step, timers):
         self.step = step
         self.timers = timers
-        self.pending = Counter()  # what was done since the last line of counts
+        self.pending = Counter()  # counts since the last log line
 
-    def count(self, what):
-        """Counts one of COUNTERS."""
+    def count(self, name):
+        """Counts one event of COUNTERS."""
         if not self.pending:
-            self.timers.at(self.step.now + LOG_INTERVAL, self._log_pending, None)
-        self.pending[what] += 1
+            self.timers.schedule(self.step.now + LOG_INTERVAL, self._log_pending, None)
+        self.pending[name] += 1
 
     def _log_pending(self, _):
-        # Harmless from one process, much of it does harm from forty: only the counts of all show
-        # it.
+        # Rates that are harmless from one process do harm from forty: only the sum of the counts
+        # over all nodes shows it.
         self.step.log(
             "counters", **{name: self.pending[name] for name in COUNTERS if name in self.pending}
         )
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -1,4 +1,4 @@
-"""Clients' connections: their states, their timers and the responses they get."""
+"""Client connections: their states, timeouts and responses."""
 
 from collections import OrderedDict
 
@@ -16,7 +16,7 @@
     set_state,
 )
 from pierglade.proxy.state.constants import (
-    MARGIN,
+    DEADLINE_MARGIN,
 )
 from pierglade.proxy.state.effects import (
     AbortConnection,
@@ -25,19 +25,19 @@
 )
 
 # Times are tenths of a millisecond.
-FIRST_ASK = 20000  # 2 s; from connecting to a request's first byte
-SLOW_HEAD = 25000  # 2.5 s; from there, or the connecting, to the head's end: slow clients take 2 s
-SLOW_BODY = 20000  # 2 s; what a sender may be behind in a body
-SLOWEST = 3.2  # bytes in a tenth of a ms; 32 kB/s, half of what slow clients send
-SLOW_READER = 50000  # 5 s; in which some of an answer is to be taken
-CLIENT_IDLE = (
-    25000  # 2.5 s; clients that ask once and stay would take descriptors from upstream connections
-)
-LINGER = 10000  # 1 s; for a client to close after its last answer
+FIRST_BYTE_TIMEOUT = 20000  # 2 s; from connecting to the first byte of a request
+# 2.5 s; from the first byte, or from connecting, to the end of the head: slow clients take 2 s.
+HEAD_TIMEOUT = 25000
+BODY_TIMEOUT = 20000  # 2 s; how far a client may fall behind MIN_BODY_RATE
+MIN_BODY_RATE = 3.2  # bytes per tick, which is 32 kB/s; half the rate of slow clients
+SLOW_READER = 50000  # 5 s; a client must read part of a response within this time
+# 2.5 s; one-time clients that stay connected would use up descriptors of upstream connections.
+CLIENT_IDLE_TIMEOUT = 25000
+LINGER_TIMEOUT = 10000  # 1 s; for a client to close after its last response
 
 
 class DownstreamConnections:
-    """The connections of clients."""
+    """The connections of all clients."""
 
     def __init__(self, step, timers, counters, descriptors, lifecycle):
         self.step = step
@@ -45,7 +45,7 @@
         self.counters = counters
         self.descriptors = descriptors
         self.lifecycle = lifecycle
-        # In the order in which they came to a state: who is to close is the first of one.
+        # In the order in which they entered a state: the first of a state is closed first.
         self.by_state = {
             state: OrderedDict()
             for state in (
@@ -58,22 +58,22 @@
             )
         }
 
-    def connect(self, requests, upstream, attempts):
-        """The parts that are made after this one."""
+    def set_dependencies(self, requests, upstream, attempts):
+        """Sets the components that are created after this one."""
         self.requests = requests
         self.upstream = upstream
         self.attempts = attempts
 
     def opened(self, io, known=False):
-        """A client has connected."""
+        """Registers the connection of a new client."""
         client = io.client = DownstreamConnection(io)
         client.known = known
-        self.descriptors.open += 1
+        self.descriptors.open_count += 1
         set_state(client, NEW, self.by_state)
         client.since = self.step.now
-        self.timers.set_timer(client, self.step.now + FIRST_ASK, self.idle_too_long)
+        self.timers.set_timer(client, self.step.now + FIRST_BYTE_TIMEOUT, self.idle_timed_out)
         if not self.descriptors.free_descriptors(client):
-            # Nothing idle is left to close: the newcomer is served, and closed after its response.
+            # No idle connection is left to close: it is served, and closed after its response.
             client.last = True
             self.descriptors.count_exhausted()
         self.descriptors.limit_idle_clients(client)
@@ -81,56 +81,60 @@
     def _become_idle(self, client):
         set_state(client, IDLE, self.by_state)
         client.since = self.step.now
-        self.timers.set_timer(client, self.step.now + CLIENT_IDLE, self.idle_too_long)
+        self.timers.set_timer(client, self.step.now + CLIENT_IDLE_TIMEOUT, self.idle_timed_out)
 
-    def idle_too_long(self, client):
-        """Nothing came of a client for so long that its descriptor is of more use to others."""
+    def idle_timed_out(self, client):
+        """Closes a client that has been silent for too long to keep its descriptor."""
         self.step.emit(CloseWhenRead(client, "silent" if client.state is NEW else "idle"))
 
-    def request_started(self, client, come=None):
-        """Some of a message has come; `come`: bytes behind its head, None until that is whole."""
+    def request_started(self, client, body_size=None):
+        """Notes a partial request; `body_size`: bytes behind its head, None until that is whole."""
         if client.state in (NEW, IDLE):
-            # The first message has until then from the connecting on, or silence and a trickle
-            # would add up.
-            client.headed = 0
-            until = (client.since if client.state is NEW else self.step.now) + SLOW_HEAD
+            # The first request's timeout runs from connecting, or silence and a slow head would add
+            # up.
+            client.head_received_at = 0
+            timeout_at = (client.since if client.state is NEW else self.step.now) + HEAD_TIMEOUT
             set_state(client, READING_REQUEST, self.by_state)
-            self.timers.set_timer(client, until, self._sends_too_slowly)
-            self.descriptors.keep_open(client)
-        if come is not None and client.state is READING_REQUEST:
-            # Told from a flood of half requests by what comes, not by how long it takes.
-            client.headed = client.headed or self.step.now
+            self.timers.set_timer(client, timeout_at, self._sends_too_slowly)
+            self.descriptors.cancel_close(client)
+        if body_size is not None and client.state is READING_REQUEST:
+            # Slow clients are told from a flood of half requests by their rate, not by the time.
+            client.head_received_at = client.head_received_at or self.step.now
             self.timers.set_timer(
-                client, client.headed + SLOW_BODY + int(come / SLOWEST), self._sends_too_slowly
+                client,
+                client.head_received_at + BODY_TIMEOUT + int(body_size / MIN_BODY_RATE),
+                self._sends_too_slowly,
             )
 
     def _sends_too_slowly(self, client):
         self.refuse(client, 408, last=True)
 
-    def await_body(self, client, within):
-        """More of a request body is to come within this many ticks."""
-        client.taken = client.message.flow.size
-        self.timers.set_timer(client, self.step.now + within, self._body_stalled)
+    def await_body(self, client, timeout):
+        """Expects more of a request body within `timeout` ticks."""
+        client.body_size_at_last_check = client.message.flow.size
+        self.timers.set_timer(client, self.step.now + timeout, self._body_stalled)
 
     def _body_stalled(self, client):
-        """It is held up by the client, if all that has come is forwarded; else by the backend."""
+        """Ends a stalled upload: the client stalls it if all received bytes are forwarded."""
         flow, request = client.message.flow, client.request
-        if not flow.full() and flow.size - client.taken < SLOWEST * SLOW_BODY:
+        if (
+            not flow.full()
+            and flow.size - client.body_size_at_last_check < MIN_BODY_RATE * BODY_TIMEOUT
+        ):
             request.owner.client_disconnected(self.step.now, request)
             return self._sends_too_slowly(client)
-        if flow.size == client.taken:
+        if flow.size == client.body_size_at_last_check:
             for attempt in request.attempts:
                 if attempt in self.attempts.connections:
                     self.attempts.abort(attempt, "takes no body")
-                    self.attempts.ended(
-                        attempt, Outcome.CONNECT_FAILED
-                    )  # It has not run: its last byte was never written.
+                    # Its last byte was never written, so the backend has not executed it.
+                    self.attempts.report_outcome(attempt, Outcome.CONNECT_FAILED)
             if client.request is not request:
                 return
-        self.await_body(client, SLOW_BODY)
+        self.await_body(client, BODY_TIMEOUT)
 
     def body_received(self, client):
-        """More of a body has come. With the last byte the request's time begins."""
+        """Starts the request's time with the last byte of its body."""
         request = client.request
         if (
             request is None
@@ -145,54 +149,54 @@
         for attempt in request.attempts:
             if attempt in self.attempts.connections:
                 attempt.sent_at, attempt.timeout_at = self.step.now, request.deadline
-                self.upstream.watch(self.attempts.connections[attempt])
+                self.upstream.restart_timeout(self.attempts.connections[attempt])
         self.await_response(client)
 
     def await_response(self, client):
-        """A response is due by the request's deadline."""
-        limit = client.request.deadline
+        """Expects a response by the request's deadline."""
+        deadline = client.request.deadline
         self.timers.set_timer(
-            client, max(limit - MARGIN // 2, self.step.now + 1), self._deadline_overrun
+            client, max(deadline - DEADLINE_MARGIN // 2, self.step.now + 1), self._deadline_overrun
         )
 
-    def malformed_request(self, client, status, why=""):
-        """What came is no message that we take."""
+    def malformed_request(self, client, status, reason=""):
+        """Answers bytes that are not a valid request with an error status."""
         if client.state in (
             NEW,
             IDLE,
             READING_REQUEST,
         ):
-            self.refuse(client, status, why, last=True)
+            self.refuse(client, status, reason, last=True)
         client.last = True
 
     def _release_request(self, client):
-        """Its request is answered or abandoned."""
+        """Clears the request once it is answered or abandoned."""
         client.request = client.message = None
         if client.id is not None:
-            self.requests.close_id(client)
+            self.requests.retire_id(client)
 
     def _deadline_overrun(self, client):
-        """Guards against a bug: whatever went wrong, the response is out before the deadline."""
+        """Answers at the deadline even if a bug prevented any other response."""
         self.step.log("deadline_overrun")
         client.request.owner.client_disconnected(self.step.now, client.request)
         self.respond_without_backend(client.request, may_retry=False)
 
-    def refuse(self, client, status, why="", last=False, allow=None):
-        """`why`: one plain line for whoever wrote the client."""
+    def refuse(self, client, status, reason="", last=False, allow=None):
+        """Sends an error response; `reason`: one plain line for the developer of the client."""
         client.last = client.last or last
         headers = [(b"Allow", allow)] if allow else []
-        if why:
+        if reason:
             headers.append((b"Content-Type", b"text/plain"))
-        self.respond(client, status, headers, why.encode() + b"\n" if why else b"")
+        self.respond(client, status, headers, reason.encode() + b"\n" if reason else b"")
 
     def respond(self, client, status, headers=(), body=b"", source=None):
-        """`source`: the link that the body, a flow then, goes on to come from."""
+        """Sends a response; `source`: the upstream connection that its body is streamed from."""
         message = client.message
         chunked = source is not None and body.length is None and message.version == "1.1"
         length = len(body) if source is None else body.length
-        # Without a length or chunks, only the end of the connection tells the end of the answer;
-        # and behind one that comes before its request is whole, the rest of the request would be
-        # read as the next.
+        # Without a length or chunks, the end of the connection ends the response. Behind a response
+        # that comes before its request is whole, the rest of the request would be parsed as the
+        # next request.
         client.last = (
             client.last
             or self.lifecycle.is_draining()
@@ -205,37 +209,36 @@
         set_state(client, WRITING_RESPONSE, self.by_state)
         self._release_request(client)
         if source is not None:
-            client.source, source.reader, source.flow = source, client, body
+            client.source, source.receiver, source.flow = source, client, body
         self.timers.set_timer(client, self.step.now + SLOW_READER, self._reads_too_slowly)
         self.step.emit(SendResponse(client, head, body, chunked if source is not None else None))
 
     def _reads_too_slowly(self, client):
         if client.source is not None and not client.source.flow.waiting:
-            return self.response_progressed(
-                client
-            )  # It has taken all that has come; the link is looked after itself.
+            # It has read all that was received; the upstream connection has its own timeout.
+            return self.response_progressed(client)
         self.close(client, "slow reader")
 
     def response_progressed(self, client):
-        """Some more of its response was written to it."""
+        """Restarts the read timeout: part of the response was written."""
         if client.state is WRITING_RESPONSE:
             self.timers.set_timer(client, self.step.now + SLOW_READER, self._reads_too_slowly)
 
     def response_sent(self, client):
-        """The answer's last byte is written."""
+        """Handles the end of a response: the client becomes idle, or is to close."""
         if client.state is not WRITING_RESPONSE:
             return
         if client.last:
             set_state(client, LINGERING, self.by_state)
-            self.timers.set_timer(client, self.step.now + LINGER, self._lingered)
+            self.timers.set_timer(client, self.step.now + LINGER_TIMEOUT, self._linger_timed_out)
         else:
             self._become_idle(client)
 
-    def _lingered(self, client):
+    def _linger_timed_out(self, client):
         self.close(client, "answered last")
 
     def disconnected(self, client, reason):
-        """The client closed, or its connection broke: its request is abandoned."""
+        """Abandons the request of a client that closed or whose connection broke."""
         if client.state is CLOSED:
             return
         if client.request is not None:
@@ -245,8 +248,8 @@
     def close(self, client, reason):
         """Closes a connection at once."""
         del self.by_state[client.state][client]
-        self.descriptors.open -= 1
-        self.descriptors.keep_open(client)
+        self.descriptors.open_count -= 1
+        self.descriptors.cancel_close(client)
         self.step.log("downstream_closed", reason=reason, state=client.state)
         client.state = CLOSED
         self._release_request(client)
@@ -255,7 +258,7 @@
         self.step.emit(AbortConnection(client))
 
     def respond_without_backend(self, request, may_retry):
-        """The response to a request that no backend has answered."""
+        """Answers a request for which no backend response can be sent."""
         event = "request_rejected" if may_retry else "request_failed"
         self.step.log(
             event,
@@ -271,7 +274,7 @@
         else:
             self.respond(request.host_context, 504)
 
-    def reject(self, client, node):
-        """Rejects a request that may be sent again: 503, with Retry-After where that is set."""
-        wait = node.retry_after(self.step.now)
+    def reject(self, client, balancer):
+        """Rejects a request that may be retried: 503, with Retry-After where that is set."""
+        wait = balancer.retry_after(self.step.now)
         self.respond(client, 503, [(b"Retry-After", b"%g" % (wait / 10000))] if wait else [])
--- a/pierglade/proxy/state/effects.py
+++ b/pierglade/proxy/state/effects.py
@@ -1,6 +1,6 @@
-"""What the proxy's state machine asks of its host: one type for each kind of effect.
+"""Effects: what the proxy's state machine requests from its caller, one type per kind.
 
-Each is a NamedTuple, as the events are. The host carries them out in their order, by type.
+Each is a NamedTuple, as the events are. The caller carries them out in their order, by type.
 """
 
 from typing import Any, NamedTuple
@@ -13,12 +13,12 @@
 
     connection: DownstreamConnection
     head: bytes
-    body: Any  # bytes, or a flow that goes on to come
-    chunked: bool | None = None  # of a flow: whether it is sent in chunks; None: not a flow
+    body: Any  # bytes, or a BodyStream
+    chunked: bool | None = None  # whether a BodyStream is sent in chunks; None: bytes
 
 
 class CloseWhenRead(NamedTuple):
-    """Close a client's connection, unless something of it is unread."""
+    """Close a client's connection, unless it has unread bytes."""
 
     connection: DownstreamConnection
     reason: str
@@ -41,7 +41,7 @@
 
     connection: UpstreamConnection
     head: bytes
-    body: Any  # bytes, or a flow that goes on to come
+    body: Any  # bytes, or a BodyStream
 
 
 class CloseUpstream(NamedTuple):
@@ -51,11 +51,11 @@
 
 
 class ResyncEndpoints(NamedTuple):
-    """Ask discovery for the whole endpoint list again."""
+    """Request the whole endpoint list from discovery again."""
 
 
 class PollDiscovery(NamedTuple):
-    """Ask discovery for the endpoint list now."""
+    """Request the endpoint list from discovery now."""
 
 
 class FollowDiscovery(NamedTuple):
@@ -65,7 +65,7 @@
 
 
 class ReplyToManagement(NamedTuple):
-    """Answer an operator's call."""
+    """Answer a management call."""
 
     call: Any
     status: int
@@ -74,15 +74,15 @@
 
 
 class OpenListener(NamedTuple):
-    """Take new connections."""
+    """Accept new connections."""
 
 
 class CloseListener(NamedTuple):
-    """Take no new connections any more."""
+    """Stop accepting new connections."""
 
 
 class Exit(NamedTuple):
-    """Nothing is left to be done: the process may end."""
+    """End the process: no client is connected any more."""
 
 
 class LogEvent(NamedTuple):
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -1,4 +1,4 @@
-"""The backends' list as discovery tells it, and what is known of each place."""
+"""The endpoint list as discovery reports it, and a record of each endpoint."""
 
 from collections import OrderedDict
 from dataclasses import replace
@@ -13,9 +13,10 @@
 )
 
 # Times are tenths of a millisecond.
-FIRST_WORD = 3000  # 0.3 s; with the list of its start, a process waits so long for a newer one
-NAMED = 40  # names in a line of the log, which is cut where it is too long, and tells of none
-STATES = {
+# 0.3 s; with the list restored at the start, a process waits this long for a newer one.
+INITIAL_LIST_TIMEOUT = 3000
+NAMED = 40  # names per log line; a longer line would be truncated and lose all of them
+STATE_BY_STATUS = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
@@ -23,7 +24,7 @@
 
 
 class EndpointRegistry:
-    """Endpoint records by name, kept up to date with the messages of discovery."""
+    """Endpoint records by name, updated by the messages of discovery."""
 
     def __init__(self, step, timers, counters, balancers, lifecycle):
         self.step = step
@@ -32,36 +33,41 @@
         self.balancers = balancers
         self.lifecycle = lifecycle
         self.records = {}  # EndpointRecord by name
-        self.removed = OrderedDict()  # names of the removed ones, the longest removed first
-        self.version = None  # of the list that discovery sent last
-        self.lost_reason = None  # why discovery is lost, logged once
+        self.removed = OrderedDict()  # names of removed endpoints, the longest removed first
+        self.version = None  # of the last list from discovery
+        self.lost_reason = None  # why discovery is lost, as last logged
 
-    def connect(self, upstream):
-        """The parts that are made after this one."""
+    def set_dependencies(self, upstream):
+        """Sets the components that are created after this one."""
         self.upstream = upstream
 
     def restore(self, document):
-        """Takes the list of the start, which may be old."""
+        """Applies the endpoint list of the start, which may be old."""
         if document and document.get("endpoints"):
             self._apply(document, whole=True)
             if type(document.get("index")) is int:
                 self.version = document["index"]
-            self.timers.at(self.step.now + FIRST_WORD, self._discovery_is_late, None)
+            self.timers.schedule(
+                self.step.now + INITIAL_LIST_TIMEOUT, self._initial_list_timed_out, None
+            )
 
-    def _discovery_is_late(self, _):
+    def _initial_list_timed_out(self, _):
         self.lifecycle.become_ready()
 
     def updated(self, document):
-        """A message of discovery."""
+        """Applies a message of discovery; requests the whole list if it is invalid."""
         try:
             index, whole = document["index"], document["snapshot"]
             if type(index) is not int or type(whole) is not bool:
-                raise TypeError("index or snapshot of another type")
+                raise TypeError(
+                    f"index is a {type(index).__name__} and snapshot a {type(whole).__name__}; "
+                    "expected int and bool"
+                )
             if not whole and (self.version is None or index < self.version):
-                raise ValueError(f"changes of {index} on top of {self.version}")
+                raise ValueError(f"changes with index {index} do not follow version {self.version}")
             self._apply(document, whole)
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            # Never act on half a message: ask for the whole list.
+            # No part of an invalid message is applied.
             self.step.log("endpoints_rejected", error=f"{type(fault).__name__}: {fault}")
             self.step.emit(ResyncEndpoints())
             self.version = None
@@ -69,18 +75,18 @@
         self.version, self.lost_reason = index, None
         self.lifecycle.become_ready()
 
-    def discovery_lost(self, why, waited=0):
-        """`waited`: ticks since its last message, or since the call for it began."""
+    def discovery_lost(self, reason, waited=0):
+        """Records the loss; `waited`: ticks since the last message, or since the call began."""
         self.counters.count("discovery_losses")
-        if why != self.lost_reason:
-            self.lost_reason = why
-            self.step.log("discovery_lost", error=why)
+        if reason != self.lost_reason:
+            self.lost_reason = reason
+            self.step.log("discovery_lost", error=reason)
         if self.balancers.settings.polls_endpoints:
             self.balancers.current.discovery_lost(self.step.now, waited)
 
     def _apply(self, document, whole):
         listed, changed = [], []
-        entries, named = self._changed_entries(document)
+        entries, names = self._changed_entries(document)
         for entry, address in entries:
             backend = self.records.get(entry.name)
             if backend is None:
@@ -91,22 +97,21 @@
             elif address is not None and (
                 address != backend.address or entry.started_at > backend.started
             ):
-                # The process behind the name is another one: what is kept to the old one is of no
-                # use.
+                # Another process has taken the name: connections to the old one are of no use.
                 backend.address, backend.started = address, entry.started_at
                 self._close_idle(backend, "restarted")
                 changed.append((entry.name, "restarted"))
             backend.entry = entry
             self._set_state(entry.name, backend, entry.state, changed)
         if whole:
-            left = [backend for name, backend in self.records.items() if name not in named]
-            for backend in left:
+            missing = [backend for name, backend in self.records.items() if name not in names]
+            for backend in missing:
                 self._set_state(backend.name, backend, EndpointState.REMOVED, changed)
-            listed = [replace(backend.entry, state=EndpointState.REMOVED) for backend in left]
+            listed = [replace(backend.entry, state=EndpointState.REMOVED) for backend in missing]
         listed += [entry for entry, _ in entries]
         self._drop_removed()
-        for node in (*self.balancers.earlier, self.balancers.current):
-            node.endpoints_updated(self.step.now, listed, False)
+        for balancer in (*self.balancers.earlier, self.balancers.current):
+            balancer.endpoints_updated(self.step.now, listed, False)
         if changed:
             more = {"more": len(changed) - NAMED} if len(changed) > NAMED else {}
             self.step.log(
@@ -118,21 +123,22 @@
             )
 
     def _changed_entries(self, document):
-        """(Endpoint, address) of each that is not as it was, and the names of all.
+        """Returns (Endpoint, address) of each changed endpoint, and the names of all.
 
-        All of it is read before any is applied; of a whole list sent again most is as it was.
+        The whole message is parsed before any of it is applied; most of a list that is sent again
+        is unchanged.
         """
-        entries, named = [], set()
+        entries, names = [], set()
         for item in document["endpoints"]:
             name = item["name"]
             backend = self.records.get(name)
-            if name in named or backend is None or not _is_unchanged(item, backend):
+            if name in names or backend is None or not _is_unchanged(item, backend):
                 entries.append(_entry(item))
-            named.add(name)
-        return entries, named
+            names.add(name)
+        return entries, names
 
     def _drop_removed(self):
-        """Fleets that start under new names must not fill the memory with old ones."""
+        """Drops endpoints removed long ago: fleets restarting under new names must not pile up."""
         old = []
         for name in self.removed:  # the longest removed first
             if (
@@ -165,27 +171,27 @@
                 self._close_idle(backend, "drained")
 
     def is_draining(self, backend):
-        """Whether nothing may be sent to it; only missing from the list, it may be up."""
-        # By the strictest of the settings with open requests, whichever the attempt is under.
+        """Returns whether nothing may be sent to it; only missing from the list, it may serve."""
+        # By the strictest settings with pending requests, whichever settings the attempt is under.
         return backend.draining_since is not None and (
             backend.was_draining
             or any(
-                node.settings.removal_binds
-                for node in (self.balancers.current, *self.balancers.earlier)
+                balancer.settings.removal_binds
+                for balancer in (self.balancers.current, *self.balancers.earlier)
             )
         )
 
     def _close_idle(self, backend, reason):
-        for link in list(backend.idle):
-            self.upstream.close(link, reason)
+        for connection in list(backend.idle):
+            self.upstream.close(connection, reason)
 
 
 def _entry(item):
-    """What the list says of a backend, and where it is."""
+    """Returns the Endpoint and its address; None as the address of a removed one."""
     zone = item.get("zone")
     return Endpoint(
         item["name"],
-        STATES[item["status"]],
+        STATE_BY_STATUS[item["status"]],
         intern(zone) if type(zone) is str else zone,
         item.get("group"),
         int(item.get("since_ms") or 0) * 10,
@@ -194,10 +200,10 @@
 
 
 def _is_unchanged(item, backend):
-    """Whether it is ready as it was, with all that was sent last."""
+    """Returns whether it was ready with the same data as in the last message."""
     entry = backend.entry
     return (
-        backend.state == EndpointState.READY == STATES[item["status"]]
+        backend.state == EndpointState.READY == STATE_BY_STATUS[item["status"]]
         and item["address"] == backend.address
         and item.get("zone") == entry.zone
         and item.get("group") == entry.cell
@@ -209,5 +215,7 @@
 def _address(entry):
     host, _, port = entry["address"].rpartition(":")
     if not host or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {entry['address']!r}")
+        raise ValueError(
+            f"address is {entry['address']!r}; expected HOST:PORT with a port from 1 to 65535"
+        )
     return entry["address"]
--- a/pierglade/proxy/state/events.py
+++ b/pierglade/proxy/state/events.py
@@ -1,4 +1,4 @@
-"""What the host reports to the proxy's state machine: one type for each kind of event.
+"""Events: what the caller reports to the proxy's state machine, one type per kind.
 
 Each is a NamedTuple: events are made for every request, and a tuple is the cheapest typed record.
 The machine dispatches by type and passes the fields on in their order. `connection` is the
@@ -14,31 +14,31 @@
     """A client has connected; `io` gets its DownstreamConnection as `io.client`."""
 
     io: Any
-    known: bool = False  # its address has priority over strangers
+    known: bool = False  # its address has priority over unknown ones
 
 
 class RequestStarted(NamedTuple):
-    """Some bytes of a request have come."""
+    """Some bytes of a request have arrived."""
 
     connection: DownstreamConnection
     body_size: int | None = None  # bytes behind the head; None until the head is whole
 
 
 class RequestReceived(NamedTuple):
-    """A request is whole, or whole enough to be forwarded while its body comes."""
+    """A request is whole, or whole enough to be forwarded while its body arrives."""
 
     connection: DownstreamConnection
     message: Any
 
 
 class BodyReceived(NamedTuple):
-    """More of a forwarded request's body has come."""
+    """More of a forwarded request's body has arrived."""
 
     connection: DownstreamConnection
 
 
 class MalformedRequest(NamedTuple):
-    """What came is no message that the proxy takes."""
+    """The received bytes are not a request that the proxy accepts."""
 
     connection: DownstreamConnection
     status: int
@@ -46,7 +46,7 @@
 
 
 class ResponseProgressed(NamedTuple):
-    """Some more of a response was written to its client."""
+    """Part of a response was written to its client."""
 
     connection: DownstreamConnection
 
@@ -71,33 +71,33 @@
 
 
 class RequestNotSent(NamedTuple):
-    """Nothing was written upstream: the client's end of stream was there to be read."""
+    """Nothing was written upstream: the client had already ended its side of the connection."""
 
     connection: UpstreamConnection
 
 
 class ResponsePartReceived(NamedTuple):
-    """A piece of a response has come, and it is not whole."""
+    """A piece of a response has arrived; the response is not whole yet."""
 
     connection: UpstreamConnection
 
 
 class ResponseReceived(NamedTuple):
-    """A response is whole, or whole enough to be forwarded while its body comes."""
+    """A response is whole, or whole enough to be forwarded while its body arrives."""
 
     connection: UpstreamConnection
     message: Any
 
 
 class ResponseCompleted(NamedTuple):
-    """A response that was forwarded as it came is whole."""
+    """A streamed response is whole."""
 
     connection: UpstreamConnection
     keep_alive: bool
 
 
 class UpstreamClosed(NamedTuple):
-    """A connection to a backend has ended by itself."""
+    """A connection to a backend has ended, not closed by the state machine."""
 
     connection: UpstreamConnection
     cause: CloseCause
@@ -106,20 +106,20 @@
 
 
 class EndpointsUpdated(NamedTuple):
-    """A message of discovery, as it was read: not validated."""
+    """A message of discovery, not validated."""
 
     document: Any
 
 
 class DiscoveryLost(NamedTuple):
-    """Discovery can't be reached, or does not answer."""
+    """Discovery is unreachable or does not answer."""
 
     reason: str
-    waited: int = 0  # tenths of a ms since its last message, or since the call for it began
+    waited: int = 0  # ticks since its last message, or since the call for it began
 
 
 class ConfigurationLoaded(NamedTuple):
-    """The configuration was read again."""
+    """The configuration was loaded again."""
 
     discovery: str
     document: dict
@@ -128,7 +128,7 @@
 
 
 class ManagementCall(NamedTuple):
-    """An operator's call: the host's, with its method and path."""
+    """A management call, an object of the caller with method and path."""
 
     call: Any
 
@@ -144,11 +144,11 @@
 
 
 class TimerFired(NamedTuple):
-    """Only time has passed."""
+    """A wakeup time was reached; nothing else happened."""
 
 
-# After these alone the balancer has nothing new to decide.
-UNDECIDED = frozenset(
+# Events after which the balancer has no new decisions.
+EVENTS_WITHOUT_DECISIONS = frozenset(
     (
         ConnectionOpened,
         RequestStarted,
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -1,12 +1,11 @@
-"""All state of a proxy process. No I/O, no clock: one event and its moment in, effects out.
+"""The state machine of a proxy process. No I/O, no clock: events and times in, effects out.
 
-The host calls `apply(now, event)` for each event, carries out the effects in their order, and calls
-again with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` have one type a
-kind; a connection's `io` is what the host reads and writes it with, and is never looked into here.
+The caller calls `apply(now, event)` for each event, carries out the effects in their order, and
+calls again with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` define
+one type per kind. The `io` of a connection belongs to the caller and is never used here.
 
-Each part owns its fields. What a part needs of those made before it comes by its constructor; what
-it needs of later ones (a client's end ends its upstream connection, and the other way round) by
-`connect`.
+Each component owns its fields. It gets the components that it needs by its constructor, and those
+created after it by `set_dependencies`: a client's end ends its upstream connection, and vice versa.
 """
 
 from pierglade.proxy.state.attempts import AttemptDispatcher
@@ -17,7 +16,7 @@
 from pierglade.proxy.state.downstream import DownstreamConnections
 from pierglade.proxy.state.endpoints import EndpointRegistry
 from pierglade.proxy.state.events import (
-    UNDECIDED,
+    EVENTS_WITHOUT_DECISIONS,
     BodyReceived,
     ClientDisconnected,
     ConfigurationLoaded,
@@ -53,10 +52,10 @@
 
 
 class ProxyStateMachine:
-    """Routes events to the parts that hold the state, and collects their effects.
+    """Dispatches events to the components that own the state, and collects their effects.
 
-    `limit`: file descriptors that connections may take; `document`: the configuration as it was
-    read; `sole_process`: no other process serves the address.
+    `limit`: file descriptors for connections; `document`: the configuration as it was read;
+    `sole_process`: no other process serves the address.
     """
 
     def __init__(self, seed, settings, now, limit, discovery="", document=None, sole_process=True):
@@ -71,12 +70,12 @@
         self.endpoints = EndpointRegistry(
             self.step, self.timers, self.counters, self.balancers, self.lifecycle
         )
-        self._make_connections()
-        self._make_operations(discovery, document)
-        self._connect_parts()
+        self._create_connection_components()
+        self._create_management_components(discovery, document)
+        self._set_dependencies()
         self._handlers = self._handlers_by_type()
 
-    def _make_connections(self):
+    def _create_connection_components(self):
         self.downstream = DownstreamConnections(
             self.step, self.timers, self.counters, self.descriptors, self.lifecycle
         )
@@ -116,7 +115,7 @@
             self.health_checks,
         )
 
-    def _make_operations(self, discovery, document):
+    def _create_management_components(self, discovery, document):
         self.reconfiguration = Reconfiguration(
             self.step, self.balancers, self.endpoints, self.downstream, discovery, document
         )
@@ -130,17 +129,17 @@
         )
         self.snapshot = SnapshotExchange(self.step, self.balancers, self.endpoints)
 
-    def _connect_parts(self):
-        self.descriptors.connect(self.downstream, self.upstream)
-        self.lifecycle.connect(self.downstream, self.upstream, self.attempts)
-        self.endpoints.connect(self.upstream)
-        self.downstream.connect(self.requests, self.upstream, self.attempts)
-        self.requests.connect(self.reconfiguration)
-        self.upstream.connect(self.attempts, self.health_checks)
-        self.attempts.connect(self.health_checks)
+    def _set_dependencies(self):
+        self.descriptors.set_dependencies(self.downstream, self.upstream)
+        self.lifecycle.set_dependencies(self.downstream, self.upstream, self.attempts)
+        self.endpoints.set_dependencies(self.upstream)
+        self.downstream.set_dependencies(self.requests, self.upstream, self.attempts)
+        self.requests.set_dependencies(self.reconfiguration)
+        self.upstream.set_dependencies(self.attempts, self.health_checks)
+        self.attempts.set_dependencies(self.health_checks)
 
     def _handlers_by_type(self):
-        """What takes an event, by its type: it gets the event's fields."""
+        """Returns the handlers by event type; a handler gets the event's fields."""
         return {
             ConnectionOpened: self.downstream.opened,
             RequestStarted: self.downstream.request_started,
@@ -155,32 +154,32 @@
             RequestNotSent: self.upstream.request_not_sent,
             ResponsePartReceived: self.responses.part_received,
             ResponseReceived: self.responses.received,
-            UpstreamClosed: self.upstream.ended,
+            UpstreamClosed: self.upstream.disconnected,
             EndpointsUpdated: self.endpoints.updated,
             DiscoveryLost: self.endpoints.discovery_lost,
             ConfigurationLoaded: self.reconfiguration.loaded,
             ManagementCall: self.management.called,
             SoleProcess: self.lifecycle.sole_process,
             StopRequested: self.lifecycle.stop,
-            TimerFired: _only_time_passed,
+            TimerFired: _do_nothing,
         }
 
     def apply(self, now, event, came=NEVER, idle=NEVER):
-        """Takes one event and returns the effects that it brings about, in their order.
+        """Handles one event and returns its effects in order.
 
-        `came`: when what the event reports may have come, if that was before the host could handle
-        it; `idle`: when the host last had nothing to do.
+        `came`: when the event may have happened, if before the caller could handle it; `idle`: when
+        the caller was last idle.
         """
         self.step.begin(now, came, idle)
         kind = type(event)
         self._handlers[kind](*event)
-        if self.timers.run_due() or kind not in UNDECIDED:
-            self.attempts.carry_out_decisions()
+        if self.timers.run_due() or kind not in EVENTS_WITHOUT_DECISIONS:
+            self.attempts.execute_decisions()
         self.lifecycle.exit_when_done()
         return self.step.effects
 
     def next_wakeup(self, now):
-        """The moment of the next TimerFired; None: nothing is due."""
+        """Returns the time of the next TimerFired; None: no timer is set."""
         balancers = self.balancers
         wakes = [
             wake
@@ -192,9 +191,9 @@
         return min(wakes, default=None)
 
     def salvage(self, connection):
-        """The effects after a fault in `apply`, whose event concerned `connection`, or None."""
+        """Returns the effects after an exception in `apply`; `connection`: the event's, or None."""
         return self.lifecycle.salvage(connection)
 
 
-def _only_time_passed():
-    """What is due is looked after in any case."""
+def _do_nothing():
+    """Handles TimerFired: due timers run after every event."""
--- a/pierglade/proxy/state/management.py
+++ b/pierglade/proxy/state/management.py
@@ -1,4 +1,4 @@
-"""The operators' management calls, and what they print."""
+"""The operators' management calls and their output."""
 
 import orjson
 
@@ -13,20 +13,20 @@
 from pierglade.proxy.state.effects import ReplyToManagement
 
 # Times are tenths of a millisecond.
-CALLS = {
+METHOD_BY_PATH = {
     STATUS_CALL: b"GET",
     STANDBY_CALL: b"PUT",
     ACTIVE_CALL: b"PUT",
     BACKENDS_CALL: b"GET",
     ADMISSION_CALL: b"GET",
 }
-# What the operators' call says of a backend; programs read it.
-STATE_WORDS = {
+# Names in the output of /backends, which is parsed by programs.
+STATE_NAMES = {
     EndpointState.READY: "ready",
     EndpointState.DRAINING: "draining",
     EndpointState.REMOVED: "gone",
 }
-EJECTION_WORDS = {
+EJECTION_REASON_NAMES = {
     EjectionReason.SLOW: "slow",
     EjectionReason.UNRESPONSIVE: "silent",
     EjectionReason.FAILING: "failing",
@@ -45,8 +45,8 @@
         self.downstream = downstream
 
     def called(self, call):
-        """One call of the operators: `call` is the host's, with its method and path."""
-        method = CALLS.get(call.path)
+        """Answers a management call; `call`: an object of the caller with method and path."""
+        method = METHOD_BY_PATH.get(call.path)
         if method is None:
             return self.step.emit(ReplyToManagement(call, 404, b"no such call\n", None))
         if call.method != method:
@@ -60,44 +60,46 @@
                 ReplyToManagement(call, 200, orjson.dumps(self._admission_status()) + b"\n", None)
             )
         if call.path == STATUS_CALL:
-            good = (
+            is_ok = (
                 self.lifecycle.ready
                 and self.lifecycle.listening
                 and self.lifecycle.stopped_at is None
             )
-            word = (
+            answer = (
                 b"not ready"
                 if not self.lifecycle.ready
                 else b"stopping"
-                if not good
+                if not is_ok
                 else (b"standby" if self.lifecycle.standby else b"active")
             )
         else:
-            # Whoever stops is emptied in any case, and takes up no work again.
-            good = call.path == STANDBY_CALL or self.lifecycle.stopped_at is None
-            if good:
-                self.lifecycle.set_standby(by=call.path == STANDBY_CALL)
-            word = b"stopping" if not good else b"standby" if self.lifecycle.standby else b"active"
-        self.step.emit(ReplyToManagement(call, 200 if good else 503, word + b"\n", None))
+            # A stopping process is draining in any case and does not become active again.
+            is_ok = call.path == STANDBY_CALL or self.lifecycle.stopped_at is None
+            if is_ok:
+                self.lifecycle.set_standby(enabled=call.path == STANDBY_CALL)
+            answer = (
+                b"stopping" if not is_ok else b"standby" if self.lifecycle.standby else b"active"
+            )
+        self.step.emit(ReplyToManagement(call, 200 if is_ok else 503, answer + b"\n", None))
 
     def _admission_status(self):
-        """Plain data: the share that is shed for want of CPU, and who may not connect."""
-        gate = self.descriptors.admission
+        """Returns the fraction of requests shed for lack of CPU, and the connection limits."""
+        admission = self.descriptors.admission
         return {
             "refused_share": round(self.balancers.load_shedder.threshold, 3),
-            "open": self.descriptors.open,
+            "open": self.descriptors.open_count,
             "clients": sum(map(len, self.downstream.by_state.values())),
             "sockets": self.descriptors.limit,
-            "capped": gate is not None,
-            "strangers": gate.strangers if gate is not None else None,
-            "top": gate.top(self.step.now) if gate is not None else [],
+            "capped": admission is not None,
+            "strangers": admission.strangers if admission is not None else None,
+            "top": admission.top(self.step.now) if admission is not None else [],
         }
 
     def _backend_status(self):
-        """Each backend as the decisions see it: plain data, times in ms from now on."""
-        node, now, rows = self.balancers.current, self.step.now, []
+        """Returns each backend as the balancer sees it; times in ms from now."""
+        balancer, now, rows = self.balancers.current, self.step.now, []
         for name, backend in self.endpoints.records.items():
-            status = node.endpoint_status(name, now)
+            status = balancer.endpoint_status(name, now)
             if status is None:
                 continue
             next_pause = status.next_pause_at
@@ -106,11 +108,11 @@
                     "name": name,
                     "address": backend.address,
                     "zone": status.zone,
-                    "state": STATE_WORDS[backend.state],
+                    "state": STATE_NAMES[backend.state],
                     "in_view": status.is_in_subset,
                     "out": status.in_flight,
                     "links": backend.links,
-                    "trouble": EJECTION_WORDS.get(status.ejection_reason),
+                    "trouble": EJECTION_REASON_NAMES.get(status.ejection_reason),
                     "pauses": status.is_pausing,
                     "next_pause_ms": None if next_pause is None else round((next_pause - now) / 10),
                     "level": round(status.latency_level, 2),
@@ -119,8 +121,8 @@
                 }
             )
         return {
-            "limit": round(node.limit.current_limit(), 1),
-            "overloaded": node.overloaded,
-            "held": node.queue_length(),
+            "limit": round(balancer.limit.current_limit(), 1),
+            "overloaded": balancer.overloaded,
+            "held": balancer.queue_length(),
             "backends": rows,
         }
--- a/pierglade/proxy/state/reconfiguration.py
+++ b/pierglade/proxy/state/reconfiguration.py
@@ -1,4 +1,4 @@
-"""A configuration that was read again takes effect."""
+"""Applies a configuration that was loaded again."""
 
 from pierglade.proxy.state.connections import (
     AWAITING_RESPONSE,
@@ -11,12 +11,12 @@
 from pierglade.snapshot.handover import take_over
 
 # Times are tenths of a millisecond.
-# What of a configuration is read at the start only.
-FIXED = ("name", "listen", "management", "limits")
+# Configuration keys that are read only at the start of the process.
+RESTART_KEYS = ("name", "listen", "management", "limits")
 
 
 class Reconfiguration:
-    """Applies other settings, other quotas and another place of discovery."""
+    """Applies new settings, new quotas and a new discovery address."""
 
     def __init__(self, step, balancers, endpoints, downstream, discovery, document):
         self.step = step
@@ -27,12 +27,12 @@
         self.raw_settings = self.document.get("settings")
 
     def loaded(self, discovery, document, settings=None, quota_delta=None):
-        """A new configuration: discovery is followed where it is now; the list is kept until then.
+        """Applies a new configuration.
 
-        New settings hold for what is taken from now on. What was taken before stays with the node
-        that took it, so that its rules hold to its end and nothing of it is lost or sent twice.
-        `quota_delta`: what else tenants may ask; where that is all that changed, the node goes on
-        with it and keeps what it knows.
+        Discovery is followed at its new address; the endpoint list is kept until its first message.
+        New settings hold for new requests. Pending requests stay with the balancer that received
+        them, so that its rules hold to their end and none is lost or sent twice. `quota_delta`:
+        changed quotas of tenants; if nothing else changed, the balancer keeps its statistics.
         """
         if settings is not None and document.get("settings") == self.raw_settings and quota_delta:
             if self._apply_quotas_in_place(quota_delta, settings):
@@ -42,10 +42,10 @@
                     quotas=len(quota_delta),
                 )
             else:
-                self.raw_settings = None  # All is taken anew below.
+                self.raw_settings = None  # All settings are replaced below.
         if settings is not None and document.get("settings") != self.raw_settings:
             self._replace_settings(settings, document)
-        changed = {key for key in FIXED if document.get(key) != self.document.get(key)}
+        changed = {key for key in RESTART_KEYS if document.get(key) != self.document.get(key)}
         self.step.log(
             "config_reloaded",
             discovery=discovery,
@@ -54,13 +54,12 @@
         )
         if discovery != self.discovery:
             self.discovery = discovery
-            self.endpoints.version = self.endpoints.lost_reason = (
-                None  # Versions are the old place's own.
-            )
+            # Versions of the old discovery have no meaning at the new one.
+            self.endpoints.version = self.endpoints.lost_reason = None
             self.step.emit(FollowDiscovery(discovery))
 
     def _replace_settings(self, settings, document):
-        """A new balancer takes what comes from now on; the earlier one keeps what it has taken."""
+        """Creates a balancer for new requests; the earlier one keeps its pending requests."""
         self.raw_settings = document.get("settings")
         settings.tenants.follow(self.balancers.settings.tenants)
         self.balancers.earlier.append(self.balancers.current)
@@ -68,11 +67,10 @@
         self.balancers.apply_settings(settings, self.step.now)
         take_over(self.balancers.current, self.balancers.earlier[-1], self.step.now)
         if load_shedder.classes == self.balancers.load_shedder.classes:
-            self.balancers.load_shedder = (
-                load_shedder  # Or all that the earlier one sheds would be let in at once.
-            )
+            # Otherwise all that the earlier one sheds would be admitted at once.
+            self.balancers.load_shedder = load_shedder
         if self.balancers.earlier[-1].settings.polls_endpoints:
-            # Who waits for the list under the earlier settings may wait for long.
+            # Requests under the earlier settings may be waiting for the list.
             self.step.emit(PollDiscovery())
         self.step.log(
             "settings_applied",
@@ -80,7 +78,7 @@
         )
 
     def _apply_quotas_in_place(self, quota_delta, settings):
-        """Whether other shares were taken as a difference from those in force."""
+        """Applies a change of quotas if it fits the current ones; returns whether it did."""
         tenants = self.balancers.settings.tenants
         if quota_delta.base != tenants.version or not fits_in_place(
             tenants, settings.tenants.shares
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -1,4 +1,4 @@
-"""Requests on their way to the balancer: checked, shed at need, and known by their ids."""
+"""Request intake: validation, load shedding and the ids of pending and recent requests."""
 
 from collections import deque
 
@@ -16,21 +16,24 @@
     LOG_INTERVAL,
     READY_PATH,
 )
-from pierglade.proxy.state.downstream import CLIENT_IDLE, SLOW_BODY
+from pierglade.proxy.state.downstream import BODY_TIMEOUT, CLIENT_IDLE_TIMEOUT
 from pierglade.settings.platform import down
 
 # Times are tenths of a millisecond.
-SPENT_FOR = (
-    20000  # 2 s; an id is not taken again so soon after its answer: a copy may just be coming in
-)
-ID_MOST = 256  # bytes of an id; ids are kept while their request is open
-HINT = b"hintUs="  # in X-Props: how much work a request is
+# 2 s; an id stays in use this long after its response, as a duplicate request may be on its way.
+ID_RETENTION = 20000
+MAX_ID_BYTES = 256  # bounds the memory for ids, which are stored while their request is pending
+HINT_PREFIX = b"hintUs="  # in X-Props: the expected cost of a request
 RETRY_AFTER_STEPS = (
-    4  # lengths of the Retry-After of shed requests: one for each fourth of the threshold
+    4  # number of Retry-After values for shed requests, by quarters of the threshold
 )
-METHODS = {Idempotency.SAFE: b"GET", Idempotency.KEYED: b"POST", Idempotency.UNSAFE: b"POST"}
-# Headers that a request has once: of two, the next to read it may heed the other.
-SINGLE = frozenset(
+METHOD_BY_IDEMPOTENCY = {
+    Idempotency.SAFE: b"GET",
+    Idempotency.KEYED: b"POST",
+    Idempotency.UNSAFE: b"POST",
+}
+# Headers that must not be repeated: of two values, a backend might use the other one.
+SINGLE_VALUE_HEADERS = frozenset(
     (b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try", b"idempotency-key")
 )
 
@@ -45,28 +48,26 @@
         self.descriptors = descriptors
         self.lifecycle = lifecycle
         self.downstream = downstream
-        self.ids = {}  # of open requests, and of those just answered, to their client
-        self.recent_ids = deque()  # (until when it is kept, id) of the latter
-        self.assigns_ids, self.assigned = (
-            False,
-            0,
-        )  # to requests without one, and how many it assigned
-        self.shed = 0  # not logged yet
-        self.began = step.now
+        self.ids = {}  # client by id for pending requests; None for recently answered ones
+        self.recent_ids = deque()  # (expiry time, id) of recently answered requests
+        # Whether requests without an id get one, and the number of ids assigned.
+        self.assigns_ids, self.assigned_count = False, 0
+        self.shed_count = 0  # since the last log line
+        self.started_at = step.now
 
-    def connect(self, reconfiguration):
-        """The parts that are made after this one."""
+    def set_dependencies(self, reconfiguration):
+        """Sets the components that are created after this one."""
         self.reconfiguration = reconfiguration
 
     def received(self, client, message):
-        """Validates a request and passes it to the balancer, unless it is refused."""
+        """Validates a request and passes it to the balancer, or refuses it."""
         if client.state not in (
             NEW,
             IDLE,
             READING_REQUEST,
         ):
             return
-        self.descriptors.keep_open(client)
+        self.descriptors.cancel_close(client)
         client.message = message
         if not message.keep:
             client.last = True
@@ -80,27 +81,33 @@
         request_class = self.balancers.request_classes.get(path.partition(b"?")[0].split(b"/")[1])
         if request_class is None:
             return self.downstream.refuse(client, 404, "the path's first part names no offering")
-        # A HEAD is a GET whose response's body is kept back (RFC 9110, 9.3.2); a backend gets a
-        # GET.
+        # A HEAD is a GET whose response body is not sent (RFC 9110, 9.3.2); the backend gets a GET.
         method = b"GET" if message.method == b"HEAD" else message.method
-        if method != METHODS[request_class.idempotency]:
+        if method != METHOD_BY_IDEMPOTENCY[request_class.idempotency]:
             return self._refuse_method(client, request_class)
-        name = message.fields.get(b"x-trace-id")
-        if name is None and self.assigns_ids:
-            name = self._assign_id(message)
+        request_id = message.fields.get(b"x-trace-id")
+        if request_id is None and self.assigns_ids:
+            request_id = self._assign_id(message)
             if request_class.idempotency == Idempotency.KEYED:
-                request_class = self.balancers.without_key[request_class.name.encode()]
-        left = message.fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10))
-        fault = self._fault_in(message, request_class, name, left)
+                request_class = self.balancers.unkeyed_classes[request_class.name.encode()]
+        expires_in = message.fields.get(
+            b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10)
+        )
+        fault = self._validation_error(message, request_class, request_id, expires_in)
         if fault is not None:
             return self.downstream.refuse(client, 400, fault, last=True)
-        self._admit(client, request_class, name, min(int(left) * 10, request_class.request_timeout))
+        self._admit(
+            client,
+            request_class,
+            request_id,
+            min(int(expires_in) * 10, request_class.request_timeout),
+        )
 
-    def _fault_in(self, message, request_class, name, left):
-        if _is_malformed(message, request_class, name, left):
-            return _at_fault(message, request_class, name, left)
-        if self._is_in_use(name):
-            # Another's, or one that ran already: forwarded, it would run twice.
+    def _validation_error(self, message, request_class, request_id, expires_in):
+        if _is_malformed(message, request_class, request_id, expires_in):
+            return _describe_fault(message, request_class, request_id, expires_in)
+        if self._is_in_use(request_id):
+            # Of another request, or of an executed one: if forwarded, that would be executed twice.
             return "X-Trace-Id is in use, or was answered just now"
         return None
 
@@ -118,7 +125,7 @@
         allowed = (
             b"GET, HEAD"
             if request_class.idempotency == Idempotency.SAFE
-            else METHODS[request_class.idempotency]
+            else METHOD_BY_IDEMPOTENCY[request_class.idempotency]
         )
         self.downstream.refuse(
             client,
@@ -127,22 +134,27 @@
             allow=allowed,
         )
 
-    def _admit(self, client, request_class, name, left):
-        """Sheds a valid request, or passes it to the balancer; `left`: ticks until its deadline."""
+    def _admit(self, client, request_class, request_id, time_left):
+        """Sheds a valid request, or passes it to the balancer; `time_left`: until its deadline."""
         message = client.message
         self.balancers.load_shedder.note_wait(
-            self.step.now, (self.step.now - self.step.came) / request_class.latency_objective
+            self.step.now, (self.step.now - self.step.arrived_at) / request_class.latency_objective
         )
         refused = (
             self.balancers.load_shedder.threshold
-            and not client.passed
+            and not client.passed_shedding
             and self.balancers.load_shedder.rejects(
-                request_class.index, left < request_class.latency_objective, client.known
+                request_class.index, time_left < request_class.latency_objective, client.known
             )
         )
-        client.passed = False
+        client.passed_shedding = False
         if self.balancers.current.should_shed(
-            self.step.now, self.step.idle, request_class, self.step.came, left, refused
+            self.step.now,
+            self.step.last_idle_at,
+            request_class,
+            self.step.arrived_at,
+            time_left,
+            refused,
         ):
             self._count_shed()
             wait = self._retry_after()
@@ -152,33 +164,33 @@
             client,
             request_class,
             tenant,
-            self.step.came,
-            self.step.came + left,
-            _hint(message.fields.get(b"x-props")),
+            self.step.arrived_at,
+            self.step.arrived_at + time_left,
+            _cost_hint(message.fields.get(b"x-props")),
             owner=self.balancers.current,
         )
         set_state(client, AWAITING_RESPONSE, self.downstream.by_state)
-        client.request, client.id = request, name
-        self.ids[name] = client
+        client.request, client.id = request, request_id
+        self.ids[request_id] = client
         if message.flow is None or message.flow.whole:
             self.downstream.await_response(client)
         else:
-            self.downstream.await_body(client, SLOW_BODY)
+            self.downstream.await_body(client, BODY_TIMEOUT)
         self.balancers.current.request_received(self.step.now, request)
 
     def _tenant(self, name):
-        # What is no UTF-8 becomes a name that no settings can hold.
+        # A name that is not valid UTF-8 decodes to one that no settings can contain.
         return (
             self.balancers.settings.tenants.of(name.decode(errors="surrogateescape"), self.step.now)
             if name
             else None
         )
 
-    def preview(self, now, client, requests, came, idle):
-        """The prepared refusal of what `requests` holds, or None if that is to be handled as usual.
+    def preview(self, now, client, requests, arrived_at, last_idle_at):
+        """Returns a prepared 503 head for unparsed input, or None if that is handled as usual.
 
-        No event: nothing is decided, due or noted but the count, so that it costs a tenth of an
-        answer.
+        No event is applied: no decision is made and no timer set, only the count goes up. So it
+        costs a tenth of a full response.
         """
         if (
             not self.balancers.load_shedder.threshold
@@ -187,10 +199,10 @@
             or client.last
         ):
             return None
-        seen = requests.preview()
-        if seen is None:
+        preview = requests.preview()
+        if preview is None:
             return None
-        wait = self._shed_unread(now, client, seen, came, idle)
+        wait = self._shed_unparsed(now, client, preview, arrived_at, last_idle_at)
         if wait is None:
             return None
         refusals = self.balancers.refusals
@@ -200,97 +212,99 @@
             )
         return refusals[wait]
 
-    def _shed_unread(self, now, client, seen, came, idle):
-        """Sheds what was seen at a glance: its Retry-After, or None if it is not shed."""
-        method, target, fields = seen
+    def _shed_unparsed(self, now, client, preview, arrived_at, last_idle_at):
+        """Sheds a previewed request and returns its Retry-After, or None if it is not shed."""
+        method, target, fields = preview
         request_class = self.balancers.request_classes.get(
             target.partition(b"?")[0].partition(b"/")[2].partition(b"/")[0]
         )
         if request_class is None:
             return None
-        name, left = (
+        request_id, expires_in = (
             fields.get(b"x-trace-id"),
             fields.get(b"x-expires-in-ms", b"%d" % (request_class.request_timeout // 10)),
         )
         if (
-            not _can_be_shed_unread(method, target, fields, request_class, name, left)
-            or name in self.ids
+            not _can_be_shed_unparsed(method, target, fields, request_class, request_id, expires_in)
+            or request_id in self.ids
             or self.lifecycle.is_draining()
         ):
             return None
-        left = min(int(left) * 10, request_class.request_timeout)
+        time_left = min(int(expires_in) * 10, request_class.request_timeout)
         if not self.balancers.load_shedder.rejects(
-            request_class.index, left < request_class.latency_objective, client.known
+            request_class.index, time_left < request_class.latency_objective, client.known
         ):
-            client.passed = True  # Once is enough: it is not checked again after its wait.
+            client.passed_shedding = True  # It is not checked again when it is parsed.
             return None
-        self.balancers.current.should_shed(now, idle, request_class, came, left, True)
+        self.balancers.current.should_shed(
+            now, last_idle_at, request_class, arrived_at, time_left, True
+        )
         self._count_shed()
         client.since = now
         self.downstream.by_state[client.state].move_to_end(client)
-        if client.due is not None:
-            client.due = (now + CLIENT_IDLE, self.downstream.idle_too_long)
+        if client.timer is not None:
+            client.timer = (now + CLIENT_IDLE_TIMEOUT, self.downstream.idle_timed_out)
         return self._retry_after()
 
     def _count_shed(self):
-        if not self.shed:
-            self.timers.at(self.step.now + LOG_INTERVAL, self._log_shed, None)
-        self.shed += 1
+        if not self.shed_count:
+            self.timers.schedule(self.step.now + LOG_INTERVAL, self._log_shed, None)
+        self.shed_count += 1
 
     def _retry_after(self):
-        """The Retry-After of a shed request: seconds as text; empty where that is not set."""
-        most = self.balancers.settings.max_retry_after
+        """Returns the Retry-After of shed requests: seconds as text, empty if none is set."""
+        maximum = self.balancers.settings.max_retry_after
         return (
             b"%g"
             % (
                 max(1, round(RETRY_AFTER_STEPS * self.balancers.load_shedder.threshold))
-                * most
+                * maximum
                 / RETRY_AFTER_STEPS
                 / 10000
             )
-            if most
+            if maximum
             else b""
         )
 
     def _assign_id(self, message):
-        """An id for a request without one; it is forwarded like one that was sent."""
-        self.assigned += 1
-        name = b"%s-%x-%x" % (
+        """Assigns an id to a request without one; it is forwarded like one the client sent."""
+        self.assigned_count += 1
+        request_id = b"%s-%x-%x" % (
             str(self.reconfiguration.document.get("name", "")).encode(),
-            self.began,
-            self.assigned,
+            self.started_at,
+            self.assigned_count,
         )
-        message.headers.append((b"X-Trace-Id", name, b"x-trace-id"))
-        message.fields[b"x-trace-id"] = name
+        message.headers.append((b"X-Trace-Id", request_id, b"x-trace-id"))
+        message.fields[b"x-trace-id"] = request_id
         message.given = True
-        return name
+        return request_id
 
     def _log_shed(self, _):
-        """One line for many: they come by thousands, and at the worst time."""
-        self.step.log("load_shed", requests=self.shed)
-        self.shed = 0
+        """Logs one line for many shed requests: thousands may be shed while the process is busy."""
+        self.step.log("load_shed", requests=self.shed_count)
+        self.shed_count = 0
 
-    def _is_in_use(self, name):
+    def _is_in_use(self, request_id):
         while self.recent_ids and self.recent_ids[0][0] <= self.step.now:
             self.ids.pop(self.recent_ids.popleft()[1], None)
-        return name in self.ids
+        return request_id in self.ids
 
-    def close_id(self, client):
-        """Its id is refused for a while yet."""
-        self.recent_ids.append((self.step.now + SPENT_FOR, client.id))
+    def retire_id(self, client):
+        """Keeps the id of an answered request in use for ID_RETENTION."""
+        self.recent_ids.append((self.step.now + ID_RETENTION, client.id))
         self.ids[client.id] = client.id = None
 
 
-def _at_fault(message, request_class, name, left):
-    """What is missing from a request, doubled or too much in it: the first that is found."""
-    doubled = sorted(SINGLE.intersection(message.doubled))
+def _describe_fault(message, request_class, request_id, expires_in):
+    """Describes the first fault of a request: a header or body missing, repeated or excessive."""
+    doubled = sorted(SINGLE_VALUE_HEADERS.intersection(message.doubled))
     if doubled:
         return f"{doubled[0].decode()} stands twice"
-    if not name:
+    if not request_id:
         return "X-Trace-Id is missing: a new one with every request"
-    if len(name) > ID_MOST:
-        return f"X-Trace-Id is longer than {ID_MOST} bytes"
-    if not left.isdigit() or len(left) > 9:
+    if len(request_id) > MAX_ID_BYTES:
+        return f"X-Trace-Id is longer than {MAX_ID_BYTES} bytes"
+    if not expires_in.isdigit() or len(expires_in) > 9:
         return "X-Expires-In-Ms is no whole number of milliseconds"
     if message.version == "1.1" and b"host" not in message.fields:
         return "Host is missing"
@@ -303,24 +317,24 @@
     return "a body where there is none"
 
 
-def _hint(props):
-    """The work of a request as its X-Props tell it, 0 where they do not."""
+def _cost_hint(props):
+    """Returns the cost hint in X-Props, or 0 if there is none."""
     for pair in (props or b"").split(b","):
-        figure = pair.strip().removeprefix(HINT)
+        figure = pair.strip().removeprefix(HINT_PREFIX)
         if len(figure) < len(pair.strip()) and figure.isdigit() and len(figure) <= 9:
             return down(figure)
     return 0
 
 
-def _is_malformed(message, request_class, name, left):
-    """Whether a header of a request is missing, doubled or out of its bounds."""
+def _is_malformed(message, request_class, request_id, expires_in):
+    """Returns whether a header of a request is missing, repeated or out of bounds."""
     fields, idempotency = message.fields, request_class.idempotency
     return (
-        not name
-        or len(name) > ID_MOST
-        or not left.isdigit()
-        or len(left) > 9
-        or (message.doubled and not SINGLE.isdisjoint(message.doubled))
+        not request_id
+        or len(request_id) > MAX_ID_BYTES
+        or not expires_in.isdigit()
+        or len(expires_in) > 9
+        or (message.doubled and not SINGLE_VALUE_HEADERS.isdisjoint(message.doubled))
         or (message.version == "1.1" and b"host" not in fields)
         or (
             (b"idempotency-key" in fields) != (idempotency == Idempotency.KEYED)
@@ -330,14 +344,14 @@
     )
 
 
-def _can_be_shed_unread(method, target, fields, request_class, name, left):
-    """Whether what is seen at a glance is a valid request, as far as that can be seen."""
+def _can_be_shed_unparsed(method, target, fields, request_class, request_id, expires_in):
+    """Returns whether a previewed request is valid, as far as that can be told unparsed."""
     return (
-        method == METHODS[request_class.idempotency]
+        method == METHOD_BY_IDEMPOTENCY[request_class.idempotency]
         and target[:1] == b"/"
-        and name
-        and len(name) <= ID_MOST
-        and left.isdigit()
-        and len(left) <= 9
+        and request_id
+        and len(request_id) <= MAX_ID_BYTES
+        and expires_in.isdigit()
+        and len(expires_in) <= 9
         and (b"idempotency-key" in fields) == (request_class.idempotency == Idempotency.KEYED)
     )
--- a/pierglade/proxy/state/responses.py
+++ b/pierglade/proxy/state/responses.py
@@ -1,4 +1,4 @@
-"""Responses of backends: passed to their clients, whole or as they come."""
+"""Responses of backends: forwarded to their clients, whole or streamed."""
 
 from pierglade.model.endpoint import LoadReportSource
 from pierglade.model.outcome import Outcome
@@ -10,15 +10,14 @@
 )
 
 # Times are tenths of a millisecond.
-REPLY_GOES_ON = 1000  # 100 ms; between the pieces of an answer; a spoilt one may never end
-FLOW_GOES_ON = 50000  # 5 s; between the pieces of a response that is forwarded as it comes
-KEPT_BACK = http.HOP_BY_HOP | {
-    b"endpoint-load-metrics"
-}  # headers of a response that are for the balancer
+RESPONSE_PIECE_TIMEOUT = 1000  # 100 ms; between two pieces; a malformed response may never end
+STREAM_PIECE_TIMEOUT = 50000  # 5 s; between two pieces of a response that is being streamed
+# Response headers that are for the balancer and not forwarded.
+WITHHELD_HEADERS = http.HOP_BY_HOP | {b"endpoint-load-metrics"}
 
 
 class ResponseRelay:
-    """Takes what backends respond."""
+    """Handles the responses of backends."""
 
     def __init__(self, step, timers, downstream, upstream, attempts, health_checks):
         self.step = step
@@ -28,97 +27,98 @@
         self.attempts = attempts
         self.health_checks = health_checks
 
-    def part_received(self, link):
-        """A piece of a response has come, and it is not whole. Its reader bounds its size."""
-        if link.flow is not None:
-            self.timers.set_timer(link, self.step.now + FLOW_GOES_ON, self._flow_stalled)
-        elif link.state is BUSY:
-            link.replying = self.step.now + REPLY_GOES_ON
-            self.upstream.watch(link)
+    def part_received(self, connection):
+        """Restarts the timeout for the next piece of a response; its reader bounds its size."""
+        if connection.flow is not None:
+            self.timers.set_timer(
+                connection, self.step.now + STREAM_PIECE_TIMEOUT, self._stream_stalled
+            )
+        elif connection.state is BUSY:
+            connection.response_piece_due_at = self.step.now + RESPONSE_PIECE_TIMEOUT
+            self.upstream.restart_timeout(connection)
 
-    def _flow_stalled(self, link):
-        if link.flow.full():
-            return self.part_received(
-                link
-            )  # The client takes it slowly, and is looked after itself.
-        self.upstream.close(link, "stalled")
+    def _stream_stalled(self, connection):
+        if connection.flow.full():
+            # The client reads it slowly, and has its own timeout.
+            return self.part_received(connection)
+        self.upstream.close(connection, "stalled")
 
-    def received(self, link, message):
-        """A whole response has come on a connection."""
-        link.replying = 0
-        if link.state is IDLE:
-            # Nobody asked: kept, the connection would give the next attempt a response that is not
-            # its own.
-            return self.upstream.close(link, "unasked answer")
-        if link.state is not BUSY:
+    def received(self, connection, message):
+        """Handles a response that is whole, or streamed from now on."""
+        connection.response_piece_due_at = 0
+        if connection.state is IDLE:
+            # Unsolicited: if the connection were reused, it would be taken for the response to the
+            # next attempt.
+            return self.upstream.close(connection, "unasked answer")
+        if connection.state is not BUSY:
             return
-        if link.probing:
+        if connection.probing:
             if message.status == 200 and self.health_checks.uses_reports(
                 LoadReportSource.HEALTH_CHECKS
             ):
-                self.health_checks.load_reported(link, message.body)
-            self.health_checks.finished(link, message.status == 200)
+                self.health_checks.load_reported(connection, message.body)
+            self.health_checks.finished(connection, message.status == 200)
         else:
             if self.health_checks.uses_reports(LoadReportSource.RESPONSES):
                 self.health_checks.load_reported(
-                    link, message.fields.get(b"endpoint-load-metrics", b"")
+                    connection, message.fields.get(b"endpoint-load-metrics", b"")
                 )
-            if self._attempt_answered(link, message):
-                return self.part_received(link)
-        # The rest of what nobody waits for would hold up the connection.
-        self.upstream.release(link, message.keep and message.flow is None)
+            if self._attempt_answered(connection, message):
+                return self.part_received(connection)
+        # A body that no client waits for would block the connection.
+        self.upstream.release(connection, message.keep and message.flow is None)
 
-    def _attempt_answered(self, link, message):
-        """Whether the body of the response is still to be forwarded from the connection."""
-        attempt, link.attempt = link.attempt, None
-        # The client's own fault goes back to it; but 429 would say that nothing ran, which nobody
-        # knows.
+    def _attempt_answered(self, connection, message):
+        """Reports a response to the balancer; returns whether its body is still to be streamed."""
+        attempt, connection.attempt = connection.attempt, None
+        # A client error goes back to the client, except 429: it would mean that the request was not
+        # executed, which is unknown.
         rejected = 400 <= message.status < 500 and message.status != 429
         if message.status != 200 and not rejected:
-            self._attempt_failed(link, attempt, message)
+            self._attempt_failed(connection, attempt, message)
             return False
         request = attempt.request
-        awaited = not request.completed
+        is_awaited = not request.completed
         outcome = Outcome.CLIENT_ERROR if rejected else Outcome.SUCCESS
-        self.attempts.ended(attempt, outcome, done=True)
-        if not awaited:
+        self.attempts.report_outcome(attempt, outcome, answered=True)
+        if not is_awaited:
             return False
         if rejected or len(request.attempts) > 1 or self.step.now > request.objective_at:
-            # What went well leaves no line: at four times the load there were too many of them.
+            # Ordinary successes are not logged: at four times the load there were too many lines.
             self.step.log(
                 "client_error" if rejected else "request_succeeded",
                 request_class=request.request_class.name,
                 attempts=len(request.attempts),
                 latency_ms=(self.step.now - request.arrived_at) / 10,
-                backend=link.backend.name,
+                backend=connection.backend.name,
             )
-        client, headers = request.host_context, http.passed_on(message, KEPT_BACK)
+        client, headers = request.host_context, http.passed_on(message, WITHHELD_HEADERS)
         if message.flow is None:
             self.downstream.respond(client, message.status, headers, message.body)
             return False
-        wanted = client.message.method != b"HEAD"
-        self.downstream.respond(client, message.status, headers, message.flow, link)
-        return wanted
+        has_body = client.message.method != b"HEAD"
+        self.downstream.respond(client, message.status, headers, message.flow, connection)
+        return has_body
 
-    def _attempt_failed(self, link, attempt, message):
-        """A backend's response that does not go to the client."""
+    def _attempt_failed(self, connection, attempt, message):
+        """Reports a response that is not forwarded to the client."""
         never_ran = message.status in (503, 504) and message.fields.get(b"x-never-ran") == b"1"
         self.step.log(
             "attempt_failed",
-            backend=link.backend.name,
+            backend=connection.backend.name,
             status=message.status,
             unexecuted=never_ran,
         )
-        self.attempts.ended(
+        self.attempts.report_outcome(
             attempt, Outcome.REJECTED_UNPROCESSED if never_ran else Outcome.SERVER_ERROR
         )
 
-    def completed(self, link, keep):
-        """A response that was forwarded as it came is whole."""
-        if link.flow is None or link.state is CLOSED:
+    def completed(self, connection, keep):
+        """Releases the connection of a streamed response that is whole."""
+        if connection.flow is None or connection.state is CLOSED:
             return
-        if link.reader is not None:
-            link.reader.source = None
-        link.flow = link.reader = None
-        link.replying = 0
-        self.upstream.release(link, keep)
+        if connection.receiver is not None:
+            connection.receiver.source = None
+        connection.flow = connection.receiver = None
+        connection.response_piece_due_at = 0
+        self.upstream.release(connection, keep)
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -1,4 +1,4 @@
-"""Learned statistics for a snapshot, and back: plain figures, for `pierglade/snapshot/`."""
+"""Exports learned statistics for `pierglade/snapshot/` and restores them, as plain values."""
 
 from pierglade.model.endpoint import EndpointState
 from pierglade.snapshot.aging import aged
@@ -9,7 +9,7 @@
 
 
 class SnapshotExchange:
-    """Exports what a snapshot keeps over a restart, and takes it back."""
+    """Exports the statistics that a snapshot keeps over a restart, and restores them."""
 
     def __init__(self, step, balancers, endpoints):
         self.step = step
@@ -17,9 +17,9 @@
         self.endpoints = endpoints
 
     def export(self, keys, row_keys):
-        """(offerings, backends, work done at all of them, the list's entries), by names, copied.
+        """Returns copies of (request classes, backends, total work, endpoint list entries).
 
-        `backends`: name to (address, started, figures), of those that are ready.
+        The first two are by name; `backends`: (address, started, statistics) of the ready ones.
         """
         rows, figures = self.balancers.current.export_statistics(keys)
         request_classes = {
@@ -54,9 +54,9 @@
         return request_classes, backends, work, entries
 
     def restore(self, snapshot, half_life):
-        """Takes back what is still true of a Snapshot; returns the line that says what that was.
+        """Restores what is still valid of a Snapshot; returns a log line that describes it.
 
-        Raises UntrustedSnapshotError where nothing is. `half_life`: tenths of a millisecond.
+        Raises UntrustedSnapshotError if nothing is valid. `half_life`: ticks.
         """
         fresh, _ = self.balancers.current.export_statistics(())
         listed = {
--- a/pierglade/proxy/state/step.py
+++ b/pierglade/proxy/state/step.py
@@ -1,24 +1,24 @@
-"""The step in progress: one event, its moment, and the effects so far."""
+"""The step in progress: one event, its time, and the effects so far."""
 
 from pierglade.proxy.state.effects import LogEvent
 
 
 class Step:
-    """What one event is handled with: its moment, and the effects that it has brought about."""
+    """The time of the event being handled, and its effects so far."""
 
     def __init__(self, now):
-        self.now = self.came = self.idle = now
+        self.now = self.arrived_at = self.last_idle_at = now
         self.effects = []
 
-    def begin(self, now, came, idle):
-        """A new event: time never goes back; `came`, `idle` as in ProxyStateMachine.apply."""
+    def begin(self, now, arrived_at, last_idle_at):
+        """Starts a step; time never goes back. `arrived_at`, `last_idle_at`: as for `apply`."""
         self.now, self.effects = max(now, self.now), []
-        self.came, self.idle = min(came, self.now), idle
+        self.arrived_at, self.last_idle_at = min(arrived_at, self.now), last_idle_at
 
     def emit(self, effect):
         """Adds an effect."""
         self.effects.append(effect)
 
     def log(self, event, **fields):
-        """Adds a line of the log, as an effect."""
+        """Adds a log line, as an effect."""
         self.effects.append(LogEvent(event, fields))
--- a/pierglade/proxy/state/timers.py
+++ b/pierglade/proxy/state/timers.py
@@ -1,4 +1,4 @@
-"""When something is due: a heap of moments, and one timer a connection."""
+"""Timers: a heap of callbacks by time, and at most one timer per connection."""
 
 from heapq import heappop, heappush
 
@@ -8,48 +8,48 @@
 
 
 class Timers:
-    """What is to be done at a later moment."""
+    """Callbacks that are due at a later time."""
 
     def __init__(self, step):
         self.step = step
-        self.heap = []  # (moment, sequence, callback, its argument)
-        self._sequence = 0  # keeps timers of one moment in the order in which they were set
+        self.heap = []  # (time, sequence, callback, argument)
+        self._sequence = 0  # keeps timers of the same time in the order in which they were set
 
-    def at(self, moment, call, subject):
-        """Calls `call(subject)` at that moment, or in the first step after it."""
+    def schedule(self, moment, callback, argument):
+        """Calls `callback(argument)` at that time, or in the first step after it."""
         self._sequence += 1
-        heappush(self.heap, (moment, self._sequence, call, subject))
+        heappush(self.heap, (moment, self._sequence, callback, argument))
 
-    def set_timer(self, connection, moment, call):
-        """A connection has one thing due at a time; a later one takes its place."""
-        connection.due = (moment, call)
+    def set_timer(self, connection, moment, callback):
+        """Sets the one timer of a connection; replaces an earlier one."""
+        connection.timer = (moment, callback)
         self._enqueue(connection)
 
     def _enqueue(self, connection):
-        # Seldom more than one entry each: with one for every response the heap would hold a
-        # minute's worth.
-        moment = connection.due[0]
-        if connection.queued is None or moment < connection.queued:
-            connection.queued = moment
-            self.at(moment, self._connection_timer_fired, (connection, moment))
-
-    def _connection_timer_fired(self, queued):
-        connection, moment = queued
-        if connection.queued != moment:
-            return  # An earlier one has taken its place; followed up, both would live on for ever.
-        connection.queued = None
-        if connection.due is None or connection.state is CLOSED:
+        # One entry per connection as a rule: with one per response, the heap would hold the timers
+        # of a whole minute.
+        moment = connection.timer[0]
+        if connection.timer_queued_at is None or moment < connection.timer_queued_at:
+            connection.timer_queued_at = moment
+            self.schedule(moment, self._connection_timer_fired, (connection, moment))
+
+    def _connection_timer_fired(self, entry):
+        connection, moment = entry
+        if connection.timer_queued_at != moment:
+            return  # Replaced by an earlier entry; if renewed, both would stay for ever.
+        connection.timer_queued_at = None
+        if connection.timer is None or connection.state is CLOSED:
             return
-        if connection.due[0] > self.step.now:
+        if connection.timer[0] > self.step.now:
             return self._enqueue(connection)
-        call, connection.due = connection.due[1], None
-        call(connection)
+        callback, connection.timer = connection.timer[1], None
+        callback(connection)
 
     def run_due(self):
-        """Whether anything was due."""
+        """Runs the callbacks that are due; returns whether there were any."""
         if not self.heap or self.heap[0][0] > self.step.now:
             return False
         while self.heap and self.heap[0][0] <= self.step.now:
-            _, _, call, subject = heappop(self.heap)
-            call(subject)
+            _, _, callback, argument = heappop(self.heap)
+            callback(argument)
         return True
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: opened, kept for reuse, watched and closed."""
+"""Connections to backends: opened, reused, timed out and closed."""
 
 from collections import OrderedDict
 
@@ -15,10 +15,10 @@
     set_state,
 )
 from pierglade.proxy.state.constants import (
+    DEADLINE_MARGIN,
     LIVE_PATH,
-    MARGIN,
     NEVER,
-    REST,
+    REUSE_DELAY,
     STATS_PATH,
 )
 from pierglade.proxy.state.effects import (
@@ -28,12 +28,13 @@
 )
 
 # Times are tenths of a millisecond.
-IDLE_PART = 0.6  # share of the idle timeout after which the proxy closes, ahead of backends
-PROBE_FOR = 2000  # 200 ms; a process that runs says so at once
+# Fraction of the idle timeout after which the proxy closes a connection, before the backend does.
+IDLE_TIMEOUT_RATIO = 0.6
+HEALTH_CHECK_TIMEOUT = 2000  # 200 ms; a running process answers a health check at once
 
 
 class UpstreamConnections:
-    """The connections to backends."""
+    """The connections to all backends."""
 
     def __init__(self, step, timers, counters, balancers, descriptors, endpoints, downstream):
         self.step = step
@@ -45,174 +46,180 @@
         self.downstream = downstream
         self.by_state = {state: OrderedDict() for state in (CONNECTING, IDLE, BUSY)}
 
-    def connect(self, attempts, health_checks):
-        """The parts that are made after this one."""
+    def set_dependencies(self, attempts, health_checks):
+        """Sets the components that are created after this one."""
         self.attempts = attempts
         self.health_checks = health_checks
 
     def open(self, backend):
-        """A new connection to a backend; None: there is no descriptor for it."""
-        link = UpstreamConnection(backend)
-        self.descriptors.open += 1
+        """Opens a connection to a backend; returns None if there is no descriptor for it."""
+        connection = UpstreamConnection(backend)
+        self.descriptors.open_count += 1
         if not self.descriptors.free_descriptors(None):
-            self.descriptors.open -= 1
+            self.descriptors.open_count -= 1
             return None
         backend.links += 1
-        backend.coming_up += 1
-        set_state(link, CONNECTING, self.by_state)
-        link.since = self.step.now
+        backend.connecting_count += 1
+        set_state(connection, CONNECTING, self.by_state)
+        connection.since = self.step.now
         self.counters.count("connections_opened")
-        self.watch(link)
-        self.step.emit(Connect(link))
-        return link
-
-    def watch(self, link):
-        """Sees to it that what the link waits for comes in time."""
-        moment = link.replying or NEVER
-        if link.state is CONNECTING:
-            moment = link.since + self.balancers.settings.connect_timeout
-        if link.attempt is not None:
-            # Times out ahead of the client's limit.
-            moment = min(moment, link.attempt.timeout_at - MARGIN)
-        elif link.probing:
-            moment = min(moment, link.since + PROBE_FOR)
-        self.timers.set_timer(link, moment, self._timed_out)
-
-    def _timed_out(self, link):
-        attempt = link.attempt
-        if link.state is CONNECTING:
-            self.ended(link, CloseCause.CONNECT_FAILED, False, "connect time-out")
-        elif attempt is not None and self.step.now >= attempt.timeout_at - MARGIN:
+        self.restart_timeout(connection)
+        self.step.emit(Connect(connection))
+        return connection
+
+    def restart_timeout(self, connection):
+        """Sets the timeout for whatever the connection waits for."""
+        moment = connection.response_piece_due_at or NEVER
+        if connection.state is CONNECTING:
+            moment = connection.since + self.balancers.settings.connect_timeout
+        if connection.attempt is not None:
+            # Times out before the client's deadline.
+            moment = min(moment, connection.attempt.timeout_at - DEADLINE_MARGIN)
+        elif connection.probing:
+            moment = min(moment, connection.since + HEALTH_CHECK_TIMEOUT)
+        self.timers.set_timer(connection, moment, self._timed_out)
+
+    def _timed_out(self, connection):
+        attempt = connection.attempt
+        if connection.state is CONNECTING:
+            self.disconnected(connection, CloseCause.CONNECT_FAILED, False, "connect time-out")
+        elif attempt is not None and self.step.now >= attempt.timeout_at - DEADLINE_MARGIN:
             self.attempts.abort(attempt, "timed out")
-            self.attempts.ended(attempt, Outcome.TIMEOUT)
+            self.attempts.report_outcome(attempt, Outcome.TIMEOUT)
         else:
-            self.ended(
-                link,
+            self.disconnected(
+                connection,
                 *(CloseCause.MALFORMED_RESPONSE, True, "endless answer")
-                if link.replying
+                if connection.response_piece_due_at
                 else (CloseCause.CONNECT_FAILED, False, "probe time-out"),
             )
 
-    def connected(self, link):
-        """The connection has come up."""
-        if link.state is not CONNECTING:
+    def connected(self, connection):
+        """Uses a connection that is established."""
+        if connection.state is not CONNECTING:
             return
-        link.backend.coming_up -= 1
-        set_state(link, BUSY, self.by_state)
-        self.watch(link)
-        if link.attempt is None and not link.probing:
-            # Its attempt was sent on another that was free first.
-            return self.release(link, True)
-        if link.probing and self.endpoints.is_draining(link.backend):
-            self.ended(link, CloseCause.CONNECT_FAILED, False, "drained")
-        elif link.probing:
+        connection.backend.connecting_count -= 1
+        set_state(connection, BUSY, self.by_state)
+        self.restart_timeout(connection)
+        if connection.attempt is None and not connection.probing:
+            # Its attempt was sent on another connection that became idle first.
+            return self.release(connection, True)
+        if connection.probing and self.endpoints.is_draining(connection.backend):
+            self.disconnected(connection, CloseCause.CONNECT_FAILED, False, "drained")
+        elif connection.probing:
             path = (
                 STATS_PATH
                 if self.health_checks.uses_reports(LoadReportSource.HEALTH_CHECKS)
                 else LIVE_PATH
             )
-            head = http.request_head(b"GET", path, [(b"Host", link.address.encode())], 0)
-            self.step.emit(SendRequest(link, head, b""))
+            head = http.request_head(b"GET", path, [(b"Host", connection.address.encode())], 0)
+            self.step.emit(SendRequest(connection, head, b""))
         else:
-            self.attempts.write(link)
+            self.attempts.write(connection)
 
-    def request_not_sent(self, link):
-        """Nothing was written upstream: the client's end of stream was there to be read."""
-        if link.state is BUSY and link.attempt is not None:
-            self.downstream.disconnected(link.attempt.request.host_context, "client closed")
-            self.attempts.withdraw(link, Outcome.NOT_SENT)
+    def request_not_sent(self, connection):
+        """Abandons the request: the client had ended its side before anything was written."""
+        if connection.state is BUSY and connection.attempt is not None:
+            self.downstream.disconnected(connection.attempt.request.host_context, "client closed")
+            self.attempts.withdraw(connection, Outcome.NOT_SENT)
 
-    def release(self, link, keep):
-        """A connection has nothing to do: it is kept for reuse, or closed."""
-        backend = link.backend
+    def release(self, connection, keep):
+        """Keeps a connection without work for reuse, or closes it."""
+        backend = connection.backend
         if not keep:
-            self.close(link, "closed by its answer")
-        elif self.endpoints.is_draining(backend) or backend.address != link.address:
-            self.close(link, "drained")
+            self.close(connection, "closed by its answer")
+        elif self.endpoints.is_draining(backend) or backend.address != connection.address:
+            self.close(connection, "drained")
         else:
-            set_state(link, IDLE, self.by_state)
-            backend.idle.append(link)
-            link.since = self.step.now
-            if backend.coming_up:
-                self.timers.at(self.step.now + REST, self._take_over_attempt, link)
+            set_state(connection, IDLE, self.by_state)
+            backend.idle.append(connection)
+            connection.since = self.step.now
+            if backend.connecting_count:
+                self.timers.schedule(
+                    self.step.now + REUSE_DELAY, self._take_over_attempt, connection
+                )
             self.timers.set_timer(
-                link,
-                self.step.now + int(IDLE_PART * self.balancers.settings.idle_timeout),
-                self._idle_too_long,
+                connection,
+                self.step.now + int(IDLE_TIMEOUT_RATIO * self.balancers.settings.idle_timeout),
+                self._idle_timed_out,
             )
 
-    def _take_over_attempt(self, link):
-        """An idle connection takes the oldest attempt that waits for another to connect."""
-        if link.state is not IDLE:
+    def _take_over_attempt(self, connection):
+        """Gives an idle connection the oldest attempt whose own connection is not established."""
+        if connection.state is not IDLE:
             return
         for other in self.by_state[CONNECTING]:
             if (
-                other.backend is link.backend
+                other.backend is connection.backend
                 and other.attempt is not None
-                and other.address == link.address
+                and other.address == connection.address
             ):
                 attempt, other.attempt = other.attempt, None
-                self.attempts.connections[attempt], link.attempt = link, attempt
-                link.backend.idle.remove(link)
-                set_state(link, BUSY, self.by_state)
-                self.watch(link)
-                self.watch(other)
+                self.attempts.connections[attempt], connection.attempt = connection, attempt
+                connection.backend.idle.remove(connection)
+                set_state(connection, BUSY, self.by_state)
+                self.restart_timeout(connection)
+                self.restart_timeout(other)
                 self.counters.count("connections_skipped")
-                self.attempts.write(link)
+                self.attempts.write(connection)
                 return
 
-    def _idle_too_long(self, link):
-        self.close(link, "idle")
+    def _idle_timed_out(self, connection):
+        self.close(connection, "idle")
 
-    def ended(self, link, how, whole, reason):
-        """A connection has ended by itself; `whole`: the last byte of a request was written."""
-        if link.state is CLOSED:
+    def disconnected(self, connection, cause, request_written, reason):
+        """Handles the end of a connection; `request_written`: to the last byte of a request."""
+        if connection.state is CLOSED:
             return
-        attempt, link.attempt = link.attempt, None
-        if link.state is CONNECTING:
+        attempt, connection.attempt = connection.attempt, None
+        if connection.state is CONNECTING:
             self.counters.count("connections_refused")
-        if link.probing:
-            self.health_checks.finished(link, False)
-        self.close(link, reason)
+        if connection.probing:
+            self.health_checks.finished(connection, False)
+        self.close(connection, reason)
         if attempt is None:
             return
-        if how is CloseCause.STALE:
-            # A kept connection was found closed before a byte was written: the attempt has not
-            # begun.
+        if cause is CloseCause.STALE:
+            # Nothing was written, so the attempt has not begun and is sent again.
             return self.attempts.send(attempt)
-        if how in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
-            # Ended by us: the backend may go on with its answer, and has it out until our end is
-            # there.
-            attempt.request.host_context.dropped = self.step.now
-        # Cut: its own client left in the middle of the body, which says nothing of the backend.
+        if cause in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
+            # Closed by the proxy: the backend may still be answering, and counts the attempt as in
+            # flight until the close arrives.
+            attempt.request.host_context.last_abort_at = self.step.now
+        # If the attempt's own client left during the upload, that is no failure of the backend.
         outcome = (
             Outcome.SERVER_ERROR
-            if how is CloseCause.MALFORMED_RESPONSE
+            if cause is CloseCause.MALFORMED_RESPONSE
             else Outcome.NOT_SENT
-            if how is CloseCause.CLIENT_GONE
+            if cause is CloseCause.CLIENT_GONE
             else Outcome.CONNECTION_RESET
-            if whole
+            if request_written
             else Outcome.CONNECT_FAILED
         )
         self.step.log(
-            "attempt_failed", backend=link.backend.name, reason=reason, outcome=outcome.value
+            "attempt_failed", backend=connection.backend.name, reason=reason, outcome=outcome.value
         )
-        self.attempts.ended(attempt, outcome)
+        self.attempts.report_outcome(attempt, outcome)
 
-    def close(self, link, reason):
+    def close(self, connection, reason):
         """Closes a connection at once."""
-        del self.by_state[link.state][link]
-        backend = link.backend
-        self.descriptors.open -= 1
+        del self.by_state[connection.state][connection]
+        backend = connection.backend
+        self.descriptors.open_count -= 1
         backend.links -= 1
-        backend.coming_up -= link.state is CONNECTING
-        if link.state is IDLE:
-            backend.idle.remove(link)
-        if backend.probed_on is link:
-            backend.probed_on = None
-        self.step.log("upstream_closed", reason=reason, backend=link.backend.name, state=link.state)
-        link.cut, link.state = link.state is BUSY, CLOSED
-        if link.reader is not None:
-            link.reader.source = None
-            link.flow = link.reader = None
-        self.step.emit(CloseUpstream(link))
+        backend.connecting_count -= connection.state is CONNECTING
+        if connection.state is IDLE:
+            backend.idle.remove(connection)
+        if backend.health_check_connection is connection:
+            backend.health_check_connection = None
+        self.step.log(
+            "upstream_closed",
+            reason=reason,
+            backend=connection.backend.name,
+            state=connection.state,
+        )
+        connection.cut, connection.state = connection.state is BUSY, CLOSED
+        if connection.receiver is not None:
+            connection.receiver.source = None
+            connection.flow = connection.receiver = None
+        self.step.emit(CloseUpstream(connection))
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -216,7 +216,7 @@
         desk.reply(link=0)
         desk.after(10)
         desk.say(
-            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].coming_up} coming up"
+            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].connecting_count} coming up"
         )
         self.check("node_free_first", desk.lines)
 
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -29,7 +29,7 @@
 from pierglade.proxy.server import ProxyServer
 from pierglade.proxy.state import downstream as state_clients
 from pierglade.proxy.state.connections import CloseCause, ConnectionState
-from pierglade.proxy.state.constants import REST
+from pierglade.proxy.state.constants import REUSE_DELAY
 from pierglade.proxy.state.events import (
     ConfigurationLoaded,
     EndpointsUpdated,
@@ -172,8 +172,8 @@
         until(
             lambda: (
                 all(
-                    reducer.step.now - link.since >= REST
-                    and self.host.clock.now() - link.since >= REST
+                    reducer.step.now - link.since >= REUSE_DELAY
+                    and self.host.clock.now() - link.since >= REUSE_DELAY
                     for link in reducer.upstream.by_state[ConnectionState.IDLE]
                 )
                 or self.host.tell(TimerFired())
@@ -509,7 +509,7 @@
             )
             until(
                 lambda: all(
-                    house.host.clock.now() - link.since > REST
+                    house.host.clock.now() - link.since > REUSE_DELAY
                     for link in reducer.upstream.by_state[ConnectionState.IDLE]
                 )
             )
@@ -648,7 +648,7 @@
         request = desk.clients["body"].request
         request.deadline += 90000  # as where a body is still coming
         request.attempts[0].timeout_at += 90000
-        desk.reducer.upstream.watch(desk.links[0])
+        desk.reducer.upstream.restart_timeout(desk.links[0])
         desk.reducer.downstream.await_response(desk.clients["body"])
         desk.after(480)
         desk.ask("late", "/pay")
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -142,7 +142,7 @@
         desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
         desk.lose(CloseCause.CLIENT_GONE, whole=False)
         desk.say(
-            f"open {desk.reducer.descriptors.open}, out {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.ejections.reason}, "
+            f"open {desk.reducer.descriptors.open_count}, out {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.ejections.reason}, "
             f"errors {desk.reducer.balancers.current.outliers.error_rate}"
         )
         self.check("large_left", lines + desk.lines)
