--- a/pierglade/proxy/state/balancers.py
+++ b/pierglade/proxy/state/balancers.py
@@ -8,6 +8,7 @@
 from pierglade.model.request import Idempotency
 
 # Times are tenths of a millisecond.
+
 # Multiple of the longest request timeout; after it nothing in flight refers to a removed backend.
 RETENTION_FACTOR = 2
 
--- a/pierglade/proxy/state/counters.py
+++ b/pierglade/proxy/state/counters.py
@@ -5,6 +5,7 @@
 from pierglade.proxy.state.constants import LOG_INTERVAL
 
 # Times are tenths of a millisecond.
+
 # The counted events, in the order in which they are logged.
 COUNTERS = (
     "endpoint_polls",
--- a/pierglade/proxy/state/descriptors.py
+++ b/pierglade/proxy/state/descriptors.py
@@ -10,6 +10,7 @@
 from pierglade.proxy.state.effects import CloseWhenRead
 
 # Times are tenths of a millisecond.
+
 # Fraction of the descriptors; beyond it idle clients are closed, the longest idle first.
 MAX_CLIENT_RATIO = 0.25
 MIN_IDLE_BEFORE_CLOSE = 1000  # 100 ms; a connection idle for less is likely to be used soon
@@ -101,7 +102,7 @@
                 # clients that have none.
                 self._request_close(client)
             else:
-                # Slow senders must not block other clients: the slowest one gets a 503.
+                # Slow senders must not block other clients: the one sending longest gets a 503.
                 slow = next(iter(self.downstream.by_state[READING_REQUEST]), None)
                 if slow is not None:
                     self.downstream.refuse(slow, 503, last=True)
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -13,6 +13,7 @@
 )
 
 # Times are tenths of a millisecond.
+
 # 0.3 s; with the list restored at the start, a process waits this long for a newer one.
 INITIAL_LIST_TIMEOUT = 3000
 NAMED = 40  # names per log line; a longer line would be truncated and lose all of them
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -17,13 +17,14 @@
 )
 
 # Times are tenths of a millisecond.
+
 # 0.7 s; how long new connections are accepted after a stop: the load balancer in front needs 0.4 s.
 LISTEN_AFTER_STOP = 7000
 # 3 s; bounds the longest request timeout that is counted. The process may be killed that timeout
 # and LISTEN_AFTER_STOP after the stop.
 MAX_REQUEST_TIMEOUT = 30000
 ACCEPTED_READ_DELAY = 500  # 50 ms; for reading the connections that were accepted last
-# Fraction of the time until then in which all requests are answered; 3.1 s of 3.7 s.
+# Fraction of that time in which all requests are answered; 3.1 s of 3.7 s.
 RESPONSE_TIME_RATIO = 0.83
 
 
--- a/pierglade/proxy/state/reconfiguration.py
+++ b/pierglade/proxy/state/reconfiguration.py
@@ -11,6 +11,7 @@
 from pierglade.snapshot.handover import take_over
 
 # Times are tenths of a millisecond.
+
 # Configuration keys that are read only at the start of the process.
 RESTART_KEYS = ("name", "listen", "management", "limits")
 
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -20,6 +20,7 @@
 from pierglade.settings.platform import down
 
 # Times are tenths of a millisecond.
+
 # 2 s; an id stays in use this long after its response, as a duplicate request may be on its way.
 ID_RETENTION = 20000
 MAX_ID_BYTES = 256  # bounds the memory for ids, which are stored while their request is pending
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -28,6 +28,7 @@
 )
 
 # Times are tenths of a millisecond.
+
 # Fraction of the idle timeout after which the proxy closes a connection, before the backend does.
 IDLE_TIMEOUT_RATIO = 0.6
 HEALTH_CHECK_TIMEOUT = 2000  # 200 ms; a running process answers a health check at once
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -1,4 +1,4 @@
-"""Short traces of a node's whole state: events in, effects out, no sockets."""
+"""Event sequences through the whole proxy state machine: events in, effects out, no sockets."""
 
 import re
 from unittest import mock
@@ -26,8 +26,8 @@
 from tests.support.scene import Desk, TraceTest, balancer_settings, entry, message
 
 
-def warm_desk():
-    """Two backends, with a rested link to each."""
+def desk_with_idle_connections():
+    """Returns a desk with two backends and an idle connection to each that may be reused."""
     desk = Desk(["b0", "b1"])
     for name in ("w0", "w1"):
         desk.ask(name)
@@ -40,24 +40,27 @@
     return desk
 
 
-class Apart(TraceTest):
-    def test_the_next_trip_is_written_once_the_end_of_the_one_before_is_there(self):
-        """Called off at b0 and sent to b1 at once: two connections have no order between them."""
-        desk = warm_desk()
+class SendOrder(TraceTest):
+    def test_retry_is_sent_after_the_abort_of_the_previous_attempt(self):
+        """The abort at b0 must reach it before the retry is sent to b1.
+
+        Two connections are not ordered: without a delay the backends see two attempts in flight.
+        """
+        desk = desk_with_idle_connections()
         desk.ask("c0")
         link = next(link for link in desk.links if link.attempt)
-        node, owed = desk.reducer.balancers.current, [CancelAttempt(link.attempt)]
-        decide = node.next_decision
-        node.next_decision = lambda now: owed.pop() if owed else decide(now)
+        balancer, decisions = desk.reducer.balancers.current, [CancelAttempt(link.attempt)]
+        next_decision = balancer.next_decision
+        balancer.next_decision = lambda now: decisions.pop() if decisions else next_decision(now)
         desk.after(20)
         desk.tell(TimerFired())
         desk.after(3)
-        desk.say(f"cut in the middle {link.cut}")
+        desk.say(f"closed while busy {link.cut}")
         self.check("apart", desk.lines)
 
 
-class Trips(TraceTest):
-    def test_settled_then_on_the_kept_link(self):
+class Attempts(TraceTest):
+    def test_second_request_reuses_the_connection(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/look/user/7?a=b", "GET")
         desk.up()
@@ -70,8 +73,10 @@
         desk.after(6500)
         self.check("node_settled", desk.lines)
 
-    def test_a_kept_link_found_closed_is_no_loss(self):
-        """Not a byte was written, so even a one-shot goes out at once, and the backend is not blamed."""
+    def test_stale_connection_is_not_a_failure(self):
+        """No byte was written: even an unsafe request is sent again at once, and the backend is not
+        blamed.
+        """
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -83,10 +88,12 @@
         desk.up()
         self.check("node_stale", desk.lines)
 
-    def test_what_may_have_run(self):
-        """A break after the last byte, and a 503 that does not say otherwise, end a one-shot for good."""
+    def test_unsafe_request_that_may_have_been_executed_is_not_retried(self):
+        """An unsafe request is not retried if its connection breaks after its last byte, nor after a
+        503 that does not report it as not executed.
+        """
         lines = []
-        for path, how, *end in (
+        for path, action, *arguments in (
             ("/pay", "lose", CloseCause.RESET, True),
             ("/pay", "lose", CloseCause.RESET, False),
             ("/pay", "reply", 400),
@@ -101,12 +108,12 @@
             desk = Desk(["b0", "b1"])
             desk.ask("c0", path)
             desk.up()
-            desk.lines = [f"{path}: {how} {end}"]
-            getattr(desk, how)(*end)
+            desk.lines = [f"{path}: {action} {arguments}"]
+            getattr(desk, action)(*arguments)
             lines += desk.lines
         self.check("node_may_have_run", lines)
 
-    def test_times_out_ahead_of_the_limit(self):
+    def test_attempt_times_out_before_the_deadline(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/pay", left=700)
         desk.up()
@@ -114,8 +121,10 @@
         desk.reply()
         self.check("node_limit", desk.lines)
 
-    def test_the_node_comes_late(self):
-        """Its lateness is on the invocation's account, for early bounces, and not on the backend's."""
+    def test_event_loop_lag_is_not_latency_of_the_backend(self):
+        """The lag counts as waiting time of the request, for early rejections, and not as latency of
+        the backend.
+        """
         desk = Desk(["b0"])
         desk.open("c0")
         for waited in (50, 130):
@@ -138,8 +147,10 @@
         desk.say(f"typical {typical / 10:.0f} of 100 at first")
         self.check("node_late", desk.lines)
 
-    def test_short_of_its_core(self):
-        """Not over one stretch in which the machine stood still; told of in one line."""
+    def test_load_is_shed_when_cpu_is_short(self):
+        """Requests are shed after long waits, but not after one period in which the machine stood
+        still; they are logged in one line.
+        """
         desk = Desk(["b0"])
         for n, (idle, waited) in enumerate(((50, 45), (150, 30), (150, 45), (150, 45))):
             desk.now += 2000
@@ -157,8 +168,10 @@
             [line for line in desk.lines if not re.search("link|upstream_closed|counters", line)],
         )
 
-    def test_decided_in_the_turn_in_which_it_is_overdue(self):
-        """The loss of its trip comes late, when its answer is due: one answer, not two."""
+    def test_overdue_request_is_answered_once(self):
+        """An attempt fails in the step in which its request is overdue: it is answered once, not
+        twice.
+        """
         desk = Desk(["b0"])
         desk.ask("c0", "/pay", left=700)
         desk.up()
@@ -166,7 +179,7 @@
         desk.lose(CloseCause.RESET)
         self.check("node_overdue", desk.lines)
 
-    def test_client_gone(self):
+    def test_client_disconnects(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/pay")
         desk.up()
@@ -181,12 +194,12 @@
         desk.up()
         self.check("node_no_connection", desk.lines)
 
-    def test_a_fault_still_answers(self):
+    def test_client_is_answered_after_an_exception(self):
         desk = Desk(["b0"])
         desk.ask("c0", "/pay")
         desk.up()
         desk.open("c1")
-        decide, desk.reducer.balancers.current.next_decision = (
+        next_decision, desk.reducer.balancers.current.next_decision = (
             desk.reducer.balancers.current.next_decision,
             lambda now: 1 / 0,
         )
@@ -195,13 +208,15 @@
         except ZeroDivisionError:
             effect = desk.reducer.salvage(desk.clients["c1"])[-1]
             name, status = effect.connection.io.name, effect.head.split()[1].decode()
-            desk.say(f"fault: {type(effect).__name__} {name} {status}")
-        desk.reducer.balancers.current.next_decision = decide
+            desk.say(f"exception: {type(effect).__name__} {name} {status}")
+        desk.reducer.balancers.current.next_decision = next_decision
         desk.after(998)
         self.check("node_fault", desk.lines)
 
-    def test_a_link_that_is_free_before_another_is_up(self):
-        """Tied to the one it opened, a trip waited for a handshake beside an idle link."""
+    def test_attempt_moves_to_a_connection_that_is_idle_first(self):
+        """An attempt bound to the connection it opened would wait for the handshake while another
+        connection is idle.
+        """
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -210,18 +225,18 @@
         desk.after(10)
         desk.reply(link=0)
         desk.after(10)
-        desk.say("up after all, one with nothing to do")
+        desk.say("both connections are established, one of them without an attempt")
         desk.up(1)
         desk.up(2)
         desk.reply(link=0)
         desk.after(10)
         desk.say(
-            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].connecting_count} coming up"
+            f"{[link.state for link in desk.links]}, {desk.reducer.endpoints.records['b0'].connecting_count} connecting"
         )
         self.check("node_free_first", desk.lines)
 
-    def test_a_link_rests_before_its_next_trip(self):
-        """A second copy of an answer that comes right behind it must not answer what is asked next."""
+    def test_connection_is_not_reused_at_once(self):
+        """A duplicate response right behind the first must not be taken for the next response."""
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -232,15 +247,13 @@
 
 
 class Backends(TraceTest):
-    def test_list(self):
+    def test_endpoint_list_messages(self):
         desk = Desk(None)
         desk.ask("c0", "/health/ready", "GET")
         desk.taken("c0")
         desk.hear(["b0", "b1"], 5)
         desk.ask("c0", "/health/ready", "GET")
-        desk.say(
-            "changes older than what is known, then half a message: the whole list is asked for"
-        )
+        desk.say("older changes, then invalid messages: the whole list is requested")
         desk.hear([entry("b1", "DELETED")], 4, whole=False)
         desk.tell(EndpointsUpdated({"index": 6, "snapshot": True, "endpoints": [{"name": "b0"}]}))
         desk.tell(EndpointsUpdated([]))
@@ -248,7 +261,7 @@
         desk.hear([entry("b0", address="127.0.0.1:9999", since_ms=900)], 8, whole=False)
         self.check("node_list", desk.lines)
 
-    def test_known_list_when_discovery_is_down(self):
+    def test_restored_list_when_discovery_is_down(self):
         desk = Desk(None, known={"index": 3, "snapshot": True, "endpoints": [entry("b0")]})
         desk.ask("c0", "/health/ready", "GET")
         desk.taken("c0")
@@ -257,7 +270,9 @@
         self.check("node_known", desk.lines)
 
     def test_drained(self):
-        """Kept links end at once, and one that comes up after that carries nothing: the grace is not used."""
+        """Idle connections are closed at once, and one established later carries nothing: the drain
+        grace period is not used.
+        """
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -270,7 +285,7 @@
         desk.up()
         self.check("node_drained", desk.lines)
 
-    def test_probe_before_a_trial(self):
+    def test_health_check_before_a_trial_request(self):
         desk = Desk(["b0", "b1"])
         for name in ("c0", "c1"):
             desk.ask(name)
@@ -280,7 +295,7 @@
         desk.reply()
         self.check("node_probe", [line for line in desk.lines if " log " not in line])
 
-    def test_probe_without_an_answer(self):
+    def test_health_check_without_a_response(self):
         desk = Desk(["b0", "b1"])
         desk.ask("c0")
         desk.lose(CloseCause.CONNECT_FAILED, whole=False)
@@ -289,7 +304,7 @@
         desk.after(210)
         self.check("node_probe_silent", desk.lines)
 
-    def test_an_answer_that_nobody_asked_for(self):
+    def test_unsolicited_response(self):
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -299,8 +314,10 @@
         desk.ask("c0")
         self.check("node_unasked", desk.lines)
 
-    def test_an_answer_that_never_ends(self):
-        """Its trip may have run; the link is closed long before the hard limit."""
+    def test_response_that_never_ends(self):
+        """The attempt may have been executed; its connection is closed long before the request
+        timeout.
+        """
         desk = Desk(["b0", "b1"])
         desk.ask("c0")
         desk.up()
@@ -310,8 +327,10 @@
         desk.after(11)
         self.check("node_endless", desk.lines)
 
-    def test_gone_names_are_forgotten(self):
-        """One that comes back at the address of another is new: no link passes over."""
+    def test_removed_endpoints_are_dropped(self):
+        """An endpoint listed again at the address of another one is new and takes over no
+        connection.
+        """
         desk = Desk(["b0", "b1"])
         desk.hear(["b0"], 2)
         desk.now += 20001
@@ -319,8 +338,8 @@
         self.assertEqual(sorted(desk.reducer.endpoints.records), ["b0", "b2"])
         self.assertEqual(desk.reducer.endpoints.records["b2"].links, 0)
 
-    def test_what_is_due_stays_short(self):
-        """One entry for each answer would hold on to a minute's worth of them."""
+    def test_timer_heap_stays_small(self):
+        """With one entry per response the heap would hold the timers of a whole minute."""
         desk = Desk(["b0"])
         for n in range(200):
             desk.ask("c0")
@@ -331,19 +350,23 @@
         self.assertLess(len(desk.reducer.timers.heap), 40)
 
     def test_a_new_configuration(self):
-        """Discovery elsewhere: nothing is forgotten until its whole list is there, whatever its version."""
+        """Discovery at a new address: the endpoint list is kept until the new whole list is there,
+        whatever its version.
+        """
         desk = Desk(["b0", "b1"])
-        told = {"discovery": "127.0.0.1:1", "limits": {"sockets": 9}, "seed": "other"}
-        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
-        desk.tell(ConfigurationLoaded("127.0.0.1:1", told))
+        configuration = {"discovery": "127.0.0.1:1", "limits": {"sockets": 9}, "seed": "other"}
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", configuration))
+        desk.tell(ConfigurationLoaded("127.0.0.1:1", configuration))
         desk.ask("c0", "/health/ready", "GET")
         desk.hear([entry("b1", "DELETED")], 0, whole=False)
         desk.hear(["b0"], 0)
         self.check("node_configured", desk.lines)
 
     @mock.patch("pierglade.balancer.health_checks.INITIAL_DUE", 0)  # as after the start
-    def test_new_settings_while_trips_are_out(self):
-        """Replaced at once, a node would lose what it holds, or send a one-shot again under new rules."""
+    def test_new_settings_with_attempts_in_flight(self):
+        """A balancer replaced at once would lose its pending requests, or retry an unsafe request
+        under the new rules.
+        """
         desk = Desk(["b0", "b1"])
         before, after = {"settings": 1}, {"settings": 2}
         desk.reducer.reconfiguration.raw_settings = 1
@@ -356,17 +379,17 @@
         desk.ask("c0", "/pay")
         desk.up()
         desk.tell(ConfigurationLoaded("", after, balancer_settings(**shared)))
-        desk.say("the turn goes on where it was, at b1, then b0")
+        desk.say("the rotation continues at b1, then b0")
         desk.ask("c4")
         desk.up()
         desk.reply()
         desk.ask("c1")
         desk.up()
-        desk.say("drains at both, and what is out comes to its one end under either settings")
+        desk.say("b0 drains under both settings, and each request in flight is answered once")
         desk.hear([entry("b0", "DRAINING")], 2, whole=False)
         desk.lose(link=0)
         desk.reply()
-        desk.say("the way back is the same step")
+        desk.say("changing the settings back works alike")
         desk.ask("c2")
         desk.tell(ConfigurationLoaded("", before, balancer_settings()))
         desk.up()
@@ -374,10 +397,10 @@
         desk.after(200)
         desk.ask("c3")
         desk.reply()
-        desk.say(f"{len(desk.reducer.balancers.earlier)} nodes under earlier settings")
+        desk.say(f"{len(desk.reducer.balancers.earlier)} balancers of earlier settings")
         self.check("node_settings", desk.lines)
 
-    def test_reports_and_hints_are_heeded_where_a_decision_rests_on_them(self):
+    def test_load_reports_and_cost_hints_are_used(self):
         desk = Desk(
             ["b0", "b1"],
             tenants=TenantRegistry(),
@@ -390,7 +413,7 @@
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=40, util=0.6, other=x\r\n")
         desk.say(
-            f"pace {desk.reducer.balancers.current.load_reports.throughput}, busy {desk.reducer.balancers.current.load_reports.utilization}"
+            f"throughput {desk.reducer.balancers.current.load_reports.throughput}, utilization {desk.reducer.balancers.current.load_reports.utilization}"
         )
         desk.after(10)
         desk.ask("c1", headers="X-Props: hintUs=none\r\n")
@@ -398,12 +421,12 @@
         desk.up()
         desk.reply(headers="Endpoint-Load-Metrics: TEXT qps=50, util=0.7\r\n")
         desk.say(
-            f"pace {desk.reducer.balancers.current.load_reports.throughput}, busy {desk.reducer.balancers.current.load_reports.utilization}"
+            f"throughput {desk.reducer.balancers.current.load_reports.throughput}, utilization {desk.reducer.balancers.current.load_reports.utilization}"
         )
         self.check("node_reports", desk.lines)
 
     @mock.patch("pierglade.balancer.health_checks.INITIAL_DUE", 0)  # as after the start
-    def test_one_probe_to_twenty_trips_brings_the_report(self):
+    def test_one_health_check_per_twenty_attempts_brings_the_load_report(self):
         desk = Desk(
             ["b0", "b1"],
             tenants=TenantRegistry(),
@@ -431,12 +454,14 @@
         answer = b"HTTP/1.1 200 .\r\nContent-Length: 20\r\n\r\nTEXT qps=30, queue=2"
         desk.tell(ResponseReceived(desk.links[-1], message(answer, reader.ResponseReader)))
         desk.say(
-            f"pace {desk.reducer.balancers.current.load_reports.throughput}, queue {desk.reducer.balancers.current.load_reports.queue_length}"
+            f"throughput {desk.reducer.balancers.current.load_reports.throughput}, queue length {desk.reducer.balancers.current.load_reports.queue_length}"
         )
         self.check("node_stats", desk.lines)
 
-    def test_a_list_that_is_asked_for_is_asked_for_later_and_within_the_term(self):
-        """Asked for again at once, 70 nodes kept a list of 200 lines a second from serving any of them."""
+    def test_endpoint_poll_is_delayed_and_sent_within_its_limit(self):
+        """With repeated polls at once, 70 nodes kept a discovery with a list of 200 lines a second
+        from serving any of them: a poll waits, and is sent within the limit.
+        """
         desk = Desk(["b0", "b1"], polls_endpoints=True)
         desk.after(10)
         for _ in range(5):
@@ -447,55 +472,58 @@
         desk.after(8000)
         self.check("node_asks", desk.lines)
 
-    def test_changes_fit_on_the_version_that_was_known(self):
-        """Started anew, twenty-eight nodes asked for the whole list at once, and none of them got it."""
+    def test_changes_apply_to_the_restored_version(self):
+        """After a restart, 28 nodes requested the whole list at once, and none of them received it:
+        changes apply to the restored version.
+        """
         known = {"index": 41, "snapshot": True, "endpoints": [entry("b0"), entry("b1")]}
         desk = Desk(backends=(), known=known)
-        desk.say(f"follows from {desk.reducer.endpoints.version}")
+        desk.say(f"list version {desk.reducer.endpoints.version}")
         desk.hear([entry("b1", "DRAINING")], index=42, whole=False)
         desk.hear([entry("b0", "DRAINING")], index=40, whole=False)
-        desk.say(f"follows from {desk.reducer.endpoints.version}")
+        desk.say(f"list version {desk.reducer.endpoints.version}")
         self.check("node_known_version", desk.lines)
 
 
-class Clients(TraceTest):
-    def test_bad_requests(self):
+class ClientConnections(TraceTest):
+    def test_invalid_requests(self):
         desk = Desk(["b0"])
         lines = []
-        host, trace = "Host: h\r\n", "X-Trace-Id: t\r\n"
-        for n, (first, headers) in enumerate(
+        host, request_id = "Host: h\r\n", "X-Trace-Id: t\r\n"
+        for n, (request_line, headers) in enumerate(
             (
                 ("GET /look", host),
-                ("GET /look", trace),
-                ("GET /look", host + trace + "X-Expires-In-Ms: soon\r\n"),
-                ("GET /elsewhere", host + trace),
-                ("GET /", host + trace),
-                ("OPTIONS *", host + trace),
-                ("POST /look", host + trace),
-                ("GET /pay", host + trace),
-                ("POST /hold", host + trace),
-                ("POST /pay", host + trace + "Idempotency-Key: k\r\n"),
+                ("GET /look", request_id),
+                ("GET /look", host + request_id + "X-Expires-In-Ms: soon\r\n"),
+                ("GET /elsewhere", host + request_id),
+                ("GET /", host + request_id),
+                ("OPTIONS *", host + request_id),
+                ("POST /look", host + request_id),
+                ("GET /pay", host + request_id),
+                ("POST /hold", host + request_id),
+                ("POST /pay", host + request_id + "Idempotency-Key: k\r\n"),
                 ("POST /health/live", host),
-                ("POST /pay", host + trace + trace),
-                ("POST /pay", host + host + trace),
-                ("GET /look", host + trace + "X-Expires-In-Ms: -5\r\n"),
+                ("POST /pay", host + request_id + request_id),
+                ("POST /pay", host + host + request_id),
+                ("GET /look", host + request_id + "X-Expires-In-Ms: -5\r\n"),
                 ("GET /look", host + "X-Trace-Id: " + "t" * 300 + "\r\n"),
                 ("HEAD /health/ready", host),
                 ("GET /health/live", host),
-                ("HEAD /pay", host + trace),
+                ("HEAD /pay", host + request_id),
             )
         ):
             desk.open(f"c{n}")
             desk.lines = []
             desk.tell(
                 RequestReceived(
-                    desk.clients[f"c{n}"], message(f"{first} HTTP/1.1\r\n{headers}\r\n".encode())
+                    desk.clients[f"c{n}"],
+                    message(f"{request_line} HTTP/1.1\r\n{headers}\r\n".encode()),
                 ),
             )
-            lines += [f"{first} with {headers.split()[::2]}", *desk.lines]
+            lines += [f"{request_line} with {headers.split()[::2]}", *desk.lines]
         self.check("node_bad_requests", lines)
 
-    def test_head_is_a_get_whose_body_is_kept_back(self):
+    def test_head_response_has_no_body(self):
         desk = Desk(["b0"])
         desk.ask("ann", method="HEAD")
         desk.up()
@@ -503,13 +531,17 @@
         desk.taken("ann")
         desk.after(10)
         desk.ask("ann", method="HEAD")
-        large = message(b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", reader.ResponseReader)
-        large.flow = BodyStream(70000, lambda: None)
-        desk.tell(ResponseReceived(desk.links[-1], large))
+        response = message(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n", reader.ResponseReader
+        )
+        response.flow = BodyStream(70000, lambda: None)
+        desk.tell(ResponseReceived(desk.links[-1], response))
         self.check("node_head", desk.lines)
 
-    def test_ids_are_taken_once(self):
-        """Another's open id, passed on, would run its invocation twice; so would a copy that comes late."""
+    def test_duplicate_ids_are_rejected(self):
+        """A request with the id of a pending one, or a late duplicate, would be executed twice if it
+        were forwarded.
+        """
         desk = Desk(["b0"])
         desk.ask("c0", trace="one")
         desk.up()
@@ -520,11 +552,11 @@
         desk.after(2001)
         desk.ask("c2", trace="one")
         desk.say(
-            f"{len(desk.reducer.requests.ids)} known, {len(desk.reducer.requests.recent_ids)} spent"
+            f"{len(desk.reducer.requests.ids)} in use, {len(desk.reducer.requests.recent_ids)} recent"
         )
         self.check("node_ids", desk.lines)
 
-    def test_a_trickle_does_not_renew_its_time(self):
+    def test_slow_head_does_not_extend_its_timeout(self):
         desk = Desk(["b0"])
         desk.open("c0")
         desk.after(1900)
@@ -533,8 +565,10 @@
             desk.after(300)
         self.check("node_trickle", desk.lines)
 
-    def test_hundreds_that_say_nothing(self):
-        """They yield, the oldest first, before a link or a client that asked."""
+    def test_silent_clients_are_closed_first(self):
+        """Silent clients are closed, the oldest first, before a backend connection or a client that
+        has sent a request.
+        """
         desk = Desk(["b0"], sockets=SPARE + 4)
         desk.ask("usual")
         desk.up()
@@ -548,8 +582,8 @@
         desk.ask("usual")
         self.check("node_silent", desk.lines)
 
-    def test_clients_that_hold_on_make_way_for_others(self):
-        """Descriptors are left, but clients are allowed no more connections than a part of them."""
+    def test_idle_clients_beyond_their_fraction_are_closed(self):
+        """With free descriptors, clients may still use only a fraction of them."""
         desk = Desk(["b0"], sockets=SPARE + 16)
         for n in range(7):
             desk.open(f"c{n}")
@@ -560,7 +594,7 @@
             )
             desk.taken(f"c{n}")
             desk.after(150)
-        desk.say("c1 has something unread, which the node was late to see: it is served and stays")
+        desk.say("c1 has unread bytes, noticed late: it is served and stays open")
         desk.ask("c1")
         desk.up()
         desk.reply()
@@ -576,8 +610,10 @@
         desk.after(60001)
         self.check("node_slow_clients", desk.lines)
 
-    def test_sockets_are_used_up(self):
-        """Idle links yield first, then idle clients; if none is idle the newcomer is told to come back."""
+    def test_descriptors_run_out(self):
+        """Idle backend connections are closed first, then idle clients; if none is idle, a new client
+        is asked to come back.
+        """
         desk = Desk(["b0"], sockets=SPARE + 3)
         desk.ask("c0")
         desk.up()
@@ -587,7 +623,7 @@
             desk.open(name)
         desk.tell(ClientDisconnected(desk.clients["c0"], "yielded"))
         desk.open("c7")
-        desk.say("c7 was just opened and does not yield to c8; later two ask, and links need room")
+        desk.say("c7 is too new to be closed for c8; later two requests need backend connections")
         desk.open("c8")
         desk.tell(ClientDisconnected(desk.clients["c7"], "client closed"))
         desk.tell(ClientDisconnected(desk.clients["c8"], "client closed"))
@@ -595,7 +631,7 @@
         for name in ("c1", "c2"):
             desk.ask(name)
         desk.ask("c4")
-        desk.say("all are busy, one of them with sending")
+        desk.say("all are busy, one of them sending a request")
         desk.open("c5")
         desk.tell(RequestStarted(desk.clients["c5"]))
         desk.ask("c6")
@@ -613,12 +649,12 @@
         desk.reply()
         desk.taken("c1")
         desk.after(300)
-        desk.say("one that comes late is still served")
+        desk.say("a client that connects late is still served")
         desk.ask("c2")
         desk.reply()
         desk.taken("c2")
         desk.after(500)
-        desk.say("one that the kernel had accepted by then")
+        desk.say("a client that the kernel had accepted by then")
         desk.ask("c3")
         desk.after(100)
         desk.reply()
@@ -626,13 +662,13 @@
         desk.after(1000)
         self.check("node_stop", desk.lines)
 
-    def test_the_end_waits_for_what_the_door_let_in_last(self):
+    def test_exit_waits_for_the_last_accepted_clients(self):
         desk = Desk(["b0"])
         desk.tell(StopRequested())
         desk.after(2000)
         self.check("node_stop_idle", desk.lines)
 
-    def test_nothing_is_owed_when_the_end_may_come(self):
+    def test_pending_requests_are_answered_before_the_process_is_killed(self):
         desk = Desk(["b0"], max_attempts=1)
         desk.reducer.balancers.request_classes[b"look"].request_timeout = 50000
         desk.ask("c0", left=5000)
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -1,4 +1,4 @@
-"""Lists, settings, requests, losses and probes in any order: what must hold of a node after each step."""
+"""Invariants of a balancer after each of many random endpoint, settings and request events."""
 
 import random
 import unittest
@@ -39,18 +39,18 @@
 )
 
 
-class Chance:
-    """One play. The host's part: each trip ends in time, each decision is carried out at once."""
+class RandomSequence:
+    """A random sequence of events. Attempts end in time and decisions are executed at once."""
 
     def __init__(self, case, seed):
-        self.case, self.chance, self.now = case, random.Random(seed), 10**6
-        self.node, self.older = Balancer(seed, self.settings(), self.now), []
-        self.owed, self.finals = [], {}
-        self.hear([listed(f"b{n}") for n in range(6)])
+        self.case, self.random, self.now = case, random.Random(seed), 10**6
+        self.balancer, self.earlier = Balancer(seed, self.settings(), self.now), []
+        self.requests, self.final_decisions = [], {}
+        self.update_endpoints([listed(f"b{n}") for n in range(6)])
 
     def settings(self):
-        pick = self.chance.choice
-        rows = self.chance.sample(balancer_settings().request_classes, self.chance.randint(1, 3))
+        pick = self.random.choice
+        rows = self.random.sample(balancer_settings().request_classes, self.random.randint(1, 3))
         rows = [
             replace(
                 row,
@@ -77,15 +77,15 @@
             ),
         )
 
-    def nodes(self):
-        return (*self.older, self.node)
+    def balancers(self):
+        return (*self.earlier, self.balancer)
 
-    def hear(self, entries):
-        for node in self.nodes():
-            node.endpoints_updated(self.now, entries, False)
+    def update_endpoints(self, entries):
+        for balancer in self.balancers():
+            balancer.endpoints_updated(self.now, entries, False)
 
     def entry(self, step):
-        pick = self.chance.choice
+        pick = self.random.choice
         return listed(
             f"b{pick(range(12))}{pick(('', 'x', str(step)))}",
             pick(
@@ -101,47 +101,54 @@
         )
 
     def step(self, number):
-        self.now += self.chance.randint(1, 300)
-        pick, what = self.chance.choice, self.chance.random()
-        if what < 0.05:
-            before = self.node
-            self.older.append(before)
-            self.node = Balancer(number, self.settings(), self.now, before)
-            take_over(self.node, before, self.now)
-        elif what < 0.15:
-            self.hear([self.entry(number) for _ in range(pick((1, 2, 3)))])
-        elif what < 0.17:
+        self.now += self.random.randint(1, 300)
+        pick, draw = self.random.choice, self.random.random()
+        if draw < 0.05:
+            earlier = self.balancer
+            self.earlier.append(earlier)
+            self.balancer = Balancer(number, self.settings(), self.now, earlier)
+            take_over(self.balancer, earlier, self.now)
+        elif draw < 0.15:
+            self.update_endpoints([self.entry(number) for _ in range(pick((1, 2, 3)))])
+        elif draw < 0.17:
             self.now += 30000
-        elif what < 0.55:
-            request_class = pick(self.node.settings.request_classes)
-            taken = Request(
+        elif draw < 0.55:
+            request_class = pick(self.balancer.settings.request_classes)
+            request = Request(
                 number, request_class, None, self.now, self.now + request_class.request_timeout
             )
-            taken.owner = self.node
-            self.owed.append(taken)
-            self.node.request_received(self.now, taken)
-        elif what < 0.6:
-            self.node.load_reported(
+            request.owner = self.balancer
+            self.requests.append(request)
+            self.balancer.request_received(self.now, request)
+        elif draw < 0.6:
+            self.balancer.load_reported(
                 self.now,
                 f"b{pick(range(12))}",
                 LoadReport(throughput=30.0, utilization=0.7, queue_length=1.0),
             )
         elif attempts := [
-            attempt for each in self.owed for attempt in each.attempts if attempt.outcome is None
+            attempt
+            for each in self.requests
+            for attempt in each.attempts
+            if attempt.outcome is None
         ]:
-            self.end(pick(attempts), pick(OUTCOMES))
-        for each in self.owed:
+            self.end_attempt(pick(attempts), pick(OUTCOMES))
+        for each in self.requests:
             for attempt in each.attempts:
                 if attempt.outcome is None and self.now >= each.deadline:
-                    self.end(attempt, Outcome.TIMEOUT)
-        for node in self.nodes():
-            self.pull(node)
-        self.owed = [each for each in self.owed if not each.completed or each.in_flight]
-        self.older = [node for node in self.older if any(each.owner is node for each in self.owed)]
-        for node in self.nodes():
-            self.check(node)
-
-    def end(self, attempt, outcome):
+                    self.end_attempt(attempt, Outcome.TIMEOUT)
+        for balancer in self.balancers():
+            self.execute_decisions(balancer)
+        self.requests = [each for each in self.requests if not each.completed or each.in_flight]
+        self.earlier = [
+            balancer
+            for balancer in self.earlier
+            if any(each.owner is balancer for each in self.requests)
+        ]
+        for balancer in self.balancers():
+            self.check(balancer)
+
+    def end_attempt(self, attempt, outcome):
         attempt.request.owner.attempt_ended(
             self.now,
             attempt,
@@ -150,88 +157,106 @@
             outcome == Outcome.SUCCESS,
         )
 
-    def pull(self, node):
-        while (decision := node.next_decision(self.now)) is not None:
+    def execute_decisions(self, balancer):
+        while (decision := balancer.next_decision(self.now)) is not None:
             match decision:
                 case CancelAttempt(attempt) if attempt.outcome is None:
-                    self.end(attempt, Outcome.CANCELLED)
+                    self.end_attempt(attempt, Outcome.CANCELLED)
                 case CheckHealth(backend):
-                    good = self.chance.random() < 0.5
-                    node.health_checked(self.now, node.endpoints.names[backend], good, 5)
+                    is_healthy = self.random.random() < 0.5
+                    balancer.health_checked(
+                        self.now, balancer.endpoints.names[backend], is_healthy, 5
+                    )
                 case SendAttempt(attempt):
                     self.case.assertEqual(
-                        node.endpoints.state[attempt.backend], EndpointState.READY
+                        balancer.endpoints.state[attempt.backend], EndpointState.READY
                     )
-                    self.case.assertIs(attempt.request.owner, node)
+                    self.case.assertIs(attempt.request.owner, balancer)
                     self.case.assertLess(self.now, attempt.request.deadline)
                 case RejectRequest(request) | FailRequest(request):
-                    self.case.assertNotIn(request.host_context, self.finals)
-                    self.finals[request.host_context] = type(decision)
-
-    def check(self, node):
-        equal, all_of = self.case.assertEqual, range(len(node.endpoints.names))
-        equal(len(node.selection.turn_share), len(node.endpoints.names))
-        for part, names in (
-            (node.pause_forecast, pause_forecast.INITIAL),
-            (node.slow_start, slow_start.INITIAL),
-            (node.endpoints, endpoint_stats.INITIAL),
-            (node.ejections, ejections.INITIAL),
-            (node.outliers, outlier_detection.INITIAL),
-            (node.load_reports, load_reports.INITIAL),
+                    self.case.assertNotIn(request.host_context, self.final_decisions)
+                    self.final_decisions[request.host_context] = type(decision)
+
+    def check(self, balancer):
+        assert_equal, backends = self.case.assertEqual, range(len(balancer.endpoints.names))
+        assert_equal(len(balancer.selection.turn_share), len(balancer.endpoints.names))
+        for component, names in (
+            (balancer.pause_forecast, pause_forecast.INITIAL),
+            (balancer.slow_start, slow_start.INITIAL),
+            (balancer.endpoints, endpoint_stats.INITIAL),
+            (balancer.ejections, ejections.INITIAL),
+            (balancer.outliers, outlier_detection.INITIAL),
+            (balancer.load_reports, load_reports.INITIAL),
         ):
-            equal({len(getattr(part, name)) for name in names}, {len(node.endpoints.names)})
-        equal(
-            sorted(node.rotation.by_rank),
-            [b for b in all_of if node.endpoints.state[b] == EndpointState.READY],
+            assert_equal(
+                {len(getattr(component, name)) for name in names}, {len(balancer.endpoints.names)}
+            )
+        assert_equal(
+            sorted(balancer.rotation.by_rank),
+            [
+                backend
+                for backend in backends
+                if balancer.endpoints.state[backend] == EndpointState.READY
+            ],
         )
-        equal(
-            node.rotation.by_rank,
-            sorted(node.rotation.by_rank, key=node.endpoints.rank.__getitem__),
+        assert_equal(
+            balancer.rotation.by_rank,
+            sorted(balancer.rotation.by_rank, key=balancer.endpoints.rank.__getitem__),
         )
         self.case.assertAlmostEqual(
-            node.rotation.total_size, sum(node.endpoints.size[b] for b in node.rotation.by_rank)
+            balancer.rotation.total_size,
+            sum(balancer.endpoints.size[backend] for backend in balancer.rotation.by_rank),
         )
-        self.case.assertLessEqual(set(node.rotation.subset), set(node.rotation.by_rank))
-        equal(
-            sorted(node.endpoints.removed),
-            [b for b in all_of if node.endpoints.state[b] == EndpointState.REMOVED],
+        self.case.assertLessEqual(set(balancer.rotation.subset), set(balancer.rotation.by_rank))
+        assert_equal(
+            sorted(balancer.endpoints.removed),
+            [
+                backend
+                for backend in backends
+                if balancer.endpoints.state[backend] == EndpointState.REMOVED
+            ],
         )
-        equal(
-            {b: name for name, b in node.endpoints.index.items()},
-            dict(enumerate(node.endpoints.names)),
+        assert_equal(
+            {backend: name for name, backend in balancer.endpoints.index.items()},
+            dict(enumerate(balancer.endpoints.names)),
         )
-        equal(node.ejections.slow_count, sum(trouble is SLOW for trouble in node.ejections.reason))
-        equal(
-            sorted(node.ejections.ejected),
-            [b for b in all_of if node.ejections.reason[b] is not None],
+        assert_equal(
+            balancer.ejections.slow_count,
+            sum(reason is SLOW for reason in balancer.ejections.reason),
         )
-        equal(
-            node.limit.in_flight,
+        assert_equal(
+            sorted(balancer.ejections.ejected),
+            [backend for backend in backends if balancer.ejections.reason[backend] is not None],
+        )
+        assert_equal(
+            balancer.limit.in_flight,
             sum(
                 len(attempts)
-                for b, attempts in node.ejections.in_flight.items()
-                if node.ejections.reason[b] in COUNTS_TOWARD_CAPACITY
+                for backend, attempts in balancer.ejections.in_flight.items()
+                if balancer.ejections.reason[backend] in COUNTS_TOWARD_CAPACITY
             ),
         )
         trials = [
             attempt.backend
-            for each in self.owed
-            if each.owner is node
+            for each in self.requests
+            if each.owner is balancer
             for attempt in each.attempts
             if attempt.is_trial and attempt.outcome is None
         ]
-        equal(node.ejections.trials_in_flight, [trials.count(b) for b in all_of])
-        equal(
-            {len(node.limit.missing), len(node.limit.base), len(node.limit.answers)},
-            {len(node.request_stats.classes)},
+        assert_equal(
+            balancer.ejections.trials_in_flight, [trials.count(backend) for backend in backends]
+        )
+        assert_equal(
+            {len(balancer.limit.missing), len(balancer.limit.base), len(balancer.limit.answers)},
+            {len(balancer.request_stats.classes)},
         )
 
 
-class Changes(unittest.TestCase):
+class RandomChanges(unittest.TestCase):
     def test_any_order(self):
         for seed in range(SEEDS):
-            play = Chance(self, seed)
+            sequence = RandomSequence(self, seed)
             for number in range(STEPS):
                 with self.subTest(seed=seed, step=number):
-                    play.step(number)
-            self.assertGreater(len(play.finals), 0)
+                    sequence.step(number)
+            self.assertGreater(len(sequence.final_decisions), 0)
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -1,7 +1,8 @@
-"""Where two things meet in the node: real loopback sockets and the real host, each crossing forced.
+"""Race conditions between events, each forced, with loopback sockets and the real ProxyServer.
 
-One side is held until the state is there by its own event; then both are let go before the loop turns. That
-nothing was written is told by a later request that came through the same links.
+One side is blocked until an event has brought about the state in question; then both go on before
+the event loop runs again. A later request on the same connections proves that nothing else was
+written to them.
 """
 
 import gc
@@ -42,7 +43,7 @@
     UpstreamClosed,
 )
 from pierglade.proxy.upstream import UpstreamHandler
-from tests.proxy.state.test_machine import warm_desk
+from tests.proxy.state.test_machine import desk_with_idle_connections
 from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
 from tests.support.scene import MS, Desk, TraceTest, balancer_settings, entry, message
 
@@ -53,17 +54,17 @@
 ]
 
 
-def until(come):
-    """Turns the loop until it has come; the machine may stand still, the test only fails."""
+def until(condition):
+    """Runs the event loop until `condition()` holds; fails after 20 s, as the machine may stall."""
     end = time.monotonic() + 20
-    while not come():
+    while not condition():
         if time.monotonic() > end:
-            raise AssertionError("it never came")
+            raise AssertionError("the condition did not hold within 20 s")
         gevent.sleep(0)
 
 
 class Backend:
-    """Notes each request that has come whole; `reply(message)` gives bytes, None to end, or an Event."""
+    """Records each whole request; `reply(message)` returns bytes, None to close, or an Event."""
 
     def __init__(self, name):
         self.name, self.seen, self.reply = name, [], lambda message: answer(200, b"ok")
@@ -101,14 +102,16 @@
 
 
 class House:
-    """The host of a node with its door open, its backends, and the gate before new connections to them."""
+    """A listening ProxyServer, its backends, and a gate that delays connections to them."""
 
     def __init__(self, count=1, cancel=True, listed=True, attempts=3, **settings):
         self.backends = [Backend(f"b{n}") for n in range(count)]
         self.known = {
             "index": 1,
             "snapshot": True,
-            "endpoints": [entry(b.name, address=b.address) for b in self.backends],
+            "endpoints": [
+                entry(backend.name, address=backend.address) for backend in self.backends
+            ],
         }
         settings = {
             "offerings": OFFERINGS,
@@ -116,30 +119,30 @@
             "contract": {},
             **settings,
         }
-        told = {
+        document = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "seed": "8c",
             "settings": settings,
             "known": {},
         }
-        # A socket of ours in the place of standard output: what the log says is not looked at here.
+        # The log is not inspected here.
         log = mock.Mock(return_value=mock.Mock())
         with mock.patch.dict(os.environ, TMPDIR="/nowhere"):
-            place = config_from_document(told, "config", {}, fixed=True)
-            place.log = log
-            self.host = ProxyServer(place)
+            config = config_from_document(document, "config", {}, fixed=True)
+            config.log = log
+            self.host = ProxyServer(config)
         self.host.spawn(self.host.listener.run)
         self.first = None
         self.gate = Event()
         self.gate.set()
         connect = gevent.socket.socket.connect
 
-        def held(sock, where):
+        def delayed_connect(sock, address):
             self.gate.wait()
-            return connect(sock, where)
+            return connect(sock, address)
 
-        self.patch = mock.patch.object(gevent.socket.socket, "connect", held)
+        self.patch = mock.patch.object(gevent.socket.socket, "connect", delayed_connect)
         self.patch.start()
         if listed:
             self.list()
@@ -161,7 +164,7 @@
         ]
 
     def warm(self):
-        """A link to each backend that is used again at once."""
+        """Opens a reusable connection to each backend."""
         reducer = self.host.reducer
         for n in range(len(self.backends)):
             with self.client() as sock:
@@ -181,11 +184,14 @@
         )
 
     def rest(self):
-        """What backends saw, once all clients are gone and later requests have come through every backend."""
+        """Returns the requests that backends saw.
+
+        Waits until all clients are gone and later requests have come through every backend.
+        """
         reducer = self.host.reducer
         self.gate.set()
         until(lambda: not any(reducer.downstream.by_state.values()))
-        if self.first is not None:  # its backend still holds the first request
+        if self.first is not None:  # its backend has not answered the first request
             self.host.tell(UpstreamClosed(self.first, CloseCause.RESET, True, "as the test says"))
         for backend in self.backends:
             backend.reply = lambda message: answer(200, b"ok")
@@ -206,11 +212,11 @@
         for backend in self.backends:
             backend.running.kill()
             backend.sock.close()
-        for some in (
+        for connections in (
             *self.host.reducer.upstream.by_state.values(),
             *self.host.reducer.downstream.by_state.values(),
         ):
-            for connection in list(some):
+            for connection in list(connections):
                 if connection.io is not None:
                     connection.io.end()
         gevent.sleep(0)
@@ -229,7 +235,7 @@
 
 
 def leave(sock, how):
-    """The client ends its connection; its end has reached the node's side when this returns."""
+    """Ends the client's connection; the proxy's side has received the end on return."""
     if how == "half":
         return sock.shutdown(socket.SHUT_WR)
     if how == "reset":
@@ -237,11 +243,11 @@
     sock.close()
 
 
-class Left(TraceTest):
-    """A client leaves while its request waits, wherever that is: nothing of it is written to a backend."""
+class ClientDisconnects(TraceTest):
+    """A client disconnects while its request waits at any point: no backend receives it."""
 
     def connecting(self, house, sock, request_class, body=b""):
-        """For a backend's connection; the end is read first."""
+        """Waits for a connection to a backend; the end is read first."""
         house.gate.clear()
         sock.sendall(http_request(request_class, "1", body))
         until(house.connecting)
@@ -251,7 +257,7 @@
         house.gate.set()
 
     def connecting_at_once(self, house, sock, request_class):
-        """The same; end and connection come up in one turn."""
+        """Waits for a connection; the end and the connection are there in the same iteration."""
         house.gate.clear()
         sock.sendall(http_request(request_class, "1"))
         until(house.connecting)
@@ -259,13 +265,13 @@
         house.gate.set()
 
     def full_body(self, house, sock, request_class):
-        """The same behind a body that fills its buffer: the end is not read until the answer."""
+        """As `connecting`, but its body fills the buffer: the end is not read until the response."""
         yield from self.connecting(house, sock, request_class, b"x" * 9000)
 
-    def line(self, house, sock, request_class):
-        """In the node's own line."""
-        go, line = Event(), house.host.admission_queue
-        line.full, line.wait = lambda: True, lambda *what: go.wait()
+    def in_admission_queue(self, house, sock, request_class):
+        """Waits in the admission queue."""
+        go, queue = Event(), house.host.admission_queue
+        queue.full, queue.wait = lambda: True, lambda *arguments: go.wait()
         sock.sendall(http_request(request_class, "1"))
         until(
             lambda: any(
@@ -276,11 +282,11 @@
         yield
         go.set()
 
-    def first(self, house, sock, request_class, more=b""):
-        """The link of a request that its backend has and does not answer."""
-        held = Event()
+    def pending_request(self, house, sock, request_class, more=b""):
+        """Returns the connection of a request that its backend has received and not answered."""
+        release = Event()
         for backend in house.backends:
-            backend.reply = lambda message: held
+            backend.reply = lambda message: release
         sock.sendall(http_request(request_class, "first") + more)
         until(lambda: any("first" in url for url in house.seen()))
         house.first = next(
@@ -290,15 +296,15 @@
         )
         return house.first
 
-    def ahead(self, house, sock, request_class):
-        """Behind one in hand, whose answer comes as the client leaves."""
-        link = self.first(house, sock, request_class, http_request(request_class, "1"))
+    def pipelined(self, house, sock, request_class):
+        """Pipelined behind a pending request, which is answered as the client disconnects."""
+        link = self.pending_request(house, sock, request_class, http_request(request_class, "1"))
         yield
         house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader)))
 
-    def far_ahead(self, house, sock, request_class):
-        """Behind one in hand and before more than the buffer holds."""
-        link = self.first(
+    def pipelined_beyond_buffer(self, house, sock, request_class):
+        """Pipelined behind a pending request, before more requests than the buffer holds."""
+        link = self.pending_request(
             house,
             sock,
             request_class,
@@ -307,75 +313,82 @@
         yield
         house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader)))
 
-    def decisions(self, house, sock, request_class):
-        """Held by the decisions: they decide as the client leaves."""
-        decide, house.host.reducer.balancers.current.next_decision = (
+    def before_decision(self, house, sock, request_class):
+        """Waits for the balancer's decision, which is made as the client disconnects."""
+        next_decision, house.host.reducer.balancers.current.next_decision = (
             house.host.reducer.balancers.current.next_decision,
             lambda now: None,
         )
         sock.sendall(http_request(request_class, "1"))
         until(lambda: house.host.reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE])
         yield
-        house.host.reducer.balancers.current.next_decision = decide
+        house.host.reducer.balancers.current.next_decision = next_decision
         house.host.tell(TimerFired())
 
-    def again(self, house, sock, request_class):
-        """Before its further trip; the loss is told before the end is read."""
-        link = self.first(house, sock, request_class)
+    def before_retry(self, house, sock, request_class):
+        """Before its retry; the failure is reported before the end is read."""
+        link = self.pending_request(house, sock, request_class)
         yield
         for backend in house.backends:
             backend.seen.clear()
         house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
 
-    def kernel(self, house, sock, request_class):
-        """In the kernel, before it is accepted."""
+    def in_kernel_queue(self, house, sock, request_class):
+        """In the kernel's queue, before it is accepted."""
         sock.sendall(http_request(request_class, "1"))
         yield
 
     def setUp(self):
-        # What a bare greenlet raises is a fault as well; and nobody is to be ended for reading slowly.
+        # An exception in a bare greenlet is a failure too; and no client is closed as a slow reader.
         self.raised = []
         for patch in (
             mock.patch.object(
-                type(gevent.get_hub()), "handle_error", lambda hub, *what: self.raised.append(what)
+                type(gevent.get_hub()),
+                "handle_error",
+                lambda hub, *arguments: self.raised.append(arguments),
             ),
             mock.patch.object(state_clients, "SLOW_READER", 10**9),
         ):
             patch.start()
             self.addCleanup(patch.stop)
 
-    def test_nothing_is_sent_on(self):
+    def test_request_is_not_forwarded(self):
         lines = []
-        places = (
+        waits = (
             self.connecting,
             self.connecting_at_once,
             self.full_body,
-            self.line,
-            self.ahead,
-            self.far_ahead,
-            self.decisions,
-            self.again,
-            self.kernel,
+            self.in_admission_queue,
+            self.pipelined,
+            self.pipelined_beyond_buffer,
+            self.before_decision,
+            self.before_retry,
+            self.in_kernel_queue,
         )
-        for place in places:
+        for wait in waits:
             for request_class in ("look", "pay"):
-                if place == self.full_body and request_class == "look":
-                    continue  # what is harmless has no body
+                if wait == self.full_body and request_class == "look":
+                    continue  # safe requests have no body
                 for cancel in (True, False):
                     counts, faults = [], 0
                     for how in ("close", "half", "reset"):
                         house = House(
-                            1 + (place in (self.ahead, self.far_ahead, self.again)), cancel
+                            1
+                            + (
+                                wait
+                                in (self.pipelined, self.pipelined_beyond_buffer, self.before_retry)
+                            ),
+                            cancel,
                         )
                         try:
-                            if place not in (
+                            if wait not in (
                                 self.connecting,
                                 self.connecting_at_once,
                                 self.full_body,
                             ):
                                 house.warm()
                             sock = house.client()
-                            steps = place(house, sock, request_class)
+                            steps = wait(house, sock, request_class)
                             next(steps)
                             leave(sock, how)
                             next(steps, None)
@@ -384,7 +397,7 @@
                                     [
                                         url
                                         for url in house.rest()
-                                        if "first" not in url or place == self.again
+                                        if "first" not in url or wait == self.before_retry
                                     ]
                                 )
                             )
@@ -393,17 +406,19 @@
                             sock.close()
                             house.close()
                     lines.append(
-                        f"{place.__name__} {request_class} may_cancel={cancel}: sent on after close, "
+                        f"{wait.__name__} {request_class} may_cancel={cancel}: forwarded after close, "
                         f"half, reset {counts}, faults {faults}"
                     )
         self.check("crossings_left", lines)
 
-    def test_a_reader_that_ends_before_the_next_one_sent_ahead_is_taken(self):
-        """The answer frees the message reader, the reading greenlet drops it in the same turn: nothing is left to take."""
+    def test_reader_dropped_before_the_next_pipelined_request_is_parsed(self):
+        """The response frees the message reader, and the reading greenlet drops it in the same
+        iteration: the next pipelined request must not be read from it.
+        """
         house = House()
         try:
             sock = house.client()
-            link = self.first(house, sock, "look", http_request("look", "1"))
+            link = self.pending_request(house, sock, "look", http_request("look", "1"))
             client = link.attempt.request.host_context
             house.host.tell(
                 ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader))
@@ -416,49 +431,53 @@
         finally:
             house.close()
 
-    def test_a_link_ended_while_its_request_is_half_written(self):
-        """By us, before or while its rest waits: whoever writes it ends, and raises nothing."""
-        for turns in (0, 3):
+    def test_connection_closed_while_its_request_is_half_written(self):
+        """The proxy closes it before or while the rest of the request waits to be written: the
+        writing greenlet ends without an exception.
+        """
+        for iterations in (0, 3):
             ours, theirs = socket.socketpair()
             link = mock.Mock(probing=True, state=ConnectionState.BUSY, cut=True)
-            told = []
-            handler = UpstreamHandler(link, lambda *what, told=told: told.append(what))
+            calls = []
+            handler = UpstreamHandler(link, lambda *arguments, calls=calls: calls.append(arguments))
             handler.sock.close()
             handler.sock = gevent.socket.socket(fileno=ours.detach())
             handler.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             handler.write(b"x" * 100000, b"")
-            writing = [
+            greenlets = [
                 each
                 for each in gc.get_objects()
                 if isinstance(each, gevent.Greenlet)
                 and getattr(each, "_run", None) == handler._write_rest
             ]
-            for _ in range(turns):
+            for _ in range(iterations):
                 gevent.sleep(0)
             handler.end()
-            until(lambda writing=writing: all(each.dead for each in writing))
+            until(lambda greenlets=greenlets: all(each.dead for each in greenlets))
             theirs.close()
-            self.assertEqual((len(writing), self.raised, handler.whole), (1, [], False))
+            self.assertEqual((len(greenlets), self.raised, handler.whole), (1, [], False))
 
-    def test_a_request_half_written(self):
-        """Its backend reads nothing for a while: what is left of the request does not follow its client."""
+    def test_client_disconnects_while_its_request_is_half_written(self):
+        """The backend reads nothing for a while: the rest of the request is not sent after its client
+        has disconnected.
+        """
         lines = []
         for cancel in (True, False):
             house, go = House(cancel=cancel), Event()
             backend, set_up = house.backends[0], sending.set_up
 
-            def small(sock):
+            def set_up_small_buffer(sock):
                 set_up(sock)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-            def late(sock, serve=backend.serve, go=go):
+            def serve_late(sock, serve=backend.serve, go=go):
                 go.wait()
                 serve(sock)
 
-            backend.serve = late
+            backend.serve = serve_late
             backend.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             try:
-                with mock.patch.object(sending, "set_up", small):
+                with mock.patch.object(sending, "set_up", set_up_small_buffer):
                     sock = house.client()
                     sock.sendall(http_request("pay", "1", b"x" * 60000))
                     until(
@@ -477,30 +496,34 @@
                     go.set()
                     seen = house.rest()
                 lines.append(
-                    f"may_cancel={cancel}: whole at the backend {seen}, faults {house.host.faults}"
+                    f"may_cancel={cancel}: received by the backend {seen}, faults {house.host.faults}"
                 )
             finally:
                 house.close()
         self.check("crossings_half_written", lines)
 
 
-class Again(TraceTest):
-    def test_a_link_passed_over_and_closed_while_idle(self):
-        """It never carried anything; written blind, its end would count as a one-shot's that may have run."""
+class ConnectionReuse(TraceTest):
+    def test_unused_connection_closed_while_idle(self):
+        """The connection has carried nothing yet: written without a check, its end would count as that
+        of an unsafe request that may have been executed.
+        """
         house = House()
         backend, reducer = house.backends[0], house.host.reducer
         try:
             house.warm()
-            held = Event()
-            backend.reply = lambda message: held if b"first" in message.url else answer(200, b"ok")
+            release = Event()
+            backend.reply = lambda message: (
+                release if b"first" in message.url else answer(200, b"ok")
+            )
             one, two, three = (house.client() for _ in range(3))
             one.sendall(http_request("look", "first"))
             until(lambda: "/look/first" in backend.seen)
             house.gate.clear()
-            two.sendall(http_request("look", "passed"))
+            two.sendall(http_request("look", "second"))
             until(house.connecting)
-            held.set()
-            until(lambda: "/look/passed" in backend.seen)
+            release.set()
+            until(lambda: "/look/second" in backend.seen)
             house.gate.set()
             until(
                 lambda: (
@@ -527,9 +550,8 @@
                 )
             )
             client = next(iter(reducer.downstream.by_state[ConnectionState.NEW]))
-            backend.socks[1]._sock.shutdown(
-                socket.SHUT_RDWR
-            )  # and the loop does not turn before it is written
+            # The event loop does not run before the request is written.
+            backend.socks[1]._sock.shutdown(socket.SHUT_RDWR)
             house.host.tell(RequestReceived(client, message(http_request("pay", "once"))))
             three.setblocking(False)
             until(lambda: sending.is_readable(mock.Mock(_sock=three)))
@@ -541,12 +563,14 @@
             house.close()
         self.check("crossings_passed_over", lines)
 
-    def test_what_is_told_while_a_link_comes_up(self):
-        """Another address, a drain, the trip's end, and the same for a probe: nothing is written there."""
+    def test_endpoint_changes_while_a_connection_is_established(self):
+        """While a connection is established, its backend moves, drains or the attempt times out, or a
+        health check's backend drains: nothing is written to it.
+        """
         lines = []
-        for what in ("moved", "drained", "late", "probe drained"):
-            desk = Desk(["b0", "b1"] if what == "probe drained" else ["b0"], may_cancel=False)
-            if what == "probe drained":
+        for change in ("moved", "drained", "late", "probe drained"):
+            desk = Desk(["b0", "b1"] if change == "probe drained" else ["b0"], may_cancel=False)
+            if change == "probe drained":
                 for name in ("c0", "c1"):
                     desk.ask(name)
                     desk.lose(
@@ -557,20 +581,21 @@
             else:
                 desk.ask("c0", "/pay")
                 link = 0
-            desk.lines = [f"{what}:"]
-            if what == "moved":
+            desk.lines = [f"{change}:"]
+            if change == "moved":
                 desk.hear([entry("b0", address="127.0.0.1:8999")], 2, whole=False)
-            elif what == "late":
-                desk.now += 9960  # its time-out is due in the same turn, and not seen yet
+            elif change == "late":
+                desk.now += 9960  # the timeout is due in the same step and not handled yet
             else:
                 desk.hear([entry(desk.links[link].backend.name, "DRAINING")], 2, whole=False)
             desk.up(link)
             lines += [line for line in desk.lines if " log " not in line]
         self.check("crossings_coming_up", lines)
 
-    def test_settings_that_change_while_a_link_comes_up(self):
-        """Gone binds under the settings that took it, and not under the new ones: it is left alone. Where the
-        list was asked for, who waits for the word to ask again is not left waiting.
+    def test_settings_change_while_a_connection_is_established(self):
+        """Removal binds under the settings that received the request, not under the new ones: nothing
+        is sent to the removed backend. Requests that wait for a poll of the endpoint list under the
+        earlier settings get one at once.
         """
         desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
         desk.ask("c0", "/pay")
@@ -579,8 +604,10 @@
         desk.up()
         self.check("crossings_settings", desk.lines)
 
-    def test_gone_and_back_within_one_message(self):
-        """What was kept to the process that went is ended, and what is on its way goes to the new one."""
+    def test_endpoint_removed_and_added_within_one_message(self):
+        """Idle connections to the removed process are closed, and an attempt on its way goes to the
+        new one.
+        """
         desk = Desk(["b0"])
         for name in ("c0", "c1"):
             desk.ask(name)
@@ -592,17 +619,21 @@
         desk.up(2)
         self.check("crossings_one_message", desk.lines)
 
-    def test_an_answer_that_we_end(self):
-        """Spoilt or never ending: the backend has the trip out until our end is there, ahead of the next."""
-        desk = warm_desk()
+    def test_response_that_the_proxy_aborts(self):
+        """For a malformed or endless response: the backend counts the attempt as in flight until the
+        close arrives, which must be before the next attempt.
+        """
+        desk = desk_with_idle_connections()
         desk.ask("c0")
         link = next(n for n, link in enumerate(desk.links) if link.attempt)
         desk.tell(ResponsePartReceived(desk.links[link]))
         desk.after(102)
         self.check("crossings_garbled", [line for line in desk.lines if " log " not in line])
 
-    def test_a_second_answer_some_ms_late(self):
-        """Behind the first by 4 ms: it answers nobody, and the next trip is not on its link."""
+    def test_duplicate_response_some_ms_late(self):
+        """A duplicate 4 ms after the first response answers no client, and the next attempt uses
+        another connection.
+        """
         desk = Desk(["b0"])
         desk.ask("c0")
         desk.up()
@@ -616,10 +647,11 @@
         self.check("crossings_second", desk.lines)
 
 
-class Stopping(TraceTest):
-    def test_the_end_comes_with_the_settings_own_limits(self):
-        """Limits of 0.6 s: the process may be killed at 1.3 s. One with no limit near it on a link that comes
-        up later, one half read, one that asks when the end is near: each is answered, nothing goes out.
+class Shutdown(TraceTest):
+    def test_exit_time_follows_the_request_timeouts(self):
+        """With timeouts of 0.6 s, the process may be killed after 1.3 s. A request without an early
+        deadline on a connection that is established late, one that is half read and one that comes
+        near the end are all answered, and nothing is sent upstream.
         """
         rows = [
             RequestClass(0, "look", Idempotency.SAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
@@ -630,7 +662,7 @@
             desk.open(name)
         desk.tell(RequestStarted(desk.clients["half"], None))
         desk.tell(StopRequested())
-        desk.tell(StopRequested())  # two, and new settings behind them, change nothing of the end
+        desk.tell(StopRequested())  # neither a second one nor new settings postpone the end
         desk.tell(
             ConfigurationLoaded(
                 "",
@@ -646,7 +678,7 @@
         desk.after(600)
         desk.ask("body", "/pay", left=600)
         request = desk.clients["body"].request
-        request.deadline += 90000  # as where a body is still coming
+        request.deadline += 90000  # as while a body is being received
         request.attempts[0].timeout_at += 90000
         desk.reducer.upstream.restart_timeout(desk.links[0])
         desk.reducer.downstream.await_response(desk.clients["body"])
@@ -657,9 +689,11 @@
         self.check("crossings_stop", [line for line in desk.lines if " log " not in line])
 
 
-class Starting(TraceTest):
-    def test_signals_of_the_start(self):
-        """SIGHUP as soon as the file was read, SIGTERM behind it: it is read again, the end in order."""
+class Startup(TraceTest):
+    def test_signals_during_the_start(self):
+        """SIGHUP as soon as the file was read, then SIGTERM: the file is read again, and the process
+        ends in order.
+        """
         code = (
             "import os, signal, sys\n"
             "from pierglade import __main__ as m\n"
@@ -670,7 +704,7 @@
             "    return place\n"
             "sys.exit(m.run(first, m.reloaded_config))\n"
         )
-        told = {
+        document = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "discovery": "127.0.0.1:1",
@@ -680,7 +714,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "config.json")
             with open(path, "w") as file:
-                json.dump(told, file)
+                json.dump(document, file)
             done = subprocess.run(
                 [sys.executable, "-c", code],
                 capture_output=True,
@@ -688,52 +722,56 @@
                 env={**os.environ, "BALANCER_CONFIG": path, "TMPDIR": folder},
             )
         events = [json.loads(line)["event"] for line in done.stdout.splitlines()]
-        kept = [
+        logged = [
             event
             for event in events
             if event in ("started", "config_reloaded", "stopping", "stopped")
         ]
-        self.check("crossings_start", [f"{', '.join(kept)}, exit {done.returncode}"])
+        self.check("crossings_start", [f"{', '.join(logged)}, exit {done.returncode}"])
 
 
-class Watching(TraceTest):
-    def test_left_while_it_connects(self):
-        """A move, a relist: what is open is closed under the one that waits, and nothing of it is told."""
+class DiscoveryStream(TraceTest):
+    def test_stopped_or_resynced_while_it_connects(self):
+        """The client is stopped or resynced while it connects: its connection is closed and nothing of
+        it is reported.
+        """
         lines = []
-        for what in ("stop", "resync"):
-            told, gate, peer = [], Event(), Peer(lambda message: answer(200, b'{"index":3}'))
-            connect, tries = gevent.socket.socket.connect, []
+        for change in ("stop", "resync"):
+            events, gate, peer = [], Event(), Peer(lambda message: answer(200, b'{"index":3}'))
+            connect, sockets = gevent.socket.socket.connect, []
 
-            def held(sock, where, gate=gate, connect=connect, tries=tries):
-                tries.append(sock)
+            def delayed_connect(sock, address, gate=gate, connect=connect, sockets=sockets):
+                sockets.append(sock)
                 gate.wait()
-                return connect(sock, where)
+                return connect(sock, address)
 
-            def tell(event, told=told):
-                told.append(type(event).__name__)
+            def tell(event, events=events):
+                events.append(type(event).__name__)
 
-            with mock.patch.object(gevent.socket.socket, "connect", held):
-                watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
-                running = gevent.spawn(watch.run)
-                until(lambda tries=tries: tries)
-                getattr(watch, what)()
+            with mock.patch.object(gevent.socket.socket, "connect", delayed_connect):
+                client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+                running = gevent.spawn(client.run)
+                until(lambda sockets=sockets: sockets)
+                getattr(client, change)()
                 gate.set()
                 until(
-                    lambda watch=watch, running=running, told=told: (
-                        running.dead if watch.stopped else "EndpointsUpdated" in told
+                    lambda client=client, running=running, events=events: (
+                        running.dead if client.stopped else "EndpointsUpdated" in events
                     )
                 )
                 running.kill()
-            lines.append(f"{what}: {told[:2]}, a fault {running.exception!r}")
+            lines.append(f"{change}: {events[:2]}, exception {running.exception!r}")
         self.check("crossings_left_watch", lines)
 
-    def test_a_node_that_is_late_itself(self):
-        """The list has come while the node was busy for longer than it waits: that is no time-out."""
-        told, come = [], Event()
+    def test_event_loop_lag_is_not_a_timeout(self):
+        """The list arrives while the process is busy for longer than the timeout: that is no
+        timeout.
+        """
+        events, received = [], Event()
 
         def tell(event):
-            told.append(type(event).__name__)
-            come.set()
+            events.append(type(event).__name__)
+            received.set()
 
         ready = threading.Event()
 
@@ -743,37 +781,38 @@
 
         peer = Peer(serve)
         with mock.patch.object(discovery, "RESPONSE_TIMEOUT", 0.5):
-            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
-            running = gevent.spawn(watch.run)
+            client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            running = gevent.spawn(client.run)
             until(lambda: peer.seen)
             ready.set()
-            time.sleep(
-                0.6
-            )  # no turn of the loop: the answer and the time-out are both there at the next
-            come.wait(20)
+            # The event loop does not run: response and timeout are both due in the next iteration.
+            time.sleep(0.6)
+            received.wait(20)
             running.kill()
-        self.check("crossings_late_itself", told[:1])
+        self.check("crossings_late_itself", events[:1])
 
-    def test_a_silent_watch_where_the_list_is_asked_for(self):
-        """Asked for again the sooner the more is gone of the 6 s in which what it misses counts as told."""
-        told, lost = [], Event()
+    def test_silent_stream_with_a_polled_endpoint_list(self):
+        """Polls come sooner the more is over of the 6 s after which discovery counts its changes as
+        received.
+        """
+        events, lost = [], Event()
 
         def tell(event):
             name, reason = type(event).__name__, event.reason.partition(":")[0]
-            # Both count from the watch's last word, that of the call behind it as well.
-            told.append(f"{name} {reason}, since the last word {event.waited >= 490}")
-            if len(told) > 1:
+            # Both count from the last message of the stream, also that of the poll behind it.
+            events.append(f"{name} {reason}, since the last message {event.waited >= 490}")
+            if len(events) > 1:
                 lost.set()
-            watch.ask()
+            client.ask()
 
         peer = Peer(lambda message: CHUNKED + b"1\r\n\n\r\n" if len(peer.seen) == 1 else None)
         with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
-            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell), 7)
-            watch.is_polled = lambda: True
-            running = gevent.spawn(watch.run)
+            client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell), 7)
+            client.is_polled = lambda: True
+            running = gevent.spawn(client.run)
             lost.wait(20)
             running.kill()
-        lines = told[:2]
+        lines = events[:2]
         for waited, gap in (
             (0, INTERVAL),
             (20000, 16000),
@@ -782,13 +821,13 @@
         ):
             waits = []
             for seed in range(200):
-                node = Balancer(seed, balancer_settings(polls_endpoints=True), 0)
-                node.discovery_lost(100, waited)
-                waits.append(node.polling.next_at - 100)
-            most = 1.5 * gap
-            apart = max(waits) - min(waits) > most / 2
+                balancer = Balancer(seed, balancer_settings(polls_endpoints=True), 0)
+                balancer.discovery_lost(100, waited)
+                waits.append(balancer.polling.next_at - 100)
+            maximum = 1.5 * gap
+            is_spread_out = max(waits) - min(waits) > maximum / 2
             lines.append(
-                f"waited {waited / 10:.0f} ms: within {most / 10:.0f} ms {max(waits) <= most}, "
-                f"well apart {apart}"
+                f"waited {waited / 10:.0f} ms: within {maximum / 10:.0f} ms {max(waits) <= maximum}, "
+                f"spread out {is_spread_out}"
             )
         self.check("crossings_silent", lines)
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies too large to hold, both ways: passed on through a bounded window, and never cut as if whole."""
+"""Bodies too large to buffer: streamed both ways through a bounded window, never cut as if whole."""
 
 import socket
 import threading
@@ -7,8 +7,7 @@
 
 import gevent
 
-from pierglade.proxy.http import body_stream as flow
-from pierglade.proxy.http import reader
+from pierglade.proxy.http import body_stream, reader
 from pierglade.proxy.state.connections import CloseCause
 from pierglade.proxy.state.events import (
     BodyReceived,
@@ -26,56 +25,56 @@
 
 
 def upload(desk, name, size=None, path="/pay", left=1000):
-    """A request whose body is on its way; the flow."""
+    """Sends a request whose body is still being received; returns its BodyStream."""
     desk.open(name)
-    taken = message(
+    received = message(
         f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {name}\r\n"
         f"X-Expires-In-Ms: {left}\r\n\r\n".encode()
     )
-    taken.flow = flow.BodyStream(size)
-    taken.flow.add(b"x" * 100)
-    desk.tell(RequestReceived(desk.clients[name], taken))
-    return taken.flow
+    received.flow = body_stream.BodyStream(size)
+    received.flow.add(b"x" * 100)
+    desk.tell(RequestReceived(desk.clients[name], received))
+    return received.flow
 
 
 def download(desk, status=200, size=None):
-    """An answer whose body is on its way; the flow."""
-    taken = message(
+    """Sends a response whose body is still being received; returns its BodyStream."""
+    received = message(
         f"HTTP/1.1 {status} .\r\nContent-Length: 0\r\n\r\n".encode(), reader.ResponseReader
     )
-    taken.flow = flow.BodyStream(size)
-    desk.tell(ResponseReceived(desk.links[-1], taken))
-    return taken.flow
+    received.flow = body_stream.BodyStream(size)
+    desk.tell(ResponseReceived(desk.links[-1], received))
+    return received.flow
 
 
-class Window(unittest.TestCase):
-    def test_whoever_reads_waits_for_whoever_writes(self):
-        woken = []
-        one = flow.BodyStream(None, lambda: woken.append(1))
-        one.add(b"x" * flow.WINDOW)
-        self.assertTrue(one.full())
-        self.assertFalse(one.spent())
-        self.assertEqual(len(one.take()), flow.WINDOW)
-        self.assertEqual((one.full(), one.spent(), one.take()), (False, True, b""))
-        one.finish()
-        self.assertIsNone(one.take())
-        other = flow.BodyStream(9)
-        other.add(b"four")
-        other.break_off()
-        self.assertEqual((other.take(), other.spent(), len(woken)), (None, True, 3))
+class BodyWindow(unittest.TestCase):
+    def test_window_blocks_the_reader_and_the_writer(self):
+        wake_ups = []
+        body = body_stream.BodyStream(None, lambda: wake_ups.append(1))
+        body.add(b"x" * body_stream.WINDOW)
+        self.assertTrue(body.full())
+        self.assertFalse(body.spent())
+        self.assertEqual(len(body.take()), body_stream.WINDOW)
+        self.assertEqual((body.full(), body.spent(), body.take()), (False, True, b""))
+        body.finish()
+        self.assertIsNone(body.take())
+        other_body = body_stream.BodyStream(9)
+        other_body.add(b"four")
+        other_body.break_off()
+        self.assertEqual((other_body.take(), other_body.spent(), len(wake_ups)), (None, True, 3))
 
-    def test_the_space_is_shared(self):
-        space = flow.BufferBudget(10)
+    def test_buffer_budget_is_shared(self):
+        budget = body_stream.BufferBudget(10)
         self.assertEqual(
-            [space.reserve(6), space.reserve(6), space.reserve(2, 0.5)], [True, False, False]
+            [budget.reserve(6), budget.reserve(6), budget.reserve(2, 0.5)], [True, False, False]
         )
-        space.release(6)
-        self.assertTrue(space.reserve(10))
+        budget.release(6)
+        self.assertTrue(budget.reserve(10))
 
 
 class Uploads(TraceTest):
-    def test_the_time_begins_with_the_last_byte(self):
-        """However long the body takes, the backend is not late; then the whole limit is left."""
+    def test_request_time_begins_with_the_last_byte(self):
+        """However long the upload takes, the backend is not late; then the whole timeout is left."""
         desk = Desk(["b0"])
         body = upload(desk, "c0", 500)
         desk.up()
@@ -90,11 +89,13 @@
         desk.after(1500)
         self.check("large_upload", [line for line in desk.lines if "endpoints_updated" not in line])
 
-    def test_what_is_gone_is_not_sent_again(self):
-        """Known not to have run, it is bounced; with its last byte gone, a one-shot is given up."""
+    def test_partly_sent_body_is_not_sent_again(self):
+        """If the backend did not execute it, the request is rejected; after its last byte, an unsafe
+        request fails.
+        """
         lines = []
         for whole in (False, True):
-            for end in ("lose", "reply"):
+            for failure in ("lose", "reply"):
                 desk = Desk(["b0", "b1"])
                 body = upload(desk, "c0")
                 desk.up()
@@ -102,12 +103,14 @@
                 if whole:
                     body.finish()
                     desk.tell(BodyReceived(desk.clients["c0"]))
-                desk.lines = [f"whole {whole}, {end}"]
-                desk.lose(whole=whole) if end == "lose" else desk.reply(503, "X-Never-Ran: 1\r\n")
+                desk.lines = [f"whole {whole}, {failure}"]
+                desk.lose(whole=whole) if failure == "lose" else desk.reply(
+                    503, "X-Never-Ran: 1\r\n"
+                )
                 lines += desk.lines
         self.check("large_lost", lines)
 
-    def test_gathered_it_may_be_sent_again(self):
+    def test_body_buffered_whole_is_sent_again(self):
         desk = Desk(["b0", "b1"])
         body = upload(desk, "c0")
         body.finish()
@@ -117,24 +120,24 @@
         desk.up()
         self.check("large_again", [line for line in desk.lines if "endpoints_updated" not in line])
 
-    def test_a_client_that_leaves_where_trips_may_not_be_called_off(self):
-        """Its link would wait for the rest of the body for an hour; the backend is not to blame."""
-        lines, answered = [], mock.Mock(attempt=None)
-        for link in (mock.Mock(), answered):
+    def test_client_disconnects_where_attempts_may_not_be_cancelled(self):
+        """Its connection would wait an hour for the rest of the body; the backend is not to blame."""
+        lines, answered_connection = [], mock.Mock(attempt=None)
+        for connection in (mock.Mock(), answered_connection):
             ours, theirs = socket.socketpair()
-            seat = UpstreamHandler(
-                link, lambda event: lines.append(f"{type(event).__name__} {event[1:]}")
+            handler = UpstreamHandler(
+                connection, lambda event: lines.append(f"{type(event).__name__} {event[1:]}")
             )
-            seat.sock.close()
-            seat.sock = gevent.socket.socket(fileno=ours.detach())
-            body = flow.BodyStream(500)
+            handler.sock.close()
+            handler.sock = gevent.socket.socket(fileno=ours.detach())
+            body = body_stream.BodyStream(500)
             body.add(b"x")
-            writing = gevent.spawn(seat._write_flow, b"", body)
+            writing = gevent.spawn(handler._write_flow, b"", body)
             gevent.sleep(0)
             body.break_off()
             writing.join()
-            lines.append(f"whole {seat.whole}")
-            seat.sock.close()
+            lines.append(f"whole {handler.whole}")
+            handler.sock.close()
             theirs.close()
         desk = Desk(["b0"], may_cancel=False)
         upload(desk, "c0")
@@ -142,22 +145,22 @@
         desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
         desk.lose(CloseCause.CLIENT_GONE, whole=False)
         desk.say(
-            f"open {desk.reducer.descriptors.open_count}, out {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.ejections.reason}, "
+            f"open connections {desk.reducer.descriptors.open_count}, attempts in flight {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.ejections.reason}, "
             f"errors {desk.reducer.balancers.current.outliers.error_rate}"
         )
         self.check("large_left", lines + desk.lines)
 
-    def test_a_sender_that_stops_and_a_backend_that_takes_nothing(self):
+    def test_stalled_client_and_stalled_backend(self):
         lines = []
-        for taken in (True, False):
+        for reads in (True, False):
             desk = Desk(["b0"])
             body = upload(desk, "c0")
             desk.up()
-            if taken:
+            if reads:
                 body.take()
             else:
-                body.add(b"x" * flow.WINDOW)
-            desk.lines = [f"its bytes are taken {taken}"]
+                body.add(b"x" * body_stream.WINDOW)
+            desk.lines = [f"backend reads the body {reads}"]
             desk.after(5000)
             lines += [
                 line
@@ -168,22 +171,22 @@
             ]
         self.check("large_stands", lines)
 
-    def test_slow_by_the_clock_and_not_by_its_bytes(self):
-        """A flood of half requests is told from slow clients by what comes."""
+    def test_slow_client_at_a_sufficient_rate(self):
+        """Slow clients are told from a flood of half requests by their rate."""
         desk = Desk(["b0"])
-        for name, each in (("slow", 16000), ("half", 10)):
+        for name, size in (("slow", 16000), ("half", 10)):
             desk.open(name)
-            come = 0
+            received = 0
             for _ in range(16):
-                come += each
-                desk.tell(RequestStarted(desk.clients[name], come))
+                received += size
+                desk.tell(RequestStarted(desk.clients[name], received))
                 desk.after(250)
             desk.say(f"{name}: {desk.clients[name].state}")
         self.check("large_slow", desk.lines)
 
 
 class Downloads(TraceTest):
-    def test_passed_on_as_it_comes(self):
+    def test_response_is_streamed(self):
         lines = []
         for size in (None, 9):
             desk = Desk(["b0"])
@@ -203,28 +206,34 @@
             lines += desk.lines
         self.check("large_answer", lines)
 
-    def test_it_stands_still(self):
-        """A backend that stops, one whose client takes nothing, one that nobody waits for any more."""
+    def test_stalled_response(self):
+        """The backend stops, the client reads nothing, one of them disconnects, or no client waits."""
         lines = []
-        for case in ("stops", "full", "gone", "broken", "lost"):
+        for case in (
+            "backend stops",
+            "client reads nothing",
+            "client disconnects",
+            "backend disconnects",
+            "status 500",
+        ):
             desk = Desk(["b0"])
             desk.ask("c0")
             desk.up()
-            body = download(desk, 500 if case == "lost" else 200)
-            if case == "full":
-                body.add(b"x" * flow.WINDOW)
+            body = download(desk, 500 if case == "status 500" else 200)
+            if case == "client reads nothing":
+                body.add(b"x" * body_stream.WINDOW)
             desk.lines = [case]
-            if case == "gone":
+            if case == "client disconnects":
                 desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
-            elif case == "broken":
+            elif case == "backend disconnects":
                 desk.lose()
             desk.after(6000)
             lines += [line for line in desk.lines if "counters" not in line]
         self.check("large_stalled", lines)
 
 
-class Pieces(test_net.Sockets):
-    """32 MB both ways through a node that may hold a few, taken slowly; and one that ends too early."""
+class LargeBodiesOnSockets(test_net.Sockets):
+    """32 MB bodies both ways through a node that may buffer a few, read slowly; one ends early."""
 
     test_serves_and_stops = test_a_new_configuration_moves_discovery = None
     test_new_settings_are_loaded_and_taken_back_while_clients_ask = None
@@ -232,21 +241,21 @@
     SIZE = 32_000_000
     HEAD = b"%s HTTP/1.1\r\n" + test_net.HOST + b"X-Trace-Id: %s\r\n"
 
-    def serve(self, asked):
-        if b"counted" in asked.url:
+    def serve(self, message):
+        if b"counted" in message.url:
             return test_net.answer(200, bytes(self.SIZE))
-        if b"chunked" in asked.url:
+        if b"chunked" in message.url:
             piece = b"%x\r\n%s\r\n" % (self.SIZE // 4, bytes(self.SIZE // 4))
             return (
                 b"HTTP/1.1 200 .\r\nTransfer-Encoding: chunked\r\n\r\n" + piece * 4 + b"0\r\n\r\n"
             )
-        if b"short" in asked.url:
+        if b"short" in message.url:
             return test_net.answer(200, bytes(self.SIZE))[: self.SIZE // 2]
-        return test_net.answer(200, b"%d" % asked.flow)
+        return test_net.answer(200, b"%d" % message.flow)
 
     def fetch(self, path, body=(), headers=b""):
-        """The answer's head, its body's size and whether the connection ended as it may."""
-        got = bytearray()
+        """Returns status, body size and body in chunks of the response, or "reset"."""
+        data = bytearray()
         with socket.create_connection(self.place, 20) as sock:
             sock.sendall(
                 self.HEAD % (path, path.split(b"/")[-1]) + headers + b"Connection: close\r\n\r\n"
@@ -255,22 +264,24 @@
                 sock.sendall(piece)
             try:
                 while piece := sock.recv(65536):
-                    got += piece
+                    data += piece
             except ConnectionResetError:
                 return "reset"
-        head, _, rest = bytes(got).partition(b"\r\n\r\n")
-        chunks = at = 0
+        head, _, rest = bytes(data).partition(b"\r\n\r\n")
+        chunk_bytes = position = 0
         if b"chunked" in head:
-            while size := int(rest[at : (end := rest.index(b"\r\n", at))], 16):
-                chunks, at = chunks + size, end + size + 4
-            rest = rest[at:]
-        return f"{head.split()[1].decode()} {len(rest)} {rest[:8]}, {chunks} in chunks"
+            while size := int(rest[position : (end := rest.index(b"\r\n", position))], 16):
+                chunk_bytes, position = chunk_bytes + size, end + size + 4
+            rest = rest[position:]
+        return f"{head.split()[1].decode()} {len(rest)} {rest[:8]}, {chunk_bytes} in chunks"
 
     def test_32_mb_both_ways(self):
         lines, chunk = [], b"8000\r\n" + bytes(0x8000) + b"\r\n"
-        short = []  # it stands still in the middle, until the node gives it up
-        cut = threading.Thread(target=lambda: short.append(self.fetch(b"GET /look/short")))
-        cut.start()
+        early_end = []  # it stalls in the middle, until the proxy closes it
+        cut_client = threading.Thread(
+            target=lambda: early_end.append(self.fetch(b"GET /look/short"))
+        )
+        cut_client.start()
         lines += [
             self.fetch(b"GET /look/counted"),
             self.fetch(b"GET /look/chunked"),
@@ -285,18 +296,18 @@
                 b"Transfer-Encoding: chunked\r\n",
             ),
         ]
-        askers = [
+        clients = [
             threading.Thread(
                 target=lambda n=n: lines.append(self.fetch(b"GET /look/counted-%d" % n))
             )
             for n in range(8)
         ]
-        for asker in askers:
-            asker.start()
-        for asker in (cut, *askers):
-            asker.join(60)
-        lines[2:2] = short
+        for client in clients:
+            client.start()
+        for client in (cut_client, *clients):
+            client.join(60)
+        lines[2:2] = early_end
         with open(f"/proc/{self.node.pid}/status") as file:
             peak = next(int(line.split()[1]) for line in file if line.startswith("VmHWM"))
-        lines.append(f"never held 64 MB {peak < 64 << 10}")
+        lines.append(f"peak memory below 64 MB {peak < 64 << 10}")
         self.check("large_sockets", lines)
