--- a/pierglade/proxy/state/attempts.py
+++ b/pierglade/proxy/state/attempts.py
@@ -25,7 +25,7 @@
 )
 
 # Times are tenths of a millisecond.
-RESEND_DELAY = 10  # 1 ms; between aborting an attempt and the first byte of the next one
+RESEND_DELAY = 10  # 1 ms; from an abort to the first byte of the next attempt, sent elsewhere
 # 1 h; longer than any upload. Until its body is whole, an attempt must not time out.
 MAX_BODY_DURATION = 36000000
 # Request headers that are not forwarded but written anew.
--- a/pierglade/proxy/state/balancers.py
+++ b/pierglade/proxy/state/balancers.py
@@ -26,8 +26,7 @@
         """Creates a balancer for new settings; it takes all requests from now on."""
         self.settings, self.current = settings, Balancer(self.seed, settings, now, self.current)
         self.request_classes = {each.name.encode(): each for each in settings.request_classes}
-        # For a keyed request whose id the proxy assigned: it carries no idempotency key, so it must
-        # not be executed twice.
+        # For keyed requests without an id of their own: these must not be executed twice.
         self.unkeyed_classes = {
             each.name.encode(): replace(each, idempotency=Idempotency.UNSAFE)
             for each in settings.request_classes
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -98,7 +98,7 @@
             self.timers.set_timer(client, timeout_at, self._sends_too_slowly)
             self.descriptors.cancel_close(client)
         if body_size is not None and client.state is READING_REQUEST:
-            # Slow clients are told from a flood of half requests by their rate, not by the time.
+            # A flood of half requests differs from slow clients by its rate, not by the time.
             client.head_received_at = client.head_received_at or self.step.now
             self.timers.set_timer(
                 client,
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -25,9 +25,7 @@
 ID_RETENTION = 20000
 MAX_ID_BYTES = 256  # bounds the memory for ids, which are stored while their request is pending
 HINT_PREFIX = b"hintUs="  # in X-Props: the expected cost of a request
-RETRY_AFTER_STEPS = (
-    4  # number of Retry-After values for shed requests, by quarters of the threshold
-)
+RETRY_AFTER_STEPS = 4  # Retry-After values of shed requests: one per quarter of the threshold
 METHOD_BY_IDEMPOTENCY = {
     Idempotency.SAFE: b"GET",
     Idempotency.KEYED: b"POST",
@@ -117,9 +115,11 @@
             return self.downstream.refuse(
                 client, 405, "GET or HEAD asks for health", allow=b"GET, HEAD"
             )
-        good = path == LIVE_PATH or (self.lifecycle.ready and not self.lifecycle.is_draining())
+        is_healthy = path == LIVE_PATH or (
+            self.lifecycle.ready and not self.lifecycle.is_draining()
+        )
         self.downstream.respond(
-            client, 200 if good else 503, body=b"ok\n" if good else b"not ready\n"
+            client, 200 if is_healthy else 503, body=b"ok\n" if is_healthy else b"not ready\n"
         )
 
     def _refuse_method(self, client, request_class):
@@ -346,7 +346,7 @@
 
 
 def _can_be_shed_unparsed(method, target, fields, request_class, request_id, expires_in):
-    """Returns whether a previewed request is valid, as far as that can be told unparsed."""
+    """Returns whether a previewed request is valid, as far as that is known unparsed."""
     return (
         method == METHOD_BY_IDEMPOTENCY[request_class.idempotency]
         and target[:1] == b"/"
--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -89,8 +89,8 @@
         self.check("node_stale", desk.lines)
 
     def test_unsafe_request_that_may_have_been_executed_is_not_retried(self):
-        """An unsafe request is not retried if its connection breaks after its last byte, nor after a
-        503 that does not report it as not executed.
+        """An unsafe request is not retried if its connection breaks after its last byte, nor after
+        a 503 that does not report it as not executed.
         """
         lines = []
         for path, action, *arguments in (
@@ -122,8 +122,8 @@
         self.check("node_limit", desk.lines)
 
     def test_event_loop_lag_is_not_latency_of_the_backend(self):
-        """The lag counts as waiting time of the request, for early rejections, and not as latency of
-        the backend.
+        """The lag counts as waiting time of the request, for early rejections, and not as latency
+        of the backend.
         """
         desk = Desk(["b0"])
         desk.open("c0")
@@ -539,8 +539,8 @@
         self.check("node_head", desk.lines)
 
     def test_duplicate_ids_are_rejected(self):
-        """A request with the id of a pending one, or a late duplicate, would be executed twice if it
-        were forwarded.
+        """A request with the id of a pending one, or a late duplicate, would be executed twice if
+        it were forwarded.
         """
         desk = Desk(["b0"])
         desk.ask("c0", trace="one")
@@ -611,8 +611,8 @@
         self.check("node_slow_clients", desk.lines)
 
     def test_descriptors_run_out(self):
-        """Idle backend connections are closed first, then idle clients; if none is idle, a new client
-        is asked to come back.
+        """Idle backend connections are closed first, then idle clients; if none is idle, a new
+        client is asked to come back.
         """
         desk = Desk(["b0"], sockets=SPARE + 3)
         desk.ask("c0")
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -339,7 +339,7 @@
         yield
 
     def setUp(self):
-        # An exception in a bare greenlet is a failure too; and no client is closed as a slow reader.
+        # Exceptions in bare greenlets are failures too; no client is closed as a slow reader.
         self.raised = []
         for patch in (
             mock.patch.object(
@@ -458,8 +458,8 @@
             self.assertEqual((len(greenlets), self.raised, handler.whole), (1, [], False))
 
     def test_client_disconnects_while_its_request_is_half_written(self):
-        """The backend reads nothing for a while: the rest of the request is not sent after its client
-        has disconnected.
+        """The backend reads nothing for a while: the rest of the request is not sent after its
+        client has disconnected.
         """
         lines = []
         for cancel in (True, False):
@@ -505,8 +505,8 @@
 
 class ConnectionReuse(TraceTest):
     def test_unused_connection_closed_while_idle(self):
-        """The connection has carried nothing yet: written without a check, its end would count as that
-        of an unsafe request that may have been executed.
+        """The connection has carried nothing yet: written without a check, its end would count as
+        that of an unsafe request that may have been executed.
         """
         house = House()
         backend, reducer = house.backends[0], house.host.reducer
@@ -564,8 +564,8 @@
         self.check("crossings_passed_over", lines)
 
     def test_endpoint_changes_while_a_connection_is_established(self):
-        """While a connection is established, its backend moves, drains or the attempt times out, or a
-        health check's backend drains: nothing is written to it.
+        """While a connection is established, its backend moves, drains or the attempt times out, or
+        a health check's backend drains: nothing is written to it.
         """
         lines = []
         for change in ("moved", "drained", "late", "probe drained"):
@@ -593,9 +593,9 @@
         self.check("crossings_coming_up", lines)
 
     def test_settings_change_while_a_connection_is_established(self):
-        """Removal binds under the settings that received the request, not under the new ones: nothing
-        is sent to the removed backend. Requests that wait for a poll of the endpoint list under the
-        earlier settings get one at once.
+        """Removal binds under the settings that received the request, not under the new ones:
+        nothing is sent to the removed backend. Requests that wait for a poll of the endpoint list
+        under the earlier settings get one at once.
         """
         desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
         desk.ask("c0", "/pay")
@@ -620,8 +620,8 @@
         self.check("crossings_one_message", desk.lines)
 
     def test_response_that_the_proxy_aborts(self):
-        """For a malformed or endless response: the backend counts the attempt as in flight until the
-        close arrives, which must be before the next attempt.
+        """For a malformed or endless response: the backend counts the attempt as in flight until
+        the close arrives, which must be before the next attempt.
         """
         desk = desk_with_idle_connections()
         desk.ask("c0")
@@ -691,8 +691,8 @@
 
 class Startup(TraceTest):
     def test_signals_during_the_start(self):
-        """SIGHUP as soon as the file was read, then SIGTERM: the file is read again, and the process
-        ends in order.
+        """SIGHUP as soon as the file was read, then SIGTERM: the file is read again, and the
+        process ends in order.
         """
         code = (
             "import os, signal, sys\n"
@@ -732,8 +732,8 @@
 
 class DiscoveryStream(TraceTest):
     def test_stopped_or_resynced_while_it_connects(self):
-        """The client is stopped or resynced while it connects: its connection is closed and nothing of
-        it is reported.
+        """The client is stopped or resynced while it connects: its connection is closed and nothing
+        of it is reported.
         """
         lines = []
         for change in ("stop", "resync"):
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -90,8 +90,8 @@
         self.check("large_upload", [line for line in desk.lines if "endpoints_updated" not in line])
 
     def test_partly_sent_body_is_not_sent_again(self):
-        """If the backend did not execute it, the request is rejected; after its last byte, an unsafe
-        request fails.
+        """If the backend did not execute it, the request is rejected; after its last byte, an
+        unsafe request fails.
         """
         lines = []
         for whole in (False, True):
@@ -172,7 +172,7 @@
         self.check("large_stands", lines)
 
     def test_slow_client_at_a_sufficient_rate(self):
-        """Slow clients are told from a flood of half requests by their rate."""
+        """A flood of half requests differs from slow clients by its rate."""
         desk = Desk(["b0"])
         for name, size in (("slow", 16000), ("half", 10)):
             desk.open(name)
