--- a/tests/proxy/state/test_machine.py
+++ b/tests/proxy/state/test_machine.py
@@ -385,7 +385,9 @@
         desk.reply()
         desk.ask("c1")
         desk.up()
-        desk.say("b0 drains under both settings, and each request in flight is answered once")
+        desk.say(
+            "a backend drains under both settings, and each request in flight is answered once"
+        )
         desk.hear([entry("b0", "DRAINING")], 2, whole=False)
         desk.lose(link=0)
         desk.reply()
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -214,12 +214,12 @@
             "client reads nothing",
             "client disconnects",
             "backend disconnects",
-            "status 500",
+            "server error",
         ):
             desk = Desk(["b0"])
             desk.ask("c0")
             desk.up()
-            body = download(desk, 500 if case == "status 500" else 200)
+            body = download(desk, 500 if case == "server error" else 200)
             if case == "client reads nothing":
                 body.add(b"x" * body_stream.WINDOW)
             desk.lines = [case]
