--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pierglade`: one node on sockets, configured by its environment."""
+"""`python -m pierglade`: runs one proxy node, configured by environment variables."""
 
 import gc
 import os
@@ -18,9 +18,10 @@
     from pierglade.admission.connection_admission import ConnectionLimits
     from pierglade.proxy.logging import Log
 
-SOCKETS = 1024  # descriptors; where no limit is configured
-MEMORY = 192  # MB; likewise
-# objects more than before; collections free next to nothing here, and each costs
+DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where no limit is configured
+DEFAULT_MEMORY_MB = 192  # used where no limit is configured
+# Net allocations before a garbage collection. Collections free next to nothing in a node, and each
+# one takes CPU time.
 GARBAGE = 10000
 
 
@@ -35,33 +36,37 @@
     sockets: int
     known: dict
     settings: BalancerSettings
-    document: dict  # the document itself, without its customers and the initial endpoint list
+    document: dict  # the JSON document, without its customers and the initial endpoint list
     management: str | None = None  # host:port of the management address; None: there is none
-    memory_mb: int = MEMORY
-    gives_ids: bool = False  # assigns a trace id to requests that have none
-    caps: "ConnectionLimits | None" = None  # None: no limits
-    keeping: tuple | None = None  # folder, period s, half-life s, most MB; None: no snapshots
-    log: "Callable[[int, str], Log] | None" = None  # makes the log; None: the default one
+    memory_mb: int = DEFAULT_MEMORY_MB
+    gives_ids: bool = False  # whether requests without a trace id are assigned one
+    caps: "ConnectionLimits | None" = None  # limits on client connections; None: no limits
+    # Arguments of SnapshotSettings: folder, period in s, half-life in s, maximum size in MB. None:
+    # no snapshots are written.
+    keeping: tuple | None = None
+    log: "Callable[[int, str], Log] | None" = None  # creates the log; None: the default `Log`
 
 
 class UnusableConfigError(PiergladeError, ValueError):
-    """The configuration cannot be used; the text is one line."""
+    """The configuration cannot be used; the message is one line."""
 
 
 def through(steps: Generator) -> object:
-    """Runs a generator to its end and returns its result."""
+    """Runs a generator to its end and returns its return value."""
     while True:
         try:
             next(steps)
-        except StopIteration as over:
-            return over.value
+        except StopIteration as stop:
+            return stop.value
 
 
 def config_from_environ(environ: Mapping[str, str]) -> NodeConfig:
-    """Reads the file that $BALANCER_CONFIG names; other variables override it.
+    """Reads the configuration file that $BALANCER_CONFIG names.
+
+    Other environment variables override single values of the file.
 
     Raises:
-        UnusableConfigError: it cannot be used.
+        UnusableConfigError: the configuration cannot be used.
     """
     return through(_config_steps(environ))
 
@@ -69,7 +74,7 @@
 def _config_steps(environ, known=True):
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise UnusableConfigError("BALANCER_CONFIG is not set")
+        raise UnusableConfigError("BALANCER_CONFIG is not set; it must name the configuration file")
     return (yield from config_at(path, environ, known))
 
 
@@ -79,21 +84,23 @@
     `known`: whether the initial endpoint list is read too.
 
     Raises:
-        UnusableConfigError: it cannot be used.
+        UnusableConfigError: the configuration cannot be used.
     """
     try:
         with open(path, "rb") as file:
             text = file.read()
-        document, shares = yield from reading.steps(text, known)
-    except OSError as fault:
-        raise UnusableConfigError(f"{path} cannot be read: {fault.strerror}") from None
-    except InvalidSettingsError as fault:
-        raise UnusableConfigError(f"{path}: {fault}") from None
-    except ValueError as fault:
-        raise UnusableConfigError(f"{path} is no JSON: {fault}") from None
+        document, quotas = yield from reading.steps(text, known)
+    except OSError as error:
+        raise UnusableConfigError(f"{path} cannot be read: {error.strerror}") from None
+    except InvalidSettingsError as error:
+        raise UnusableConfigError(f"{path}: {error}") from None
+    except ValueError as error:
+        raise UnusableConfigError(f"{path} is not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise UnusableConfigError(f"{path} holds no object")
-    return config_from_document(document, path, environ, shares=shares)
+        raise UnusableConfigError(
+            f"{path} holds a JSON value of type {type(document).__name__}; expected an object"
+        )
+    return config_from_document(document, path, environ, quotas=quotas)
 
 
 def config_from_document(
@@ -101,37 +108,40 @@
     path: str,
     environ: Mapping[str, str],
     fixed: bool = False,
-    shares: dict | None = None,
+    quotas: dict | None = None,
 ) -> NodeConfig:
-    """Makes a NodeConfig of the `document` in the file at `path`.
+    """Creates a NodeConfig from the `document` in the file at `path`.
 
-    `fixed`: discovery may be missing, as an operator's own file may say; the initial list stays.
-    `shares`: the quotas of its customers, where these were taken out of it.
+    `fixed`: the discovery address may be missing, as in an operator's own file; the endpoint list
+    then stays the initial one. `quotas`: the quotas of the document's customers, where the
+    customers were removed from it.
 
     Raises:
-        UnusableConfigError: it cannot be used.
+        UnusableConfigError: the configuration cannot be used.
     """
     try:
-        if shares is None:
-            document = reading.without_customers(document, shares := {})
+        if quotas is None:
+            document = reading.without_customers(document, quotas := {})
         limits = document.get("limits") or {}
         config = NodeConfig(
             name=environ.get("BALANCER_NAME") or document["name"],
             listen=environ.get("BALANCER_LISTEN") or document["listen"],
             discovery=_discovery_address(document, environ, fixed),
             seed=document["seed"],
-            sockets=int(limits.get("sockets") or SOCKETS),
-            memory_mb=int(limits.get("memory_mb") or MEMORY),
+            sockets=int(limits.get("sockets") or DEFAULT_MAX_SOCKETS),
+            memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
             known=document.get("known") or {},
-            settings=settings_from(document["settings"], shares),
-            # Kept for as long as the node runs, without its large parts.
+            settings=settings_from(document["settings"], quotas),
+            # Stored for as long as the node runs, so without its large parts.
             document={**document, "known": {}} if document.get("known") is not None else document,
             management=environ.get("BALANCER_MANAGEMENT") or document.get("management"),
         )
-    except InvalidSettingsError as fault:
-        raise UnusableConfigError(f"{path}: {fault}") from None
-    except (KeyError, TypeError, ValueError, AttributeError) as fault:
-        raise UnusableConfigError(f"{path}: {type(fault).__name__}: {fault}") from None
+    except InvalidSettingsError as error:
+        raise UnusableConfigError(f"{path}: {error}") from None
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise UnusableConfigError(
+            f"{path}: missing or malformed value: {type(error).__name__}: {error}"
+        ) from None
     _check(config, path, fixed)
     return config
 
@@ -148,68 +158,80 @@
             continue
         host, _, port = str(address).rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
-            raise UnusableConfigError(f"{address!r} is no host:port")
+            raise UnusableConfigError(
+                f"{path}: address {address!r} is malformed; expected host:port with a port of at "
+                "most 65535"
+            )
     if not fixed and config.discovery is None:
-        raise UnusableConfigError(f"{path}: discovery is no host:port")
+        raise UnusableConfigError(f"{path}: discovery is null; expected host:port")
     if not isinstance(config.seed, (str, int)):
-        raise UnusableConfigError(f"{path}: the seed is neither text nor a number")
+        raise UnusableConfigError(
+            f"{path}: seed is {config.seed!r}; expected a string or a whole number"
+        )
 
 
-def reloaded_config(first: NodeConfig) -> NodeConfig:
+def reloaded_config(initial: NodeConfig) -> NodeConfig:
     """Reads the file again; its discovery address overrides the environment's.
 
     Raises:
-        UnusableConfigError: it cannot be used, or lacks what `first` had.
+        UnusableConfigError: the configuration cannot be used, or lacks a key that `initial`, the
+            configuration that the node started with, has.
     """
-    return through(reload_steps(first))
+    return through(reload_steps(initial))
 
 
-def reload_steps(first: NodeConfig) -> Generator:
-    """Does the same in steps, between which a node may serve; the initial list is not read."""
+def reload_steps(initial: NodeConfig) -> Generator:
+    """Does the same as `reloaded_config` in steps, between which the node serves requests.
+
+    The initial endpoint list is not read.
+    """
     config = yield from _config_steps({**os.environ, "BALANCER_DISCOVERY": ""}, known=False)
-    missing = missing_key(config.document, first.document)
+    missing = missing_key(config.document, initial.document)
     if missing:
         raise UnusableConfigError(
-            f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, which it had at the start"
+            f"{os.environ['BALANCER_CONFIG']}: {missing} is missing, but was set at the start"
         )
     return config
 
 
 def main() -> int:
-    """Runs one node by the environment; returns the exit status."""
+    """Runs one node, configured by the environment; returns the exit status."""
     return run(lambda: config_from_environ(os.environ), reload_steps)
 
 
-def run(first: Callable[[], NodeConfig], again: Callable[[NodeConfig], object]) -> int:
-    """Serves with the configuration of `first()`; returns the exit status.
+def run(
+    load_config: Callable[[], NodeConfig], reload_config: Callable[[NodeConfig], object]
+) -> int:
+    """Serves with the configuration that `load_config` returns; returns the exit status.
 
-    `again`: at SIGHUP, returns the new configuration, or a generator that does.
+    `reload_config`: called at SIGHUP; returns the new configuration, or a generator that does.
     """
-    # Signals during the start must neither end it nor be lost: the file was read before or after.
-    early = []
-    for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda received, _: early.append(received))
+    # Signals that arrive during the start must neither end the process nor be lost: the file may
+    # have been read before the signal. They are handled once the node serves.
+    early_signals = []
+    for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda received, _: early_signals.append(received))
     try:
-        config = first()
-        # Imported late, so that a bad configuration is reported with nothing else loaded.
+        config = load_config()
+        # Imported late, so that an unusable configuration is reported before the server is loaded.
         from pierglade.proxy.server import ProxyServer
 
         try:
             server = ProxyServer(config)
-        except OSError as fault:
-            where = getattr(fault, "filename", None) or config.listen
-            raise UnusableConfigError(f"cannot listen on {where}: {fault.strerror}") from None
-        except (KeyError, TypeError, ValueError, AttributeError) as fault:
+        except OSError as error:
+            where = getattr(error, "filename", None) or config.listen
+            raise UnusableConfigError(f"cannot listen on {where}: {error.strerror}") from None
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise UnusableConfigError(
-                f"the known list cannot be used: {type(fault).__name__}: {fault}"
+                f"the initial endpoint list (known) cannot be used: {type(error).__name__}: {error}"
             ) from None
-    except UnusableConfigError as fault:
-        print(f"pierglade: {fault}", file=sys.stderr)
+    except UnusableConfigError as error:
+        print(f"pierglade: {error}", file=sys.stderr)
         return 2
-    config.known = {}  # The server has what it needs of it.
-    gc.freeze()  # What is loaded stays; collections need not visit it again.
+    config.known = {}  # The server has loaded it.
+    gc.freeze()  # Loaded modules stay for good; collections need not visit their objects again.
     gc.set_threshold(GARBAGE, 20, 20)
-    return server.run(lambda: again(config), early)
+    return server.run(lambda: reload_config(config), early_signals)
 
 
 if __name__ == "__main__":
--- a/pierglade/proxy/__init__.py
+++ b/pierglade/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The node on sockets: a reducer with no I/O, and what reads and writes for it."""
+"""The proxy node: a state machine without I/O, and the sockets, timers and files around it."""
--- a/pierglade/proxy/admission_queue.py
+++ b/pierglade/proxy/admission_queue.py
@@ -1,8 +1,8 @@
-"""Where downstream greenlets wait once a turn of the event loop has taken long enough.
+"""The queue in which downstream greenlets wait once an iteration of the event loop takes too long.
 
-Without it a turn lasts as long as all that has arrived takes: with thousands of clients a fifth of
-a second, in which no upstream response is read. Those that wait are resumed in fair order, before
-the next poll.
+Without the queue, an iteration lasts until everything that has arrived is handled: a fifth of a
+second with thousands of clients, in which no upstream response is read. Waiting greenlets are
+resumed in fair order, before the next poll.
 """
 
 from time import monotonic_ns
@@ -12,43 +12,44 @@
 from pierglade.admission.fair_queue import FairQueue
 from pierglade.proxy.event_loop import Clock, EventLoopMonitor
 
-# 25 ms in tenths of a ms; that a turn spends on clients before the others wait. Shorter turns cost
-# more: with 10 ms, 64 clients that send at once cost a sixth more a response.
-TURN = 250
-TURN_NS = TURN * 100000
-OVER = 3  # times that; in a turn so long even load shedding stops
+# Ticks (25 ms). Time that an iteration of the event loop spends on clients before further greenlets
+# wait. Shorter iterations take more CPU time: with 10 ms, 64 clients that send at once need a sixth
+# more per response.
+MAX_TURN_TICKS = 250
+MAX_TURN_NS = MAX_TURN_TICKS * 100000
+OVERLOAD_FACTOR = 3  # multiple of the maximum turn; in longer ones even load shedding stops
 
 
 class AdmissionQueue:
-    """Greenlets of known clients go first; within each group the order is that of FairQueue."""
+    """Queues greenlets: those of known clients go first, each group in the order of FairQueue."""
 
     def __init__(self, clock: Clock, monitor: EventLoopMonitor):
         self.clock, self.monitor = clock, monitor
-        self.known, self.strangers, self.called = FairQueue(), FairQueue(), False
+        self.known, self.unknown, self.is_scheduled = FairQueue(), FairQueue(), False
         self.hub = gevent.get_hub()
 
     def full(self) -> bool:
-        """Whether a greenlet that has read something now has to wait."""
-        return self.called or monotonic_ns() - self.monitor.ended > TURN_NS
+        """Returns whether a greenlet that has read something now must wait."""
+        return self.is_scheduled or monotonic_ns() - self.monitor.poll_ended_ns > MAX_TURN_NS
 
-    def over(self) -> bool:
-        """Whether not even rejections are made in this turn."""
-        return monotonic_ns() - self.monitor.ended > OVER * TURN_NS
+    def is_overloaded(self) -> bool:
+        """Returns whether this iteration is too long even for sending rejections."""
+        return monotonic_ns() - self.monitor.poll_ended_ns > OVERLOAD_FACTOR * MAX_TURN_NS
 
     def wait(self, address: str, size: int, known: bool = False):
-        """Blocks until it is this greenlet's turn; `size`: bytes that it has read."""
-        fair = self.known if known else self.strangers
-        fair.put(self.clock.now(), address, size, gevent.getcurrent())
-        if not self.called:
-            self.called = True
-            self.hub.loop.run_callback(self._call)
+        """Blocks until this greenlet is resumed; `size`: bytes that it has read."""
+        queue = self.known if known else self.unknown
+        queue.put(self.clock.now(), address, size, gevent.getcurrent())
+        if not self.is_scheduled:
+            self.is_scheduled = True
+            self.hub.loop.run_callback(self._resume_waiting)
         self.hub.switch()
 
-    def _call(self):
-        until = self.clock.now() + TURN
-        known, strangers = self.known, self.strangers
-        while (known.count or strangers.count) and (now := self.clock.now()) < until:
-            (known if known.count else strangers).take(now).switch()
-        self.called = bool(known.count or strangers.count)
-        if self.called:
-            self.hub.loop.run_callback(self._call)
+    def _resume_waiting(self):
+        deadline = self.clock.now() + MAX_TURN_TICKS
+        known, unknown = self.known, self.unknown
+        while (known.count or unknown.count) and (now := self.clock.now()) < deadline:
+            (known if known.count else unknown).take(now).switch()
+        self.is_scheduled = bool(known.count or unknown.count)
+        if self.is_scheduled:
+            self.hub.loop.run_callback(self._resume_waiting)
--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -1,4 +1,7 @@
-"""Follows discovery: the whole list, then a watch that is opened again when it falls silent."""
+"""The discovery client: reads the whole endpoint list, then watches it for changes.
+
+A watch that falls silent is opened again.
+"""
 
 from time import monotonic
 
@@ -8,100 +11,113 @@
 from gevent.event import Event
 
 from pierglade.errors import PiergladeError
-from pierglade.proxy import socket_io as sending
-from pierglade.proxy.event_loop import PER_SECOND, in_steps
+from pierglade.proxy import socket_io
+from pierglade.proxy.event_loop import TICKS_PER_SECOND, in_steps
 from pierglade.proxy.http.message import request_head
 from pierglade.proxy.http.reader import ProtocolError, ResponseReader
 from pierglade.proxy.state.events import DiscoveryLost, EndpointsUpdated
 from pierglade.reconfiguration import document_reader as reading
 
 LIST_PATH = b"/registry/instances"
-RESPONSE_TIMEOUT = 0.15  # s; the agent is local; with RETRY_INTERVAL less than the least grace
-# s; a polled discovery queues requests; one given up early is still answered, in vain
-POLLED_RESPONSE_TIMEOUT = 3.5
-BUSY_STATUSES = (429, 503)  # the request cannot be served now; the version stays good
-SILENCE_TIMEOUT = 3.5  # s; nearly two heartbeats of 2 s; leaves time to retry within MISSED_AFTER
-MISSED_AFTER = 6.0  # s; so long after a watch fell silent, changes it misses count as announced
-POLL_WAIT_MOST = 4.5  # s; the balancer decides within 4.4 s to poll again
-PIECE_TIMEOUT = 0.5  # s; between the pieces of a list; a queued response may break off unseen
-RETRY_INTERVAL = 0.05  # s; changes that the agent has count as announced, also without a watch
-READ_SIZE = 16384  # bytes read at once
-LINE_MOST = 1 << 22  # bytes of a list; 6,800 entries are 0.9 MB, indented 1.3 to 1.7
+# Seconds. The discovery agent is local; together with RETRY_INTERVAL this is less than the smallest
+# grace period.
+RESPONSE_TIMEOUT = 0.15
+# A discovery service that is polled queues requests. A request that is abandoned early is still
+# answered, in vain.
+POLLED_RESPONSE_TIMEOUT_S = 3.5
+BUSY_STATUSES = (429, 503)  # discovery cannot serve the request now; the version stays valid
+# Seconds. Nearly two heartbeats of 2 s; leaves time to retry within MISSED_CHANGES_AFTER_S.
+SILENCE_TIMEOUT = 3.5
+# From this time after a watch fell silent, the changes that it missed count as announced.
+MISSED_CHANGES_AFTER_S = 6.0
+MAX_POLL_WAIT_S = 4.5  # the balancer decides within 4.4 s to poll again
+# Between two reads of a list. The connection of a queued response may fail without a sign.
+LIST_READ_TIMEOUT_S = 0.5
+# Seconds. Changes that the agent has count as announced, even if there is no watch.
+RETRY_INTERVAL = 0.05
+READ_BYTES = 16384
+# Maximum size of a list on one line: 6,800 entries take 0.9 MB, indented 1.3 to 1.7 MB.
+MAX_LINE_BYTES = 1 << 22
 
 
 class ListReader(ResponseReader):
-    """Reads a whole list, which is held whole."""
+    """Reads the response with a whole endpoint list, which is buffered as a whole."""
 
-    body_most = held_most = LINE_MOST
+    max_body_bytes = max_buffered_bytes = MAX_LINE_BYTES
 
 
 class DiscoveryUnavailableError(PiergladeError):
-    """Discovery gives no answer, or the watch has ended; the version stays good."""
+    """Discovery does not answer, or the watch has ended; the version stays valid."""
 
 
 class WatchStream:
-    """The chunked response of a watch, line by line."""
+    """Splits the chunked response of a watch into lines."""
 
     def __init__(self):
         self.parser = httptools.HttpResponseParser(self)
         self.pending, self.size = [], 0
         self.lines, self.indented = [], []
-        self.over = False
+        self.ended = False
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the lines that are whole with `data`; empty ones are heartbeats.
+        """Returns the lines that `data` completes; empty ones are heartbeats.
 
         Raises:
             DiscoveryUnavailableError: discovery is busy.
-            ValueError: another status than 200, or a line too long.
+            ValueError: the status is not 200, or a line is too long.
         """
         self.lines = []
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserCallbackError as fault:
-            # Taken for a malformed response, a watch rejected by a busy discovery would lose the
-            # version, and each node would request the whole list, which keeps it overloaded.
-            raise (fault.__context__ or fault) from None
+        except httptools.HttpParserCallbackError as error:
+            # If the rejection of a watch by a busy discovery counted as a malformed response, the
+            # version would be lost, and each node would request the whole list, which keeps
+            # discovery overloaded.
+            raise (error.__context__ or error) from None
         return self.lines
 
     def on_headers_complete(self):
-        """Parser callback: the head is whole."""
+        """Handles the end of the head (parser callback)."""
         status = self.parser.get_status_code()
         if status in BUSY_STATUSES:
-            raise DiscoveryUnavailableError(f"status {status}")
+            raise DiscoveryUnavailableError(f"discovery is busy: status {status} to a watch")
         if status != 200:
-            raise ValueError(f"status {status}")  # It may not know the version any more.
+            # Discovery may not know the version any more.
+            raise ValueError(f"discovery rejected a watch: status {status}; expected 200")
 
     def on_body(self, body):
-        """Parser callback: decoded bytes of the stream."""
-        *lines, rest = body.split(b"\n")
+        """Handles decoded bytes of the stream (parser callback)."""
+        *lines, remainder = body.split(b"\n")
         for line in lines:
-            self._line(b"".join((*self.pending, line)))
+            self._add_line(b"".join((*self.pending, line)))
             self.pending = []
-        self.pending.append(rest)
-        self.size += len(rest)
-        if self.size > LINE_MOST:
-            raise ValueError("line too long")
-
-    def _line(self, line):
-        """Adds a line. A list may be indented: it ends with the line that closes its first one."""
-        bare = line.strip()
-        if self.indented or bare == b"{":
+        self.pending.append(remainder)
+        self.size += len(remainder)
+        if self.size > MAX_LINE_BYTES:
+            raise ValueError(f"a line of a watch is longer than {MAX_LINE_BYTES} bytes")
+
+    def _add_line(self, line):
+        """Adds a line.
+
+        A document may be indented: it begins with a line "{" and ends with an unindented "}".
+        """
+        stripped = line.strip()
+        if self.indented or stripped == b"{":
             self.indented.append(line)
             self.size += len(line)
-            if bare != b"}" or line[:1] != b"}":
+            if stripped != b"}" or line[:1] != b"}":
                 return
             line, self.indented = b"\n".join(self.indented), []
         self.size = 0
         self.lines.append(line)
 
     def on_message_complete(self):
-        """Parser callback: the stream has ended."""
-        self.over = True
+        """Handles the end of the stream (parser callback)."""
+        self.ended = True
 
 
 class FixedEndpointList:
-    """Replaces DiscoveryClient where the endpoint list is fixed: there is nothing to follow."""
+    """Replaces DiscoveryClient where the endpoint list is fixed: there is nothing to watch."""
 
     def run(self):
         """Does nothing."""
@@ -110,141 +126,146 @@
 
 
 class DiscoveryClient:
-    """Follows the discovery service at `address` (host:port) and reports to `host`.
+    """Watches the discovery service at `address` (host:port) and reports events to `server`.
 
-    `index`: the version to follow from; None: the whole list is requested first.
+    `index`: the version to watch from; None: the whole list is requested first.
     """
 
-    def __init__(self, address: str, host, index: int | None = None):
+    def __init__(self, address: str, server, index: int | None = None):
         name, _, port = address.rpartition(":")
-        self.address, self.place = address, (name, int(port))
-        self.host = host
+        self.address, self.socket_address = address, (name, int(port))
+        self.server = server
         self.index = index
         self.sock = None
         self.stopped = False
-        self.last_word = 0.0  # when the watch last delivered anything, or its request began
-        self.silent = None  # since when the watch was silent; None: it was not lost by that
-        self.is_polled = lambda: False  # whether the balancer decides when to ask again
+        self.last_activity = 0.0  # when the watch last delivered data, or the last request began
+        self.silent_since = None  # None: no watch was lost by falling silent
+        self.is_polled = lambda: False  # whether the balancer decides when to send requests
         self.poll_requested = Event()
 
     def run(self):
-        """Follows until `stop`."""
+        """Watches discovery until `stop` is called."""
         while not self.stopped:
             self.poll_requested.clear()
             try:
                 if self.index is None:
-                    self._whole_list()
-                self._follow()
+                    self._read_list()
+                self._watch()
             except (
                 OSError,
                 DiscoveryUnavailableError,
                 ProtocolError,
                 httptools.HttpParserError,
                 ValueError,
-            ) as fault:
-                if not isinstance(fault, (OSError, DiscoveryUnavailableError)):
-                    self.index = None  # What could not be read may have been a change.
+            ) as error:
+                if not isinstance(error, (OSError, DiscoveryUnavailableError)):
+                    self.index = None  # The data that could not be read may have been a change.
                 if not self.stopped:
-                    self.host.tell(
-                        DiscoveryLost(f"{type(fault).__name__}: {fault}", self._waited())
+                    self.server.tell(
+                        DiscoveryLost(f"{type(error).__name__}: {error}", self._ticks_unobserved())
                     )
             finally:
                 self._close()
             self._wait()
 
-    def _waited(self):
-        """Returns the tenths of a ms for which changes may have been missed."""
+    def _ticks_unobserved(self):
+        """Returns for how long changes may have been missed, in ticks."""
         now = monotonic()
         since = (
-            self.last_word
-            if self.silent is None or now >= self.silent + MISSED_AFTER
-            else self.silent
+            self.last_activity
+            if self.silent_since is None or now >= self.silent_since + MISSED_CHANGES_AFTER_S
+            else self.silent_since
         )
-        return int((now - since) * PER_SECOND)
+        return int((now - since) * TICKS_PER_SECOND)
 
     def _wait(self):
-        # Both are bounded: should the settings change meanwhile, nothing else would end the wait.
+        # Both waits are bounded: if the settings change meanwhile, nothing else ends the wait.
         if self.is_polled():
-            self.poll_requested.wait(POLL_WAIT_MOST)
+            self.poll_requested.wait(MAX_POLL_WAIT_S)
         else:
             gevent.sleep(RETRY_INTERVAL)
 
     def ask(self):
-        """Ends the wait before the next request."""
+        """Ends the wait, so that the next request is sent now."""
         self.poll_requested.set()
 
     def resync(self):
-        """Resyncs: what was received does not fit, so the whole list is requested next."""
+        """Requests the whole list next, as the changes received do not fit the version."""
         self.index = None
         self._close()
 
     def stop(self):
-        """Ends following; nothing that was read is reported from now on."""
+        """Stops the client; nothing that was read is reported from then on."""
         self.stopped = True
         self._close()
 
     def _close(self):
         if self.sock is not None:
-            sending.hang_up(self.sock)
+            socket_io.close_now(self.sock)
             self.sock = None
 
-    def _ask(self, path, within):
-        """Sends a request; `within`: s from now to the first byte, connecting included."""
+    def _send_request(self, path, timeout_s):
+        """Sends a request; `timeout_s`: time to the first byte, connecting included."""
         if self.stopped:
-            raise DiscoveryUnavailableError("moved")
-        self.last_word = monotonic()
-        # Kept here as well: `stop` and `resync` close it meanwhile, and `self.sock` is None then.
+            raise DiscoveryUnavailableError("the discovery client was stopped")
+        self.last_activity = monotonic()
+        # A local name as well: `stop` and `resync` may close the socket meanwhile, which sets
+        # `self.sock` to None.
         sock = self.sock = socket.socket()
-        sock.settimeout(POLLED_RESPONSE_TIMEOUT if self.is_polled() else RESPONSE_TIMEOUT)
-        sock.connect(self.place)
-        sending.set_up(sock)
+        sock.settimeout(POLLED_RESPONSE_TIMEOUT_S if self.is_polled() else RESPONSE_TIMEOUT)
+        sock.connect(self.socket_address)
+        socket_io.set_up(sock)
         sock.sendall(request_head(b"GET", path, [(b"Host", self.address.encode())], 0))
-        sock.settimeout(max(RESPONSE_TIMEOUT, self.last_word + within - monotonic()))
+        sock.settimeout(max(RESPONSE_TIMEOUT, self.last_activity + timeout_s - monotonic()))
         return sock
 
     def _tell(self, line):
         document = in_steps(reading.parsed(line), 0)
         if self.stopped:
-            # Read before the move, reported after it, it would enter the new address's list.
-            raise DiscoveryUnavailableError("moved")
+            # Discovery has moved while the document was parsed: reported now, it would be applied
+            # to the list of the new address.
+            raise DiscoveryUnavailableError("the discovery client was stopped")
         self.index = document.get("index") if isinstance(document, dict) else None
-        self.host.tell(EndpointsUpdated(document))
+        self.server.tell(EndpointsUpdated(document))
         if self.index is None:
-            raise DiscoveryUnavailableError("the list does not fit")
+            raise DiscoveryUnavailableError("the document does not fit the known version")
 
-    def _whole_list(self):
+    def _read_list(self):
         if self.is_polled():
-            within, goes_on = POLLED_RESPONSE_TIMEOUT, PIECE_TIMEOUT
+            timeout_s, read_timeout_s = POLLED_RESPONSE_TIMEOUT_S, LIST_READ_TIMEOUT_S
         else:
-            within = goes_on = RESPONSE_TIMEOUT
-        sock = self._ask(LIST_PATH, within)
-        answers = ListReader()
-        while (message := answers.next()) is None:
-            count = sock.recv_into(answers.writable())
+            timeout_s = read_timeout_s = RESPONSE_TIMEOUT
+        sock = self._send_request(LIST_PATH, timeout_s)
+        reader = ListReader()
+        while (message := reader.next()) is None:
+            count = sock.recv_into(reader.writable())
             if not count:
-                raise DiscoveryUnavailableError("closed")
-            sock.settimeout(goes_on)
-            answers.filled(count)
+                raise DiscoveryUnavailableError("discovery closed the connection within a list")
+            sock.settimeout(read_timeout_s)
+            reader.filled(count)
         if message.status != 200:
-            raise DiscoveryUnavailableError(f"status {message.status}")
+            raise DiscoveryUnavailableError(
+                f"discovery rejected the request for the list: status {message.status}"
+            )
         self._tell(bytes(message.body))
         self._close()
 
-    def _follow(self):
-        sock = self._ask(LIST_PATH + b"?follow=1&since=%d" % self.index, SILENCE_TIMEOUT)
-        watch, buffer = WatchStream(), memoryview(bytearray(READ_SIZE))
-        while not watch.over:
+    def _watch(self):
+        sock = self._send_request(LIST_PATH + b"?follow=1&since=%d" % self.index, SILENCE_TIMEOUT)
+        watch, buffer = WatchStream(), memoryview(bytearray(READ_BYTES))
+        while not watch.ended:
             try:
                 count = sock.recv_into(buffer)
             except TimeoutError:
-                self.silent = self.silent or self.last_word
+                self.silent_since = self.silent_since or self.last_activity
                 raise
             if not count:
-                raise DiscoveryUnavailableError("closed")
+                raise DiscoveryUnavailableError("discovery closed the connection of a watch")
             lines = watch.feed(bytes(buffer[:count]))
-            self.last_word, self.silent = monotonic(), None  # a rejection does not count
+            # Not reached after a rejection, which does not count as activity.
+            self.last_activity, self.silent_since = monotonic(), None
             sock.settimeout(SILENCE_TIMEOUT)
             for line in lines:
                 if line.strip():
                     self._tell(line)
-        raise DiscoveryUnavailableError("ended")
+        raise DiscoveryUnavailableError("the watch has ended")
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -1,4 +1,4 @@
-"""A downstream connection on its socket: one greenlet reads requests, responses are written."""
+"""The socket of a downstream connection: a greenlet reads requests, responses are written."""
 
 import contextlib
 from collections import deque
@@ -7,15 +7,15 @@
 from gevent import socket
 from gevent.event import Event
 
-from pierglade.proxy import socket_io as sending
+from pierglade.proxy import socket_io
 from pierglade.proxy.http.body_stream import (
-    GATHER_MOST,
-    GATHER_PART,
+    BUFFERED_FRACTION,
+    MAX_BUFFERED_BYTES,
+    STREAM_RESERVATION_BYTES,
     WINDOW,
-    WINDOW_COST,
     BodyStream,
 )
-from pierglade.proxy.http.message import GO_ON
+from pierglade.proxy.http.message import CONTINUE_RESPONSE
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state.constants import NEVER
 from pierglade.proxy.state.events import (
@@ -29,296 +29,329 @@
     ResponseSent,
 )
 
-PIPELINED_MOST = 16  # reads whose time is kept; a client may send a byte at a time
-DISCARD_MOST = (
-    1 << 20
-)  # bytes; read after the last response, so that a reset does not destroy it; but not 60 MB
-DISCARD_REST_MOST = (
-    1 << 25
-)  # bytes; the same behind a response that came before the request was whole
-FAULTS = (b"400", b"408", b"413", b"431")  # statuses sent for a malformed or incomplete request
-DISCARDED = memoryview(bytearray(65536))  # a shared buffer for what is read and discarded
+# Reads of pipelined requests whose time is stored; a client may send a byte at a time.
+MAX_PIPELINED_READS = 16
+# Limit on the bytes that are read and discarded after the last response: without reading them, a
+# reset could destroy the response, but a client may go on for 60 MB.
+MAX_DISCARD_BYTES = 1 << 20
+# The same, where the response was sent before the request was complete.
+MAX_UPLOAD_DISCARD_BYTES = 1 << 25
+# Statuses sent for a malformed or incomplete request.
+MALFORMED_STATUSES = (b"400", b"408", b"413", b"431")
+DISCARD_BUFFER = memoryview(bytearray(65536))  # shared by all connections
 
 
 class DownstreamHandler:
-    """The socket of one client.
+    """Reads and writes the socket of one client.
 
-    It is read on while a response is pending: its end means that the client no longer waits.
+    The socket is also read while a response is pending: the end of its stream means that the client
+    no longer waits.
     """
 
-    def __init__(self, sock: socket.socket, host, address: str):
-        self.sock, self.tell, self.budget, self.refuse = sock, host.tell, host.budget, host.refuse
-        self.host, self.line, self.address = host, host.admission_queue, address
-        self.gate = host.reducer.descriptors.admission  # that admitted it; None: no limits
-        self.now = host.clock.now
-        self.requests = RequestReader()
-        self.read_on = Event()
-        self.last = (
-            False  # what is still read is discarded: it follows a fault or the last response
+    def __init__(self, sock: socket.socket, server, address: str):
+        self.sock, self.tell, self.budget, self.prepared_rejection = (
+            sock,
+            server.tell,
+            server.budget,
+            server.prepared_rejection,
         )
-        self.message = None  # the request whose body is read
-        self.discarded, self.discard_most = 0, DISCARD_MOST  # bytes
-        self.flow = None  # the body that is read, where it is too large to hold
-        self.passing = False  # a response is being streamed to it, and not whole
-        self.held = 0  # bytes of the budget that it holds
-        self.announced = False  # the state machine knows of the request
+        self.server, self.admission_queue, self.address = server, server.admission_queue, address
+        # The ConnectionAdmission that admitted the connection; None: there are no limits.
+        self.admission = server.reducer.descriptors.admission
+        self.now = server.clock.now
+        self.requests = RequestReader()
+        self.read_resumed = Event()
+        # Whether data is discarded, as it follows a malformed request or the last response.
+        self.is_discarding = False
+        self.message = None  # the request whose body is being read
+        self.discarded, self.max_discard_bytes = 0, MAX_DISCARD_BYTES  # bytes
+        self.body_stream = None  # the BodyStream being read, where the body is too large to buffer
+        self.is_streaming_response = False  # a response is being streamed and is not complete
+        self.reserved_bytes = 0  # bytes reserved from the budget
+        self.is_announced = False  # the state machine has received the request
         self.client = None  # the DownstreamConnection, set by the state machine
-        self.came = host.came  # returns when what is read now is likely to have arrived
-        self.received = 0  # bytes read
-        self.pipelined = (
-            deque()
-        )  # (bytes read by then, when) while requests wait behind the current one
-        sending.set_up(sock)
-        self.known = self.gate is not None and self.gate.knows(self.now(), address)
-        self.tell(ConnectionOpened(self, self.known))
+        # Returns when data read now is likely to have arrived.
+        self.arrival_time = server.arrival_time
+        self.received = 0  # bytes read in all
+        # (bytes read by then, time) of reads while requests wait behind the current one.
+        self.pipelined_reads = deque()
+        socket_io.set_up(sock)
+        self.is_known_client = self.admission is not None and self.admission.knows(
+            self.now(), address
+        )
+        self.tell(ConnectionOpened(self, self.is_known_client))
 
     def run(self):
-        """Reads until the connection ends, and reports how it ended."""
+        """Reads until the connection ends, and reports the reason."""
         reason = "client closed"
         try:
             while True:
-                if self.flow is not None and self.flow.full() and self.announced and not self.last:
-                    # The upstream side takes the body more slowly than the client sends it.
-                    self.read_on.clear()
-                    self.read_on.wait()
+                if (
+                    self.body_stream is not None
+                    and self.body_stream.full()
+                    and self.is_announced
+                    and not self.is_discarding
+                ):
+                    # The body is written upstream more slowly than the client sends it.
+                    self.read_resumed.clear()
+                    self.read_resumed.wait()
                     continue
-                buffer = DISCARDED if self.last else self.requests.writable()
+                buffer = DISCARD_BUFFER if self.is_discarding else self.requests.writable()
                 if buffer is None:
-                    # More than one pipelined request: an end is not seen until a response is sent.
-                    self.read_on.clear()
-                    self.read_on.wait()
+                    # Pipelined requests fill the buffer: the end of the stream is not seen until a
+                    # response is sent.
+                    self.read_resumed.clear()
+                    self.read_resumed.wait()
                     continue
-                count = self.sock.recv_into(buffer)
-                if not count:
+                byte_count = self.sock.recv_into(buffer)
+                if not byte_count:
                     break
-                if not self.last:
-                    if not self._received(count):
+                if not self.is_discarding:
+                    if not self._handle_read(byte_count):
                         break
                     continue
-                self.discarded += count
-                if self.discarded > self.discard_most:
-                    reason = "sends on after its last answer"
+                self.discarded += byte_count
+                if self.discarded > self.max_discard_bytes:
+                    reason = "client kept sending after the last response"
                     break
-                gevent.sleep(0)  # It may send at full speed, and must not use the CPU alone.
-        except OSError as fault:
-            reason = f"broke: {fault.strerror}"
+                gevent.sleep(0)  # A client that sends at full speed must not occupy the CPU.
+        except OSError as error:
+            reason = f"connection failed: {error.strerror}"
         finally:
             self.requests.drop()
-            self._end_flow()
+            self._abort_body()
         self.tell(ClientDisconnected(self.client, reason))
 
-    def _received(self, count):
-        """Takes up `count` bytes that were read; returns whether the connection is still open."""
-        self.requests.filled(count)
-        self.received += count
-        if self.host.reducer.balancers.load_shedder.threshold and self._was_shed():
+    def _handle_read(self, byte_count):
+        """Handles `byte_count` bytes that were read; returns whether the connection is open."""
+        self.requests.filled(byte_count)
+        self.received += byte_count
+        if self.server.reducer.balancers.load_shedder.threshold and self._reject_unparsed():
             return True
-        came = NEVER
-        if self.line.full():
-            came = self.came()
-            self.line.wait(self.address, count, self.known)
+        arrived_at = NEVER
+        if self.admission_queue.full():
+            arrived_at = self.arrival_time()
+            self.admission_queue.wait(self.address, byte_count, self.is_known_client)
             if self.client.io is None:
-                return False  # Closed by us meanwhile.
-        self._take(came)
-        if self.requests.held and self.requests.more():
+                return False  # This side has closed the connection meanwhile.
+        self._handle_input(arrived_at)
+        if self.requests.is_in_use and self.requests.has_more():
             self._note_pipelined()
         return True
 
-    def _was_shed(self):
-        """Whether what was read was rejected unparsed.
+    def _reject_unparsed(self):
+        """Sends a rejection without parsing the request, if load is shed; returns whether it did.
 
         Raises:
             BrokenPipeError: the client does not read the rejection.
         """
-        if self.flow is not None or self.line.over():
+        if self.body_stream is not None or self.admission_queue.is_overloaded():
             return False
-        refusal = self.refuse(self.client, self.requests)
-        if not refusal:
+        rejection = self.prepared_rejection(self.client, self.requests)
+        if not rejection:
             return False
         self.requests.skip()
-        if sending.send_now(self.sock, refusal, b""):
-            raise BrokenPipeError(0, "takes no refusal")
+        if socket_io.send_now(self.sock, rejection, b""):
+            raise BrokenPipeError(0, "the client does not read the rejection")
         return True
 
-    def _take(self, came=NEVER):
-        """Takes up what was read; `came`: when it arrived, if before this turn of the loop."""
+    def _handle_input(self, arrived_at=NEVER):
+        """Handles the data that was read.
+
+        `arrived_at`: when the data arrived, if before this turn of the loop.
+        """
         try:
-            if self.flow is not None:
-                return self._take_piece()
+            if self.body_stream is not None:
+                return self._read_body_piece()
             message = self.requests.next()
-        except ProtocolError as fault:
-            # Where the malformed part ends is unknown: nothing behind it is read as a request.
-            self.last = True
-            self._end_flow()
-            self.tell(MalformedRequest(self.client, fault.status, str(fault)))
+        except ProtocolError as error:
+            # The end of the malformed part is unknown: nothing behind it is read as a request.
+            self.is_discarding = True
+            self._abort_body()
+            self.tell(MalformedRequest(self.client, error.status, str(error)))
             return
-        if message is not None and self.requests.flows:
-            self._begin_flow(message)
+        if message is not None and self.requests.is_streamed:
+            self._begin_body_stream(message)
         elif message is not None:
-            if self.pipelined:
-                self.tell(RequestReceived(self.client, message), came=self._arrival_of_pipelined())
+            if self.pipelined_reads:
+                self.tell(
+                    RequestReceived(self.client, message), arrived_at=self._arrival_of_pipelined()
+                )
             else:
-                self.tell(RequestReceived(self.client, message), came=came)
-        elif self.requests.begun():
-            self.tell(RequestStarted(self.client, self.requests.come()))
-            if self.requests.expects_go_on():
-                sending.send_now(self.sock, GO_ON, b"")
+                self.tell(RequestReceived(self.client, message), arrived_at=arrived_at)
+        elif self.requests.has_begun():
+            self.tell(RequestStarted(self.client, self.requests.body_bytes_received()))
+            if self.requests.expects_continue():
+                socket_io.send_now(self.sock, CONTINUE_RESPONSE, b"")
 
-    # A body too large to hold.
+    # Bodies that are too large to buffer.
 
-    def _begin_flow(self, message):
-        if not self.budget.reserve(WINDOW_COST):
-            # Before its body is read: many such bodies are far more than the process may hold.
-            self.last, self.discard_most = True, DISCARD_REST_MOST
+    def _begin_body_stream(self, message):
+        if not self.budget.reserve(STREAM_RESERVATION_BYTES):
+            # Rejected before the body is read: many such bodies exceed the memory of the process.
+            self.is_discarding, self.max_discard_bytes = True, MAX_UPLOAD_DISCARD_BYTES
             self.tell(MalformedRequest(self.client, 503))
             return
-        self.held = WINDOW_COST
-        self.message, self.announced = message, False
-        message.flow = self.flow = BodyStream(
-            self.requests.length if self.requests.pieces is None else None, self.read_on.set
+        self.reserved_bytes = STREAM_RESERVATION_BYTES
+        self.message, self.is_announced = message, False
+        message.flow = self.body_stream = BodyStream(
+            self.requests.length if self.requests.pieces is None else None, self.read_resumed.set
         )
-        if self.requests.expects_go_on():
-            sending.send_now(self.sock, GO_ON, b"")
-        self._take_piece()
+        if self.requests.expects_continue():
+            socket_io.send_now(self.sock, CONTINUE_RESPONSE, b"")
+        self._read_body_piece()
 
-    def _take_piece(self):
-        """Buffers a slow sender's body while the budget allows it; streams it otherwise."""
-        flow, requests = self.flow, self.requests
-        flow.add(requests.piece())
-        if requests.over:
-            flow.finish()
-        if self.announced:
+    def _read_body_piece(self):
+        """Buffers a body while the budget allows it, as its sender may be slow; else streams it."""
+        body, requests = self.body_stream, self.requests
+        body.add(requests.piece())
+        if requests.body_complete:
+            body.finish()
+        if self.is_announced:
             self.tell(BodyReceived(self.client))
-        elif requests.over or not self._buffers_whole():
-            self.announced = True
+        elif requests.body_complete or not self._buffers_whole():
+            self.is_announced = True
             self.tell(RequestReceived(self.client, self.message))
         else:
-            self.tell(RequestStarted(self.client, flow.size))
-        if requests.over:
-            self.flow = None
+            self.tell(RequestStarted(self.client, body.size))
+        if requests.body_complete:
+            self.body_stream = None
 
     def _buffers_whole(self):
-        """Whether the body may go on being buffered whole, so that it can be sent again."""
-        more = self.flow.size - self.held
-        if self.flow.size + WINDOW > GATHER_MOST:
+        """Returns whether the body may still be buffered whole, so that it can be sent again."""
+        more = self.body_stream.size - self.reserved_bytes
+        if self.body_stream.size + WINDOW > MAX_BUFFERED_BYTES:
             return False
         if more > 0:
-            if not self.budget.reserve(more, GATHER_PART):
+            if not self.budget.reserve(more, BUFFERED_FRACTION):
                 return False
-            self.held += more
+            self.reserved_bytes += more
         return True
 
-    def _end_flow(self):
-        """Aborts the body: its connection or its response has ended."""
-        if self.flow is not None:
-            self.flow.break_off()
-            self.flow = None
+    def _abort_body(self):
+        """Aborts the body, as its connection has ended or its response was sent."""
+        if self.body_stream is not None:
+            self.body_stream.break_off()
+            self.body_stream = None
 
-    def _free(self):
-        self._end_flow()
+    def _release_request(self):
+        self._abort_body()
         self.message = None
-        self.budget.release(self.held)
-        self.held = 0
+        self.budget.release(self.reserved_bytes)
+        self.reserved_bytes = 0
 
-    def answer(self, head: bytes, body, last: bool, chunked: bool = False):
-        """Sends a response; `body`: bytes or a BodyStream; `last`: close after it."""
-        self._free()
-        if self.gate is not None and head[9:12] in FAULTS:
-            self.gate.faulted(self.now(), self.address)
+    def answer(self, head: bytes, body, close_after: bool, chunked: bool = False):
+        """Sends a response; `body`: bytes or a BodyStream; `close_after`: it is the last one."""
+        self._release_request()
+        if self.admission is not None and head[9:12] in MALFORMED_STATUSES:
+            self.admission.faulted(self.now(), self.address)
         if isinstance(body, BodyStream):
-            self.passing = True
-            gevent.spawn(self._stream_body, head, body, last, chunked)
+            self.is_streaming_response = True
+            gevent.spawn(self._stream_body, head, body, close_after, chunked)
             return
         try:
-            rest = sending.send_now(self.sock, head, body)
-        except OSError as fault:
-            # The reading greenlet may wait for this response, and see it only at its timeout.
-            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
-        if rest:
-            gevent.spawn(self._write_rest, rest, last)
+            unsent = socket_io.send_now(self.sock, head, body)
+        except OSError as error:
+            # The reading greenlet may wait for this response, and see the failure only at its
+            # timeout.
+            return self.tell(
+                ClientDisconnected(self.client, f"connection failed: {error.strerror}")
+            )
+        if unsent:
+            gevent.spawn(self._write_rest, unsent, close_after)
         else:
-            self._written(last)
+            self._response_written(close_after)
 
-    def _write_rest(self, rest, last):
+    def _write_rest(self, unsent, close_after):
         try:
-            self.sock.sendall(rest)
-        except OSError as fault:
-            return self.tell(ClientDisconnected(self.client, f"broke: {fault.strerror}"))
-        self._written(last)
+            self.sock.sendall(unsent)
+        except OSError as error:
+            return self.tell(
+                ClientDisconnected(self.client, f"connection failed: {error.strerror}")
+            )
+        self._response_written(close_after)
 
-    def _stream_body(self, head, flow, last, chunked):
-        """Streams a response. One that is aborted must not look whole."""
+    def _stream_body(self, head, body, close_after, chunked):
+        """Streams a response; resets the connection if it is aborted, lest it look complete."""
         try:
-            sending.stream_body(
-                self.sock, head, flow, chunked, lambda: self.tell(ResponseProgressed(self.client))
+            socket_io.stream_body(
+                self.sock, head, body, chunked, lambda: self.tell(ResponseProgressed(self.client))
             )
         except OSError:
-            flow.break_off()
-        if flow.broken:
-            sending.reset(self.sock)
-            self.tell(ClientDisconnected(self.client, "answer broke off"))
+            body.break_off()
+        if body.broken:
+            socket_io.reset(self.sock)
+            self.tell(ClientDisconnected(self.client, "response aborted before its end"))
         else:
-            self._written(last)
+            self._response_written(close_after)
 
-    def _written(self, last):
-        self.passing = False
+    def _response_written(self, close_after):
+        self.is_streaming_response = False
         self.tell(ResponseSent(self.client))
-        if last:
-            # Closed at once with something unread, it would be reset and the response lost.
-            if not self.last and self.requests.flows and not self.requests.over:
-                self.discard_most = DISCARD_REST_MOST
-            self.last = True
+        if close_after:
+            # If the socket were closed with data unread, the connection would be reset and the
+            # response lost.
+            if (
+                not self.is_discarding
+                and self.requests.is_streamed
+                and not self.requests.body_complete
+            ):
+                self.max_discard_bytes = MAX_UPLOAD_DISCARD_BYTES
+            self.is_discarding = True
             self.requests.drop()
             self.requests = RequestReader()
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
         else:
             self.requests.release()
-            if self.requests.more():
-                # In order, each in its own turn of the loop: hundreds in a row delay no others.
-                gevent.spawn(self._take_next)
-        self.read_on.set()
+            if self.requests.has_more():
+                # In order, each in its own turn of the loop: hundreds of pipelined requests must
+                # not delay other connections.
+                gevent.spawn(self._handle_pipelined)
+        self.read_resumed.set()
 
-    def _take_next(self):
-        # The connection may have ended by now, and the reader be dropped.
-        if self.requests.parser is not None and not self.last and not self.requests.held:
-            self._take()
+    def _handle_pipelined(self):
+        # The connection may have ended by now, and the reader been dropped.
+        if (
+            self.requests.parser is not None
+            and not self.is_discarding
+            and not self.requests.is_in_use
+        ):
+            self._handle_input()
 
     # Pipelined requests (RFC 9112, 9.3.2).
 
     def _note_pipelined(self):
-        """Keeps when bytes arrived: a pipelined request's time runs from its last byte, too."""
-        if len(self.pipelined) == PIPELINED_MOST:
-            self.pipelined[-1] = (
-                self.received,
-                self.pipelined[-1][1],
-            )  # Rather too early than too late.
+        """Stores when bytes arrived: the time of a pipelined request starts at its last byte."""
+        if len(self.pipelined_reads) == MAX_PIPELINED_READS:
+            # The earlier time is used: an arrival time may be too early, but not too late.
+            self.pipelined_reads[-1] = (self.received, self.pipelined_reads[-1][1])
         else:
-            self.pipelined.append((self.received, self.came()))
+            self.pipelined_reads.append((self.received, self.arrival_time()))
 
     def _arrival_of_pipelined(self):
-        """Returns when the last byte of the message that was just taken had arrived."""
-        upto = self.received - (self.requests.end - self.requests.at)
-        while self.pipelined and self.pipelined[0][0] < upto:
-            self.pipelined.popleft()
-        came = self.pipelined[0][1] if self.pipelined else NEVER
-        if not self.requests.more():
-            self.pipelined.clear()
-        return came
+        """Returns when the last byte of the message that was just read had arrived."""
+        taken_bytes = self.received - (self.requests.end - self.requests.position)
+        while self.pipelined_reads and self.pipelined_reads[0][0] < taken_bytes:
+            self.pipelined_reads.popleft()
+        arrived_at = self.pipelined_reads[0][1] if self.pipelined_reads else NEVER
+        if not self.requests.has_more():
+            self.pipelined_reads.clear()
+        return arrived_at
 
     def close_when_read(self, reason: str):
-        """Closes the connection if nothing has arrived that was not taken up."""
-        if not self.requests.begun() and not sending.is_readable(self.sock):
-            # At once: a request that arrived between check and close would be lost.
-            sending.hang_up(self.sock)
+        """Closes the connection unless unhandled data has arrived."""
+        if not self.requests.has_begun() and not socket_io.is_readable(self.sock):
+            # Without a switch of greenlets: a request that arrived between would be lost.
+            socket_io.close_now(self.sock)
             self.tell(ClientDisconnected(self.client, reason))
 
     def end(self):
         """Ends the connection at once."""
-        self._free()
-        self.read_on.set()
-        # Aborted by the timeout of either side, whichever is due first, it must not look whole.
-        (sending.reset if self.passing else sending.hang_up)(self.sock)
-        if self.gate is not None:
-            self.gate.closed(self.now(), self.address)
-            self.gate = None
+        self._release_request()
+        self.read_resumed.set()
+        # A streamed response that the timeout of either side aborts must not look complete.
+        (socket_io.reset if self.is_streaming_response else socket_io.close_now)(self.sock)
+        if self.admission is not None:
+            self.admission.closed(self.now(), self.address)
+            self.admission = None
--- a/pierglade/proxy/event_loop.py
+++ b/pierglade/proxy/event_loop.py
@@ -1,109 +1,126 @@
-"""The clock (tenths of a millisecond of Unix time), the one timer, and the event loop's turns."""
+"""The clock (ticks of Unix time), the wakeup timer, and measurements of the event loop.
+
+A tick is a tenth of a millisecond. A turn is one iteration of the event loop.
+"""
 
 import time
 from collections.abc import Callable, Generator
 
 import gevent
 
-BETWEEN = (
-    0.004  # s; between two steps of long work, ten times one step: few requests are delayed by it
-)
-PER_SECOND = 10000  # tenths of a millisecond
-# ns; in a shorter turn the poll itself does not take long, and measuring costs
-LONG_TURN = 3000000
-WAITED = 150000  # ns; a poll that slept for less found events at once
+# Pause between two steps of long work: ten times the duration of a step, so that the work delays
+# few requests.
+STEP_PAUSE_S = 0.004
+TICKS_PER_SECOND = 10000
+# After a shorter turn the poll itself does not take long, and measuring it takes time.
+LONG_TURN_NS = 3000000
+MIN_WAIT_NS = 150000  # a poll that slept for less found events at once
 
 
-def in_steps(work: object, between: float = BETWEEN) -> object:
-    """Returns the result of `work`; a generator is run, with `between` s after each step."""
+def in_steps(work: object, pause_s: float = STEP_PAUSE_S) -> object:
+    """Returns the result of `work`; a generator is run, pausing for `pause_s` after each step."""
     if not isinstance(work, Generator):
         return work
     while True:
         try:
             next(work)
-        except StopIteration as over:
-            return over.value
-        gevent.sleep(between)
+        except StopIteration as stop:
+            return stop.value
+        gevent.sleep(pause_s)
 
 
 class Clock:
-    """Unix time that never steps."""
+    """Unix time that follows the monotonic clock, and so never steps."""
 
     def __init__(self):
-        # Set once: a step of the system clock must not move the deadlines of pending requests.
-        self.ahead = time.time_ns() - time.monotonic_ns()
+        # Computed once: a step of the system clock must not move the deadlines of pending requests.
+        self.unix_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Returns the time in tenths of a millisecond."""
-        return (time.monotonic_ns() + self.ahead) // 100000
+        """Returns the time in ticks."""
+        return (time.monotonic_ns() + self.unix_offset_ns) // 100000
 
 
 class EventLoopMonitor:
-    """Follows the turns of the event loop.
+    """Measures the turns of the event loop.
 
-    `came`: when what is read in this turn is likely to have arrived; `idle`: when the loop last
-    waited.
+    `arrived_at`: when the data that is read in this turn is likely to have arrived; `idle_at`: when
+    the loop last waited for events.
 
-    A loop that waited sees an event at once. One that did not has worked through its last turn,
-    during which the event arrived. After a long turn, the thread's CPU time shows whether it
-    waited: with thousands of connections the poll itself takes long, as it registers its watchers.
+    A loop that waited sees an event at once. One that did not wait was busy for its whole last
+    turn, during which the event arrived. After a long turn, the thread's CPU time shows whether the
+    poll waited: with thousands of connections the poll itself takes long, as it registers its
+    watchers.
     """
 
     def __init__(self, clock: Clock):
         self.clock = clock
-        self.began = self.came = self.idle = clock.now()
-        self.polled = time.monotonic_ns()
-        self.used = None  # CPU time in ns before the poll, after a long turn
-        self.ended = self.polled  # when the last poll ended
+        self.turn_began_at = self.arrived_at = self.idle_at = clock.now()
+        self.poll_began_ns = time.monotonic_ns()
+        # CPU time of the thread before the poll; set after a long turn.
+        self.cpu_before_poll_ns = None
+        self.poll_ended_ns = self.poll_began_ns  # end of the last poll
         loop = gevent.get_hub().loop
         self.watchers = loop.prepare(ref=False), loop.check(ref=False)
-        for watcher, call in zip(self.watchers, (self._before_poll, self._after_poll), strict=True):
-            watcher.start(call)
+        for watcher, callback in zip(
+            self.watchers, (self._before_poll, self._after_poll), strict=True
+        ):
+            watcher.start(callback)
 
     def _before_poll(self):
-        self.polled = time.monotonic_ns()
-        self.used = time.thread_time_ns() if self.polled - self.ended > LONG_TURN else None
+        self.poll_began_ns = time.monotonic_ns()
+        self.cpu_before_poll_ns = (
+            time.thread_time_ns()
+            if self.poll_began_ns - self.poll_ended_ns > LONG_TURN_NS
+            else None
+        )
 
     def _after_poll(self):
         now = self.clock.now()
-        self.ended = time.monotonic_ns()
-        worked = 0 if self.used is None else time.thread_time_ns() - self.used
-        if self.ended - self.polled - worked > WAITED:
-            self.came = self.idle = now
+        self.poll_ended_ns = time.monotonic_ns()
+        poll_cpu_ns = (
+            0
+            if self.cpu_before_poll_ns is None
+            else time.thread_time_ns() - self.cpu_before_poll_ns
+        )
+        if self.poll_ended_ns - self.poll_began_ns - poll_cpu_ns > MIN_WAIT_NS:
+            self.arrived_at = self.idle_at = now
         else:
-            self.came = (self.began + now) // 2
-        self.began = now
+            self.arrived_at = (self.turn_began_at + now) // 2
+        self.turn_began_at = now
 
 
 class Timer:
-    """Calls back at the last moment that was set, in a greenlet of its own, with the lag.
+    """Calls back at the time that was set last, in a greenlet of its own, with the lag in ticks.
 
-    Postponing does not move the loop's timer, which finds out when it fires: nearly every event
-    postpones it, and few moments are reached.
+    Postponing does not move the loop's timer; a timer that fires early is started again. Nearly
+    every event postpones the wakeup, and few wakeups are reached.
     """
 
-    def __init__(self, clock: Clock, call: Callable[[int], None]):
-        self.clock, self.call = clock, call
-        self.moment = self.fires_at = None
+    def __init__(self, clock: Clock, callback: Callable[[int], None]):
+        self.clock, self.callback = clock, callback
+        self.due_at = self.fires_at = None
         self.timer = None
 
-    def set(self, moment: int | None):
-        """Sets the moment, in tenths of a millisecond; None: there is none."""
-        self.moment = moment
-        if moment is None or (self.fires_at is not None and self.fires_at <= moment):
+    def set(self, due_at: int | None):
+        """Sets the time of the next call, in ticks; None: there is none."""
+        self.due_at = due_at
+        if due_at is None or (self.fires_at is not None and self.fires_at <= due_at):
             return
         if self.timer is not None:
             self.timer.close()
-        self.fires_at = moment
-        self.timer = gevent.get_hub().loop.timer(max(0, moment - self.clock.now()) / PER_SECOND)
+        self.fires_at = due_at
+        self.timer = gevent.get_hub().loop.timer(
+            max(0, due_at - self.clock.now()) / TICKS_PER_SECOND
+        )
         self.timer.start(self._fire)
 
     def _fire(self):
-        moment, self.moment, self.fires_at = self.moment, None, None
-        if moment is None:
+        due_at, self.due_at, self.fires_at = self.due_at, None, None
+        if due_at is None:
             return
-        lag = self.clock.now() - moment
+        lag = self.clock.now() - due_at
         if lag < 0:
-            self.set(moment)
+            self.set(due_at)
         else:
-            gevent.spawn(self.call, lag)
+            gevent.spawn(self.callback, lag)
--- a/pierglade/proxy/http/__init__.py
+++ b/pierglade/proxy/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages out of bytes and back, bounded in size.
+"""Parses and builds HTTP/1.1 messages, bounded in size.
 
-Not for sockets or for what a message means. Start with `pierglade.proxy.http.reader`.
+The package neither uses sockets nor interprets messages. Start with `pierglade.proxy.http.reader`.
 """
--- a/pierglade/proxy/http/body_stream.py
+++ b/pierglade/proxy/http/body_stream.py
@@ -1,57 +1,61 @@
-"""A body too large to hold, streamed from one connection to another.
+"""A body that is too large to buffer, streamed from one connection to another.
 
-No I/O: the reading side adds pieces and pauses while the window is full, the writing side takes
-them; each side may end it early.
+There is no I/O here: the reading side adds pieces and pauses while the window is full, the writing
+side takes them; each side may abort the body.
 """
 
 from collections import deque
 
-WINDOW = 1 << 16  # bytes; read and not yet written; more would only wait in our memory
-WINDOW_COST = 1 << 17  # bytes; what a streamed body holds, with the buffer it is read into
-GATHER_MOST = (
-    1 << 20
-)  # bytes; a slow sender's body of this size is held whole, so that it can be sent again
-GATHER_PART = 0.5  # share of the space for bodies held whole; the rest is for those streamed
+WINDOW = 1 << 16  # bytes read and not yet written; more would only wait in the memory
+# Memory of a streamed body, with the buffer that it is read into.
+STREAM_RESERVATION_BYTES = 1 << 17
+# A slow sender's body of up to this size is buffered whole, so that it can be sent again.
+MAX_BUFFERED_BYTES = 1 << 20
+BUFFERED_FRACTION = 0.5  # of the budget, for bodies buffered whole; the rest is for streamed ones
 
 
 class BufferBudget:
-    """Bytes of bodies that this process may hold, over all connections."""
+    """Limits the bytes of bodies that this process holds, over all connections."""
 
-    def __init__(self, most):
-        self.most, self.used = most, 0
+    def __init__(self, max_bytes):
+        self.max_bytes, self.reserved = max_bytes, 0
 
-    def reserve(self, count: int, part: float = 1.0) -> bool:
-        """Reserves `count` bytes unless more than `part` of the budget would be in use."""
-        if self.used + count > self.most * part:
+    def reserve(self, byte_count: int, fraction: float = 1.0) -> bool:
+        """Reserves `byte_count` bytes unless more than `fraction` of the budget would be reserved.
+
+        Returns whether the bytes were reserved.
+        """
+        if self.reserved + byte_count > self.max_bytes * fraction:
             return False
-        self.used += count
+        self.reserved += byte_count
         return True
 
-    def release(self, count: int):
-        """Returns bytes that were reserved."""
-        self.used -= count
+    def release(self, byte_count: int):
+        """Releases reserved bytes."""
+        self.reserved -= byte_count
 
 
 class BodyStream:
     """The pieces of one body that were read and not yet written.
 
-    `length`: bytes of the whole body, None where it is known only at its end. `wakes`: called
-    whenever either side may continue.
+    `length`: bytes of the whole body; None where the length is known only at its end. `wakes`:
+    callbacks, called whenever either side may continue.
     """
 
     def __init__(self, length, *wakes):
         self.length, self.wakes = length, list(wakes)
-        self.pieces, self.waiting, self.size = deque(), 0, 0  # `size`: bytes read in all
-        self.whole = self.broken = False
-        self.passing = False  # pieces are discarded once taken; not while it is buffered whole
+        # `waiting`: bytes in `pieces`; `size`: bytes read in all.
+        self.pieces, self.waiting, self.size = deque(), 0, 0
+        self.whole = self.broken = False  # read to its end; aborted
+        self.is_partly_taken = False  # whether pieces were taken, and so discarded
 
     def wake(self):
-        """Calls all of `wakes`."""
+        """Calls all callbacks in `wakes`."""
         for wake in self.wakes:
             wake()
 
     def add(self, piece: bytes):
-        """Adds what was read."""
+        """Adds a piece that was read."""
         if piece and not self.broken:
             self.pieces.append(piece)
             self.waiting += len(piece)
@@ -59,11 +63,11 @@
             self.wake()
 
     def full(self) -> bool:
-        """Whether the reading side should pause until more is taken."""
+        """Returns whether the reading side should pause until a piece is taken."""
         return self.waiting >= WINDOW and not self.broken
 
     def finish(self):
-        """Notes that the body was read to its end."""
+        """Records that the body was read to its end."""
         self.whole = True
         self.wake()
 
@@ -75,9 +79,9 @@
         self.wake()
 
     def take(self) -> bytes | None:
-        """Returns the next piece, b"" where none was read yet, None at the end."""
+        """Returns the next piece, b"" if none was read yet, or None at the end."""
         if self.pieces:
-            self.passing = True
+            self.is_partly_taken = True
             piece = self.pieces.popleft()
             self.waiting -= len(piece)
             self.wake()
@@ -85,5 +89,5 @@
         return None if self.whole or self.broken else b""
 
     def spent(self) -> bool:
-        """Whether part of it was already taken, so that a retry cannot send it."""
-        return self.passing or self.broken
+        """Returns whether a retry cannot send the body, as pieces were taken or it was aborted."""
+        return self.is_partly_taken or self.broken
--- a/pierglade/proxy/http/head.py
+++ b/pierglade/proxy/http/head.py
@@ -1,4 +1,4 @@
-"""What a head may contain, and how it frames its body; stricter than the parser."""
+"""The grammar of message heads, and the framing of bodies; both are stricter than the parser."""
 
 import re
 from enum import Enum
@@ -6,35 +6,36 @@
 from pierglade.errors import PiergladeError
 from pierglade.proxy.http.message import Message
 
-HEAD_MOST = 16384  # bytes of start line and headers; what common servers take
-LENGTH_DIGITS = 18  # digits of a length; longer ones are refused before they are counted with
-FRAMING = frozenset((b"content-length", b"transfer-encoding"))
+MAX_HEAD_BYTES = 16384  # start line and headers; common servers accept as much
+MAX_LENGTH_DIGITS = 18  # a Content-Length with more digits is rejected before it is parsed
+FRAMING_FIELDS = frozenset((b"content-length", b"transfer-encoding"))
 
-# The grammar that a head must match. Parsers tolerate more than this, and differ in what: what one
-# reads as one message, the next may read as two (request smuggling).
+# The grammar that a head must match. Parsers tolerate different deviations from it: bytes that one
+# parser reads as one message, the next may read as two (request smuggling).
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-FIELDS = rb"(?:" + TOKEN + rb":[^\r\n\0]*+\r\n)*+(?:\r\n)?"
+FIELD_LINES = rb"(?:" + TOKEN + rb":[^\r\n\0]*+\r\n)*+(?:\r\n)?"
 REQUEST_LINE = TOKEN + rb" [\x21\x22\x24-\x7e]+ HTTP/1\.[01]\r\n"
 STATUS_LINE = rb"HTTP/1\.[01] [1-5][0-9][0-9](?: [^\r\n\0]*+)?\r\n"
 
-# The fields that load shedding needs of a request it does not parse; one that changes the framing
-# is left to the parser.
-GLANCED_FIELDS = re.compile(
+# The fields that load shedding reads from a request without parsing it. A request with a field that
+# changes the framing is left to the parser.
+PREVIEWED_FIELDS = re.compile(
     rb"\r\n(x-trace-id|x-expires-in-ms|x-customer|host|content-length|transfer-encoding|"
     rb"connection|expect|idempotency-key):[ \t]*([^\r\n]*)",
     re.IGNORECASE,
 )
-PARSER_ONLY = frozenset((b"transfer-encoding", b"connection", b"expect"))
+FIELDS_FOR_PARSER = frozenset((b"transfer-encoding", b"connection", b"expect"))
 
-HEADER_LINES = re.compile(FIELDS)
-REQUEST_HEAD = re.compile(REQUEST_LINE + FIELDS)
-RESPONSE_HEAD = re.compile(STATUS_LINE + FIELDS)
+HEADER_LINES = re.compile(FIELD_LINES)
+REQUEST_HEAD = re.compile(REQUEST_LINE + FIELD_LINES)
+RESPONSE_HEAD = re.compile(STATUS_LINE + FIELD_LINES)
 
 
 class ProtocolError(PiergladeError):
-    """What was read is not a message that is accepted.
+    """A malformed or unacceptable message was read.
 
-    `status`: the response for a client that sent it; `reason`: one line for the log.
+    `status`: status code of the response, if a client sent the message; `reason`: one line, for the
+    body of that response and for the log.
     """
 
     def __init__(self, status: int, reason: str):
@@ -43,23 +44,25 @@
 
 
 class BodyFraming(Enum):
-    """What marks the end of a body."""
+    """How the end of a body is marked."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
     NONE = "none"
 
 
-def body_framing(message: Message, body_most: int) -> tuple[BodyFraming, int]:
-    """Returns how the body of `message` is framed by its headers, and its length in bytes.
+def body_framing(message: Message, max_body_bytes: int) -> tuple[BodyFraming, int]:
+    """Returns how the headers of `message` frame its body, and the body's length in bytes.
 
     Raises:
-        ProtocolError: the framing can be read in two ways (it may hide another message), is
-            unknown, or announces more than `body_most` bytes.
+        ProtocolError: the framing is ambiguous (the body may hide another message) or unknown, or
+            it announces more than `max_body_bytes` bytes.
     """
     fields = message.fields
     coding, length = fields.get(b"transfer-encoding"), fields.get(b"content-length")
-    if not FRAMING.isdisjoint(message.doubled) or (coding is not None and length is not None):
+    if not FRAMING_FIELDS.isdisjoint(message.doubled) or (
+        coding is not None and length is not None
+    ):
         raise ProtocolError(400, "framed twice")
     if coding is not None:
         if coding.lower() != b"chunked" or message.version != "1.1":
@@ -69,28 +72,28 @@
         return BodyFraming.NONE, 0
     if not length.isdigit():
         raise ProtocolError(400, "length is no number")
-    count = int(length[:LENGTH_DIGITS])
-    if count > body_most or len(length) > LENGTH_DIGITS:
-        raise ProtocolError(413, f"body of {length[:LENGTH_DIGITS].decode()} bytes")
-    return BodyFraming.LENGTH, count
+    byte_count = int(length[:MAX_LENGTH_DIGITS])
+    if byte_count > max_body_bytes or len(length) > MAX_LENGTH_DIGITS:
+        raise ProtocolError(413, f"body of {length[:MAX_LENGTH_DIGITS].decode()} bytes")
+    return BodyFraming.LENGTH, byte_count
 
 
-def glanced_request(buffer: bytearray, start: int, end: int) -> tuple | None:
-    """Returns (method, target, fields) of a request that needs no parser, else None.
+def previewed_request(buffer: bytearray, start: int, end: int) -> tuple | None:
+    """Returns (method, target, fields) of a request that can be read without the parser, else None.
 
-    It must be one whole request without a body and nothing behind it. `fields`: the values by name
-    in lower case, of those that GLANCED_FIELDS names.
+    The buffer must contain exactly one whole request without a body. `fields`: the values of the
+    fields in PREVIEWED_FIELDS by their names in lower case.
     """
     if (
-        end - start > HEAD_MOST
+        end - start > MAX_HEAD_BYTES
         or buffer.find(b"\r\n\r\n", start, end) != end - 4
         or not REQUEST_HEAD.fullmatch(buffer, start, end)
     ):
         return None
     fields = {}
-    for name, value in GLANCED_FIELDS.findall(buffer, start, end):
+    for name, value in PREVIEWED_FIELDS.findall(buffer, start, end):
         name = name.lower()
-        if name in fields or name in PARSER_ONLY:
+        if name in fields or name in FIELDS_FOR_PARSER:
             return None
         fields[name] = value.rstrip()
     line = bytes(buffer[start : buffer.find(b"\r\n", start, end)])
--- a/pierglade/proxy/http/message.py
+++ b/pierglade/proxy/http/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages, and the heads that a proxy writes."""
+"""HTTP/1.1 messages, and the heads that the proxy writes."""
 
 import httptools
 
@@ -17,8 +17,8 @@
         b"expect",
     )
 )
-CHUNKED = b"Transfer-Encoding: chunked"
-GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
+CHUNKED_LINE = b"Transfer-Encoding: chunked"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 PHRASES = {
     200: "OK",
     400: "Bad Request",
@@ -57,17 +57,17 @@
         self.method = self.url = b""
         self.status = 0
         self.headers = []  # (name, value, name in lower case) as received
-        self.fields = {}  # the last value by name in lower case
-        self.doubled = ()  # names in lower case that occurred more than once
+        self.fields = {}  # the last value of each field, by name in lower case
+        self.doubled = ()  # names in lower case of fields that occurred more than once
         self.body = b""
-        self.keep = False
+        self.keep = False  # whether the connection may be reused after the message
         self.version = "1.1"
-        self.flow = None  # the body as a BodyStream, where it is too large to hold
-        self.given = False  # its trace id was assigned by this process
+        self.flow = None  # the body as a BodyStream, where it is too large to buffer
+        self.given = False  # whether the trace id was assigned by this process
 
 
 def target(url):
-    """Returns path and query of a request target, or None if it has none."""
+    """Returns the path and query of a request target, or None if it has no path."""
     if url.startswith(b"/"):
         return url
     try:
@@ -79,25 +79,32 @@
     return (parsed.path or b"/") + (b"?" + parsed.query if parsed.query else b"")
 
 
-def passed_on(message, left_out):
-    """Returns the headers that a proxy forwards.
+def passed_on(message, excluded):
+    """Returns the headers that the proxy forwards.
 
-    Hop-by-hop headers named by `Connection` are removed, and those in `left_out` (lower case).
+    Omits the headers that `Connection` names, and those in `excluded` (names in lower case).
     """
     if b"connection" in message.fields:
-        named = b",".join(value for _, value, small in message.headers if small == b"connection")
-        left_out = left_out.union(token.strip().lower() for token in named.split(b","))
-    return [(name, value) for name, value, small in message.headers if small not in left_out]
+        connection_options = b",".join(
+            value for _, value, lowercase_name in message.headers if lowercase_name == b"connection"
+        )
+        excluded = excluded.union(token.strip().lower() for token in connection_options.split(b","))
+    return [
+        (name, value)
+        for name, value, lowercase_name in message.headers
+        if lowercase_name not in excluded
+    ]
 
 
 def request_head(method, path, headers, length):
     """Builds the head of a request.
 
-    `length`: bytes of the body; None where it is known only at its end, so that it is chunked.
+    `length`: bytes of the body; None where the length is known only at its end, so that the body
+    is sent in chunks.
     """
     lines = [b"%s %s HTTP/1.1" % (method, path), *(b"%s: %s" % pair for pair in headers)]
     if length is None:
-        lines.append(CHUNKED)
+        lines.append(CHUNKED_LINE)
     elif length or method != b"GET":
         lines.append(b"Content-Length: %d" % length)
     return b"\r\n".join(lines) + b"\r\n\r\n"
@@ -106,7 +113,7 @@
 def answer_head(status, headers, length, close, chunked=False):
     """Builds the head of a response.
 
-    `length`: bytes of the body; None where its end is marked by the last chunk (`chunked`) or by
+    `length`: bytes of the body; None where the end is marked by the last chunk (`chunked`) or by
     the end of the connection.
     """
     lines = [
@@ -116,7 +123,7 @@
     if length is not None:
         lines.append(b"Content-Length: %d" % length)
     elif chunked:
-        lines.append(CHUNKED)
+        lines.append(CHUNKED_LINE)
     if close:
         lines.append(b"Connection: close")
     return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/pierglade/proxy/http/reader.py
+++ b/pierglade/proxy/http/reader.py
@@ -1,336 +1,358 @@
-"""Reads HTTP/1.1 messages: httptools parses, and bodies stay slices of the read buffer."""
+"""Reads HTTP/1.1 messages: httptools parses heads and chunks; bodies are slices of the buffer."""
 
 import httptools
 
 from pierglade.proxy.http.head import (
-    HEAD_MOST,
     HEADER_LINES,
+    MAX_HEAD_BYTES,
     REQUEST_HEAD,
     RESPONSE_HEAD,
     BodyFraming,
     ProtocolError,
     body_framing,
-    glanced_request,
+    previewed_request,
 )
 from pierglade.proxy.http.message import Message
 
-HELD_MOST = 65536  # bytes of a body that is held whole; a larger one is streamed
-BODY_MOST = 1 << 26  # bytes of a request's body; operators expect 32 MB
-STREAM_BUFFER = 1 << 15  # bytes read at once of a body that is streamed
-INITIAL_BUFFER = 4096  # bytes a connection starts with; nearly all heads fit
-CHUNKS_MOST = 4  # times the most of a body, as sent in chunks; beyond it is more framing than body
-CHUNK_LINE_MOST = (
-    4096  # bytes of a line between chunks or behind them; extensions and trailers are short
-)
-INTERIM_MOST = 8  # responses 1xx ahead of the final one; a backend has no use for more
-RESPONSE_MOST = 1 << 30  # bytes of a response's body; none of it is held
+MAX_BUFFERED_BODY_BYTES = 65536  # a larger body is streamed
+MAX_REQUEST_BODY_BYTES = 1 << 26  # operators expect bodies of up to 32 MB
+STREAM_BUFFER_BYTES = 1 << 15  # read at once from a streamed body
+INITIAL_BUFFER_BYTES = 4096  # nearly all heads fit
+# Multiple of the maximum body size, for a chunked body with its framing; beyond that there is more
+# framing than body.
+MAX_CHUNKING_OVERHEAD = 4
+MAX_CHUNK_LINE_BYTES = 4096  # a line between chunks or behind them: chunk extensions, trailers
+MAX_INTERIM_RESPONSES = 8  # 1xx responses ahead of the final one
+MAX_RESPONSE_BODY_BYTES = 1 << 30  # large responses are streamed, not buffered
 
 
 class ChunkFramer:
-    """Cuts a chunked body so that the parser is never given a byte of what follows the message.
+    """Splits a chunked body so that the parser never gets a byte of the following message.
 
-    Lines between chunks are fed one by one, and the data of a chunk up to its end.
+    The parser is fed the lines between chunks one by one, and the data of a chunk up to its end.
     """
 
-    __slots__ = ("left", "line", "line_ended", "sized")
+    __slots__ = ("has_size", "line", "line_ended", "remaining")
 
     def __init__(self):
-        self.left, self.line = 0, b""  # bytes of the current chunk; its size line so far
-        self.line_ended = self.sized = False
-
-    def end_of_step(self, buffer: bytearray, at: int, end: int) -> int:
-        """Returns up to where the parser may be fed from `at`; raises ProtocolError."""
-        self.sized = False
-        if self.left:
-            upto = min(end, at + self.left)
-            self.left -= upto - at
-            return upto
-        newline = buffer.find(b"\n", at, end)
-        upto = newline + 1 if newline >= 0 else end
-        self.line += bytes(buffer[at:upto])
-        if len(self.line) > CHUNK_LINE_MOST:
+        # Remaining bytes of the current chunk; the line between chunks as far as it was read.
+        self.remaining, self.line = 0, b""
+        self.line_ended = self.has_size = False
+
+    def end_of_step(self, buffer: bytearray, position: int, end: int) -> int:
+        """Returns the position up to which the parser may be fed; raises ProtocolError."""
+        self.has_size = False
+        if self.remaining:
+            limit = min(end, position + self.remaining)
+            self.remaining -= limit - position
+            return limit
+        newline = buffer.find(b"\n", position, end)
+        limit = newline + 1 if newline >= 0 else end
+        self.line += bytes(buffer[position:limit])
+        if len(self.line) > MAX_CHUNK_LINE_BYTES:
             raise ProtocolError(400, "endless line between chunks")
         self.line_ended = newline >= 0
-        return upto
+        return limit
 
-    def fed(self):
-        """Notes that the parser has seen the step; `sized`: it found a chunk's size in it."""
-        if self.sized:
-            self.left = int(self.line.partition(b";")[0], 16)
+    def step_parsed(self):
+        """Records that the step was parsed; `has_size`: the parser found a chunk size in it."""
+        if self.has_size:
+            self.remaining = int(self.line.partition(b";")[0], 16)
         if self.line_ended:
             self.line, self.line_ended = b"", False
 
 
 class MessageReader:
-    """One direction of a connection: a buffer to read into, and the messages in it one by one."""
+    """Reads one direction of a connection: a buffer to read into, and the messages in it."""
 
     parser_type = None
-    body_most, held_most = BODY_MOST, HELD_MOST
+    max_body_bytes, max_buffered_bytes = MAX_REQUEST_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
     head = None  # the grammar of a whole head
 
     def __init__(self):
-        self.buffer = bytearray(INITIAL_BUFFER)
+        self.buffer = bytearray(INITIAL_BUFFER_BYTES)
         self.view = memoryview(self.buffer)
-        self.at = self.end = 0  # parsed and read up to here
-        self.held = False  # a whole message that is still in use
-        self.interims = 0
+        self.position = self.end = 0  # positions up to which the buffer was parsed and filled
+        self.is_in_use = False  # whether the message that `next` returned is still in use
+        self.interim_count = 0  # interim responses read before the current message
         self._begin()
 
     def _begin(self):
-        self.start = self.at
+        self.start = self.position
         self.message = Message()
         self.parser = self.parser_type(self)
-        self.headed = False  # the head is whole
-        self.flows = False  # the body is streamed: handed out piece by piece
+        self.head_complete = False  # the head was parsed
+        self.is_streamed = False  # the body is streamed: returned piece by piece
         self.until_end = False  # the body ends with the connection
-        self.left = 0  # bytes, of a streamed body with a length
-        self.body_from = 0
-        self.length = 0  # bytes, of a body with a length
-        self.pieces = None  # of a body whose length is known only at its end
-        self.chunks = None  # of a chunked body
+        self.remaining = 0  # remaining bytes of a streamed body with a length
+        self.body_start = 0  # position in the buffer
+        self.length = 0  # bytes of a body with a length
+        self.pieces = None  # pieces of a body whose length is known only at its end
+        self.chunk_framer = None  # the ChunkFramer of a chunked body
+        # Bytes read of such a body: with the framing of its chunks, and without.
         self.chunked_size = self.pieces_size = 0
-        self.over = False
+        self.body_complete = False  # the body was read to its end
 
-    def begun(self) -> bool:
-        """Whether a message has begun that is not whole yet."""
-        return not self.held and self.end > self.start
+    def has_begun(self) -> bool:
+        """Returns whether a message has begun that is not complete yet."""
+        return not self.is_in_use and self.end > self.start
 
-    def come(self) -> int | None:
-        """Returns the bytes read behind the current head; None while the head is not whole."""
-        if not self.headed:
+    def body_bytes_received(self) -> int | None:
+        """Returns the bytes read behind the current head; None while the head is incomplete."""
+        if not self.head_complete:
             return None
-        return self.chunked_size if self.pieces is not None else self.end - self.body_from
+        return self.chunked_size if self.pieces is not None else self.end - self.body_start
 
-    def more(self) -> bool:
-        """Whether bytes follow the current message."""
-        return self.end > self.at
+    def has_more(self) -> bool:
+        """Returns whether bytes follow the current message."""
+        return self.end > self.position
 
-    def expects_go_on(self) -> bool:
-        """Whether the sender waits for 100 Continue before it sends the body."""
+    def expects_continue(self) -> bool:
+        """Returns whether the sender waits for 100 Continue before it sends the body."""
         return (
-            self.headed
-            and not self.over
-            and self.end == self.body_from
+            self.head_complete
+            and not self.body_complete
+            and self.end == self.body_start
             and self.message.fields.get(b"expect", b"").lower() == b"100-continue"
         )
 
     def writable(self):
-        """Returns where to read next; None while a whole message is in use and the buffer is full.
+        """Returns the view to read into; None while a message is in use and the buffer is full.
 
-        Bytes are moved only here: a pending read into the view returned last must find it in place.
+        Bytes are moved only here, so that a pending read into the view returned last stays valid.
         """
-        if self.flows:
-            if self.at == self.end:
-                self.at = self.end = self.start = 0
-                if len(self.buffer) != STREAM_BUFFER:
-                    self.buffer = bytearray(STREAM_BUFFER)
+        if self.is_streamed:
+            if self.position == self.end:
+                self.position = self.end = self.start = 0
+                if len(self.buffer) != STREAM_BUFFER_BYTES:
+                    self.buffer = bytearray(STREAM_BUFFER_BYTES)
                     self.view = memoryview(self.buffer)
-        elif not self.held:
-            if self.pieces is not None and self.at == self.end:
-                # What is parsed of a chunked body is kept in pieces, and its space is reused.
-                self.at = self.end = self.body_from
-            if self.start == self.end and (self.end or len(self.buffer) > INITIAL_BUFFER):
-                self._move(INITIAL_BUFFER)  # A large message must not hold its memory for ever.
-            elif self.body_from + self.length > len(self.buffer) and self.length <= self.held_most:
-                self._move(self.body_from - self.start + self.length)
+        elif not self.is_in_use:
+            if self.pieces is not None and self.position == self.end:
+                # The parsed part of a chunked body is stored in pieces; its space is reused.
+                self.position = self.end = self.body_start
+            if self.start == self.end and (self.end or len(self.buffer) > INITIAL_BUFFER_BYTES):
+                self._move(INITIAL_BUFFER_BYTES)  # The memory of a large message must be released.
+            elif (
+                self.body_start + self.length > len(self.buffer)
+                and self.length <= self.max_buffered_bytes
+            ):
+                self._move(self.body_start - self.start + self.length)
             elif self.end == len(self.buffer):
                 self._move(len(self.buffer) * (1 if self.start else 2))
         return self.view[self.end :] if self.end < len(self.buffer) else None
 
     def _move(self, size):
-        """Moves what is being read to the front of a buffer of this size."""
-        rest = self.end - self.start
-        fresh = self.buffer if size == len(self.buffer) else bytearray(size)
-        fresh[:rest] = bytes(self.view[self.start : self.end])
-        self.buffer, self.view = fresh, memoryview(fresh)
-        self.at, self.end = self.at - self.start, rest
-        self.body_from -= self.start if self.body_from else 0
+        """Moves the current message to the front of a buffer of `size` bytes."""
+        unparsed = self.end - self.start
+        new_buffer = self.buffer if size == len(self.buffer) else bytearray(size)
+        new_buffer[:unparsed] = bytes(self.view[self.start : self.end])
+        self.buffer, self.view = new_buffer, memoryview(new_buffer)
+        self.position, self.end = self.position - self.start, unparsed
+        self.body_start -= self.start if self.body_start else 0
         self.start = 0
 
-    def filled(self, count: int):
-        """Notes that `count` bytes were read into what `writable` returned."""
-        self.end += count
+    def filled(self, byte_count: int):
+        """Records that `byte_count` bytes were read into the view that `writable` returned."""
+        self.end += byte_count
 
     def preview(self) -> tuple | None:
-        """Returns (method, target, fields) of what was read if that needs no parser, else None.
+        """Returns (method, target, fields) of a request that needs no parser, else None.
 
-        See `head.glanced_request`.
+        See `head.previewed_request`.
         """
-        if self.held or self.at != self.start:
+        if self.is_in_use or self.position != self.start:
             return None
-        return glanced_request(self.buffer, self.start, self.end)
+        return previewed_request(self.buffer, self.start, self.end)
 
     def skip(self):
-        """Discards what was read; it was answered without the parser."""
-        self.start = self.at = self.end
+        """Discards the request in the buffer, as it was answered without the parser."""
+        self.start = self.position = self.end
 
     def release(self):
-        """Notes that the message is no longer in use."""
-        self.held = False
+        """Records that the message is no longer in use."""
+        self.is_in_use = False
         self._begin()
 
     def drop(self):
-        """Breaks the cycle of parser and reader, which would keep the buffer until a collection."""
+        """Breaks the reference cycle of parser and reader.
+
+        The cycle would keep the buffer in memory until the next garbage collection.
+        """
         self.parser = None
 
     def next(self) -> Message | None:
-        """Returns the next whole message, or None; the reader holds it until `release`.
+        """Returns the next message, or None; it is in use until `release` is called.
+
+        A message whose body is streamed is returned before the body is complete.
 
         Raises:
-            ProtocolError: what was read is no message that is accepted.
+            ProtocolError: the data read is not an acceptable message.
         """
-        if self.held:
+        if self.is_in_use:
             return None
-        while self.headed or self._read_head():
+        while self.head_complete or self._read_head():
             if self.until_end:
-                self.pieces.append(bytes(self.view[self.at : self.end]))
-                self.pieces_size += self.end - self.at
-                self.at = self.end
+                self.pieces.append(bytes(self.view[self.position : self.end]))
+                self.pieces_size += self.end - self.position
+                self.position = self.end
             elif self.pieces is not None:
                 self._read_chunks()
-            elif self.length <= self.held_most:
-                whole = self.body_from + self.length
-                if self.end < whole:
+            elif self.length <= self.max_buffered_bytes:
+                message_end = self.body_start + self.length
+                if self.end < message_end:
                     return None
-                self.message.body = self.view[self.body_from : whole]
-                self.at, self.over = whole, True
-            if not self.over:
-                if self.pieces is not None and self.pieces_size <= self.held_most:
+                self.message.body = self.view[self.body_start : message_end]
+                self.position, self.body_complete = message_end, True
+            if not self.body_complete:
+                if self.pieces is not None and self.pieces_size <= self.max_buffered_bytes:
                     return None
-                self.flows = self.held = True
+                self.is_streamed = self.is_in_use = True
                 return self.message
             if self.pieces is not None:
                 self.message.body = b"".join(self.pieces)
             if self.message.status // 100 != 1:
-                self.held, self.interims = True, 0
+                self.is_in_use, self.interim_count = True, 0
                 return self.message
-            self.interims += 1  # The final response follows.
-            if self.interims > INTERIM_MOST or self.message.status == 101:
-                raise ProtocolError(400, "interim answers without end")
+            self.interim_count += 1  # The final response follows.
+            if self.interim_count > MAX_INTERIM_RESPONSES or self.message.status == 101:
+                raise ProtocolError(
+                    400,
+                    f"interim response {self.message.status} is number {self.interim_count}; "
+                    f"at most {MAX_INTERIM_RESPONSES} are accepted, and no status 101",
+                )
             self._begin()
         return None
 
     def piece(self) -> bytes:
-        """Returns what was read of a streamed body since the last piece; `over`: that was all."""
+        """Returns the bytes of a streamed body read since the last piece.
+
+        `body_complete` is set once the body was read to its end.
+        """
         if self.pieces is None:
-            upto = min(self.end, self.at + self.left)
-            piece = bytes(self.view[self.at : upto])
-            self.left -= len(piece)
-            self.at, self.over = upto, not self.left
+            limit = min(self.end, self.position + self.remaining)
+            piece = bytes(self.view[self.position : limit])
+            self.remaining -= len(piece)
+            self.position, self.body_complete = limit, not self.remaining
             return piece
         if self.until_end:
-            self.pieces.append(bytes(self.view[self.at : self.end]))
-            self.at = self.end
-        elif not self.over:
+            self.pieces.append(bytes(self.view[self.position : self.end]))
+            self.position = self.end
+        elif not self.body_complete:
             self._read_chunks()
         piece = b"".join(self.pieces)
         self.pieces.clear()
         return piece
 
     def ended(self) -> bool:
-        """Notes that the connection has ended; returns whether that ends the current message."""
-        if not self.until_end or self.over:
+        """Records that the connection has ended; returns whether that ends the current message."""
+        if not self.until_end or self.body_complete:
             return False
-        self.over = True
-        if not self.flows:
+        self.body_complete = True
+        if not self.is_streamed:
             self.message.body = b"".join(self.pieces)
-            self.held = True
+            self.is_in_use = True
         return True
 
     def _read_head(self):
-        """Checks what was read of the head, and parses it once whole; returns whether it is."""
+        """Checks the head as far as it was read; parses it once complete; returns whether it is."""
         buffer = self.buffer
-        while self.at == self.start and buffer.startswith(b"\r\n", self.start, self.end):
-            self.at = self.start = self.start + 2  # Old senders end a body with a line too many.
-        found = buffer.find(b"\r\n\r\n", max(self.start, self.at - 2), self.end)
-        upto = found + 4 if found >= 0 else buffer.rfind(b"\n", self.at, self.end) + 1
-        if upto - self.start > HEAD_MOST or (found < 0 and self.end - self.start > HEAD_MOST):
+        while self.position == self.start and buffer.startswith(b"\r\n", self.start, self.end):
+            # Some old senders end a body with an extra line break.
+            self.position = self.start = self.start + 2
+        head_end = buffer.find(b"\r\n\r\n", max(self.start, self.position - 2), self.end)
+        limit = head_end + 4 if head_end >= 0 else buffer.rfind(b"\n", self.position, self.end) + 1
+        if limit - self.start > MAX_HEAD_BYTES or (
+            head_end < 0 and self.end - self.start > MAX_HEAD_BYTES
+        ):
             raise ProtocolError(431, "head too large")
-        if upto > self.at:
-            if not (self.head if self.at == self.start else HEADER_LINES).fullmatch(
-                buffer, self.at, upto
+        if limit > self.position:
+            if not (self.head if self.position == self.start else HEADER_LINES).fullmatch(
+                buffer, self.position, limit
             ):
                 raise ProtocolError(400, "no HTTP")
-            self.at = upto
-        elif self.at == self.start < self.end and not self._may_open(
+            self.position = limit
+        elif self.position == self.start < self.end and not self._may_start_message(
             bytes(self.view[self.start : self.end])
         ):
             raise ProtocolError(400, "no HTTP")
-        if found < 0:
+        if head_end < 0:
             return False
-        self._feed(self.view[self.start : upto])
-        if not self.headed:
+        self._feed(self.view[self.start : limit])
+        if not self.head_complete:
             raise ProtocolError(400, "no HTTP")
         self._frame_body()
         return True
 
     def _read_chunks(self):
-        while self.at < self.end and not self.over:
-            upto = self.chunks.end_of_step(self.buffer, self.at, self.end)
-            self._feed(self.view[self.at : upto])
-            self.chunks.fed()
-            self.at = upto
+        while self.position < self.end and not self.body_complete:
+            limit = self.chunk_framer.end_of_step(self.buffer, self.position, self.end)
+            self._feed(self.view[self.position : limit])
+            self.chunk_framer.step_parsed()
+            self.position = limit
 
     def _feed(self, data):
         self.chunked_size += len(data) if self.pieces is not None else 0
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # Not supported: the message is answered like any other.
-        except httptools.HttpParserError as fault:
-            cause = fault.__context__
+            pass  # Upgrades are not supported: the message is answered like any other.
+        except httptools.HttpParserError as error:
+            cause = error.__context__
             if isinstance(cause, ProtocolError):
                 raise cause from None
-            raise ProtocolError(400, f"no HTTP: {fault}") from None
-        if self.chunked_size > CHUNKS_MOST * self.body_most:
+            raise ProtocolError(400, f"no HTTP: {error}") from None
+        if self.chunked_size > MAX_CHUNKING_OVERHEAD * self.max_body_bytes:
             raise ProtocolError(413, "body too large")
 
     def _frame_body(self):
-        self.body_from = self.at
-        framing, self.length = body_framing(self.message, self.body_most)
-        self.left = self.length
+        self.body_start = self.position
+        framing, self.length = body_framing(self.message, self.max_body_bytes)
+        self.remaining = self.length
         if framing is BodyFraming.CHUNKED:
-            self.pieces, self.chunks = [], ChunkFramer()
+            self.pieces, self.chunk_framer = [], ChunkFramer()
         elif framing is BodyFraming.NONE and not self._has_no_body():
             self.until_end, self.pieces, self.message.keep = True, [], False
 
     # Callbacks of the parser.
 
     def on_header(self, name, value):
-        """Parser callback: one header field."""
-        if self.headed:
-            return  # A trailer: forwarded in the head, it could override what was checked there.
+        """Handles a header field (parser callback)."""
+        if self.head_complete:
+            # A trailer is dropped: forwarded in the head, it could override fields checked there.
+            return
         value = value.strip(b" \t")
-        message, small = self.message, name.lower()
-        message.headers.append((name, value, small))
-        if small in message.fields:
-            message.doubled = (*message.doubled, small)
-        message.fields[small] = value
+        message, lowercase_name = self.message, name.lower()
+        message.headers.append((name, value, lowercase_name))
+        if lowercase_name in message.fields:
+            message.doubled = (*message.doubled, lowercase_name)
+        message.fields[lowercase_name] = value
 
     def on_headers_complete(self):
-        """Parser callback: the head is whole."""
-        self.headed = True
+        """Handles the end of the head (parser callback)."""
+        self.head_complete = True
         self.message.keep = self.parser.should_keep_alive()
         self.message.version = self.parser.get_http_version()
         self._on_head()
 
     def on_body(self, body):
-        """Parser callback: decoded bytes of a body."""
+        """Handles decoded bytes of a body (parser callback)."""
         if self.pieces is not None:
             self.pieces.append(body)
-            # Summed as it arrives: a body of many small chunks must not cost more than a large one.
+            # Summed up as pieces arrive: a body of many small chunks must not take more time than
+            # one of few large chunks.
             self.pieces_size += len(body)
-            if self.pieces_size > self.body_most:
+            if self.pieces_size > self.max_body_bytes:
                 raise ProtocolError(413, "body too large")
 
     def on_chunk_header(self):
-        """Parser callback: the size of a chunk was read."""
-        self.chunks.sized = True
+        """Handles the size of a chunk (parser callback)."""
+        self.chunk_framer.has_size = True
 
     def on_message_complete(self):
-        """Parser callback: the message is whole."""
+        """Handles the end of the message (parser callback)."""
         if self.pieces is not None:
-            self.over = True
+            self.body_complete = True
 
 
 class RequestReader(MessageReader):
@@ -339,11 +361,11 @@
     parser_type = httptools.HttpRequestParser
     head = REQUEST_HEAD
 
-    def _may_open(self, first):
-        return first[:1].isalpha() or first == b"\r"
+    def _may_start_message(self, start_bytes):
+        return start_bytes[:1].isalpha() or start_bytes == b"\r"
 
     def on_url(self, url):
-        """Parser callback: bytes of the target."""
+        """Handles bytes of the request target (parser callback)."""
         self.message.url += url
 
     def _on_head(self):
@@ -356,12 +378,12 @@
 class ResponseReader(MessageReader):
     """Reads the responses of an upstream connection."""
 
-    body_most = RESPONSE_MOST
+    max_body_bytes = MAX_RESPONSE_BODY_BYTES
     parser_type = httptools.HttpResponseParser
     head = RESPONSE_HEAD
 
-    def _may_open(self, first):
-        return first[:7] == b"HTTP/1."[: len(first)]
+    def _may_start_message(self, start_bytes):
+        return start_bytes[:7] == b"HTTP/1."[: len(start_bytes)]
 
     def _on_head(self):
         self.message.status = self.parser.get_status_code()
--- a/pierglade/proxy/listener.py
+++ b/pierglade/proxy/listener.py
@@ -3,12 +3,13 @@
 import gevent
 from gevent import socket
 
-from pierglade.proxy import socket_io as sending
+from pierglade.proxy import socket_io
 from pierglade.proxy.downstream import DownstreamHandler
 
-BACKLOG = 4096  # connections; whatever the kernel's queue holds counts as accepted
-ACCEPTS = 64  # accepted before the loop goes round, where descriptors are not short
-PAUSE = 0.01  # s; until descriptors are free again, should accepting fail
+BACKLOG = 4096  # connections in the kernel's queue, which count as accepted
+# Connections accepted per turn of the event loop, where descriptors are not short.
+MAX_ACCEPTS_PER_TURN = 64
+RETRY_DELAY_S = 0.01  # delay after accepting failed, until descriptors are free again
 TOO_MANY_CONNECTIONS = (
     b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 5\r\nContent-Type: text/plain\r\n"
     b"Content-Length: 35\r\nConnection: close\r\n\r\ntoo many connections from this side\n"[:-1]
@@ -18,54 +19,57 @@
 class Listener:
     """Accepts connections at `address` (host:port) and starts a handler for each."""
 
-    def __init__(self, address: str, host):
-        self.host = host
-        self.sock = sending.bound(address, shared=True)
+    def __init__(self, address: str, server):
+        self.server = server
+        self.sock = socket_io.bind_socket(address, shared=True)
         self.open = False
 
     def address(self) -> str:
-        """Returns the host:port that it is bound to."""
-        host, port = self.sock.getsockname()
-        return f"{host}:{port}"
+        """Returns the host:port that the socket is bound to."""
+        name, port = self.sock.getsockname()
+        return f"{name}:{port}"
 
     def listen(self):
-        """Starts listening; new connections come here rather than to an earlier process."""
+        """Starts listening; new connections then go to this process, not to an earlier one."""
         self.sock.listen(BACKLOG)
         self.open = True
-        sending.steer_here(self.sock)
+        socket_io.route_new_connections_here(self.sock)
 
     def run(self):
-        """Accepts until `close`."""
-        taken = 0
+        """Accepts connections until `close` is called."""
+        accepted = 0
         while self.open:
             try:
                 sock, address = self.sock.accept()
-            except OSError as fault:
+            except OSError as error:
                 if self.open:
-                    self.host.note("accept_failed", error=fault.strerror)
-                    gevent.sleep(PAUSE)
+                    self.server.note("accept_failed", error=error.strerror)
+                    gevent.sleep(RETRY_DELAY_S)
                 continue
             self._admit(sock, address)
-            taken += 1
+            accepted += 1
             if (
-                taken >= self.host.reducer.descriptors.acceptable(ACCEPTS)
-                or self.host.admission_queue.full()
+                accepted >= self.server.reducer.descriptors.acceptable(MAX_ACCEPTS_PER_TURN)
+                or self.server.admission_queue.full()
             ):
-                # Lets the loop close what has ended before the next one takes a descriptor.
-                taken = 0
+                # Lets the loop close ended connections before the next one takes a descriptor.
+                accepted = 0
                 gevent.sleep(0)
 
     def _admit(self, sock, address):
-        reducer = self.host.reducer
+        reducer = self.server.reducer
         if reducer.descriptors.admission is not None and not reducer.descriptors.admits(
-            self.host.clock.now(), address[0]
+            self.server.clock.now(), address[0]
         ):
             return self._reject(sock)
-        handler = DownstreamHandler(sock, self.host, address[0])
-        self.host.spawn(handler.run, handler)
+        handler = DownstreamHandler(sock, self.server, address[0])
+        self.server.spawn(handler.run, handler)
 
     def _reject(self, sock):
-        """Sends a fixed response; nothing is read, so a client that has sent may see a reset."""
+        """Sends a fixed response and closes.
+
+        Nothing is read, so a client that has already sent its request may see a reset.
+        """
         try:
             sock._sock.send(TOO_MANY_CONNECTIONS, socket.MSG_DONTWAIT)
             sock._sock.shutdown(socket.SHUT_RDWR)
@@ -74,7 +78,7 @@
         sock.close()
 
     def close(self):
-        """Stops listening; what the kernel has accepted by now is still served."""
+        """Stops listening; connections that the kernel has accepted by now are still served."""
         self.open = False
         self.sock.setblocking(False)
         while True:
--- a/pierglade/proxy/logging.py
+++ b/pierglade/proxy/logging.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event on standard output, written without blocking."""
+"""The log: one JSON line per event on standard output, written without blocking."""
 
 import os
 import select
@@ -6,12 +6,13 @@
 import gevent
 import orjson
 
-LINE_MOST = 4000  # bytes; a pipe that can be written takes as much at once (PIPE_BUF)
-WRITE_AFTER = 0.05  # s; lines are written together, as each write costs as much as several lines
+MAX_LINE_BYTES = 4000  # a writable pipe takes as much without blocking (PIPE_BUF)
+# Lines are written together: a write takes as long as formatting several lines.
+FLUSH_DELAY_S = 0.05
 
 
 class Log:
-    """Collects lines and writes them together to `fd`; drops them while its reader is slow."""
+    """Collects lines and writes them together to `fd`; drops lines while the reader is slow."""
 
     def __init__(self, fd, name):
         self.fd, self.name = fd, name
@@ -21,27 +22,27 @@
         self.poll.register(fd, select.POLLOUT)
 
     def text(self, now: int, event: str, fields: dict) -> bytes:
-        """Returns the line of an event."""
+        """Returns the log line of an event, without a newline."""
         return orjson.dumps(
             {"at_ms": now / 10, "node": self.name, "event": event, **fields}, default=str
         )
 
     def line(self, now: int, event: str, **fields):
-        """Adds the line of an event; `now`: tenths of a millisecond."""
+        """Adds the line of an event; `now`: Unix time in tenths of a millisecond."""
         text = self.text(now, event, fields)
-        if len(text) >= LINE_MOST:
+        if len(text) >= MAX_LINE_BYTES:
             text = orjson.dumps(
                 {"at_ms": now / 10, "node": self.name, "event": event, "cut": len(text)}
             )
-        if self.size + len(text) >= LINE_MOST:
+        if self.size + len(text) >= MAX_LINE_BYTES:
             self.flush()
         if not self.pending:
-            gevent.spawn_later(WRITE_AFTER, self.flush)
+            gevent.spawn_later(FLUSH_DELAY_S, self.flush)
         self.pending.append(text)
         self.size += len(text) + 1
 
     def flush(self):
-        """Writes what is pending, or drops it where that would block."""
+        """Writes the pending lines, or drops them where writing would block."""
         lines, self.pending, self.size = self.pending, [], 0
         if not lines:
             return
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -1,96 +1,102 @@
-"""The management address: one request a connection, served independently of client load."""
+"""The management address: one request per connection, served independently of client load."""
 
 from collections import deque
 
 import gevent
 from gevent import socket
 
-from pierglade.proxy import socket_io as sending
+from pierglade.proxy import socket_io
 from pierglade.proxy.http.message import answer_head
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state.events import ManagementCall
 
-MAX_CONNECTIONS = 8  # at once; each holds a descriptor, and staff request one by one
-QUEUE = 64  # connections that the kernel holds until then
-WHOLE_IN = 2.0  # s; from connecting to the request's last byte; a real client needs no more
-LINGER = 0.5  # s; to close after the response; closed by us with something unread, it would be lost
-PAUSE = 0.01  # s; until descriptors are free again, should accepting fail
+MAX_CONNECTIONS = 8  # at once; each holds a descriptor, and operators send requests one by one
+BACKLOG = 64  # connections that the kernel queues until they are accepted
+REQUEST_TIMEOUT_S = 2.0  # time from connecting to the last byte of the request
+# Time for the client to close after the response. If this side closed first, with data unread, the
+# response would be lost.
+LINGER_S = 0.5
+RETRY_DELAY_S = 0.01  # delay after accepting failed, until descriptors are free again
 
 
 class ManagementRequest:
-    """One request of an operator; the state machine answers it by `reply`."""
+    """One request of an operator; the state machine answers it with `reply`."""
 
     def __init__(self, sock: socket.socket):
         self.sock = sock
-        self.requests = RequestReader()
+        self.reader = RequestReader()
         self.method = self.path = b""
 
     def read(self) -> bool:
-        """Reads the request; returns whether there is one. Malformed ones are answered here."""
-        while (message := self._next()) is None:
-            count = self.sock.recv_into(self.requests.writable())
+        """Reads the request; returns whether one was read. A malformed one is answered here."""
+        while (message := self._next_message()) is None:
+            count = self.sock.recv_into(self.reader.writable())
             if not count:
                 return False
-            self.requests.filled(count)
+            self.reader.filled(count)
         if message:
             self.method, self.path = message.method, message.url.partition(b"?")[0]
         return bool(message)
 
-    def _next(self):
+    def _next_message(self):
         try:
-            return self.requests.next()
-        except ProtocolError as fault:
-            self.reply(fault.status, b"not understood\n")
+            return self.reader.next()
+        except ProtocolError as error:
+            self.reply(error.status, b"not understood\n")
             return False
 
     def reply(self, status: int, body: bytes, allow: bytes | None = None):
-        """Sends the response; `allow`: the value of the Allow header."""
+        """Sends the response; `allow`: the value of the Allow header, where there is one."""
         headers = [(b"Content-Type", b"text/plain")] + ([(b"Allow", allow)] if allow else [])
         try:
-            sending.send_now(self.sock, answer_head(status, headers, len(body), True), body)
+            socket_io.send_now(self.sock, answer_head(status, headers, len(body), True), body)
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # The client has closed.
 
 
 class ManagementServer:
-    """Listens at `address` (host:port); raises OSError that names it."""
+    """Listens at `address` (host:port).
 
-    def __init__(self, address: str, host):
-        self.host = host
+    Raises:
+        OSError: the address cannot be bound; `filename` is the address.
+    """
+
+    def __init__(self, address: str, server):
+        self.server = server
         try:
-            self.sock = sending.listen(address, QUEUE)
-        except OSError as fault:
-            raise OSError(fault.errno, fault.strerror, address) from None
+            self.sock = socket_io.listen(address, BACKLOG)
+        except OSError as error:
+            raise OSError(error.errno, error.strerror, address) from None
         self.pending = deque()
 
     def run(self):
-        """Accepts connections for as long as the process runs."""
+        """Accepts connections until the process ends."""
         while True:
             try:
                 sock, _ = self.sock.accept()
             except OSError:
-                gevent.sleep(PAUSE)
+                gevent.sleep(RETRY_DELAY_S)
                 continue
             if len(self.pending) >= MAX_CONNECTIONS:
-                # The oldest incomplete request gives way, or incomplete ones would keep others out.
-                sending.hang_up(self.pending.popleft().sock)
+                # The oldest connection is closed: incomplete requests must not keep others out.
+                socket_io.close_now(self.pending.popleft().sock)
             request = ManagementRequest(sock)
             self.pending.append(request)
-            self.host.spawn(lambda request=request: self._serve(request))
+            self.server.spawn(lambda request=request: self._serve(request))
 
     def _serve(self, request):
         try:
-            with gevent.Timeout(WHOLE_IN, False):
+            with gevent.Timeout(REQUEST_TIMEOUT_S, False):
                 if request.read():
-                    self.host.tell(ManagementCall(request))
-            with gevent.Timeout(LINGER, False):
+                    self.server.tell(ManagementCall(request))
+            with gevent.Timeout(LINGER_S, False):
                 while request.sock.recv(4096):
                     pass
         except OSError:
             pass
         finally:
-            request.requests.drop()
+            request.reader.drop()
             if request in self.pending:
                 self.pending.remove(request)
-            sending.hang_up(request.sock)
+            socket_io.close_now(request.sock)
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -1,4 +1,4 @@
-"""The process on sockets: passes events to the state machine and carries out its effects."""
+"""The node's process: passes events to the state machine and carries out its effects."""
 
 import os
 import signal
@@ -48,41 +48,41 @@
     UpstreamClosed,
 )
 from pierglade.proxy.state.machine import ProxyStateMachine
-from pierglade.proxy.takeover import POLL_INTERVAL, ProcessLock
+from pierglade.proxy.takeover import POLL_INTERVAL_S, ProcessLock
 from pierglade.proxy.upstream import UpstreamHandler
-from pierglade.reconfiguration import quota_changes as shares
+from pierglade.reconfiguration import quota_changes
 
 if TYPE_CHECKING:
     from pierglade.__main__ import NodeConfig
 
-AFTER_FAULT = 500  # tenths of a ms; the next wakeup, where the state machine failed to say when
-# of the memory, for streamed bodies; two processes share it during a takeover
-STREAMING_SHARE = 0.3
-
-# tenths of a ms; the slack of responses: with such a lag the CPU is short
-LAG_LOGGED = 500
+# Ticks (50 ms). Delay of the next wakeup, where the state machine failed to compute it.
+RETRY_WAKEUP_TICKS = 500
+# Fraction of the memory limit, for streamed bodies. Two processes share the memory in a takeover.
+STREAMING_FRACTION = 0.3
+# Ticks (50 ms). As long as the slack of responses: with such a lag the CPU is overloaded.
+MIN_LOGGED_LAG_TICKS = 500
 
 
 class ProxyServer:
-    """One node in this process: owns sockets, timer and greenlets.
+    """The node of this process; owns its sockets, timer and greenlets.
 
     Raises:
-        OSError: it cannot listen.
-        ValueError, KeyError, TypeError, AttributeError: the initial list cannot be used.
+        OSError: an address cannot be bound.
+        ValueError, KeyError, TypeError, AttributeError: the initial endpoint list cannot be used.
     """
 
     def __init__(self, config: "NodeConfig"):
         self.clock = Clock()
-        self.budget = BufferBudget(int(config.memory_mb * STREAMING_SHARE) << 20)
+        self.budget = BufferBudget(int(config.memory_mb * STREAMING_FRACTION) << 20)
         self.log = (config.log or Log)(sys.stdout.fileno(), config.name)
         self.listener = Listener(config.listen, self)
         self.management = ManagementServer(config.management, self) if config.management else None
         self.process_lock = ProcessLock(self.listener.address())
-        self.alone = self.process_lock.is_sole_process()
-        if self.alone:
+        self.is_sole_process = self.process_lock.is_sole_process()
+        if self.is_sole_process:
             self.listener.listen()
-        self.done = Event()
-        self.timer = Timer(self.clock, self._woke)
+        self.exit_requested = Event()
+        self.timer = Timer(self.clock, self._timer_fired)
         self._make_machine(config)
         self._restore(config)
         self._bind_effects()
@@ -100,19 +100,19 @@
             sockets,
             config.discovery,
             config.document,
-            self.alone,
+            self.is_sole_process,
         )
         self.reducer.requests.assigns_ids = config.gives_ids
         self.reducer.descriptors.admission = (
             ConnectionAdmission(config.caps) if config.caps is not None else None
         )
-        self.faults = self.rereads = 0
+        self.faults = self.pending_reloads = 0
 
     def _restore(self, config):
         """Loads the initial endpoint list and the snapshot, and makes the discovery client."""
         self.snapshot_writer = None
         if config.keeping is not None:
-            # Imported only where snapshots are kept.
+            # Imported only where snapshots are written.
             from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 
             settings = SnapshotSettings(*config.keeping)
@@ -123,60 +123,62 @@
         )
         if writer:
             writer.restore()
-        self.fixed = config.known if config.discovery is None else None  # a list without discovery
-        # From the known version: forty whole lists at once keep a discovery busy for seconds.
+        # The endpoint list of a configuration without discovery; None where there is discovery.
+        self.fixed_endpoints = config.known if config.discovery is None else None
+        # Starts from the known version: forty requests for the whole list at once keep discovery
+        # busy for seconds.
         self.follow(config.discovery, self.reducer.endpoints.version)
 
     def _bind_effects(self):
-        self._pending_events, self.working = deque(), False
+        self._pending_events, self.is_applying_events = deque(), False
         self.loop_monitor = EventLoopMonitor(self.clock)
         self.admission_queue = AdmissionQueue(self.clock, self.loop_monitor)
-        self.carriers = {
+        self.effect_handlers = {
             SendResponse: lambda client, head, body, chunked: client.io.answer(
                 head, body, client.last, chunked
             ),
             CloseWhenRead: lambda client, reason: client.io.close_when_read(reason),
-            AbortConnection: self._end,
+            AbortConnection: self._end_connection,
             Connect: self._connect,
-            SendRequest: lambda link, head, body: link.io.write(head, body),
-            CloseUpstream: self._end,
+            SendRequest: lambda connection, head, body: connection.io.write(head, body),
+            CloseUpstream: self._end_connection,
             PollDiscovery: lambda: self.discovery.ask(),
             ResyncEndpoints: lambda: self.discovery.resync(),
-            FollowDiscovery: self._move,
+            FollowDiscovery: self._move_discovery,
             OpenListener: self._open_listener,
             CloseListener: self.listener.close,
             ReplyToManagement: lambda call, status, body, allow: call.reply(status, body, allow),
-            Exit: self.done.set,
+            Exit: self.exit_requested.set,
             LogEvent: lambda event, fields: self.note(event, **fields),
         }
 
-    def run(self, reload_config: Callable[[], object], early: Iterable[int] = ()) -> int:
-        """Serves until stopped and no response is pending; returns the exit status.
+    def run(self, reload_config: Callable[[], object], early_signals: Iterable[int] = ()) -> int:
+        """Serves until the node is stopped and no response is pending; returns the exit status.
 
-        `reload_config`: returns the new NodeConfig at SIGHUP, or a generator that does; `early`:
-        signals that arrived during the start, handled now.
+        `reload_config`: called at SIGHUP; returns the new NodeConfig, or a generator that does.
+        `early_signals`: signals that arrived during the start, which are handled now.
         """
-        for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self._stop)
-        gevent.signal_handler(signal.SIGHUP, self._reread, reload_config)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self._stop)
+        gevent.signal_handler(signal.SIGHUP, self._reload, reload_config)
         self.spawn(self.discovery.run)
         if self.management:
             self.spawn(self.management.run)
         if self.snapshot_writer:
             self.spawn(self.snapshot_writer.run)
-        if self.alone:
+        if self.is_sole_process:
             self.spawn(self.listener.run)
         else:
-            self.spawn(self._wait_until_alone)
+            self.spawn(self._wait_until_sole_process)
         self.tell(TimerFired())
-        if self.fixed is not None:
-            self.tell(EndpointsUpdated(self.fixed))
+        if self.fixed_endpoints is not None:
+            self.tell(EndpointsUpdated(self.fixed_endpoints))
         self.note("started", listen=self.listener.address())
-        if signal.SIGHUP in early:
-            self._reread(reload_config)
-        if {signal.SIGTERM, signal.SIGINT}.intersection(early):
+        if signal.SIGHUP in early_signals:
+            self._reload(reload_config)
+        if {signal.SIGTERM, signal.SIGINT}.intersection(early_signals):
             self._stop()
-        self.done.wait()
+        self.exit_requested.wait()
         if self.snapshot_writer:
             self.snapshot_writer.write_final()
         self.note("stopped")
@@ -187,155 +189,170 @@
         self.tell(StopRequested(self.process_lock.successor_is_running()))
 
     def _open_listener(self):
-        """Starts to listen; during a takeover not before the endpoint list is current."""
+        """Starts listening; during a takeover not before the endpoint list is current."""
         self.listener.listen()
         self.spawn(self.listener.run)
 
-    def _wait_until_alone(self):
+    def _wait_until_sole_process(self):
         while not self.process_lock.is_sole_process():
-            gevent.sleep(POLL_INTERVAL)
+            gevent.sleep(POLL_INTERVAL_S)
         self.tell(SoleProcess())
 
     def follow(self, address: str | None, index: int | None = None):
-        """Makes the discovery client; `address` None: the list is fixed."""
+        """Creates the discovery client; `address` None: the endpoint list is fixed."""
         if address is None:
             self.discovery = FixedEndpointList()
         else:
             self.discovery = DiscoveryClient(address, self, index)
         self.discovery.is_polled = lambda: self.reducer.balancers.settings.polls_endpoints
 
-    def _move(self, address):
-        """Discovery has moved: a new client, so that no state of the old one is carried over."""
+    def _move_discovery(self, address):
+        """Replaces the discovery client, as discovery has moved; no state is carried over."""
         self.discovery.stop()
         self.follow(address)
         self.spawn(self.discovery.run)
 
-    def _reread(self, reload_config):
-        """Reloads, one at a time: on a signal meanwhile the file is read once more afterwards."""
-        self.rereads += 1
-        if self.rereads > 1:
+    def _reload(self, reload_config):
+        """Reloads the configuration, one reload at a time.
+
+        After a signal that arrives during a reload, the file is read once more.
+        """
+        self.pending_reloads += 1
+        if self.pending_reloads > 1:
             return
-        while self.rereads:
-            seen = self.rereads
-            self._read_once(reload_config)
-            self.rereads = 0 if self.rereads == seen else 1
+        while self.pending_reloads:
+            handled = self.pending_reloads
+            self._reload_once(reload_config)
+            self.pending_reloads = 0 if self.pending_reloads == handled else 1
 
-    def _read_once(self, reload_config):
-        """Reloads once; an unusable file (half written, say) leaves everything as it is."""
+    def _reload_once(self, reload_config):
+        """Reloads once; an unusable file, such as a half-written one, changes nothing."""
         try:
             config = in_steps(reload_config())
-        except ValueError as fault:
-            self.note("config_rejected", error=str(fault))
+        except ValueError as error:
+            self.note("config_rejected", error=str(error))
         else:
             tenants = config.settings.tenants
             difference = in_steps(
-                shares.steps(self.reducer.balancers.settings.tenants, tenants.shares)
+                quota_changes.steps(self.reducer.balancers.settings.tenants, tenants.shares)
             )
             self.reducer.requests.assigns_ids = config.gives_ids
             self._set_limits(config.caps)
             self.tell(
                 ConfigurationLoaded(config.discovery, config.document, config.settings, difference)
             )
-            fixed = config.known if config.discovery is None else None
-            if fixed is not None and fixed != self.fixed:
-                self.tell(EndpointsUpdated(fixed))
-            self.fixed = fixed
+            fixed_endpoints = config.known if config.discovery is None else None
+            if fixed_endpoints is not None and fixed_endpoints != self.fixed_endpoints:
+                self.tell(EndpointsUpdated(fixed_endpoints))
+            self.fixed_endpoints = fixed_endpoints
             if tenants is not self.reducer.balancers.settings.tenants:
-                in_steps(shares.clear(tenants.shares))
+                in_steps(quota_changes.clear(tenants.shares))
 
-    def _set_limits(self, caps):
-        """Applies other connection limits; open connections stay.
+    def _set_limits(self, limits):
+        """Applies new connection limits; open connections stay.
 
-        Without limits at the start, connections count from now on.
+        If there were no limits at the start, connections are counted from now on.
         """
-        gate = self.reducer.descriptors.admission
-        if gate is not None:
-            gate.set_limits(caps or ConnectionLimits())
-        elif caps is not None:
-            self.reducer.descriptors.admission = ConnectionAdmission(caps)
+        admission = self.reducer.descriptors.admission
+        if admission is not None:
+            admission.set_limits(limits or ConnectionLimits())
+        elif limits is not None:
+            self.reducer.descriptors.admission = ConnectionAdmission(limits)
 
     def note(self, event: str, **fields):
         """Logs an event."""
         self.log.line(self.clock.now(), event, **fields)
 
     def spawn(self, run: Callable, handler: DownstreamHandler | UpstreamHandler | None = None):
-        """Runs `run` in a greenlet; an exception ends only the connection of `handler`."""
-        gevent.spawn(self._guarded, run, handler)
+        """Runs `run` in a greenlet; an exception in it ends only the connection of `handler`."""
+        gevent.spawn(self._run_guarded, run, handler)
 
-    def _guarded(self, run, handler):
+    def _run_guarded(self, run, handler):
         while True:
             try:
                 return run()
-            except Exception as fault:
-                self._fault(fault)
+            except Exception as error:
+                self._log_internal_error(error)
             if isinstance(handler, DownstreamHandler):
                 return self.tell(MalformedRequest(handler.client, 500))
             if isinstance(handler, UpstreamHandler):
-                return self.tell(UpstreamClosed(handler.link, CloseCause.RESET, True, "fault"))
-            gevent.sleep(0.1)  # Listener and discovery client go on.
+                return self.tell(
+                    UpstreamClosed(handler.connection, CloseCause.RESET, True, "internal error")
+                )
+            gevent.sleep(0.1)  # Other greenlets, such as the listener's, are started again.
 
-    def _fault(self, fault):
+    def _log_internal_error(self, error):
         self.faults += 1
-        self.note("internal_error", error=repr(fault), traceback=traceback.format_exc(limit=-4))
+        self.note("internal_error", error=repr(error), traceback=traceback.format_exc(limit=-4))
 
-    def _woke(self, lag):
-        if lag > LAG_LOGGED:
-            self.note("event_loop_lag", lag_ms=lag / 10)
+    def _timer_fired(self, lag_ticks):
+        if lag_ticks > MIN_LOGGED_LAG_TICKS:
+            self.note("event_loop_lag", lag_ms=lag_ticks / 10)
         self.tell(TimerFired())
 
-    def came(self) -> int:
-        """Returns when what is read in this turn of the loop is likely to have arrived."""
-        return self.loop_monitor.came
+    def arrival_time(self) -> int:
+        """Returns when the data read in this turn of the loop is likely to have arrived."""
+        return self.loop_monitor.arrived_at
 
-    def refuse(self, client, requests):
-        """Returns the prepared rejection of what a client sent, if load is shed; else None."""
+    def prepared_rejection(self, client, requests):
+        """Returns the rejection of the request that a client sent, if load is shed; else None."""
         return self.reducer.requests.preview(
-            self.clock.now(), client, requests, self.loop_monitor.came, self.loop_monitor.idle
+            self.clock.now(),
+            client,
+            requests,
+            self.loop_monitor.arrived_at,
+            self.loop_monitor.idle_at,
         )
 
-    def tell(self, event, came=NEVER):
-        """Applies an event and carries out its effects; events that they raise come after them.
+    def tell(self, event, arrived_at=NEVER):
+        """Applies an event and carries out its effects.
 
-        `came`: when it arrived, if before this turn of the loop.
+        Events that are raised by carrying out effects are applied after them. `arrived_at`: when
+        the event arrived, if before this turn of the loop.
         """
         self._pending_events.append(
-            (event, min(came, self.loop_monitor.came), self.loop_monitor.idle)
+            (event, min(arrived_at, self.loop_monitor.arrived_at), self.loop_monitor.idle_at)
         )
-        if self.working:
+        if self.is_applying_events:
             return
-        self.working = True
+        self.is_applying_events = True
         try:
             while self._pending_events:
-                event, came, idle = self._pending_events.popleft()
+                event, arrived_at, idle_at = self._pending_events.popleft()
                 try:
-                    effects = self.reducer.apply(self.clock.now(), event, came=came, idle=idle)
-                except Exception as fault:
-                    self._fault(fault)
+                    effects = self.reducer.apply(
+                        self.clock.now(), event, came=arrived_at, idle=idle_at
+                    )
+                except Exception as error:
+                    self._log_internal_error(error)
                     effects = self.reducer.salvage(getattr(event, "connection", None))
                 for effect in effects:
                     self._carry_out(effect)
         finally:
-            self.working = False
+            self.is_applying_events = False
         now = self.clock.now()
         try:
-            wake = self.reducer.next_wakeup(now)
-        except Exception as fault:
-            self._fault(fault)
-            wake = now + AFTER_FAULT
-        self.timer.set(wake)
+            wakeup_at = self.reducer.next_wakeup(now)
+        except Exception as error:
+            self._log_internal_error(error)
+            wakeup_at = now + RETRY_WAKEUP_TICKS
+        self.timer.set(wakeup_at)
 
     def _carry_out(self, effect):
         try:
-            self.carriers[type(effect)](*effect)
-        except Exception as fault:
-            self._fault(fault)
+            self.effect_handlers[type(effect)](*effect)
+        except Exception as error:
+            self._log_internal_error(error)
+
+    def _end_connection(self, connection):
+        """Ends a connection and drops its handler.
 
-    def _end(self, connection):
-        """Ends a connection; its record may live on, and must not keep socket and buffer."""
+        The connection's record may live on, and must not keep the socket and buffers alive.
+        """
         if connection.io is not None:
             connection.io.end()
             connection.io = None
 
-    def _connect(self, link):
-        link.io = UpstreamHandler(link, self.tell)
-        self.spawn(link.io.run, link.io)
+    def _connect(self, connection):
+        connection.io = UpstreamHandler(connection, self.tell)
+        self.spawn(connection.io.run, connection.io)
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes what a node has learned, beside its work: gathered in the event loop, written by a thread.
+"""Writes snapshots of a node's statistics: collected in the event loop, written by a thread.
 
 Requests never wait for the disk.
 """
@@ -15,14 +15,14 @@
 if TYPE_CHECKING:
     from pierglade.proxy.server import ProxyServer
 
-JITTER = 0.2  # share of the period, random: nodes that start together must not write together
-MAX_BACKOFF = 16  # times the period; the longest gap between tries where nothing can be written
-FINAL_WRITE_S = 0.6  # s; SIGKILL may follow a moment later
+JITTER_RATIO = 0.2  # of the period; nodes that start together must not write together
+MAX_BACKOFF = 16  # multiple of the period; the longest interval between writes that fail
+FINAL_WRITE_S = 0.6  # limit on the last write, as SIGKILL may follow shortly after
 
 
 @dataclass(slots=True)
 class SnapshotSettings:
-    """The `[learning]` table of the operator's file."""
+    """The `[learning]` table of the operator's configuration file."""
 
     folder: str
     every_s: float
@@ -31,60 +31,60 @@
 
 
 class SnapshotWriter:
-    """Restores a node's snapshot at its start and writes a new one periodically and at its end."""
+    """Restores a node's snapshot at the start; writes a new one periodically and at the end."""
 
-    def __init__(self, host: "ProxyServer", settings: SnapshotSettings, name: str) -> None:
-        self.host, self.settings = host, settings
-        self.started_at = host.clock.now()
-        self.counted_at, self.completed, self.request_rate = self.started_at, 0, 0.0
-        self.backoff, self.reason = 1, ""
+    def __init__(self, server: "ProxyServer", settings: SnapshotSettings, name: str) -> None:
+        self.server, self.settings = server, settings
+        self.started_at = server.clock.now()
+        self.rate_measured_at, self.completed, self.request_rate = self.started_at, 0, 0.0
+        self.backoff, self.last_failure = 1, ""
         self.store, self.snapshot = None, None
         try:
             self.store = SnapshotStore(settings.folder, name, settings.most_mb)
             self.snapshot, self.file, rejected = self.store.read()
-            for line in rejected:
-                host.note("snapshot_rejected", error=line)
+            for message in rejected:
+                server.note("snapshot_rejected", error=message)
         except OSError as error:
             self._write_failed(error)
 
     def newer_endpoints(self, known: dict | None) -> dict | None:
-        """Returns the endpoint list to start with: `known`, or the snapshot's if newer."""
+        """Returns the endpoint list to start with: `known`, or that of the snapshot if newer."""
         return known if self.snapshot is None else aging.newer_list(self.snapshot, known)
 
     def restore(self) -> None:
-        """Restores what still holds; called once the endpoint list is known."""
+        """Restores the figures that are still valid; called once the endpoint list is loaded."""
         if self.snapshot is None:
             return
         try:
-            line = self.host.reducer.snapshot.restore(
+            message = self.server.reducer.snapshot.restore(
                 self.snapshot, int(self.settings.half_life_s * 10000)
             )
-            self.host.note("snapshot_restored", file=self.file, summary=line)
+            self.server.note("snapshot_restored", file=self.file, summary=message)
         except schema.UntrustedSnapshotError as error:
-            self.host.note("snapshot_rejected", error=f"{self.file}: {error}")
+            self.server.note("snapshot_rejected", error=f"{self.file}: {error}")
         self.snapshot = None
 
     def run(self) -> None:
-        """Writes a snapshot each period, for as long as the node runs."""
+        """Writes a snapshot each period until the node ends."""
         while True:
             period = self.settings.every_s * self.backoff
-            gevent.sleep(period * (1 + JITTER * (random.random() - 0.5)))
+            gevent.sleep(period * (1 + JITTER_RATIO * (random.random() - 0.5)))
             self.write()
 
     def write(self) -> bool:
         """Writes a snapshot now; returns whether one was written.
 
-        Never after an internal error: what was learned may be what is wrong.
+        Nothing is written after an internal error, as the learned figures may be its cause.
         """
-        if self.host.faults or self.store is None:
+        if self.server.faults or self.store is None:
             return False
         gathered = self._gather()
-        # Not in the event loop: a disk may need seconds.
+        # Not in the event loop: a write may take seconds.
         error = gevent.get_hub().threadpool.spawn(self._write, gathered).get()
         if error is not None:
             self._write_failed(error)
             return False
-        self.backoff, self.reason = 1, ""
+        self.backoff, self.last_failure = 1, ""
         return True
 
     def write_final(self) -> bool | None:
@@ -93,38 +93,38 @@
             return self.write()
 
     def _gather(self) -> schema.Snapshot:
-        now = self.host.clock.now()
-        request_classes, backends, completed, entries = self.host.reducer.snapshot.export(
+        now = self.server.clock.now()
+        request_classes, backends, completed, entries = self.server.reducer.snapshot.export(
             aging.KEYS, aging.ROW_KEYS
         )
-        if now > self.counted_at and completed >= self.completed:
-            self.request_rate = (completed - self.completed) / (now - self.counted_at)
-        self.counted_at, self.completed = now, completed
+        if now > self.rate_measured_at and completed >= self.completed:
+            self.request_rate = (completed - self.completed) / (now - self.rate_measured_at)
+        self.rate_measured_at, self.completed = now, completed
         return schema.Snapshot(
             node=self.store.name,
             written_at=now,
             node_started_at=self.started_at,
             request_rate=self.request_rate,
             request_classes=request_classes,
-            backends={name: schema.StoredBackend(*stored) for name, stored in backends.items()},
-            endpoints_version=self.host.reducer.endpoints.version,
+            backends={name: schema.StoredBackend(*fields) for name, fields in backends.items()},
+            endpoints_version=self.server.reducer.endpoints.version,
             endpoints=entries,
         )
 
     def _write(self, snapshot: schema.Snapshot) -> OSError | None:
-        """Runs in a thread; returns the error that it met."""
+        """Writes the snapshot, in a thread; returns the error that occurred."""
         try:
             if not self.store.lock_files():
-                return OSError(11, "another process of this name keeps its own there")
+                return OSError(11, "another process with this node name has locked the snapshots")
             self.store.write(schema.encode(snapshot))
         except OSError as error:
             return error
         return None
 
     def _write_failed(self, error: OSError) -> None:
-        """Logs each new reason once, and makes the periods between writes longer."""
+        """Logs each new reason once, and doubles the period between writes up to the maximum."""
         self.backoff = min(MAX_BACKOFF, self.backoff * 2)
         reason = error.strerror or str(error)
-        if reason != self.reason:
-            self.reason = reason
-            self.host.note("snapshot_write_failed", error=f"{self.settings.folder}: {reason}")
+        if reason != self.last_failure:
+            self.last_failure = reason
+            self.server.note("snapshot_write_failed", error=f"{self.settings.folder}: {reason}")
--- a/pierglade/proxy/socket_io.py
+++ b/pierglade/proxy/socket_io.py
@@ -1,35 +1,36 @@
-"""Socket operations that both sides share."""
+"""Socket operations shared by the downstream, the upstream and the management side."""
 
 import contextlib
 import ctypes
 import socket
 import struct
 
-from gevent import socket as waiting_socket
+from gevent import socket as gevent_socket
 from gevent.event import Event
 
-REUSEPORT_FILTER = getattr(
-    socket, "SO_ATTACH_REUSEPORT_CBPF", 51
-)  # its number on Linux; Python has no name
-SENT_AHEAD = (
-    1 << 17
-)  # bytes; with megabytes in the kernel nobody could tell whether a slow reader goes on
-ENDED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT: the first byte of tcp_info, since Linux 2.4
-RETURN = 0x06  # BPF_RET | BPF_K, a filter's one step
-NEWEST = (
-    1  # place in the group of two that share an address; where there is one, the kernel takes it
-)
+# The socket option's number on Linux, for Python versions that do not define it.
+SO_ATTACH_REUSEPORT_CBPF = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
+# With megabytes in the kernel's send buffer it could not be seen whether a slow reader still reads.
+SEND_BUFFER_BYTES = 1 << 17
+CLOSED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT: the first byte of tcp_info, since Linux 2.4
+BPF_RETURN = 0x06  # BPF_RET | BPF_K, the only instruction of the filter
+# Index of the newer socket in a group of two that share an address. In a group of one, the kernel
+# takes that one.
+NEWEST_SOCKET = 1
 
 
 def set_up(sock: socket.socket):
-    """Sets the options of a new connection."""
-    # It may have been reset before it was accepted: the reader finds that out.
+    """Sets the socket options of a new connection."""
+    # The connection may have been reset before it was accepted; the next read reports that.
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def send_now(sock: socket.socket, head: bytes, body) -> bytes:
-    """Sends without blocking; returns a copy (it must outlive its buffer) of what did not fit."""
+    """Sends without blocking; returns a copy of the bytes that did not fit.
+
+    It is a copy, as the bytes must outlive the buffer that `body` refers to.
+    """
     try:
         sent = sock.sendmsg([head, body], (), socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -40,49 +41,49 @@
 
 
 def wait_writable(sock):
-    """Waits until some more may be written; raises OSError where the socket is closed meanwhile.
+    """Waits until the socket is writable; raises OSError where it is closed meanwhile.
 
-    By the socket's own watcher: one made for its number would outlive it, and watch the next socket
-    of that number.
+    Uses the socket's own watcher: a watcher made for the descriptor's number would outlive the
+    socket and watch the next socket with that number.
     """
     sock._wait(sock._write_event)
 
 
-def stream_body(sock, head: bytes, flow, chunked: bool, passed):
-    """Sends a BodyStream as it is read; calls `passed` after each piece.
+def stream_body(sock, head: bytes, body, chunked: bool, on_progress):
+    """Sends the BodyStream `body` as it is read; calls `on_progress` after each piece.
 
     Raises:
         OSError: the connection has ended.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SENT_AHEAD)
-    came = Event()
-    flow.wakes.append(came.set)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+    changed = Event()
+    body.wakes.append(changed.set)
     sock.sendall(head)
-    while (piece := flow.take()) is not None:
+    while (piece := body.take()) is not None:
         if piece:
             sock.sendall(b"%x\r\n%s\r\n" % (len(piece), piece) if chunked else piece)
-            passed()
+            on_progress()
         else:
-            came.clear()
-            came.wait()
-    if chunked and not flow.broken:
+            changed.clear()
+            changed.wait()
+    if chunked and not body.broken:
         sock.sendall(b"0\r\n\r\n")
 
 
 def discard_unsent(sock: socket.socket):
-    """Makes closing it discard what was written and is not sent yet."""
+    """Makes closing the socket discard bytes that were written but not sent yet."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def reset(sock: socket.socket):
-    """Resets the connection, so that its end does not pass for the end of a message."""
+    """Resets the connection, so that its end is not taken for the end of a message."""
     discard_unsent(sock)
     sock.close()
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Whether something, an end included, has arrived and was not read yet."""
+    """Returns whether data or the end of the stream has arrived and was not read yet."""
     try:
         sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -93,11 +94,11 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed the connection, also behind bytes that were not read yet."""
+    """Returns whether the peer has closed the connection, even if unread bytes come before that."""
     try:
-        return sock._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in ENDED_STATES
+        return sock._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in CLOSED_STATES
     except OSError:
-        pass  # Not supported here: an end behind unread bytes is not seen.
+        pass  # TCP_INFO is not supported: an end of stream behind unread bytes is not seen.
     try:
         return not sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -106,29 +107,29 @@
         return True
 
 
-def hang_up(sock: socket.socket):
-    """Closes the connection at once: gevent closes the descriptor only on its loop's next turn."""
+def close_now(sock: socket.socket):
+    """Ends the connection at once: gevent closes the descriptor only in the loop's next turn."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
 
 
-def listen(address: str, queue: int) -> socket.socket:
-    """Returns a listening socket; raises OSError."""
-    sock = bound(address)
-    sock.listen(queue)
+def listen(address: str, backlog: int) -> socket.socket:
+    """Returns a socket that listens at host:port; raises OSError."""
+    sock = bind_socket(address)
+    sock.listen(backlog)
     return sock
 
 
-def bound(address: str, shared: bool = False) -> socket.socket:
-    """Returns a socket bound to host:port; `shared`: a second process may listen beside it."""
+def bind_socket(address: str, shared: bool = False) -> socket.socket:
+    """Returns a socket bound to host:port; `shared`: a second process may bind the address too."""
     name, _, port = address.rpartition(":")
-    sock = waiting_socket.socket()
+    sock = gevent_socket.socket()
     try:
-        # A restart must not wait for what is left of the connections before it.
+        # A restart must not wait for connections of the process before it to leave TIME_WAIT.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
-            share(sock)
+            enable_port_sharing(sock)
         sock.bind((name, int(port)))
     except OSError:
         sock.close()
@@ -136,21 +137,27 @@
     return sock
 
 
-def share(sock: socket.socket):
-    """Lets a second process bind the address; where that is not supported, it finds it in use."""
+def enable_port_sharing(sock: socket.socket):
+    """Lets a second process bind the address.
+
+    Where the kernel does not support that, the second process finds the address in use.
+    """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
 
 
-def steer_here(sock: socket.socket) -> bool:
+def route_new_connections_here(sock: socket.socket) -> bool:
     """Directs new connections to the process that listened last; returns whether that worked.
 
-    Distributed at random, some would be queued at a process that stops listening, and be reset.
+    If the kernel distributed connections at random, some would be queued at a process that stops
+    listening, and be reset.
     """
-    step = ctypes.create_string_buffer(struct.pack("HBBI", RETURN, 0, 0, NEWEST))
+    instruction = ctypes.create_string_buffer(struct.pack("HBBI", BPF_RETURN, 0, 0, NEWEST_SOCKET))
     try:
         sock.setsockopt(
-            socket.SOL_SOCKET, REUSEPORT_FILTER, struct.pack("HP", 1, ctypes.addressof(step))
+            socket.SOL_SOCKET,
+            SO_ATTACH_REUSEPORT_CBPF,
+            struct.pack("HP", 1, ctypes.addressof(instruction)),
         )
     except OSError:
         return False
--- a/pierglade/proxy/takeover.py
+++ b/pierglade/proxy/takeover.py
@@ -1,50 +1,53 @@
-"""Two processes of one node during a takeover: each learns from locks whether there is another.
+"""File locks by which two processes of one node learn of each other during a takeover.
 
-The serving process holds a lock on the first of two files in $TMPDIR to its end, however it ends.
-A process that finds it locked is the successor, and locks the second file until the first is free.
-The files are empty and may stay.
+The serving process holds a lock on the first of two files in $TMPDIR until it ends, however it
+ends. A process that finds that file locked is the successor, and locks the second file until the
+first is free. The files are empty and need not be removed.
 """
 
 import fcntl
 import os
 import re
 
-FOLDER = "/tmp"  # where $TMPDIR is not set
-POLL_INTERVAL = 0.2  # s; between checks whether the process before has ended
+DEFAULT_FOLDER = "/tmp"  # used where $TMPDIR is not set
+POLL_INTERVAL_S = 0.2  # interval between checks whether the earlier process has ended
 
 
 class ProcessLock:
     """The locks of the process that serves `address`, in `folder` or $TMPDIR."""
 
     def __init__(self, address: str, folder: str | None = None):
-        folder = folder or os.environ.get("TMPDIR") or FOLDER
+        folder = folder or os.environ.get("TMPDIR") or DEFAULT_FOLDER
         stem = os.path.join(folder, "pierglade-" + re.sub(r"[^0-9.]", "-", address))
         self.files = []
         try:
-            for place in ("serves", "follows"):
+            for role in ("serves", "follows"):
                 self.files.append(
                     os.open(
-                        f"{stem}.{place}",
+                        f"{stem}.{role}",
                         os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW,
                         0o600,
                     )
                 )
         except OSError:
-            self.files = []  # No place for the files: it serves as the sole process.
+            self.files = []  # The files cannot be created: this process serves as the sole one.
 
     def is_sole_process(self) -> bool:
-        """Whether no other process serves here; one that does can now see its successor."""
+        """Returns whether no other process serves the address.
+
+        A process that serves it can see from then on that it has a successor.
+        """
         if not self.files:
             return True
-        serves, follows = self.files
-        if not _lock(serves):
-            _lock(follows)
+        serving_file, successor_file = self.files
+        if not _lock(serving_file):
+            _lock(successor_file)
             return False
-        fcntl.flock(follows, fcntl.LOCK_UN)
+        fcntl.flock(successor_file, fcntl.LOCK_UN)
         return True
 
     def successor_is_running(self) -> bool:
-        """Whether a process that takes over from this one is running."""
+        """Returns whether a process that takes over from this one is running."""
         if not self.files:
             return False
         if not _lock(self.files[1]):
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream connection on its socket: one greenlet connects and reads until it ends."""
+"""The socket of an upstream connection: a greenlet connects and reads, requests are written."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from pierglade.proxy import socket_io as sending
+from pierglade.proxy import socket_io
 from pierglade.proxy.http.body_stream import BodyStream
 from pierglade.proxy.http.reader import ProtocolError, ResponseReader
 from pierglade.proxy.state.connections import IDLE, CloseCause
@@ -21,19 +21,21 @@
 
 
 class UpstreamHandler:
-    """The socket of one connection to a backend; reports events by `tell`."""
+    """Reads and writes the socket of one connection to a backend; reports events by `tell`."""
 
-    def __init__(self, link, tell: Callable):
-        self.link, self.tell = link, tell
+    def __init__(self, connection, tell: Callable):
+        self.connection, self.tell = connection, tell
         self.sock = socket.socket()
         self.answers = ResponseReader()
-        self.kept = False  # it was idle, or brought a response, since it was connected
+        # The connection was idle or carried a response since it was established.
+        self.is_reused = False
         self.whole = False  # the last byte of the request in flight was handed to the kernel
-        self.flow = None  # the response that is read, where it is too large to hold
-        self.read_on = Event()
+        # The BodyStream being read, where the response is too large to buffer.
+        self.body_stream = None
+        self.read_resumed = Event()
 
     def run(self):
-        """Opens the connection, then reads until it ends."""
+        """Establishes the connection, then reads until it ends."""
         try:
             self._run()
         finally:
@@ -41,189 +43,223 @@
 
     def _run(self):
         try:
-            host, _, port = self.link.address.rpartition(":")
+            host, _, port = self.connection.address.rpartition(":")
             self.sock.connect((host, int(port)))
-            sending.set_up(self.sock)
-        except OSError as fault:
-            return self._ended(CloseCause.CONNECT_FAILED, f"refused: {fault.strerror or fault}")
-        self.tell(UpstreamConnected(self.link))
-        # Unused when connected, it is idle: written unchecked, its end would count as a failure.
-        self.kept = self.link.state is IDLE
+            socket_io.set_up(self.sock)
+        except OSError as error:
+            return self._report_closed(
+                CloseCause.CONNECT_FAILED, f"connect failed: {error.strerror or error}"
+            )
+        self.tell(UpstreamConnected(self.connection))
+        # A connection that no attempt uses once it is established is idle: without the check before
+        # the first write, its end would count as a failure of the attempt.
+        self.is_reused = self.connection.state is IDLE
         self.read()
 
     def read(self):
-        """Reads responses until the connection ends, and reports how it ended."""
+        """Reads responses until the connection ends, and reports the cause."""
         try:
             while True:
-                if self.flow is not None and self.flow.full():
-                    # The client takes it more slowly than it arrives; the backend has to wait.
-                    self.read_on.clear()
-                    self.read_on.wait()
+                if self.body_stream is not None and self.body_stream.full():
+                    # The client reads the response more slowly than the backend sends it.
+                    self.read_resumed.clear()
+                    self.read_resumed.wait()
                     continue
-                if not (count := self.sock.recv_into(self.answers.writable())):
+                if not (byte_count := self.sock.recv_into(self.answers.writable())):
                     break
-                self.answers.filled(count)
-                self._take()
-                if self.answers.begun():
-                    if self.link.state is IDLE:
-                        # Unsolicited bytes: they would be taken for the next response.
-                        return self._ended(CloseCause.RESET, "unasked bytes")
-                    self.tell(ResponsePartReceived(self.link))
+                self.answers.filled(byte_count)
+                self._handle_input()
+                if self.answers.has_begun():
+                    if self.connection.state is IDLE:
+                        # Unsolicited bytes would be taken for the next response.
+                        return self._report_closed(CloseCause.RESET, "unsolicited bytes while idle")
+                    self.tell(ResponsePartReceived(self.connection))
             if self.answers.ended():
-                self._take_last()
-        except ProtocolError as fault:
-            return self._ended(CloseCause.MALFORMED_RESPONSE, f"malformed answer: {fault}")
-        except OSError as fault:
-            return self._ended(CloseCause.RESET, f"broke: {fault.strerror or fault}")
-        self._ended(CloseCause.RESET, "closed by the backend")
-
-    def _take(self):
+                self._handle_last_response()
+        except ProtocolError as error:
+            return self._report_closed(
+                CloseCause.MALFORMED_RESPONSE, f"malformed response: {error}"
+            )
+        except OSError as error:
+            return self._report_closed(
+                CloseCause.RESET, f"connection failed: {error.strerror or error}"
+            )
+        self._report_closed(CloseCause.RESET, "closed by the backend")
+
+    def _handle_input(self):
         while True:
-            if self.flow is not None:
-                self.flow.add(self.answers.piece())
-                self.tell(ResponsePartReceived(self.link))
-                if not self.answers.over:
+            if self.body_stream is not None:
+                self.body_stream.add(self.answers.piece())
+                self.tell(ResponsePartReceived(self.connection))
+                if not self.answers.body_complete:
                     return
-                self._flow_is_whole(self.answers.message)
+                self._finish_body(self.answers.message)
             elif (message := self.answers.next()) is None:
                 return
-            elif self.answers.flows:
-                counted = self.answers.pieces is None
-                message.flow = self.flow = BodyStream(
-                    self.answers.length if counted else None, self.read_on.set
+            elif self.answers.is_streamed:
+                has_length = self.answers.pieces is None
+                message.flow = self.body_stream = BodyStream(
+                    self.answers.length if has_length else None, self.read_resumed.set
                 )
-                self.flow.add(self.answers.piece())
-                self.tell(ResponseReceived(self.link, message))
-                if self.flow is None or not self.answers.over:
-                    return  # It was aborted, or there is more to read.
-                self._flow_is_whole(message)
+                self.body_stream.add(self.answers.piece())
+                self.tell(ResponseReceived(self.connection, message))
+                if self.body_stream is None or not self.answers.body_complete:
+                    return  # The body was aborted, or there is more to read.
+                self._finish_body(message)
             else:
-                self._replied(message)
+                self._handle_response(message)
             self.answers.release()
 
-    def _replied(self, message):
-        # After a response that comes before its request is written whole, the rest would follow.
-        # Bytes behind a response, a duplicate say, would be taken for the next attempt's.
-        message.keep = message.keep and self.whole and not self.answers.more()
-        self.kept, self.whole = True, False
-        self.tell(ResponseReceived(self.link, message))
-
-    def _flow_is_whole(self, message):
-        flow, self.flow = self.flow, None
-        if flow is not None:
-            flow.finish()
-        keep = message.keep and self.whole and not self.answers.more()
-        self.kept, self.whole = True, False
-        self.tell(ResponseCompleted(self.link, keep))
-
-    def _take_last(self):
-        """Takes a response that ends with the connection."""
-        if self.flow is not None:
-            self._flow_is_whole(self.answers.message)
+    def _handle_response(self, message):
+        # The connection is not reused after a response that comes before its request was written
+        # whole, as the rest of the request would follow; nor with bytes behind the response, such
+        # as a duplicate, which would be taken for the response to the next attempt.
+        message.keep = message.keep and self.whole and not self.answers.has_more()
+        self.is_reused, self.whole = True, False
+        self.tell(ResponseReceived(self.connection, message))
+
+    def _finish_body(self, message):
+        body, self.body_stream = self.body_stream, None
+        if body is not None:
+            body.finish()
+        keep = message.keep and self.whole and not self.answers.has_more()
+        self.is_reused, self.whole = True, False
+        self.tell(ResponseCompleted(self.connection, keep))
+
+    def _handle_last_response(self):
+        """Handles a response whose end is the end of the connection."""
+        if self.body_stream is not None:
+            self._finish_body(self.answers.message)
         else:
-            self._replied(self.answers.message)
+            self._handle_response(self.answers.message)
 
-    def _ended(self, how, reason):
-        """Reports the end, and whether the request in flight was written whole."""
-        self._end_flow()
-        self.tell(UpstreamClosed(self.link, how, self.whole, reason))
+    def _report_closed(self, cause, reason):
+        """Reports the connection's end, and whether the request in flight was written whole."""
+        self._abort_body()
+        self.tell(UpstreamClosed(self.connection, cause, self.whole, reason))
 
-    def _unwanted(self):
-        """Whether no client waits any more for what is to be written; checked as late as possible.
+    def _has_no_client(self):
+        """Returns whether no client waits any more for the request that is to be written.
 
-        It covers every place where the request may have waited before.
+        It is checked as late as possible, and so covers every place where the request may have
+        waited before.
         """
-        if self.link.probing:
+        if self.connection.probing:
             return False
-        attempt = self.link.attempt
+        attempt = self.connection.attempt
         return (
             attempt is None
             or (client := attempt.request.host_context.io) is None
-            or sending.peer_has_closed(client.sock)
+            or socket_io.peer_has_closed(client.sock)
         )
 
     def write(self, head: bytes, body):
         """Sends a request; `body`: bytes or a BodyStream."""
-        if self.kept and sending.is_readable(self.sock):
-            self.tell(UpstreamClosed(self.link, CloseCause.STALE, False, "readable while idle"))
+        if self.is_reused and socket_io.is_readable(self.sock):
+            self.tell(
+                UpstreamClosed(
+                    self.connection, CloseCause.STALE, False, "closed or sent bytes while idle"
+                )
+            )
             return
-        if self._unwanted():
-            self.tell(RequestNotSent(self.link))
+        if self._has_no_client():
+            self.tell(RequestNotSent(self.connection))
             return
         if isinstance(body, BodyStream):
             gevent.spawn(self._write_flow, head, body)
             return
         try:
-            rest = sending.send_now(self.sock, head, body)
-        except OSError as fault:
+            unsent = socket_io.send_now(self.sock, head, body)
+        except OSError as error:
             self.tell(
-                UpstreamClosed(self.link, CloseCause.RESET, False, f"broke: {fault.strerror}")
+                UpstreamClosed(
+                    self.connection, CloseCause.RESET, False, f"connection failed: {error.strerror}"
+                )
             )
             return
-        if rest:
-            gevent.spawn(self._write_rest, rest)
+        if unsent:
+            gevent.spawn(self._write_rest, unsent)
         else:
             self.whole = True
 
-    def _write_rest(self, rest):
+    def _write_rest(self, unsent):
         try:
-            while rest:
-                if self._unwanted():
-                    # A backend executes only with the last byte: nothing is executed in vain.
+            while unsent:
+                if self._has_no_client():
+                    # A backend executes a request only after its last byte, so not this one.
                     return self.tell(
-                        UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "its client left")
+                        UpstreamClosed(
+                            self.connection,
+                            CloseCause.CLIENT_GONE,
+                            False,
+                            "client disconnected while its request was written",
+                        )
                     )
                 try:
-                    rest = rest[self.sock._sock.send(rest, socket.MSG_DONTWAIT) :]
+                    unsent = unsent[self.sock._sock.send(unsent, socket.MSG_DONTWAIT) :]
                 except BlockingIOError:
-                    sending.wait_writable(self.sock)
+                    socket_io.wait_writable(self.sock)
             self.whole = True
-        except OSError as fault:
-            # Part of the last piece may be sent: it counts as written, never to be executed twice.
-            self.tell(UpstreamClosed(self.link, CloseCause.RESET, True, f"broke: {fault.strerror}"))
+        except OSError as error:
+            # The last piece may have been sent: the request counts as written, as it must not be
+            # executed twice.
+            self.tell(
+                UpstreamClosed(
+                    self.connection, CloseCause.RESET, True, f"connection failed: {error.strerror}"
+                )
+            )
 
-    def _write_flow(self, head, flow):
-        """Sends a body: one that is buffered whole is kept for a retry, another is streamed."""
+    def _write_flow(self, head, body):
+        """Sends a body: one that is buffered whole is kept for a retry, others are streamed."""
         try:
-            if flow.whole and not flow.passing:
+            if body.whole and not body.is_partly_taken:
                 self.sock.sendall(head)
-                for piece in list(flow.pieces):
-                    if self._unwanted():
+                for piece in list(body.pieces):
+                    if self._has_no_client():
                         return self.tell(
                             UpstreamClosed(
-                                self.link, CloseCause.CLIENT_GONE, False, "its client left"
+                                self.connection,
+                                CloseCause.CLIENT_GONE,
+                                False,
+                                "client disconnected while its request was written",
                             )
                         )
                     self.sock.sendall(piece)
             else:
-                sending.stream_body(self.sock, head, flow, flow.length is None, lambda: None)
-            self.whole = not flow.broken
-            if flow.broken and self.link.attempt is not None:
-                # Without cancellation nothing else would end it: its body is never whole.
+                socket_io.stream_body(self.sock, head, body, body.length is None, lambda: None)
+            self.whole = not body.broken
+            if body.broken and self.connection.attempt is not None:
+                # Without cancellation nothing else ends the attempt: its body stays incomplete.
                 self.tell(
-                    UpstreamClosed(self.link, CloseCause.CLIENT_GONE, False, "body broke off")
+                    UpstreamClosed(
+                        self.connection,
+                        CloseCause.CLIENT_GONE,
+                        False,
+                        "request body aborted before its end",
+                    )
                 )
-        except OSError as fault:
-            # As above, where the last piece was being sent; before it, the backend has not begun.
+        except OSError as error:
+            # Counts as written if the last piece was being sent, as above; before that, the backend
+            # has not begun to execute the request.
             self.tell(
                 UpstreamClosed(
-                    self.link,
+                    self.connection,
                     CloseCause.RESET,
-                    flow.whole and not flow.waiting,
-                    f"broke: {fault.strerror}",
+                    body.whole and not body.waiting,
+                    f"connection failed: {error.strerror}",
                 ),
             )
 
-    def _end_flow(self):
-        if self.flow is not None:
-            self.flow.break_off()
-            self.flow = None
+    def _abort_body(self):
+        if self.body_stream is not None:
+            self.body_stream.break_off()
+            self.body_stream = None
 
     def end(self):
         """Ends the connection at once."""
-        self._end_flow()
-        self.read_on.set()
-        if self.link.cut:
-            # What the kernel still holds of a large request must not be sent: no client waits.
-            sending.discard_unsent(self.sock)
-        sending.hang_up(self.sock)
+        self._abort_body()
+        self.read_resumed.set()
+        if self.connection.cut:
+            # No client waits: the bytes of a large request in the kernel's buffer must not be sent.
+            socket_io.discard_unsent(self.sock)
+        socket_io.close_now(self.sock)
