--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -159,8 +159,7 @@
         host, _, port = str(address).rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
             raise UnusableConfigError(
-                f"{path}: address {address!r} is malformed; expected host:port with a port of at "
-                "most 65535"
+                f"{path}: address {address!r} is malformed; expected host:port with a valid port"
             )
     if not fixed and config.discovery is None:
         raise UnusableConfigError(f"{path}: discovery is null; expected host:port")
--- a/pierglade/proxy/http/reader.py
+++ b/pierglade/proxy/http/reader.py
@@ -217,9 +217,7 @@
             self.interim_count += 1  # The final response follows.
             if self.interim_count > MAX_INTERIM_RESPONSES or self.message.status == 101:
                 raise ProtocolError(
-                    400,
-                    f"interim response {self.message.status} is number {self.interim_count}; "
-                    f"at most {MAX_INTERIM_RESPONSES} are accepted, and no status 101",
+                    400, "too many interim responses, or one that switches protocols"
                 )
             self._begin()
         return None
