--- a/pierglade/experiment/__init__.py
+++ b/pierglade/experiment/__init__.py
@@ -1,5 +1,5 @@
-"""Experiments: nodes, a stand-in fleet, a load and faults from one plan, played, judged and told on a page.
+"""Experiments: runs of nodes, a simulated fleet, a load and faults from one plan, audited and reported.
 
-Not for service. `pierglade.experiment.play.play` is the name to start with; `compare` sets plays side by
-side.
+A tool for tests, not for production. Start with `pierglade.experiment.play.play`;
+`pierglade.experiment.compare` compares runs.
 """
--- a/pierglade/experiment/compare.py
+++ b/pierglade/experiment/compare.py
@@ -1,54 +1,71 @@
-"""Plays side by side: builds on one plan in turns, or two folders that lie there, with their spread."""
+"""Compares experiment runs, with the spread of each figure.
+
+The runs are of several builds on one plan, alternating, or come from folders of earlier runs.
+"""
 
 import os
 import statistics
 
 import msgspec
 
-from pierglade.experiment import play as plays
-from pierglade.testbed.plain import POLICIES  # noqa: F401 - whose broken rules are no fault of ours
+from pierglade.experiment import play as runner
+from pierglade.testbed.plain import POLICIES  # noqa: F401 - for cli.compare: a broken rule of these is not an error of ours
 
-# What is set side by side: its name, how it is found in a summary, and whether more of it is better.
+# Compared figures: name, function that reads it from a summary, and whether higher is better.
 FIGURES = (
-    ("service", lambda told: told["service"], True),
-    ("worst second", lambda told: told["worst_second"][1], True),
-    ("p50 ms", lambda told: told["latency_ms"].get("p50"), False),
-    ("p99 ms", lambda told: told["latency_ms"].get("p99"), False),
-    ("tries", lambda told: told["tries"], False),
-    ("trips", lambda told: told["trips"], False),
-    ("CPU ms an answer", lambda told: told["cpu_ms_an_answer"], False),
+    ("service", lambda summary: summary["service"], True),
+    ("worst second", lambda summary: summary["worst_second"][1], True),
+    ("p50 ms", lambda summary: summary["latency_ms"].get("p50"), False),
+    ("p99 ms", lambda summary: summary["latency_ms"].get("p99"), False),
+    ("tries", lambda summary: summary["tries"], False),
+    ("trips", lambda summary: summary["trips"], False),
+    ("CPU ms/response", lambda summary: summary["cpu_ms_an_answer"], False),
     (
-        "fullest core",
-        lambda told: max((node["fullest_core"] for node in told["nodes"]), default=None),
+        "busiest core",
+        lambda summary: max((node["fullest_core"] for node in summary["nodes"]), default=None),
+        False,
+    ),
+    (
+        "peak MB",
+        lambda summary: max((node["rss_mb"] for node in summary["nodes"]), default=None),
         False,
     ),
-    ("most MB", lambda told: max((node["rss_mb"] for node in told["nodes"]), default=None), False),
 )
 
 
-def in_turns(plan, folder, builds, times, progress=lambda played, share: None):
-    """Plays `plan` `times` times with each of `builds`, turn and turn about; {label: [summary]}.
+def in_turns(plan, folder, builds, times, progress=lambda completed, fraction: None):
+    """Runs `plan` `times` times with each of `builds`, alternating; returns {label: [summary]}.
 
-    Each round begins with another build, so that what drifts on the machine falls on all alike.
+    Each round starts with a different build, so that a drift of the machine affects all builds
+    alike. `progress` is called with the number of completed runs and the completed fraction of the
+    current one.
     """
-    told = {build.label: [] for build in builds}
-    played = 0
-    for turn in range(times):
-        for build in builds[turn % len(builds) :] + builds[: turn % len(builds)]:
-            where = os.path.join(folder, f"{_name(build.label)}-{turn}")
-            told[build.label].append(
-                plays.play(plan, where, build, lambda share, n=played: progress(n, share))
+    summaries_by_label = {build.label: [] for build in builds}
+    completed = 0
+    for round_number in range(times):
+        for build in builds[round_number % len(builds) :] + builds[: round_number % len(builds)]:
+            run_folder = os.path.join(folder, f"{_folder_name(build.label)}-{round_number}")
+            summaries_by_label[build.label].append(
+                runner.play(
+                    plan,
+                    run_folder,
+                    build,
+                    lambda fraction, completed=completed: progress(completed, fraction),
+                )
             )
-            played += 1
-    return told
+            completed += 1
+    return summaries_by_label
 
 
-def _name(label):
+def _folder_name(label):
     return "".join(letter if letter.isalnum() else "-" for letter in label).strip("-")[-40:]
 
 
 def summaries(folder):
-    """The summaries of a play, or of all plays in a folder; raises OSError or ValueError with the place."""
+    """Returns the summaries of one run, or of all runs in a folder.
+
+    Raises OSError, or ValueError with the path of the invalid summary.
+    """
     paths = [os.path.join(folder, "summary.json")]
     if not os.path.exists(paths[0]):
         paths = [
@@ -57,56 +74,67 @@
             if os.path.exists(path := os.path.join(folder, name, "summary.json"))
         ]
     if not paths:
-        raise ValueError(f"{folder}: there is no summary.json of a play")
-    told = []
+        raise ValueError(f"{folder}: no summary.json of a run in this folder or its subfolders")
+    found = []
     for path in paths:
         with open(path, "rb") as file:
             try:
-                told.append(msgspec.json.decode(file.read(), type=dict))
-                told[-1]["service"], told[-1]["latency_ms"], told[-1]["rules"], told[-1]["breaks"]
-            except (msgspec.DecodeError, KeyError) as fault:
-                raise ValueError(f"{path}: no summary of a play ({fault})") from None
-    return told
-
-
-def rows(told):
-    """(figure, {label: (median, least, most)}, verdict) of {label: [summary]}.
-
-    The verdict names the better one where the spreads of two lie apart, and says so where they do not.
+                found.append(msgspec.json.decode(file.read(), type=dict))
+                (
+                    found[-1]["service"],
+                    found[-1]["latency_ms"],
+                    found[-1]["rules"],
+                    found[-1]["breaks"],
+                )
+            except (msgspec.DecodeError, KeyError) as error:
+                raise ValueError(f"{path}: not the summary of a run ({error})") from None
+    return found
+
+
+def rows(summaries_by_label):
+    """Yields (figure, {label: (median, minimum, maximum)}, verdict) for {label: [summary]}.
+
+    The verdict names the better of two builds if their ranges do not overlap, and otherwise states
+    that they are not distinguishable.
     """
-    for name, of, more in FIGURES:
+    for name, read_figure, is_higher_better in FIGURES:
         spread = {}
-        for label, some in told.items():
-            values = [value for value in map(of, some) if value is not None]
+        for label, of_label in summaries_by_label.items():
+            values = [value for value in map(read_figure, of_label) if value is not None]
             if values:
                 spread[label] = statistics.median(values), min(values), max(values)
-        yield name, spread, _verdict(spread, more, min(map(len, told.values())))
+        yield (
+            name,
+            spread,
+            _verdict(spread, is_higher_better, min(map(len, summaries_by_label.values()))),
+        )
 
 
-def _verdict(spread, more, plays_of_each):
+def _verdict(spread, is_higher_better, runs_of_each):
     if len(spread) != 2:
         return ""
-    (one, (_, low, high)), (other, (_, low2, high2)) = spread.items()
-    if low <= high2 and low2 <= high:
-        return "not told apart"
-    if plays_of_each < 2:
-        return "one play each: no spread"
-    return f"{one if (low > high2) == more else other} is better"
-
-
-def doubts(told):
-    """Why the plays say less than they seem to, with the broken rules first: (broken, lines)."""
-    broken, lines = False, []
-    for label, some in told.items():
-        for number, summary in enumerate(some):
-            for rule, held in summary["rules"].items():
-                if held is False:
-                    broken = True
+    (first, (_, first_min, first_max)), (second, (_, second_min, second_max)) = spread.items()
+    if first_min <= second_max and second_min <= first_max:
+        return "not distinguishable"
+    if runs_of_each < 2:
+        return "one run each: no spread"
+    return f"{first if (first_min > second_max) == is_higher_better else second} is better"
+
+
+def doubts(summaries_by_label):
+    """Returns (whether a rule was broken, lines): broken rules, and reasons to distrust the runs."""
+    is_broken, lines = False, []
+    for label, of_label in summaries_by_label.items():
+        for number, summary in enumerate(of_label):
+            for rule, has_held in summary["rules"].items():
+                if has_held is False:
+                    is_broken = True
                     lines.append(
-                        f"{label}, play {number}: {rule} BROKEN, {summary['breaks']} breaks in all"
+                        f"{label}, run {number}: rule {rule} is BROKEN; {summary['breaks']} "
+                        "violations of all rules"
                     )
             lines += [
-                f"{label}, play {number}: {doubt}"
+                f"{label}, run {number}: {doubt}"
                 for doubt in summary["not_to_be_trusted"] + summary["holes"]
             ]
-    return broken, lines
+    return is_broken, lines
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -1,6 +1,6 @@
-"""What an invocation costs: CPU an answer, CPU a refusal, and the highest rate within expected times.
+"""The CPU cost of a response and of a rejection, and the highest rate within the expected latency.
 
-One node on one core before stand-in backends that have cores to spare; several builds in turns.
+One node on one core, in front of simulated backends with cores to spare; several builds alternate.
 """
 
 import statistics
@@ -9,29 +9,29 @@
 import msgspec
 
 from pierglade.experiment import plan as plans
-from pierglade.experiment import play as plays
+from pierglade.experiment import play as runner
 from pierglade.simulation.plan import Count, InvalidPlanError, Positive, Share, Struct, tables
 
-HARD = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
-TOO_FAR = 16  # doublings of the first rate after which the search ends
+LATENCY_LIMITS = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
+MAX_DOUBLINGS = 16  # of the first rate in the search for the highest rate
 
 
 class Cost(Struct):
     """The `[cost]` table."""
 
-    core: int = 1  # the node's; all else runs on the others
+    core: int = 1  # of the node; all other processes run on the other cores
     backends: Count = 4
-    work_ms: Positive = 2.0  # what an answer takes a backend
-    rate: Positive = 400.0  # at which an answer and a refusal are weighed, a second
-    seconds: Positive = 5.0  # each play
-    first_rate: Positive = 800.0  # the search for the highest rate doubles from here
-    steps: Count = 4  # halvings between the last that held and the first that did not
-    enough: Share = 0.99  # of what was asked, answered within the expected time: it holds
+    work_ms: Positive = 2.0  # processing time of a request at a backend
+    rate: Positive = 400.0  # requests per second while the CPU cost is measured
+    seconds: Positive = 5.0  # of each run
+    first_rate: Positive = 800.0  # start of the search for the highest rate
+    steps: Count = 4  # bisections between the last passing and the first failing rate
+    enough: Share = 0.99  # minimum service at which a rate passes
     seed: int = 1
 
 
 def is_cost(path):
-    """Whether the file asks for the cost; one that can't be read does not."""
+    """Whether the file has a [cost] table; False if it can't be read."""
     try:
         return "cost" in tables(path)
     except InvalidPlanError:
@@ -39,21 +39,24 @@
 
 
 def read(path):
-    """The Cost in the file at `path`; raises InvalidPlanError with one line that names the place."""
+    """Returns the Cost in the file at `path`; raises InvalidPlanError with one line and its place."""
     raw = tables(path)
     if set(raw) - {"cost", "title"}:
         raise InvalidPlanError(
-            f"{path}: $.{sorted(set(raw) - {'cost', 'title'})[0]}: beside [cost] there is only "
-            "`title`"
+            f"{path}: $.{sorted(set(raw) - {'cost', 'title'})[0]}: unknown key; "
+            "expected only [cost] and `title`"
         )
     try:
         return msgspec.convert(raw["cost"], Cost)
-    except msgspec.ValidationError as fault:
-        raise InvalidPlanError(f"{path}: {str(fault).replace('$', '$.cost')}") from None
+    except msgspec.ValidationError as error:
+        raise InvalidPlanError(f"{path}: {str(error).replace('$', '$.cost')}") from None
 
 
-def _plan(cost, rate, refused=False):
-    """One node before backends that have room for all, or that are all draining from the start."""
+def _plan(cost, rate, is_rejected=False):
+    """Returns a plan with one node in front of backends without a concurrency bound.
+
+    With `is_rejected`, all backends are draining from the start, so that each request is rejected.
+    """
     raw = {
         "title": "cost",
         "seed": cost.seed,
@@ -64,84 +67,89 @@
             "kind": [{"cores": 0}],
             "place": [{"count": cost.backends}],
             "connections": 4096,
-            "offering": [{"name": "look", "work_ms": cost.work_ms, "spread": "fixed", **HARD}],
+            "offering": [
+                {"name": "look", "work_ms": cost.work_ms, "spread": "fixed", **LATENCY_LIMITS}
+            ],
         },
     }
-    if refused:
+    if is_rejected:
         raw["fleet"]["befall"] = [{"at_s": 0.0, "what": "drain"}]
     plan = plans.made(raw)
-    if refused:
-        raw["fleet"]["befall"][0]["at_s"] = -0.8  # before the load's first request
+    if is_rejected:
+        raw["fleet"]["befall"][0]["at_s"] = -0.8  # before the first request of the load
     return plan
 
 
-class Lost(Exception):
-    """The load was not the one that was planned."""
+class UnreliableRunError(Exception):
+    """The load that was sent is not the load that was planned."""
 
 
-def _play(cost, build, rate, refused=False):
+def _run(cost, build, rate, is_rejected=False):
     with tempfile.TemporaryDirectory(prefix="pierglade-") as folder:
-        told = plays.play(_plan(cost, rate, refused), folder, build)
-    if told["not_to_be_trusted"]:
-        raise Lost(told["not_to_be_trusted"][0])
-    return told
+        summary = runner.play(_plan(cost, rate, is_rejected), folder, build)
+    if summary["not_to_be_trusted"]:
+        raise UnreliableRunError(summary["not_to_be_trusted"][0])
+    return summary
 
 
-def _highest(cost, build):
-    """(a second, why it ends there): by doubling, then by halving between."""
+def _highest_rate(cost, build):
+    """Returns the highest passing rate per second, found by doubling and then by bisection."""
 
-    def holds(rate):
+    def passes(rate):
         try:
-            return _play(cost, build, rate)["service"] >= cost.enough
-        except Lost:
+            return _run(cost, build, rate)["service"] >= cost.enough
+        except UnreliableRunError:
             return False
 
     low, high = 0.0, cost.first_rate
-    for _ in range(TOO_FAR):
-        if not holds(high):
+    for _ in range(MAX_DOUBLINGS):
+        if not passes(high):
             break
         low, high = high, high * 2
     for _ in range(cost.steps):
         middle = (low + high) / 2
-        if holds(middle):
+        if passes(middle):
             low = middle
         else:
             high = middle
     return round(low, 1)
 
 
-def measure(plan, builds, times, progress=lambda played, share: None):
-    """{label: {figure: [a value a round]}}; raises plays.Failed where a play is void."""
-    told = {
+def measure(plan, builds, times, progress=lambda completed, fraction: None):
+    """Returns {label: {figure: [value of each round]}}; raises runner.Failed if a run is invalid."""
+    results = {
         build.label: {"cpu_ms_an_answer": [], "cpu_ms_a_refusal": [], "highest_a_second": []}
         for build in builds
     }
-    played = 0
-    for turn in range(times):
-        for build in builds[turn % len(builds) :] + builds[: turn % len(builds)]:
-            of = told[build.label]
+    completed = 0
+    for round_number in range(times):
+        for build in builds[round_number % len(builds) :] + builds[: round_number % len(builds)]:
+            figures = results[build.label]
             try:
-                of["cpu_ms_an_answer"].append(_play(plan, build, plan.rate)["cpu_ms_an_answer"])
-                refusals = _play(plan, build, plan.rate, refused=True)
-            except Lost as fault:
-                raise plays.Failed(str(fault)) from None
-            if refusals["in_time"]:
-                raise plays.Failed(f"{refusals['in_time']} of what was to be refused was answered")
-            of["cpu_ms_a_refusal"].append(refusals["cpu_ms_an_answer"])
-            of["highest_a_second"].append(_highest(plan, build))
-            played += 1
-            progress(played, 0.0)
-    return told
-
-
-def lines(told):
-    """The table, with each build beside the first."""
-    first = next(iter(told))
-    for figure in told[first]:
-        middle = {label: statistics.median(of[figure]) for label, of in told.items()}
+                figures["cpu_ms_an_answer"].append(_run(plan, build, plan.rate)["cpu_ms_an_answer"])
+                rejections = _run(plan, build, plan.rate, is_rejected=True)
+            except UnreliableRunError as error:
+                raise runner.Failed(str(error)) from None
+            if rejections["in_time"]:
+                raise runner.Failed(
+                    f"{rejections['in_time']} requests were answered while all backends were "
+                    "draining; expected only rejections"
+                )
+            figures["cpu_ms_a_refusal"].append(rejections["cpu_ms_an_answer"])
+            figures["highest_a_second"].append(_highest_rate(plan, build))
+            completed += 1
+            progress(completed, 0.0)
+    return results
+
+
+def lines(results):
+    """Yields the lines of a table that compares each build with the first."""
+    first = next(iter(results))
+    for figure in results[first]:
+        medians = {label: statistics.median(figures[figure]) for label, figures in results.items()}
         cells = [
-            f"{label} {value:g} ({min(told[label][figure]):g} to {max(told[label][figure]):g})"
-            + (f", x{value / middle[first]:.2f}" if label != first and middle[first] else "")
-            for label, value in middle.items()
+            f"{label} {value:g} ({min(results[label][figure]):g} to {max(results[label][figure]):g})"
+            + (f", x{value / medians[first]:.2f}" if label != first and medians[first] else "")
+            for label, value in medians.items()
         ]
         yield f"{figure.replace('_', ' '):20} " + "; ".join(cells)
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -1,4 +1,7 @@
-"""Nodes of an experiment: ours of any build, and plain ones, each told the same and started the same way."""
+"""Nodes of an experiment: pierglade nodes of any build, and reference balancers.
+
+All of them follow the same discovery service and are started in the same way.
+"""
 
 import os
 import shutil
@@ -11,37 +14,40 @@
 from pierglade.config.platform import to_platform
 from pierglade.testbed.plain import POLICIES
 
-OURS = "pierglade"
+PACKAGE_NAME = "pierglade"
 HERE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-# A build knows nothing of parents; whoever started it ends it by the pipe that is its standard input.
+# Runs a node that ends when its standard input, a pipe from the parent process, is closed. A build
+# itself has no such option.
 START = """
 import os, runpy, signal, sys, threading
-def wait():
+def end_with_parent():
     while os.read(0, 1024):
         pass
     os.kill(os.getpid(), signal.SIGTERM)
-threading.Thread(target=wait, daemon=True).start()
+threading.Thread(target=end_with_parent, daemon=True).start()
 sys.argv = ["pierglade"]
 runpy.run_module("pierglade", run_name="__main__")
 """
 
 
 class NoBuild(Exception):
-    """What was named is no build; one line."""
+    """The name is not that of a build; the message is one line."""
 
 
 class Build:
-    """A build of ours, or a plain policy. `label` names it in tables; `root` is its folder, None for plain.
+    """A build of pierglade, or a policy of the reference balancer.
 
-    Made of `pierglade` (this one), `turns`, `random`, `least`, `two`, a folder, or `@COMMIT` of the checkout
-    that this one stands in. Use it as a context: a commit's folder is gone afterwards.
+    `text` is `pierglade` (this build), `turns`, `random`, `least`, `two`, a folder, or `@COMMIT` of
+    the git checkout that contains this build. `label` is its name in tables. `root` is its folder,
+    None for a reference balancer. The build is a context manager: on exit, the folder of a commit is
+    removed.
     """
 
     def __init__(self, text):
         self.label, self.root, self.folder = text, None, None
         if text in POLICIES:
             return
-        if text == OURS:
+        if text == PACKAGE_NAME:
             self.root = HERE
         elif text.startswith("@"):
             self._check_out(text[1:])
@@ -49,25 +55,27 @@
             self.root = os.path.abspath(text)
         if not os.path.isfile(os.path.join(self.root, "pierglade", "__main__.py")):
             raise NoBuild(
-                f"{text}: no build; allowed: {OURS}, {', '.join(POLICIES)}, a folder, @COMMIT"
+                f"{text!r} is not a build; expected {PACKAGE_NAME}, {', '.join(POLICIES)}, a folder with "
+                "pierglade/__main__.py, or @COMMIT"
             )
 
     def _check_out(self, commit):
         if shutil.which("git") is None or not os.path.isdir(os.path.join(HERE, ".git")):
-            raise NoBuild(f"@{commit}: not in a git checkout")
+            raise NoBuild(f"@{commit}: {HERE} is not a git checkout, or git is not installed")
         self.folder = tempfile.TemporaryDirectory(prefix="pierglade-build-")
         self.root = self.folder.name
-        for words in (
+        for args in (
             ["clone", "-q", "--no-checkout", HERE, self.root],
             ["-C", self.root, "checkout", "-q", commit, "--"],
         ):
-            done = subprocess.run(["git", *words], capture_output=True, text=True)
-            if done.returncode:
+            completed = subprocess.run(["git", *args], capture_output=True, text=True)
+            if completed.returncode:
                 self.folder.cleanup()
-                raise NoBuild(f"@{commit}: no such commit here")
+                raise NoBuild(f"@{commit}: no such commit in {HERE}")
 
     @property
     def plain(self):
+        """Whether it is a reference balancer."""
         return self.root is None
 
     def __enter__(self):
@@ -79,9 +87,9 @@
 
 
 def document(plan, number, discovery, management):
-    """The platform's document for node `number` of an Experiment."""
+    """Returns the platform's settings document for node `number` of an Experiment."""
     kind, nodes, rules = plan.fleet.kind[0], plan.nodes, plan.rules
-    file = structs.File(
+    settings = structs.File(
         node=structs.Node(
             name=f"n{number}", seed=f"{plan.seed}-{number}", number=number, nodes=nodes.count
         ),
@@ -89,17 +97,17 @@
         discovery=structs.Discovery(address=discovery),
         request_classes=[
             structs.RequestClass(
-                name=o.name,
-                expected_ms=o.expected_ms,
-                hard_limit_ms=o.hard_limit_ms,
-                priority_weight=o.priority_weight,
-                repeat=o.repeats.replace("-", "_"),
-                group=o.group,
-                window_ms=o.window_ms,
+                name=request_class.name,
+                expected_ms=request_class.expected_ms,
+                hard_limit_ms=request_class.hard_limit_ms,
+                priority_weight=request_class.priority_weight,
+                repeat=request_class.repeats.replace("-", "_"),
+                group=request_class.group,
+                window_ms=request_class.window_ms,
             )
-            for o in plan.fleet.request_class
+            for request_class in plan.fleet.request_class
         ],
-        members=[structs.Member(name=m.name, per_s=m.per_s) for m in plan.member],
+        members=[structs.Member(name=member.name, per_s=member.per_s) for member in plan.member],
         limits=structs.Limits(
             attempts=nodes.attempts,
             probes=nodes.probes and plan.fleet.probes,
@@ -118,14 +126,14 @@
         ),
         reports=structs.Reports(how=plan.fleet.report.how, fields=plan.fleet.report.fields),
     )
-    return to_platform(file)
+    return to_platform(settings)
 
 
 def start(children, build, plan, number, discovery, management, log):
-    """Starts one node; (its process, the address that clients ask)."""
+    """Starts one node; returns (its process, the address that it listens on)."""
     name = f"node {number}"
     if build.plain:
-        words = [
+        args = [
             "-m",
             "pierglade.testbed.plain",
             "--policy",
@@ -136,16 +144,16 @@
             discovery,
             "--with-parent",
         ]
-        told = children.start_logged(name, words, log)
+        started = children.start_logged(name, args, log)
     else:
         path = children.path(f"node-{number}.json")
         with open(path, "wb") as file:
             file.write(msgspec.json.encode(document(plan, number, discovery, management)))
-        told = children.start_logged(
+        started = children.start_logged(
             name,
             ["-c", START],
             log,
             cwd=build.root,
             env={"BALANCER_CONFIG": path, "PYTHONPATH": build.root},
         )
-    return children.running[name][0], told["listen"]
+    return children.running[name][0], started["listen"]
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -1,7 +1,7 @@
-"""An experiment's plan, read from TOML: the fleet, the load, the clients, the nodes and the rules.
+"""The plan of an experiment, read from TOML: the fleet, the load, the clients, the nodes and the rules.
 
-Times carry their unit in the name; shares are of 1. Moments of what befalls the fleet count from the load's
-first request. What can't be used is one line that names the place.
+Names of durations end with their unit; shares are fractions of 1. Times of faults count from the
+first request of the load. An invalid plan is reported in one line that names the place.
 """
 
 import os
@@ -24,44 +24,44 @@
 )
 from pierglade.testbed import plan as fleets
 
-BASES = 4  # how many files may stand on one another
+MAX_BASES = 4  # files in a chain of `base` references
 
 
 class Clients(Struct):
-    """What the clients do."""
+    """The behaviour of the clients."""
 
     spacing: Literal["even", "poisson"] = "poisson"
-    patience_ms: NotNegative = 0.0  # 0: the longest hard limit of the offerings
-    retries: Annotated[int, Meta(ge=0, le=20)] = 0  # tries more after a refusal or a failure
-    retry_ms: NotNegative = 200.0  # the wait before the first of them; then doubled, if `doubled`
-    doubled: bool = True
-    marks: bool = True  # they mark them with X-Second-Try
-    # go away after half of their patience
+    patience_ms: NotNegative = 0.0  # client timeout; 0: the longest hard limit of the offerings
+    retries: Annotated[int, Meta(ge=0, le=20)] = 0  # after a rejection or a failure
+    retry_ms: NotNegative = 200.0  # wait before the first retry
+    doubled: bool = True  # the wait doubles with each further retry
+    marks: bool = True  # retries are marked with X-Second-Try
+    # fraction of the requests whose client disconnects after half of its timeout
     abandon_share: Share = msgspec.field(name="leaves", default=0.0)
-    kept: bool = True  # connections are used again
-    processes: Count = 1  # that send to each node
+    kept: bool = True  # connections are reused
+    processes: Count = 1  # sender processes for each node
 
 
 class Member(Struct):
-    """Who asks, as X-Customer names them."""
+    """A tenant, as named in X-Customer."""
 
     name: str
-    share: Positive = 1.0
-    per_s: NotNegative = 0.0  # what the nodes are told of its share; 0: nothing
+    share: Positive = 1.0  # weight in the random choice of a request's tenant
+    per_s: NotNegative = 0.0  # quota in the settings of the nodes; 0: none
 
 
 class Nodes(Struct):
-    """The nodes before the fleet."""
+    """The nodes in front of the fleet."""
 
     count: Count = 2
     attempts: Count = msgspec.field(name="trips", default=3)
     probes: bool = True
     retry_after_ms: NotNegative = 0.0
-    core: int = -1  # the first node is bound to this core, the next to the next; -1: free
+    core: int = -1  # core of the first node, each next node on the next core; -1: not bound
 
 
 class Rules(Struct):
-    """What must hold."""
+    """Parameters of the rules that the run is audited against."""
 
     drain_grace_ms: NotNegative = 1000.0
     further_span_s: NotNegative = 0.0
@@ -70,6 +70,8 @@
 
 
 class Experiment(Struct):
+    """The whole plan."""
+
     fleet: fleets.Plan
     load: Annotated[list[ArrivalPattern], Meta(min_length=1)]
     title: str = ""
@@ -78,101 +80,112 @@
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     rules: Rules = msgspec.field(default_factory=Rules)
     member: list[Member] = []
-    raw: dict = {}  # the tables that it was made of
+    raw: dict = {}  # the tables that the plan was converted from
 
     def seconds(self):
-        return sum(shape.seconds for shape in self.load)
+        """Returns the duration of the load."""
+        return sum(pattern.seconds for pattern in self.load)
 
     def timeout_s(self):
+        """Returns the timeout of the clients."""
         return (
-            self.clients.patience_ms or max(o.hard_limit_ms for o in self.fleet.request_class)
+            self.clients.patience_ms
+            or max(request_class.hard_limit_ms for request_class in self.fleet.request_class)
         ) / 1000
 
     def ledgers(self):
-        """How many ledgers the clients write."""
+        """Returns the number of ledgers that the clients write, one for each sender process."""
         return self.nodes.count * self.clients.processes
 
     def arrivals(self):
-        """(moments in s, [Recorded], the sender that each has), all from the one seed."""
-        at = moments(self.load, self.clients.spacing, self.seed)
-        chance = np.random.default_rng([self.seed, 1])
+        """Returns (arrival times in s, [RecordedRequest], sender index of each request).
+
+        All of them are reproducible from the seed.
+        """
+        times = moments(self.load, self.clients.spacing, self.seed)
+        generator = np.random.default_rng([self.seed, 1])
 
-        def drawn(rows):
-            shares = np.array([row.share for row in rows])
-            return chance.choice(len(rows), len(at), p=shares / shares.sum())
+        def draw(candidates):
+            shares = np.array([candidate.share for candidate in candidates])
+            return generator.choice(len(candidates), len(times), p=shares / shares.sum())
 
-        request_classes = drawn(self.fleet.request_class)
-        members = drawn(self.member) if self.member else None
+        request_classes = draw(self.fleet.request_class)
+        members = draw(self.member) if self.member else None
         rows = [
             RecordedRequest(
-                float(moment),
+                float(time),
                 self.fleet.request_class[request_class].name,
                 self.member[members[number]].name if self.member else "",
             )
-            for number, (moment, request_class) in enumerate(zip(at, request_classes))
+            for number, (time, request_class) in enumerate(zip(times, request_classes))
         ]
-        return at, rows, chance.integers(self.ledgers(), size=len(at))
+        return times, rows, generator.integers(self.ledgers(), size=len(times))
 
     def shifted(self, lead_s):
-        """The fleet's tables with all that befalls it `lead_s` later, as its own process reads them."""
+        """Returns the tables for the fleet's process, with all faults `lead_s` later."""
         raw = deepcopy(self.raw["fleet"])
-        for befall in raw.get("befall", ()):
-            befall["at_s"] += lead_s
+        for fault in raw.get("befall", ()):
+            fault["at_s"] += lead_s
         raw["seed"] = self.seed
         return raw
 
 
 def read(path):
-    """The Experiment in the TOML file at `path`; raises InvalidPlanError with one line that names the place.
+    """Returns the Experiment in the TOML file at `path`.
 
-    `base = "FILE"`, beside it, stands below it: a table's keys go before the base's, a list in place of it.
+    `base = "FILE"` names a file, relative to this one, that the plan extends: keys of a table
+    override those of the base, and a list replaces that of the base. Raises InvalidPlanError with
+    one line that names the place.
     """
-    return made(_whole(path, BASES), path)
+    return made(_read_with_bases(path, MAX_BASES), path)
 
 
-def _whole(path, left):
+def _read_with_bases(path, max_bases):
     raw = tables(path)
     base = raw.pop("base", None)
     if base is None:
         return raw
-    if not isinstance(base, str) or not left:
+    if not isinstance(base, str) or not max_bases:
         raise InvalidPlanError(
-            f"{path}: $.base: {base!r} stands there; allowed: a file, {BASES} on one another"
+            f"{path}: $.base is {base!r}; expected a file name, in a chain of at most {MAX_BASES} "
+            "bases"
         )
-    return _over(_whole(os.path.join(os.path.dirname(path), base), left - 1), raw)
+    return _merge(_read_with_bases(os.path.join(os.path.dirname(path), base), max_bases - 1), raw)
 
 
-def _over(below, above):
-    if not isinstance(below, dict) or not isinstance(above, dict):
-        return above
+def _merge(base, override):
+    """Returns `base` with the keys of `override`; tables are merged, other values replaced."""
+    if not isinstance(base, dict) or not isinstance(override, dict):
+        return override
     return {
-        key: _over(below[key], above[key])
-        if key in below and key in above
-        else above.get(key, below.get(key))
-        for key in {**below, **above}
+        key: _merge(base[key], override[key])
+        if key in base and key in override
+        else override.get(key, base.get(key))
+        for key in {**base, **override}
     }
 
 
 def made(raw, path="plan"):
-    """The same from a mapping."""
+    """Returns the Experiment in a mapping; raises InvalidPlanError, with `path` in the message."""
     try:
         plan = msgspec.convert(
             {key: value for key, value in raw.items() if key != "raw"}, Experiment
         )
-    except msgspec.ValidationError as fault:
-        raise InvalidPlanError(f"{path}: {fault}") from None
+    except msgspec.ValidationError as error:
+        raise InvalidPlanError(f"{path}: {error}") from None
     plan.raw = raw
     plan.fleet = fleets.made(raw["fleet"], f"{path}: fleet")
     if plan.fleet.ledger.path:
         raise InvalidPlanError(
-            f"{path}: $.fleet.ledger.path: an experiment has a folder of its own for it"
+            f"{path}: $.fleet.ledger.path is {plan.fleet.ledger.path!r}; expected no path, because the "
+            "ledger is written to the folder of the run"
         )
     if len({member.name for member in plan.member}) < len(plan.member):
-        raise InvalidPlanError(f"{path}: $.member: two of one name")
-    for number, befall in enumerate(plan.fleet.befall):
-        if befall.at_s >= plan.seconds():
+        raise InvalidPlanError(f"{path}: $.member: two members have the same name")
+    for number, fault in enumerate(plan.fleet.befall):
+        if fault.at_s >= plan.seconds():
             raise InvalidPlanError(
-                f"{path}: $.fleet.befall[{number}].at_s: {befall.at_s:g} lies behind the load's "
-                f"end at {plan.seconds():g}"
+                f"{path}: $.fleet.befall[{number}].at_s is {fault.at_s:g}; expected less than "
+                f"{plan.seconds():g}, the end of the load"
             )
     return plan
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -1,4 +1,4 @@
-"""One play of an experiment: everything is started, loaded, watched, ended and written into one folder."""
+"""One run of an experiment: starts the processes, sends the load, samples, audits and writes a folder."""
 
 import http.client
 import os
@@ -14,64 +14,72 @@
 from pierglade.load import run as loads
 from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
-LEAD_S, LEAD_EACH_S = 2.5, 0.4  # from the fleet's start to the load's: processes start, and warm up
-SAMPLE_S = 0.5  # between looks at CPU and memory of the nodes
-ASK_EACH_S = 1.0  # between calls to each node
-ASK_WITHIN_S = 0.4  # a node that does not tell of its backends by then is passed over
-READY_IN_S = 8.0
+# Time from the start of the fleet to the start of the load, and its increase for each node, in which
+# the processes start and warm up.
+LEAD_S, LEAD_PER_NODE_S = 2.5, 0.4
+SAMPLE_INTERVAL_S = 0.5  # between samples of CPU and memory of the nodes
+POLL_INTERVAL_S = 1.0  # between requests for the backends' states to each node
+POLL_TIMEOUT_S = 0.4  # a node that does not respond in time is skipped in this poll
+READY_TIMEOUT_S = 8.0  # for all nodes to become ready
 
 
 class Failed(Exception):
-    """The play could not be made or is void; one line."""
+    """The run failed or its result is invalid; the message is one line."""
 
 
-def play(plan, folder, build, progress=lambda share: None):
-    """Plays `plan` (an Experiment) with nodes of `build` into `folder`, which is made; returns the summary.
+def play(plan, folder, build, progress=lambda fraction: None):
+    """Runs `plan` (an Experiment) with nodes of `build`; returns the summary.
 
-    Left in it: plan.json, summary.json, samples.json, backends.jsonl, clients-N.jsonl, node-N.log. Raises
-    Failed where nothing is to be learned from it, and StoppedBySignalError with a partial summary written, marked so.
+    Creates `folder` with plan.json, summary.json, samples.json, breaks.json, backends.jsonl,
+    clients-N.jsonl and node-N.log. Raises Failed if there is no valid result. Raises
+    StoppedBySignalError after a signal; if the load had started, a summary that is marked as
+    partial is written before.
     """
     os.makedirs(folder, exist_ok=True)
-    _write(folder, "plan.json", {**plan.raw, "build": build.label})
-    one = _Play(plan, folder, build, progress)
+    _write_json(folder, "plan.json", {**plan.raw, "build": build.label})
+    run = _ExperimentRun(plan, folder, build, progress)
     try:
         with Children() as children:
-            one.children = children
+            run.children = children
             try:
-                one.whole()
+                run.execute()
             finally:
-                one.over.set()
-                if one.worker_pool is not None:
-                    one.worker_pool.end()
-    except ChildExitedError as fault:
-        raise Failed(str(fault)) from None
-    except loads.InvalidRunError as fault:
-        raise Failed(str(fault)) from None
-    except StoppedBySignalError as fault:
-        if one.begins is None or time.monotonic() <= one.begins:
+                run.finished.set()
+                if run.worker_pool is not None:
+                    run.worker_pool.end()
+    except ChildExitedError as error:
+        raise Failed(str(error)) from None
+    except loads.InvalidRunError as error:
+        raise Failed(str(error)) from None
+    except StoppedBySignalError as error:
+        if run.start_time is None or time.monotonic() <= run.start_time:
             raise
-        one.stopped = str(fault)
-        one.summary()
+        run.stopped_by = str(error)
+        run.summary()
         raise
-    return one.summary()
+    return run.summary()
 
 
-class _Play:
+class _ExperimentRun:
+    """The state of one run: its processes, samples and results."""
+
     def __init__(self, plan, folder, build, progress):
         self.plan, self.folder, self.build, self.progress = plan, folder, build, progress
-        self.children = self.worker_pool = self.begins = self.began_ms = None
-        self.stopped, self.fleet_said, self.tally = "", {}, None
-        self.samples, self.left_out = [], []
-        self.over = threading.Event()
+        self.children = self.worker_pool = self.start_time = self.start_unix_ms = None
+        self.stopped_by, self.fleet_summary, self.recorder = "", {}, None
+        self.samples, self.excluded = [], []
+        self.finished = threading.Event()
 
     def path(self, name):
+        """Returns the path of a file in the folder of the run."""
         return os.path.join(self.folder, name)
 
-    def whole(self):
+    def execute(self):
+        """Starts everything, sends the load, collects the samples and ends the nodes and the fleet."""
         plan = self.plan
-        lead = LEAD_S + LEAD_EACH_S * plan.nodes.count
-        fleet = self._start_fleet(lead)
-        managements = [f"127.0.0.1:{free_port()}" for _ in range(plan.nodes.count)]
+        lead_s = LEAD_S + LEAD_PER_NODE_S * plan.nodes.count
+        fleet = self._start_fleet(lead_s)
+        management_addresses = [f"127.0.0.1:{free_port()}" for _ in range(plan.nodes.count)]
         self.nodes = [
             nodes.start(
                 self.children,
@@ -82,93 +90,107 @@
                 management,
                 self.path(f"node-{number}.log"),
             )
-            for number, management in enumerate(managements)
+            for number, management in enumerate(management_addresses)
         ]
-        self._bind()
+        self._set_cpu_affinity()
         self._wait_until_ready()
-        ahead = time.time() - time.monotonic()
-        self.began_ms = fleet["began_ms"] + lead * 1000
-        self.begins = self.began_ms / 1000 - ahead
-        if time.monotonic() > self.begins - 0.2:
-            raise Failed("the nodes took too long to start")
-        self.worker_pool = loads.WorkerPool([(load, (0, 1)) for load in self._loads()], self.begins)
-        askers = [
-            threading.Thread(target=self._ask, args=(number, management), daemon=True)
-            for number, management in enumerate(managements)
+        clock_offset = time.time() - time.monotonic()
+        self.start_unix_ms = fleet["began_ms"] + lead_s * 1000
+        self.start_time = self.start_unix_ms / 1000 - clock_offset
+        if time.monotonic() > self.start_time - 0.2:
+            raise Failed(f"the nodes did not start within the lead time of {lead_s:g} s")
+        self.worker_pool = loads.WorkerPool(
+            [(load, (0, 1)) for load in self._client_loads()], self.start_time
+        )
+        pollers = [
+            threading.Thread(target=self._poll_backends, args=(number, management), daemon=True)
+            for number, management in enumerate(management_addresses)
             if not self.build.plain
         ]
-        for asker in askers:
-            asker.start()
-        self._watch()
-        self.tally = self.worker_pool.collect()
-        self.over.set()
-        for asker in askers:
-            asker.join()
+        for poller in pollers:
+            poller.start()
+        self._sample_nodes()
+        self.recorder = self.worker_pool.collect()
+        self.finished.set()
+        for poller in pollers:
+            poller.join()
         for name in [name for name in self.children.running if name.startswith("node")]:
             self.children.end(name)
-        self.fleet_said = msgspec.json.decode(self.children.end("fleet")[-1])
+        self.fleet_summary = msgspec.json.decode(self.children.end("fleet")[-1])
 
-    def _start_fleet(self, lead):
-        raw = self.plan.shifted(lead)
+    def _start_fleet(self, lead_s):
+        raw = self.plan.shifted(lead_s)
         raw["ledger"] = {"path": os.path.abspath(self.path("backends.jsonl")), "most_mb": 512.0}
-        _write(self.children.folder.name, "fleet.json", raw)
+        _write_json(self.children.folder.name, "fleet.json", raw)
         return self.children.start(
             "fleet", "pierglade.cli", "fleet", self.children.path("fleet.json"), "--with-parent"
         )
 
-    def _bind(self):
-        """Each node to its core, everything else to the others, where the plan says so."""
+    def _set_cpu_affinity(self):
+        """Binds each node to its core and all else to the other cores, if the plan asks for it."""
         first, cores = self.plan.nodes.core, os.cpu_count() or 1
         if first < 0:
             return
-        mine = [(first + number) % cores for number in range(len(self.nodes))]
-        rest = [core for core in range(cores) if core not in mine] or list(range(cores))
-        for (process, _), core in zip(self.nodes, mine):
+        node_cores = [(first + number) % cores for number in range(len(self.nodes))]
+        other_cores = [core for core in range(cores) if core not in node_cores] or list(
+            range(cores)
+        )
+        for (process, _), core in zip(self.nodes, node_cores):
             psutil.Process(process.pid).cpu_affinity([core])
-        psutil.Process(self.children.running["fleet"][0].pid).cpu_affinity(rest)
-        psutil.Process().cpu_affinity(rest)
+        psutil.Process(self.children.running["fleet"][0].pid).cpu_affinity(other_cores)
+        psutil.Process().cpu_affinity(other_cores)
 
     def _wait_until_ready(self):
-        until, left = time.monotonic() + READY_IN_S, [address for _, address in self.nodes]
-        while left:
+        deadline, pending = (
+            time.monotonic() + READY_TIMEOUT_S,
+            [address for _, address in self.nodes],
+        )
+        while pending:
             self.children.look()
-            left = [address for address in left if _get(address, "/health/ready")[0] != 200]
-            if time.monotonic() > until:
-                raise Failed(f"{len(left)} of the nodes were not ready within {READY_IN_S:g} s")
-            if left:
+            pending = [
+                address for address in pending if _http_get(address, "/health/ready")[0] != 200
+            ]
+            if time.monotonic() > deadline:
+                raise Failed(
+                    f"{len(pending)} of {len(self.nodes)} nodes were not ready within "
+                    f"{READY_TIMEOUT_S:g} s"
+                )
+            if pending:
                 time.sleep(0.05)
 
-    def _loads(self):
+    def _client_loads(self):
         plan, clients = self.plan, self.plan.clients
-        at, rows, to = plan.arrivals()
-        repeats = {o.name: o.repeats for o in plan.fleet.request_class}
+        times, rows, senders = plan.arrivals()
+        repeats = {
+            request_class.name: request_class.repeats for request_class in plan.fleet.request_class
+        }
         for number in range(plan.ledgers()):
-            node, mine = number // clients.processes, to == number
+            node, is_own = number // clients.processes, senders == number
             yield loads.Load(
                 self.nodes[node][1],
                 "/",
-                at[mine],
+                times[is_own],
                 timeout_s=plan.timeout_s(),
-                reuses=clients.kept,
+                reuses_connections=clients.kept,
                 retries=clients.retries,
                 retry_s=clients.retry_ms / 1000,
                 marks=clients.marks,
                 abandon_share=clients.abandon_share,
                 seed=plan.seed + number,
-                doubled=clients.doubled,
+                exponential_backoff=clients.doubled,
                 repeats=repeats,
-                rows=[row for row, here in zip(rows, mine) if here],
+                rows=[row for row, is_included in zip(rows, is_own) if is_included],
                 node=f"n{node}",
                 ledger=self.path(f"clients-{number}.jsonl"),
             )
 
-    def _watch(self):
-        """Samples the nodes while the load runs."""
+    def _sample_nodes(self):
+        """Samples CPU and memory of the nodes while the load runs."""
         processes = [psutil.Process(process.pid) for process, _ in self.nodes]
         seconds = self.plan.seconds()
         while self.worker_pool.running():
             self.children.look()
-            now = time.monotonic() - self.begins
+            now = time.monotonic() - self.start_time
             try:
                 for number, process in enumerate(processes):
                     with process.oneshot():
@@ -177,34 +199,34 @@
                         (round(now, 2), number, round(cpu.user + cpu.system, 3), memory.rss)
                     )
             except psutil.NoSuchProcess:
-                continue  # which one, `look` tells
+                continue  # a node has exited; `look` raises for it in the next iteration
             self.progress(min(1.0, max(0.0, now / seconds)))
-            time.sleep(SAMPLE_S)
+            time.sleep(SAMPLE_INTERVAL_S)
 
-    def _ask(self, number, management):
-        """What a node says of its backends, again and again: who is left out, and why."""
-        while not self.over.wait(ASK_EACH_S):
-            now = time.monotonic() - self.begins
-            status, body = _get(management, "/backends", ASK_WITHIN_S)
+    def _poll_backends(self, number, management):
+        """Polls a node for its backends; records which are excluded from selection, and why."""
+        while not self.finished.wait(POLL_INTERVAL_S):
+            now = time.monotonic() - self.start_time
+            status, body = _http_get(management, "/backends", POLL_TIMEOUT_S)
             if status != 200:
                 continue
             for row in msgspec.json.decode(body)["backends"]:
-                why = (
+                reason = (
                     row["state"]
                     if row["state"] != "ready"
                     else row["trouble"] or ("pause" if row["pauses"] else "")
                 )
-                if why:
-                    self.left_out.append((round(now, 2), number, row["name"], why))
+                if reason:
+                    self.excluded.append((round(now, 2), number, row["name"], reason))
 
     def summary(self):
-        """Judges what lies in the folder, and writes it there."""
+        """Audits the ledgers in the folder; writes the summary, violations and samples into it."""
         plan = self.plan
-        clients, holes = [], []
+        clients, gaps = [], []
         for number in range(plan.ledgers()):
             rows, missing = records.read(self.path(f"clients-{number}.jsonl"))
             clients += rows
-            holes += missing
+            gaps += missing
         clients.sort(key=lambda row: row["t_ms"])
         backends, missing = records.read(self.path("backends.jsonl"))
         budget = plan.rules.further_span_s and (
@@ -216,60 +238,61 @@
             settings_of_plan(plan.fleet, plan.rules.drain_grace_ms, budget or None),
             clients,
             backends,
-            holes + missing,
+            gaps + missing,
         )
         summary = {
             "title": plan.title,
             "build": self.build.label,
             "seed": plan.seed,
-            **sums.figures(plan, clients, backends, self.samples, self.began_ms),
+            **sums.figures(plan, clients, backends, self.samples, self.start_unix_ms),
             "rules": verdict.held(),
             "breaks": len(verdict.violations),
-            "holes": [hole.text() for hole in verdict.gaps],
-            "not_to_be_trusted": self._doubts(),
+            "holes": [gap.text() for gap in verdict.gaps],
+            "not_to_be_trusted": self._reliability_warnings(),
         }
-        _write(self.folder, "summary.json", summary)
-        _write(self.folder, "breaks.json", verdict.violations)
-        _write(
+        _write_json(self.folder, "summary.json", summary)
+        _write_json(self.folder, "breaks.json", verdict.violations)
+        _write_json(
             self.folder,
             "samples.json",
-            {"nodes": self.samples, "left_out": self.left_out, "began_ms": self.began_ms},
+            {"nodes": self.samples, "left_out": self.excluded, "began_ms": self.start_unix_ms},
         )
         return summary
 
-    def _doubts(self):
-        """Why the figures say less than they seem to, a line each."""
-        if self.stopped:
-            return [f"stopped by {self.stopped}; what was seen until then"]
-        doubts, told = [], self.tally.summary()
-        if told["behind"]:
-            doubts.append(
-                f"the load fell behind its plan: p99 {told['late_ms']['p99']:g} ms, sent "
-                f"{told['sent']} of {told['planned']}"
+    def _reliability_warnings(self):
+        """Returns the reasons why the figures are not reliable, one line each."""
+        if self.stopped_by:
+            return [f"stopped by {self.stopped_by}; the figures cover only the time before"]
+        warnings, load_summary = [], self.recorder.summary()
+        if load_summary["behind"]:
+            warnings.append(
+                "the load fell behind its plan: p99 of the send delay "
+                f"{load_summary['late_ms']['p99']:g} ms, sent {load_summary['sent']} of {load_summary['planned']}"
             )
-        if self.fleet_said["late"]:
-            doubts.append(
-                f"the stand-in fleet was late: p99 {self.fleet_said['late_ms']['p99']:g} ms"
+        if self.fleet_summary["late"]:
+            warnings.append(
+                "the simulated fleet fell behind its schedule: p99 of the delay "
+                f"{self.fleet_summary['late_ms']['p99']:g} ms"
             )
-        return doubts + [
-            f"the stand-in fleet: {trouble}" for trouble in self.fleet_said["troubles"]
+        return warnings + [
+            f"the simulated fleet: {trouble}" for trouble in self.fleet_summary["troubles"]
         ]
 
 
-def _get(address, path, wait_s=1.0):
-    """(status, body) of a call; (0, b"") where there is none in time."""
+def _http_get(address, path, timeout_s=1.0):
+    """Returns (status, body) of the response; (0, b"") if there is none in time."""
     host, _, port = address.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=wait_s)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
-        link.request("GET", path)
-        answer = link.getresponse()
-        return answer.status, answer.read()
+        connection.request("GET", path)
+        response = connection.getresponse()
+        return response.status, response.read()
     except (OSError, http.client.HTTPException):
         return 0, b""
     finally:
-        link.close()
+        connection.close()
 
 
-def _write(folder, name, value):
+def _write_json(folder, name, value):
     with open(os.path.join(folder, name), "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(value), indent=1) + b"\n")
--- a/pierglade/load/__init__.py
+++ b/pierglade/load/__init__.py
@@ -1,4 +1,5 @@
-"""An open-loop load generator: arrivals are planned beforehand, and a stall counts in full.
+"""An open-loop load generator: send times are planned in advance, so a stall counts in full.
 
-Not for service, and with nothing of the node's code. Start with `pierglade.load.run.play`.
+A tool for tests and experiments that shares no code with the load balancer. Start with
+`pierglade.load.run.play`.
 """
--- a/pierglade/load/client.py
+++ b/pierglade/load/client.py
@@ -1,117 +1,126 @@
-"""HTTP/1.1 clients on asyncio: as many connections as needed, one request on each at a time."""
+"""HTTP/1.1 clients on asyncio: a pool of connections, each with one request in flight at a time."""
 
 import asyncio
 import socket
 
 import httptools
 
-CLOSED, TIMEOUT, REFUSED, GARBLED = (
+# Reasons for a failed attempt.
+CLOSED, TIMEOUT, REFUSED, MALFORMED = (
     "closed",
     "timed out",
     "refused",
     "garbled",
-)  # how a request can fail
+)
 
 
 class _Connection(asyncio.Protocol):
-    """Calls `pool.ended(request, status, backend, reason)` once for each request."""
+    """Calls `pool.finish(request, status, backend, reason)` once for each request."""
 
     def __init__(self, pool):
-        self.pool, self.transport, self.request, self.last = pool, None, None, None
-        self._fresh()
+        self.pool, self.transport, self.request, self.last_request = pool, None, None, None
+        self._reset_response()
 
-    def _fresh(self):
+    def _reset_response(self):
         self.parser = httptools.HttpResponseParser(self)
         self.backend, self.close = "", False
 
     def connection_made(self, transport):
-        """asyncio: the connection is up."""
+        """asyncio: the connection is established."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None and sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, request):
-        """Writes a request; the one before has ended."""
+        """Writes a request; the previous one must have finished."""
         self.request = request
         self.transport.write(request.data)
 
     def data_received(self, data):
-        """asyncio: bytes have come."""
+        """asyncio: data was received."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._end(0, GARBLED)
+            self._finish(0, MALFORMED)
             self.transport.abort()
 
     def on_header(self, name, value):
-        """httptools: a header of the response."""
+        """httptools: a response header was parsed."""
         if name.lower() == b"x-backend":
             self.backend = value.decode("latin-1")
 
     def on_message_complete(self):
-        """httptools: the response is whole."""
-        status, keep = self.parser.get_status_code(), self.parser.should_keep_alive()
+        """httptools: the response is complete."""
+        status, keep_alive = self.parser.get_status_code(), self.parser.should_keep_alive()
         request, self.request = self.request, None
         if request is None:
-            if self.last is not None:
-                self.pool.on_unsolicited(self.last, status)
-            return self.transport.abort()  # nobody asked: it must not answer the next request
-        self.last = request
+            if self.last_request is not None:
+                self.pool.on_unsolicited(self.last_request, status)
+            # An unsolicited response must not be taken for the response to the next request.
+            return self.transport.abort()
+        self.last_request = request
         backend = self.backend
-        self._fresh()
-        if keep and self.pool.reuses:
+        self._reset_response()
+        if keep_alive and self.pool.reuses_connections:
             self.pool.idle.append(self)
         else:
             self.transport.close()
-        self.pool.ended(request, status, backend, None)
+        self.pool.finish(request, status, backend, None)
 
     def connection_lost(self, error):
-        """asyncio: the connection has ended."""
+        """asyncio: the connection was closed."""
         if self in self.pool.idle:
             self.pool.idle.remove(self)
-        self.pool.open -= 1
-        self._end(0, CLOSED)
+        self.pool.open_count -= 1
+        self._finish(0, CLOSED)
 
-    def _end(self, status, reason):
+    def _finish(self, status, reason):
         request, self.request = self.request, None
         if request is not None:
-            self.pool.ended(request, status, self.backend, reason)
+            self.pool.finish(request, status, self.backend, reason)
 
-    def drop(self):
-        """Closes the connection; nobody waits for the response any more."""
+    def abort(self):
+        """Closes the connection and discards the response to its request."""
         self.request = None
         self.transport.abort()
 
 
 class Request:
-    """One try of a request.
+    """One attempt of a request.
 
-    `data` are its bytes, `done(request, status, backend, reason)` is called once at its end, and
-    `context` is the caller's own.
+    `data` is the encoded request. `on_finished(request, status, backend, reason)` is called once,
+    when the attempt has finished. `context` is opaque data of the caller.
     """
 
-    __slots__ = ("connection", "context", "data", "done", "is_over", "timer")
+    __slots__ = ("connection", "context", "data", "is_finished", "on_finished", "timer")
 
-    def __init__(self, data: bytes, done, context=None):
-        self.data, self.done, self.context = data, done, context
+    def __init__(self, data: bytes, on_finished, context=None):
+        self.data, self.on_finished, self.context = data, on_finished, context
         self.connection = self.timer = None
-        self.is_over = False
+        self.is_finished = False
 
 
 class Pool:
-    """Connections to one address; `reuses`: whether one serves several requests."""
+    """Connections to one address.
 
-    def __init__(self, address: str, loop, reuses: bool = True):
+    `reuses_connections`: whether a connection serves several requests, one after another.
+    """
+
+    def __init__(self, address: str, loop, reuses_connections: bool = True):
         host, _, port = address.rpartition(":")
-        self.address, self.loop, self.reuses = (host, int(port)), loop, reuses
-        self.idle, self.open, self.most_open = [], 0, 0
-        # Called with a response that follows the one to `request`.
+        self.address, self.loop, self.reuses_connections = (
+            (host, int(port)),
+            loop,
+            reuses_connections,
+        )
+        self.idle, self.open_count, self.peak_open_count = [], 0, 0
+        # Called with the request that was answered last and the status of the extra response.
         self.on_unsolicited = lambda request, status: None
         self.tasks = set()
 
     def send(self, request, timeout_s):
-        """Sends it now; it ends by itself after `patience_s`, its connection with it."""
+        """Sends a request; after `timeout_s` it fails and its connection is closed."""
         request.timer = self.loop.call_later(timeout_s, self._time_out, request)
         while self.idle:
             connection = self.idle.pop()
@@ -119,8 +128,8 @@
                 request.connection = connection
                 connection.send(request)
                 return
-        self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.open_count += 1
+        self.peak_open_count = max(self.peak_open_count, self.open_count)
         task = self.loop.create_task(self._connect(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -131,32 +140,32 @@
                 lambda: _Connection(self), *self.address
             )
         except OSError:
-            self.open -= 1
-            self.ended(request, 0, "", REFUSED)
+            self.open_count -= 1
+            self.finish(request, 0, "", REFUSED)
             return
-        if request.is_over:
-            connection.drop()
+        if request.is_finished:
+            connection.abort()
             return
         request.connection = connection
         connection.send(request)
 
     def _time_out(self, request):
         if request.connection is not None:
-            request.connection.drop()
-        self.ended(request, 0, "", TIMEOUT)
+            request.connection.abort()
+        self.finish(request, 0, "", TIMEOUT)
 
-    def leave(self, request):
-        """The client goes away before its answer."""
+    def abandon(self, request):
+        """Closes the connection of a request whose client disconnects before the response."""
         self._time_out(request)
 
-    def ended(self, request: Request, status: int, backend: str, reason: str | None) -> None:
-        """Ends a request once: with a status, or with 0 and the reason."""
-        if request.is_over:
+    def finish(self, request: Request, status: int, backend: str, reason: str | None) -> None:
+        """Finishes a request once: with its status, or with status 0 and the reason."""
+        if request.is_finished:
             return
-        request.is_over = True
+        request.is_finished = True
         request.timer.cancel()
         request.connection = None
-        request.done(request, status, backend, reason)
+        request.on_finished(request, status, backend, reason)
 
     def close(self) -> None:
         """Closes the idle connections."""
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -1,6 +1,6 @@
-"""When each request is to be sent: patterns one after the other, or a recorded trace.
+"""Arrival times of requests: generated from load patterns, or read from a recorded trace.
 
-Moments are seconds from the start, as numpy arrays of float64 in order.
+Arrival times are seconds from the start of the load, as ascending numpy arrays of float64.
 """
 
 import csv
@@ -13,64 +13,73 @@
 
 from pierglade.simulation.plan import InvalidPlanError, Positive, Struct
 
-MOST = 20_000_000  # requests of a plan; their moments alone are 160 MB
-WAVE = 32  # points that a wave's rate is drawn with in each of its turns
+MAX_REQUESTS = 20_000_000  # of one arrival pattern; their arrival times alone take 160 MB
+WAVE_POINTS_PER_PERIOD = 32  # points that approximate one period of a wave
 
 
 class ArrivalPattern(Struct):
-    """A stretch of the load; rates are requests a second."""
+    """A section of the load; rates are requests per second."""
 
     shape: Literal["steady", "ramp", "surge", "wave"] = "steady"
     seconds: Positive = 10.0
     rate: Annotated[float, Meta(ge=0)] = 100.0
-    to: Annotated[float, Meta(ge=0)] = 0.0  # ramp: the rate at its end; wave: its highest
-    times: Positive = 4.0  # surge: times `rate`, all along
-    turn_s: Positive = 5.0  # wave: from one top to the next
-
-
-def _rate(shape):
-    """(moments, rates) between which the rate of a shape goes straight."""
-    span = shape.seconds
-    if shape.shape == "ramp":
-        return np.array([0.0, span]), np.array([shape.rate, shape.to])
-    if shape.shape == "wave":
-        at = np.linspace(0.0, span, max(2, int(span / shape.turn_s * WAVE)))
-        middle, swing = (shape.rate + shape.to) / 2, (shape.to - shape.rate) / 2
-        return at, middle - swing * np.cos(2 * np.pi * at / shape.turn_s)
-    level = shape.rate * (shape.times if shape.shape == "surge" else 1.0)
-    return np.array([0.0, span]), np.array([level, level])
-
-
-def moments(shapes, spacing, seed):
-    """The moments of all requests of these patterns; `spacing` is "even" or "poisson"."""
-    generator, begins, parts = np.random.default_rng(seed), 0.0, []
-    for shape in shapes:
-        at, rates = _rate(shape)
-        # Requests due by each point; between two the count grows as the area under a line.
-        due = np.concatenate(([0.0], np.cumsum((rates[1:] + rates[:-1]) / 2 * np.diff(at))))
-        if due[-1] > MOST:
-            raise InvalidPlanError(f"a plan of more than {MOST} requests")
+    to: Annotated[float, Meta(ge=0)] = 0.0  # ramp: final rate; wave: highest rate
+    times: Positive = 4.0  # surge: multiple of `rate` for the whole section
+    turn_s: Positive = 5.0  # wave: period, from one peak to the next
+
+
+def _rate_points(pattern):
+    """Returns (times, rates) of a pattern; the rate is linear between two points."""
+    duration = pattern.seconds
+    if pattern.shape == "ramp":
+        return np.array([0.0, duration]), np.array([pattern.rate, pattern.to])
+    if pattern.shape == "wave":
+        times = np.linspace(
+            0.0, duration, max(2, int(duration / pattern.turn_s * WAVE_POINTS_PER_PERIOD))
+        )
+        mean, amplitude = (pattern.rate + pattern.to) / 2, (pattern.to - pattern.rate) / 2
+        return times, mean - amplitude * np.cos(2 * np.pi * times / pattern.turn_s)
+    level = pattern.rate * (pattern.times if pattern.shape == "surge" else 1.0)
+    return np.array([0.0, duration]), np.array([level, level])
+
+
+def moments(patterns, spacing, seed):
+    """Returns the arrival times of all requests of consecutive patterns.
+
+    `spacing` is "even" or "poisson". Raises InvalidPlanError for a pattern with more than
+    MAX_REQUESTS requests.
+    """
+    generator, start, parts = np.random.default_rng(seed), 0.0, []
+    for pattern in patterns:
+        times, rates = _rate_points(pattern)
+        # Requests due by each point: the area under the rate, which is linear between points.
+        due = np.concatenate(([0.0], np.cumsum((rates[1:] + rates[:-1]) / 2 * np.diff(times))))
+        if due[-1] > MAX_REQUESTS:
+            raise InvalidPlanError(
+                f"an arrival pattern has {due[-1]:.0f} requests; expected at most {MAX_REQUESTS}"
+            )
         if spacing == "even":
-            wanted = np.arange(int(due[-1] + 1e-9), dtype=float)
+            targets = np.arange(int(due[-1] + 1e-9), dtype=float)
         else:
             count = generator.poisson(due[-1])
-            wanted = np.sort(generator.uniform(0.0, due[-1], count))
-        parts.append(begins + _when(wanted, at, rates, due))
-        begins += shape.seconds
+            targets = np.sort(generator.uniform(0.0, due[-1], count))
+        parts.append(start + _arrival_times(targets, times, rates, due))
+        start += pattern.seconds
     return np.concatenate(parts) if parts else np.array([])
 
 
-def _when(wanted, at, rates, due):
-    """The moments at which so many are due: the area under the rate up to there."""
-    if not len(wanted):
-        return wanted
-    piece = np.clip(np.searchsorted(due, wanted, "right") - 1, 0, len(at) - 2)
-    span = at[piece + 1] - at[piece]
-    slope = (rates[piece + 1] - rates[piece]) / span
-    rest, first = wanted - due[piece], rates[piece]
-    # rest = first * t + slope * t * t / 2, in a form that stays exact where the slope is small.
-    root = np.sqrt(np.maximum(0.0, first * first + 2 * slope * rest))
-    return at[piece] + 2 * rest / np.maximum(first + root, 1e-12)
+def _arrival_times(targets, times, rates, due):
+    """Returns the times at which the area under the rate reaches each of `targets`."""
+    if not len(targets):
+        return targets
+    segment = np.clip(np.searchsorted(due, targets, "right") - 1, 0, len(times) - 2)
+    duration = times[segment + 1] - times[segment]
+    slope = (rates[segment + 1] - rates[segment]) / duration
+    remainder, initial_rate = targets - due[segment], rates[segment]
+    # Solves remainder = initial_rate * t + slope * t * t / 2 for t, in a form that stays exact
+    # where the slope is small.
+    root = np.sqrt(np.maximum(0.0, initial_rate * initial_rate + 2 * slope * remainder))
+    return times[segment] + 2 * remainder / np.maximum(initial_rate + root, 1e-12)
 
 
 class RecordedRequest(msgspec.Struct):
@@ -83,10 +92,11 @@
 
 
 def read_trace(path, speed=1.0):
-    """The requests of a trace as (moments, [RecordedRequest]); CSV with a head line or JSON lines.
+    """Reads a trace; returns (arrival times, [RecordedRequest]).
 
-    Columns: `offset` (s from the start, or `at_s`), `offering`, `customer`, `size`. `speed`: 2 is
-    twice as fast. Raises InvalidPlanError with the file and the line.
+    The file is CSV with a header line, or JSON lines. Columns: `offset` (seconds from the start;
+    also `at_s`), `offering`, `customer`, `size` (bytes). `speed` is the replay speed: 2 is twice as
+    fast. Raises InvalidPlanError with the file and the line.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -97,27 +107,31 @@
         raise InvalidPlanError(f"{path}: {error}") from None
     rows = list(_json_rows(path, text) if text.lstrip()[:1] == "{" else _csv_rows(path, text))
     if not rows:
-        raise InvalidPlanError(f"{path}: there is no request in it")
-    before = 0.0
+        raise InvalidPlanError(f"{path}: the trace has no requests; expected at least one")
+    previous_s = 0.0
     for number, row in rows:
-        if row.at_s < before:
+        if row.at_s < previous_s:
             raise InvalidPlanError(
-                f"{path}:{number}: offset {row.at_s:g} lies before the one above it, {before:g}"
+                f"{path}:{number}: offset is {row.at_s:g}; expected at least the previous offset, "
+                f"{previous_s:g}"
             )
-        before = row.at_s
+        previous_s = row.at_s
     return np.array([row.at_s / speed for _, row in rows]), [row for _, row in rows]
 
 
-def _row(path, number, fields):
+def _parse_row(path, number, fields):
     try:
         at_s = float(fields.get("offset", fields.get("at_s")))
         size = int(fields.get("size") or 0)
     except (TypeError, ValueError):
         raise InvalidPlanError(
-            f"{path}:{number}: offset and size are no numbers: {str(fields)[:60]}"
+            f"{path}:{number}: offset or size is not a number: {str(fields)[:60]}"
         ) from None
     if not 0 <= at_s < 1e7 or not 0 <= size <= 1 << 26:
-        raise InvalidPlanError(f"{path}:{number}: offset {at_s:g} or size {size} is out of bounds")
+        raise InvalidPlanError(
+            f"{path}:{number}: offset is {at_s:g}, size is {size}; expected an offset from 0 to "
+            "below 1e7 s and a size from 0 to 67108864 bytes"
+        )
     return RecordedRequest(
         at_s, str(fields.get("offering") or ""), str(fields.get("customer") or ""), size
     )
@@ -126,9 +140,9 @@
 def _csv_rows(path, text):
     reader = csv.DictReader(io.StringIO(text))
     if text.strip() and not {"offset", "at_s"} & set(reader.fieldnames or ()):
-        raise InvalidPlanError(f"{path}:1: no column `offset`")
+        raise InvalidPlanError(f"{path}:1: no column `offset` or `at_s` in the header line")
     for fields in reader:
-        yield reader.line_num, _row(path, reader.line_num, fields)
+        yield reader.line_num, _parse_row(path, reader.line_num, fields)
 
 
 def _json_rows(path, text):
@@ -139,5 +153,7 @@
             except msgspec.DecodeError as error:
                 raise InvalidPlanError(f"{path}:{number}: {error}") from None
             if not isinstance(fields, dict):
-                raise InvalidPlanError(f"{path}:{number}: no object")
-            yield number, _row(path, number, fields)
+                raise InvalidPlanError(
+                    f"{path}:{number}: the line is {str(fields)[:60]}; expected a JSON object"
+                )
+            yield number, _parse_row(path, number, fields)
--- a/pierglade/load/recorder.py
+++ b/pierglade/load/recorder.py
@@ -1,50 +1,57 @@
-"""Latency histograms and counts of a load, which add up over worker processes."""
+"""Latency histograms and counters of a load, mergeable across worker processes."""
 
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-LOWEST, HIGHEST, DIGITS = 1, 600_000_000, 3  # microseconds: 1 us to 10 min, to three digits
-SHARES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
+# Microseconds (1 us to 10 min), with three significant digits.
+MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 600_000_000, 3
+PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 KINDS = ("latency", "service", "late")
-BEHIND_MS = (
-    20.0  # p99 of how late sends were; from there on the load was not the one that was planned
-)
+# p99 of the delay from the planned time to the send. Beyond it, the load that was sent is not the
+# load that was planned.
+MAX_SEND_DELAY_MS = 20.0
 
 
 class LatencyRecorder:
-    """Histograms in microseconds, and counts.
+    """Latency histograms in microseconds, and counters of requests.
 
-    `latency`: from the planned moment to the answer or failure; `service`: from the send; `late`:
-    from the planned moment to the send.
+    `latency`: from the planned time to the response or failure; `service`: from the send to the
+    response or failure; `late`: from the planned time to the send.
     """
 
     def __init__(self):
-        self.histograms = {kind: HdrHistogram(LOWEST, HIGHEST, DIGITS) for kind in KINDS}
+        self.histograms = {
+            kind: HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for kind in KINDS
+        }
         self.counts = dict.fromkeys(("planned", "sent", "answered", "failed"), 0)
         self.statuses = {}
 
     def add(self, kind: str, seconds: float) -> None:
-        """Records a span of one of KINDS."""
-        self.histograms[kind].record_value(min(HIGHEST, max(LOWEST, int(seconds * 1e6))))
+        """Records a duration in the histogram `kind`, one of KINDS."""
+        self.histograms[kind].record_value(
+            min(MAX_LATENCY_US, max(MIN_LATENCY_US, int(seconds * 1e6)))
+        )
 
-    def ended(self, status: int, reason: str | None) -> None:
-        """Counts the end of a request: its status, or why it has none."""
+    def count_result(self, status: int, reason: str | None) -> None:
+        """Counts a finished request by its status, or by the reason for its failure."""
         self.counts["answered" if status else "failed"] += 1
         name = str(status) if status else reason
         self.statuses[name] = self.statuses.get(name, 0) + 1
 
     def encoded(self) -> bytes:
-        """What another process merges."""
+        """Returns the counters and histograms, encoded for `merge` in another process."""
         return msgspec.json.encode(
             {
                 "counts": self.counts,
                 "statuses": self.statuses,
-                "of": {kind: each.encode().decode() for kind, each in self.histograms.items()},
+                "of": {
+                    kind: histogram.encode().decode() for kind, histogram in self.histograms.items()
+                },
             }
         )
 
     def merge(self, encoded: bytes) -> None:
-        """Adds what another recorder saw."""
+        """Adds the encoded counters and histograms of another recorder."""
         other = msgspec.json.decode(encoded)
         for name, count in other["counts"].items():
             self.counts[name] += count
@@ -54,26 +61,31 @@
             self.histograms[kind].decode_and_add(histogram)
 
     def figures(self, kind):
-        """In ms: p50, p90, p99, p999 and max."""
+        """Returns p50, p90, p99, p999 and max of a histogram, in ms."""
         histogram = self.histograms[kind]
         if not histogram.total_count:
-            return dict.fromkeys((*SHARES, "max"), 0.0)
-        values = {name: histogram.get_value_at_percentile(share) for name, share in SHARES.items()}
+            return dict.fromkeys((*PERCENTILES, "max"), 0.0)
+        values = {
+            name: histogram.get_value_at_percentile(percentile)
+            for name, percentile in PERCENTILES.items()
+        }
         return {
             name: round(value / 1000, 3)
             for name, value in {**values, "max": histogram.get_max_value()}.items()
         }
 
-    def summary(self, more=()):
-        """Plain data, in the form that `pierglade load --json` writes."""
-        late = self.figures("late")
-        behind = late["p99"] > BEHIND_MS or self.counts["sent"] < self.counts["planned"]
+    def summary(self, extra_fields=()):
+        """Returns plain data, in the form that `pierglade load --json` writes."""
+        send_delay = self.figures("late")
+        is_behind = (
+            send_delay["p99"] > MAX_SEND_DELAY_MS or self.counts["sent"] < self.counts["planned"]
+        )
         return {
             **self.counts,
-            "behind": behind,
+            "behind": is_behind,
             "latency_ms": self.figures("latency"),
             "service_ms": self.figures("service"),
-            "late_ms": late,
+            "late_ms": send_delay,
             "statuses": self.statuses,
-            **dict(more),
+            **dict(extra_fields),
         }
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plans that can't be played, sums by hand, a play that is stopped, loses a node or comes to its end."""
+"""Experiments: invalid plans, figures against hand calculation, and runs that complete, are stopped or fail."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from pierglade.simulation.plan import InvalidPlanError
 from tests.support.scene import TraceTest
 
-BASE = {
+BASE_PLAN = {
     "fleet": {
         "kind": [{"cores": 4}],
         "place": [{"count": 2}],
@@ -37,58 +37,63 @@
 }
 
 
-def put(**more):
-    return {**BASE, **more}
+def plan_with(**tables):
+    return {**BASE_PLAN, **tables}
 
 
-def files(folder, **texts):
+def write_plans(folder, **texts):
     for name, text in texts.items():
         pathlib.Path(folder, name + ".toml").write_text(text)
 
 
-class Plans(TraceTest):
-    def test_what_can_not_be_played(self):
+class InvalidPlans(TraceTest):
+    def test_invalid_plans_are_reported_with_their_place(self):
+        """An invalid plan must be reported in one line before any process is started."""
         lines = []
-        fleet = BASE["fleet"]
+        fleet = BASE_PLAN["fleet"]
         for raw in (
-            put(load=[]),
-            put(surprise=1),
-            put(nodes={"count": 0}),
-            put(member=[{"name": "a"}] * 2),
-            put(fleet={**fleet, "befall": [{"at_s": 2, "what": "hang"}]}),
-            put(fleet={**fleet, "ledger": {"path": "x"}}),
-            put(fleet={**fleet, "befall": [{"at_s": 1, "what": "hang", "backends": ["b7"]}]}),
+            plan_with(load=[]),
+            plan_with(surprise=1),
+            plan_with(nodes={"count": 0}),
+            plan_with(member=[{"name": "a"}] * 2),
+            plan_with(fleet={**fleet, "befall": [{"at_s": 2, "what": "hang"}]}),
+            plan_with(fleet={**fleet, "ledger": {"path": "x"}}),
+            plan_with(fleet={**fleet, "befall": [{"at_s": 1, "what": "hang", "backends": ["b7"]}]}),
         ):
             try:
                 plan.made(raw, "FILE")
-                lines.append("good")
-            except InvalidPlanError as fault:
-                lines.append(str(fault))
+                lines.append("valid")
+            except InvalidPlanError as error:
+                lines.append(str(error))
         with tempfile.TemporaryDirectory() as folder:
-            files(
+            write_plans(
                 folder,
-                ring='base = "ring.toml"',
-                far='base = "none.toml"',
-                odd="base = 3",
-                below="seed = 5\n[nodes]\ncount = 3\ntrips = 2",
-                above='base = "below.toml"\n[nodes]\ncount = 1',
+                cycle='base = "cycle.toml"',
+                missing='base = "none.toml"',
+                number="base = 3",
+                base="seed = 5\n[nodes]\ncount = 3\ntrips = 2",
+                extended='base = "base.toml"\n[nodes]\ncount = 1',
             )
-            for name in ("ring", "far", "odd"):
+            for name in ("cycle", "missing", "number"):
                 try:
                     plan.read(f"{folder}/{name}.toml")
-                except InvalidPlanError as fault:
-                    lines.append(str(fault).replace(folder, "FOLDER"))
-            lines.append(str(plan._whole(f"{folder}/above.toml", 2)))
+                except InvalidPlanError as error:
+                    lines.append(str(error).replace(folder, "FOLDER"))
+            lines.append(str(plan._read_with_bases(f"{folder}/extended.toml", 2)))
         self.check("experiment_plans", lines)
 
 
-class Sums(TraceTest):
-    def test_service_faults_and_when_it_is_back(self):
-        """Ten asked a second for 12 s; from 4 to 7 all are late but the retried, and from 7 to 8 half are."""
-        raw = put(
+class Figures(TraceTest):
+    def test_service_faults_and_recovery_time(self):
+        """Figures of a constructed ledger agree with hand calculation.
+
+        Ten requests per second for 12 s. From 4 to 7 s all but the retried ones are late, from 7 to
+        8 s half of them. An unsolicited response must not count.
+        """
+        raw = plan_with(
             load=[{"rate": 10, "seconds": 12}],
             fleet={
-                **BASE["fleet"],
+                **BASE_PLAN["fleet"],
                 "befall": [
                     {"at_s": 4, "what": "hang", "for_s": 3},
                     {"at_s": 11, "what": "restart"},
@@ -97,39 +102,56 @@
         )
         rows = []
         for number in range(120):
-            at, name = 1000 + number * 100, f"p-{number}"
-            late = 4000 <= at - 1000 < 7000 or 7000 <= at - 1000 < 8000 and number % 2
+            planned_ms, request_id = 1000 + number * 100, f"p-{number}"
+            is_late = (
+                4000 <= planned_ms - 1000 < 7000 or 7000 <= planned_ms - 1000 < 8000 and number % 2
+            )
             rows.append(
                 {
-                    "t_ms": at + 5,
+                    "t_ms": planned_ms + 5,
                     "event": "sent",
-                    "id": f"{name}-0",
+                    "id": f"{request_id}-0",
                     "offering": "pay" if number % 2 else "look",
                     "late_ms": 5.0,
                 }
             )
-            if late and number % 5 == 0:
+            if is_late and number % 5 == 0:
                 rows += [
-                    {"t_ms": at + 20, "event": "left", "id": f"{name}-0", "why": "closed"},
                     {
-                        "t_ms": at + 30,
+                        "t_ms": planned_ms + 20,
+                        "event": "left",
+                        "id": f"{request_id}-0",
+                        "why": "closed",
+                    },
+                    {
+                        "t_ms": planned_ms + 30,
                         "event": "sent",
-                        "id": f"{name}-1",
+                        "id": f"{request_id}-1",
                         "offering": "look",
                         "late_ms": 0,
                     },
-                    {"t_ms": at + 60, "event": "answer", "id": f"{name}-1", "status": 200},
+                    {
+                        "t_ms": planned_ms + 60,
+                        "event": "answer",
+                        "id": f"{request_id}-1",
+                        "status": 200,
+                    },
                 ]
-            elif late and number % 5 == 1:
+            elif is_late and number % 5 == 1:
                 rows.append(
-                    {"t_ms": at + 500, "event": "left", "id": f"{name}-0", "why": "timed out"}
+                    {
+                        "t_ms": planned_ms + 500,
+                        "event": "left",
+                        "id": f"{request_id}-0",
+                        "why": "timed out",
+                    }
                 )
             else:
                 rows.append(
                     {
-                        "t_ms": at + (300 if late else 10),
+                        "t_ms": planned_ms + (300 if is_late else 10),
                         "event": "answer",
-                        "id": f"{name}-0",
+                        "id": f"{request_id}-0",
                         "status": 200,
                     }
                 )
@@ -137,13 +159,15 @@
             {"t_ms": 1700, "event": "answer", "id": "p-1-0", "status": 200, "unasked": True}
         )
         samples = [(0.0, 0, 1.0, 10**7), (0.5, 0, 1.2, 2 * 10**7), (1.0, 0, 1.3, 10**7)]
-        told = sums.figures(
+        figures = sums.figures(
             plan.made(raw), rows, [{"event": "arrived", "t_ms": 1}], samples, 1000.0
         )
-        self.check("experiment_sums", [f"{name}: {value}" for name, value in told.items()])
+        self.check("experiment_sums", [f"{name}: {value}" for name, value in figures.items()])
+
+    def test_comparison_needs_disjoint_ranges(self):
+        """One build is called better only if the ranges of several runs do not overlap."""
 
-    def test_spreads_that_lie_apart_and_those_that_do_not(self):
-        def some(*values):
+        def summaries(*values):
             return [
                 {
                     "service": value,
@@ -158,89 +182,103 @@
             ]
 
         lines = []
-        for one, other in (((0.9, 0.92), (0.7, 0.8)), ((0.9, 0.7), (0.8, 0.85)), ((0.9,), (0.7,))):
-            rows = compare.rows({"a": some(*one), "b": some(*other)})
+        for first, second in (
+            ((0.9, 0.92), (0.7, 0.8)),
+            ((0.9, 0.7), (0.8, 0.85)),
+            ((0.9,), (0.7,)),
+        ):
+            rows = compare.rows({"a": summaries(*first), "b": summaries(*second)})
             lines += [
                 f"{name} {spread}: {verdict}"
                 for name, spread, verdict in rows
-                if name in ("service", "p50 ms", "CPU ms an answer")
+                if name in ("service", "p50 ms", "CPU ms/response")
             ]
         self.check("experiment_spreads", lines)
 
 
-def command(*args, **more):
+def start_command(*args, **options):
     return subprocess.Popen(
         [sys.executable, "-m", "pierglade.cli", *args],
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
 class Plays(TraceTest):
     def test_to_the_end_stopped_and_without_a_node(self):
-        """Each leaves a folder that tells how it went, one line where it went wrong, and no process."""
-        with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(3) as beside:
+        """Runs that complete, are interrupted or lose a node leave a folder and no processes.
+
+        The interrupted and the failed run report the reason in one line.
+        """
+        with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(3) as executor:
             for name, seconds in (("short", 2), ("long", 60)):
                 pathlib.Path(folder, f"{name}.json").write_text(
-                    json.dumps(put(load=[{"rate": 40, "seconds": seconds}]))
+                    json.dumps(plan_with(load=[{"rate": 40, "seconds": seconds}]))
                 )
-            hows = (("to its end", "short"), ("SIGINT", "long"), ("a node dies", "long"))
+            scenarios = (("to its end", "short"), ("SIGINT", "long"), ("a node dies", "long"))
             lines = [
                 line
-                for some in beside.map(lambda how: self.ended(folder, *how), hows)
-                for line in some
+                for run_lines in executor.map(
+                    lambda scenario: self.run_scenario(folder, *scenario), scenarios
+                )
+                for line in run_lines
             ]
-            lines += self.told(folder)
+            lines += self.check_completed(folder)
         self.check("experiment_plays", lines)
 
-    def ended(self, folder, how, name):
-        out = pathlib.Path(folder, how.replace(" ", "-"))
-        child = command("experiment", f"{folder}/{name}.json", "--out", str(out))
-        if how != "to its end":
+    def run_scenario(self, folder, scenario, name):
+        """Runs one scenario; returns lines that describe its end and its folder."""
+        out = pathlib.Path(folder, scenario.replace(" ", "-"))
+        child = start_command("experiment", f"{folder}/{name}.json", "--out", str(out))
+        if scenario != "to its end":
             clients = out / "pierglade-0" / "clients-1.jsonl"
-            until = time.monotonic() + 30
-            while time.monotonic() < until and not (clients.exists() and clients.stat().st_size):
+            deadline = time.monotonic() + 30
+            while time.monotonic() < deadline and not (clients.exists() and clients.stat().st_size):
                 time.sleep(0.02)
-            below = psutil.Process(child.pid).children(recursive=True)
-            if how == "SIGINT":
+            descendants = psutil.Process(child.pid).children(recursive=True)
+            if scenario == "SIGINT":
                 child.send_signal(signal.SIGINT)
             else:
-                next(each for each in below if "runpy" in " ".join(each.cmdline())).kill()
+                next(
+                    process for process in descendants if "runpy" in " ".join(process.cmdline())
+                ).kill()
         _, errors = child.communicate(timeout=60)
-        left = [] if how == "to its end" else psutil.wait_procs(below, timeout=5)[1]
+        remaining = [] if scenario == "to its end" else psutil.wait_procs(descendants, timeout=5)[1]
         lines = [
-            f"{how}: exit {child.returncode if child.returncode != 3 or how != 'to its end' else 0}, "
-            f"processes left {len(left)}"
+            f"{scenario}: exit "
+            f"{child.returncode if child.returncode != 3 or scenario != 'to its end' else 0}, "
+            f"processes left {len(remaining)}"
         ]
-        if how != "to its end":
+        if scenario != "to its end":
             lines.append("    " + errors.strip())
-        for play in sorted(os.listdir(out)):
-            there = sorted(path.name for path in (out / play).iterdir())
-            lines.append(f"    {play}: {' '.join(there)}")
-            if "summary.json" in there:
-                told = json.loads((out / play / "summary.json").read_text())
-                held = sorted(rule for rule, how in told["rules"].items() if how)
+        for run in sorted(os.listdir(out)):
+            file_names = sorted(path.name for path in (out / run).iterdir())
+            lines.append(f"    {run}: {' '.join(file_names)}")
+            if "summary.json" in file_names:
+                summary = json.loads((out / run / "summary.json").read_text())
+                held = sorted(rule for rule, has_held in summary["rules"].items() if has_held)
                 doubts = [
-                    doubt for doubt in told["not_to_be_trusted"] if doubt.startswith("stopped")
+                    doubt for doubt in summary["not_to_be_trusted"] if doubt.startswith("stopped")
                 ]
                 lines.append(f"        held: {', '.join(held)}; {'; '.join(doubts) or 'whole'}")
-                if how == "to its end":
+                if scenario == "to its end":
                     lines.append(
-                        f"        planned {told['planned'] > 50}, all answered "
-                        f"{sum(told['statuses'].values()) == told['planned']}, nodes {len(told['nodes'])}"
+                        f"        planned {summary['planned'] > 50}, all answered "
+                        f"{sum(summary['statuses'].values()) == summary['planned']}, "
+                        f"nodes {len(summary['nodes'])}"
                     )
         return lines
 
-    def told(self, folder):
-        """What stands in the folder of the one that came to its end."""
+    def check_completed(self, folder):
+        """Returns lines about the report and the comparison of the completed run."""
         out = pathlib.Path(folder, "to-its-end", "pierglade-0")
         page = pathlib.Path(report.page(str(out))).read_text()
-        lines = [f"page: pictures {page.count('data:image/png')}, rules {page.count('held')}"]
+        lines = [f"page: charts {page.count('data:image/png')}, rules {page.count('held')}"]
         (out / "summary.json").write_text("{")
-        for one, other in ((str(out), folder), (folder, folder), (f"{folder}/none", str(out))):
-            child = command("compare", one, other)
+        for first, second in ((str(out), folder), (folder, folder), (f"{folder}/none", str(out))):
+            child = start_command("compare", first, second)
             _, errors = child.communicate(timeout=60)
             lines.append(f"compare: {child.returncode} {errors.strip().replace(folder, 'FOLDER')}")
         return lines
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator against arithmetic: a stall counts in full, and what it could not do it says."""
+"""The load generator: latencies under a stall, generated arrival times, traces, and reported failures."""
 
 import asyncio
 import json
@@ -18,53 +18,58 @@
 from pierglade.simulation.plan import InvalidPlanError
 from tests.support.scene import TraceTest
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 class Target(threading.Thread):
-    """Answers at once, but nothing from `stalls` on for `for_s`, seconds after its first request."""
+    """A server that responds at once, except during one stall.
 
-    def __init__(self, stalls=1e9, for_s=0.0):
+    The stall begins `stall_start_s` after the first request and lasts `stall_s`.
+    """
+
+    def __init__(self, stall_start_s=1e9, stall_s=0.0):
         super().__init__(daemon=True)
-        self.stalls, self.for_s, self.first = stalls, for_s, None
-        self.up = threading.Event()
+        self.stall_start_s, self.stall_s, self.first_request_at = stall_start_s, stall_s, None
+        self.listening = threading.Event()
         self.start()
-        self.up.wait(5)
+        self.listening.wait(5)
 
     def run(self):
         asyncio.run(self.serve())
 
     async def serve(self):
-        self.over = asyncio.Event()
+        self.stopping = asyncio.Event()
         self.loop = asyncio.get_running_loop()
-        server = await asyncio.start_server(self.answer, "127.0.0.1", 0, backlog=4096)
+        server = await asyncio.start_server(self.respond, "127.0.0.1", 0, backlog=4096)
         self.address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        self.up.set()
-        await self.over.wait()
+        self.listening.set()
+        await self.stopping.wait()
         server.close()
 
-    async def answer(self, reader, writer):
+    async def respond(self, reader, writer):
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 now = time.monotonic()
-                self.first = self.first or now
-                since = now - self.first
-                if self.stalls <= since < self.stalls + self.for_s:
-                    await asyncio.sleep(self.stalls + self.for_s - since)
-                writer.write(ANSWER)
+                self.first_request_at = self.first_request_at or now
+                elapsed = now - self.first_request_at
+                if self.stall_start_s <= elapsed < self.stall_start_s + self.stall_s:
+                    await asyncio.sleep(self.stall_start_s + self.stall_s - elapsed)
+                writer.write(RESPONSE)
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
 
     def end(self):
-        self.loop.call_soon_threadsafe(self.over.set)
+        self.loop.call_soon_threadsafe(self.stopping.set)
         self.join(5)
 
 
-class Loads(TraceTest):
+class LoadGenerator(TraceTest):
     def test_a_stall_counts_in_full(self):
-        """0.6 s of 2 s at an even 200 a second: p90 0.4 s and p99 0.58 s from the planned moment.
+        """Latency counts from the planned send time, also during a stall of the target.
 
-        A busy machine may add to them; a load that waits for its answers shows 0.001 s."""
+        200 requests per second for 2 s, with a stall of 0.6 s: p90 is 0.4 s and p99 0.58 s, more on
+        a busy machine. A generator that waits for its responses would report 0.001 s.
+        """
         target = Target(0.7, 0.6)
         load = run.Load(
             target.address,
@@ -73,20 +78,20 @@
         )
         result = run.play(load).summary()
         target.end()
-        at = result["latency_ms"]
+        latency_ms = result["latency_ms"]
         self.check(
             "load_stall",
             [
                 f"planned {result['planned']}, sent {result['sent']}, answered {result['answered']}",
-                f"p90 {340 < at['p90'] < 800}, p99 {520 < at['p99'] < 1000}, max at least the stall's length "
-                f"{at['max'] > 570}",
+                f"p90 {340 < latency_ms['p90'] < 800}, p99 {520 < latency_ms['p99'] < 1000}, max at least "
+                f"the stall's length {latency_ms['max'] > 570}",
             ],
         )
 
-    def test_plans(self):
-        """So many as the area under the rate, and at the moments at which it is reached."""
+    def test_arrival_times_follow_the_rate(self):
+        """The number of requests is the area under the rate, and each arrives when it is reached."""
         lines = []
-        for told, spacing in (
+        for patterns, spacing in (
             ([plan.ArrivalPattern(rate=100, seconds=2)], "even"),
             ([plan.ArrivalPattern(shape="ramp", rate=0, to=200, seconds=2)], "even"),
             ([plan.ArrivalPattern(shape="wave", rate=50, to=150, seconds=10)], "even"),
@@ -100,21 +105,26 @@
             ([plan.ArrivalPattern(rate=1000, seconds=10)], "poisson"),
             ([plan.ArrivalPattern(rate=0, seconds=1)], "even"),
         ):
-            at = plan.moments(told, spacing, 3)
-            counts = np.histogram(at, bins=4, range=(0, sum(s.seconds for s in told)))[0]
+            times = plan.moments(patterns, spacing, 3)
+            counts = np.histogram(
+                times, bins=4, range=(0, sum(pattern.seconds for pattern in patterns))
+            )[0]
             if spacing == "poisson":
-                near = abs(len(at) - 10000) < 400 and abs(np.std(np.diff(at)) * 1000 - 1) < 0.1
+                is_poisson = (
+                    abs(len(times) - 10000) < 400 and abs(np.std(np.diff(times)) * 1000 - 1) < 0.1
+                )
                 lines.append(
-                    f"poisson: near 10000 with gaps as uneven as chance makes them {bool(near)}"
+                    f"poisson: near 10000 with gaps that deviate like those of a Poisson process {bool(is_poisson)}"
                 )
             else:
                 lines.append(
-                    f"{told[-1].shape}: {len(at)}, by quarters {counts.tolist()}, in order "
-                    f"{bool((np.diff(at) >= 0).all())}"
+                    f"{patterns[-1].shape}: {len(times)}, by quarters {counts.tolist()}, in order "
+                    f"{bool((np.diff(times) >= 0).all())}"
                 )
         self.check("load_plans", lines)
 
-    def test_traces(self):
+    def test_recorded_traces(self):
+        """Valid traces are read; each kind of invalid trace is reported with its file and line."""
         lines = []
         for text in (
             "offset,offering,customer,size\n0.5,look,acme,3\n0.7,pay,,0\n",
@@ -131,34 +141,38 @@
                 file.write(text)
                 file.flush()
                 try:
-                    at, rows = plan.read_trace(file.name, 2.0)
+                    times, rows = plan.read_trace(file.name, 2.0)
                     lines.append(
-                        f"{at.tolist()} {[(row.request_class, row.customer, row.size) for row in rows]}"
+                        f"{times.tolist()} {[(row.request_class, row.customer, row.size) for row in rows]}"
                     )
-                except InvalidPlanError as fault:
-                    lines.append(str(fault).replace(file.name, "FILE"))
+                except InvalidPlanError as error:
+                    lines.append(str(error).replace(file.name, "FILE"))
         self.check("load_traces", lines)
 
-    def test_a_worker_that_is_killed_voids_the_run(self):
+    def test_a_killed_worker_invalidates_the_run(self):
+        """A partial result must not pass for a whole one when a worker is killed."""
         target = Target()
         load = run.Load(
             target.address, "/", plan.moments([plan.ArrivalPattern(rate=50, seconds=30)], "even", 1)
         )
-        work = run._work
+        run_worker = run._run_worker
 
-        def dies(load, share, begins, pipe):
-            if share[0]:
+        def kill_second_worker(load, partition, start_time, pipe):
+            if partition[0]:
                 os.kill(os.getpid(), signal.SIGKILL)
-            work(load, share, begins, pipe)
+            run_worker(load, partition, start_time, pipe)
 
         load.moments = load.moments[:20]
-        with mock.patch.object(run, "_work", dies), self.assertRaises(run.InvalidRunError) as void:
+        with (
+            mock.patch.object(run, "_run_worker", kill_second_worker),
+            self.assertRaises(run.InvalidRunError) as raised,
+        ):
             run.play(load, 2)
         target.end()
-        self.check("load_void", [str(void.exception)])
+        self.check("load_void", [str(raised.exception)])
 
-    def test_says_that_it_fell_behind_and_what_it_saw_when_stopped(self):
-        """Kept from its core for a while it says so, never silently less; Ctrl-C leaves what was seen."""
+    def test_reports_falling_behind_and_partial_results_when_stopped(self):
+        """A load that was suspended reports that it fell behind; Ctrl-C leaves the results so far."""
         target, lines = Target(), []
         with tempfile.TemporaryDirectory() as folder:
             out = str(pathlib.Path(folder) / "out.json")
@@ -166,7 +180,7 @@
                 ("1", (signal.SIGSTOP, signal.SIGCONT)),
                 ("60", (signal.SIGINT,)),
             ):
-                target.first = None
+                target.first_request_at = None
                 child = subprocess.Popen(
                     [
                         sys.executable,
@@ -186,22 +200,24 @@
                     stderr=subprocess.PIPE,
                     text=True,
                 )
-                while target.first is None:
+                while target.first_request_at is None:
                     time.sleep(0.01)
                 for number in signals:
                     child.send_signal(number)
                     time.sleep(0.3 if number is signal.SIGSTOP else 0)
                 _, errors = child.communicate(timeout=100)
-                told = json.loads(pathlib.Path(out).read_text())
+                summary = json.loads(pathlib.Path(out).read_text())
                 lines += [
                     f"exit {child.returncode}: {errors.strip()}",
-                    f"    behind {told['behind']}, "
-                    f"all sent {told['sent'] == told['planned']}, keys {' '.join(sorted(told))}",
+                    f"    behind {summary['behind']}, "
+                    f"all sent {summary['sent'] == summary['planned']}, "
+                    f"keys {' '.join(sorted(summary))}",
                 ]
         target.end()
         self.check("load_behind", lines)
 
-    def test_outside_of_loopback_is_refused(self):
+    def test_targets_outside_loopback_are_refused(self):
+        """A load must never be sent to another machine."""
         lines = []
         for url in (
             "http://10.0.0.1:80/",
@@ -210,10 +226,10 @@
             "ftp://127.0.0.1/",
             "http://127.0.0.1:99999/",
         ):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "pierglade.cli", "load", "--target", url],
                 capture_output=True,
                 text=True,
             )
-            lines.append(f"{done.returncode} {done.stderr.strip()}")
+            lines.append(f"{completed.returncode} {completed.stderr.strip()}")
         self.check("load_refused", lines)
