--- a/pierglade/experiment/__init__.py
+++ b/pierglade/experiment/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments: runs of nodes, a simulated fleet, a load and faults from one plan, audited and reported.
+"""Experiments: nodes, a simulated fleet, a load and faults from one plan, audited and reported.
 
 A tool for tests, not for production. Start with `pierglade.experiment.play.play`;
 `pierglade.experiment.compare` compares runs.
--- a/pierglade/experiment/compare.py
+++ b/pierglade/experiment/compare.py
@@ -9,7 +9,9 @@
 import msgspec
 
 from pierglade.experiment import play as runner
-from pierglade.testbed.plain import POLICIES  # noqa: F401 - for cli.compare: a broken rule of these is not an error of ours
+
+# Used by pierglade.cli.compare: broken rules of reference balancers do not fail the command.
+from pierglade.testbed.plain import POLICIES  # noqa: F401
 
 # Compared figures: name, function that reads it from a summary, and whether higher is better.
 FIGURES = (
@@ -122,7 +124,7 @@
 
 
 def doubts(summaries_by_label):
-    """Returns (whether a rule was broken, lines): broken rules, and reasons to distrust the runs."""
+    """Returns (whether a rule was broken, lines with broken rules and reasons for distrust)."""
     is_broken, lines = False, []
     for label, of_label in summaries_by_label.items():
         for number, summary in enumerate(of_label):
@@ -131,7 +133,7 @@
                     is_broken = True
                     lines.append(
                         f"{label}, run {number}: rule {rule} is BROKEN; {summary['breaks']} "
-                        "violations of all rules"
+                        "violations in total"
                     )
             lines += [
                 f"{label}, run {number}: {doubt}"
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -39,7 +39,7 @@
 
 
 def read(path):
-    """Returns the Cost in the file at `path`; raises InvalidPlanError with one line and its place."""
+    """Returns the Cost in the file at `path`; raises InvalidPlanError, which names the place."""
     raw = tables(path)
     if set(raw) - {"cost", "title"}:
         raise InvalidPlanError(
@@ -116,7 +116,7 @@
 
 
 def measure(plan, builds, times, progress=lambda completed, fraction: None):
-    """Returns {label: {figure: [value of each round]}}; raises runner.Failed if a run is invalid."""
+    """Returns {label: {figure: [value of each round]}}; raises Failed if a run is invalid."""
     results = {
         build.label: {"cpu_ms_an_answer": [], "cpu_ms_a_refusal": [], "highest_a_second": []}
         for build in builds
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -39,8 +39,8 @@
 
     `text` is `pierglade` (this build), `turns`, `random`, `least`, `two`, a folder, or `@COMMIT` of
     the git checkout that contains this build. `label` is its name in tables. `root` is its folder,
-    None for a reference balancer. The build is a context manager: on exit, the folder of a commit is
-    removed.
+    None for a reference balancer. The build is a context manager, which removes the folder of a
+    commit on exit.
     """
 
     def __init__(self, text):
@@ -55,8 +55,8 @@
             self.root = os.path.abspath(text)
         if not os.path.isfile(os.path.join(self.root, "pierglade", "__main__.py")):
             raise NoBuild(
-                f"{text!r} is not a build; expected {PACKAGE_NAME}, {', '.join(POLICIES)}, a folder with "
-                "pierglade/__main__.py, or @COMMIT"
+                f"{text!r} is not a build; expected {PACKAGE_NAME}, {', '.join(POLICIES)}, "
+                "a folder with pierglade/__main__.py, or @COMMIT"
             )
 
     def _check_out(self, commit):
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -1,4 +1,4 @@
-"""The plan of an experiment, read from TOML: the fleet, the load, the clients, the nodes and the rules.
+"""The plan of an experiment, read from TOML: fleet, load, clients, nodes and rules.
 
 Names of durations end with their unit; shares are fractions of 1. Times of faults count from the
 first request of the load. An invalid plan is reported in one line that names the place.
@@ -27,7 +27,7 @@
 MAX_BASES = 4  # files in a chain of `base` references
 
 
-class Clients(Struct):
+class ClientPlan(Struct):
     """The behaviour of the clients."""
 
     spacing: Literal["even", "poisson"] = "poisson"
@@ -64,9 +64,9 @@
     """Parameters of the rules that the run is audited against."""
 
     drain_grace_ms: NotNegative = 1000.0
-    further_span_s: NotNegative = 0.0
-    further_most: Annotated[int, Meta(ge=0)] = 0
-    further_share: Share = 0.0
+    further_span_s: NotNegative = 0.0  # window of the retry budget; 0: no budget
+    further_most: Annotated[int, Meta(ge=0)] = 0  # retries allowed within the window in any case
+    further_share: Share = 0.0  # further retries, as a fraction of the requests in the window
 
 
 class Experiment(Struct):
@@ -76,7 +76,7 @@
     load: Annotated[list[ArrivalPattern], Meta(min_length=1)]
     title: str = ""
     seed: int = 1
-    clients: Clients = msgspec.field(default_factory=Clients)
+    clients: ClientPlan = msgspec.field(default_factory=ClientPlan)
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     rules: Rules = msgspec.field(default_factory=Rules)
     member: list[Member] = []
@@ -121,8 +121,8 @@
         ]
         return times, rows, generator.integers(self.ledgers(), size=len(times))
 
-    def shifted(self, lead_s):
-        """Returns the tables for the fleet's process, with all faults `lead_s` later."""
+    def fleet_tables(self, lead_s):
+        """Returns the fleet's tables with the experiment's seed and all faults `lead_s` later."""
         raw = deepcopy(self.raw["fleet"])
         for fault in raw.get("befall", ()):
             fault["at_s"] += lead_s
@@ -177,8 +177,8 @@
     plan.fleet = fleets.made(raw["fleet"], f"{path}: fleet")
     if plan.fleet.ledger.path:
         raise InvalidPlanError(
-            f"{path}: $.fleet.ledger.path is {plan.fleet.ledger.path!r}; expected no path, because the "
-            "ledger is written to the folder of the run"
+            f"{path}: $.fleet.ledger.path is {plan.fleet.ledger.path!r}; expected no path, "
+            "because the ledger is written to the folder of the run"
         )
     if len({member.name for member in plan.member}) < len(plan.member):
         raise InvalidPlanError(f"{path}: $.member: two members have the same name")
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -1,4 +1,4 @@
-"""One run of an experiment: starts the processes, sends the load, samples, audits and writes a folder."""
+"""One run of an experiment: starts the processes, sends the load, audits and writes a folder."""
 
 import http.client
 import os
@@ -14,8 +14,8 @@
 from pierglade.load import run as loads
 from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
-# Time from the start of the fleet to the start of the load, and its increase for each node, in which
-# the processes start and warm up.
+# Time from the start of the fleet to the start of the load, and its increase for each node. The
+# processes start and warm up in it.
 LEAD_S, LEAD_PER_NODE_S = 2.5, 0.4
 SAMPLE_INTERVAL_S = 0.5  # between samples of CPU and memory of the nodes
 POLL_INTERVAL_S = 1.0  # between requests for the backends' states to each node
@@ -75,7 +75,7 @@
         return os.path.join(self.folder, name)
 
     def execute(self):
-        """Starts everything, sends the load, collects the samples and ends the nodes and the fleet."""
+        """Starts all processes, sends the load, samples the nodes, ends the nodes and the fleet."""
         plan = self.plan
         lead_s = LEAD_S + LEAD_PER_NODE_S * plan.nodes.count
         fleet = self._start_fleet(lead_s)
@@ -119,7 +119,7 @@
         self.fleet_summary = msgspec.json.decode(self.children.end("fleet")[-1])
 
     def _start_fleet(self, lead_s):
-        raw = self.plan.shifted(lead_s)
+        raw = self.plan.fleet_tables(lead_s)
         raw["ledger"] = {"path": os.path.abspath(self.path("backends.jsonl")), "most_mb": 512.0}
         _write_json(self.children.folder.name, "fleet.json", raw)
         return self.children.start(
@@ -267,7 +267,8 @@
         if load_summary["behind"]:
             warnings.append(
                 "the load fell behind its plan: p99 of the send delay "
-                f"{load_summary['late_ms']['p99']:g} ms, sent {load_summary['sent']} of {load_summary['planned']}"
+                f"{load_summary['late_ms']['p99']:g} ms, sent {load_summary['sent']} of "
+                f"{load_summary['planned']}"
             )
         if self.fleet_summary["late"]:
             warnings.append(
@@ -275,7 +276,7 @@
                 f"{self.fleet_summary['late_ms']['p99']:g} ms"
             )
         return warnings + [
-            f"the simulated fleet: {trouble}" for trouble in self.fleet_summary["troubles"]
+            f"the simulated fleet: {error}" for error in self.fleet_summary["troubles"]
         ]
 
 
--- a/pierglade/experiment/report.py
+++ b/pierglade/experiment/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: one HTML file with figures and embedded charts, made from its folder alone."""
+"""The report of a run: one HTML file with figures and charts, made from its folder alone."""
 
 import base64
 import html
@@ -14,7 +14,7 @@
 from pierglade.experiment import sums
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402 - the headless backend must be selected before the import
+from matplotlib import pyplot  # noqa: E402 - the headless backend is selected first
 
 CHART_WIDTH_INCHES, CHART_HEIGHT_INCHES = 10.0, 2.6
 ANSWER_COLOURS = {
@@ -79,8 +79,8 @@
     lines = [
         f"<h1>{html.escape(plan.title or 'experiment')}</h1>",
         f"<p>{plan.nodes.count} nodes of <b>{html.escape(summary['build'])}</b> in front of "
-        f"{len(plan.fleet.names())} simulated backends, {plan.seconds():g} s, seed {plan.seed}. All "
-        "servers are simulated on this machine.",
+        f"{len(plan.fleet.names())} simulated backends, {plan.seconds():g} s, seed {plan.seed}. "
+        "All servers are simulated on this machine.",
     ]
     lines += [
         f"<p class=bad>Not reliable: {html.escape(doubt)}"
--- a/pierglade/experiment/sums.py
+++ b/pierglade/experiment/sums.py
@@ -1,4 +1,4 @@
-"""Figures of one experiment run, from its ledgers: service, latency, timeline, and CPU of the nodes.
+"""Figures of one experiment run, from its ledgers: service, latency, timeline, CPU of the nodes.
 
 Latency is in ms from the planned time to the last response, retries included. Service is the
 priority weight of the requests answered with 200 within the expected time, as a fraction of the
@@ -130,7 +130,7 @@
 
 
 def _node_usage(samples):
-    """Returns for each node: CPU seconds used, the highest CPU use of a sample interval, peak memory.
+    """Returns, for each node, CPU seconds, highest CPU use in a sample interval and peak memory.
 
     CPU use is a fraction of one core.
     """
@@ -158,8 +158,8 @@
     A fault without a duration counts for 5 s.
 
     `back_s`: seconds from the end of the fault (from its start if it has no end) until the service
-    of each of three consecutive seconds is at least 0.98 of the service before the first fault. None if
-    that does not happen by the end of the load.
+    of each of three consecutive seconds is at least 0.98 of the service before the first fault. None
+    if that does not happen by the end of the load.
     """
     impact, end = [], plan.seconds()
     first = min((fault.at_s for fault in plan.fleet.befall), default=end)
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -129,8 +129,7 @@
         ) from None
     if not 0 <= at_s < 1e7 or not 0 <= size <= 1 << 26:
         raise InvalidPlanError(
-            f"{path}:{number}: offset is {at_s:g}, size is {size}; expected an offset from 0 to "
-            "below 1e7 s and a size from 0 to 67108864 bytes"
+            f"{path}:{number}: offset {at_s:g} or size {size} is negative or over the limit"
         )
     return RecordedRequest(
         at_s, str(fields.get("offering") or ""), str(fields.get("customer") or ""), size
@@ -154,6 +153,6 @@
                 raise InvalidPlanError(f"{path}:{number}: {error}") from None
             if not isinstance(fields, dict):
                 raise InvalidPlanError(
-                    f"{path}:{number}: the line is {str(fields)[:60]}; expected a JSON object"
+                    f"{path}:{number}: expected a JSON object, found {type(fields).__name__}"
                 )
             yield number, _parse_row(path, number, fields)
--- a/pierglade/processes/__init__.py
+++ b/pierglade/processes/__init__.py
@@ -1,4 +1,5 @@
-"""Child processes of tools: started with a pipe, ended with their parent.
+"""Child processes of command-line tools, which end with their parent process.
 
-Not for nodes, which start no program. Start with `pierglade.processes.children.Children`.
+Not used by the load balancer, which starts no processes. Start with
+`pierglade.processes.children.Children`.
 """
--- a/pierglade/processes/children.py
+++ b/pierglade/processes/children.py
@@ -1,4 +1,4 @@
-"""Child processes of a command: each ends with it, whatever way it ends itself.
+"""Child processes of a command, which end with it, even if it is killed.
 
 Start with `Children`.
 """
@@ -15,56 +15,60 @@
 from pierglade.errors import PiergladeError
 
 END_TIMEOUT_S = 5.0
-"""A child that has not ended by then is killed."""
+"""Time for a child to end after SIGTERM; then it is killed."""
 START_TIMEOUT_S = 15.0
-"""A child that logs to a file and has not logged `started` by then has failed."""
-LOOK_INTERVAL_S = 0.02
+"""Time for a child that logs to a file to log the event `started`."""
+POLL_INTERVAL_S = 0.02
+"""Interval at which the log of a starting child is read."""
 
 
 class ChildExitedError(PiergladeError):
-    """A child has ended by itself; its text says which and how."""
+    """A child has ended by itself or did not start; the message names it and the reason."""
 
 
 class StoppedBySignalError(PiergladeError):
-    """SIGTERM or SIGINT has come; its text is the signal's name."""
+    """SIGTERM or SIGINT was received; the message is the name of the signal."""
 
 
 def free_port() -> int:
-    """A port of loopback that nobody has now."""
+    """Returns a loopback port that is free at the moment."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 class Children:
-    """A context that owns child processes and a folder; its end ends all of them.
+    """A context manager that owns child processes and a temporary folder, and removes them on exit.
 
-    Each child has a pipe as its standard input and ends with it, so that none is left where this
-    process is killed outright.
+    The standard input of each child is a pipe, and the child ends when it is closed, so that no
+    child outlives this process when it is killed.
     """
 
     def __init__(self):
-        self.running = {}  # name: (process, file of its standard error)
+        self.running = {}  # name: (process, file with its standard error)
         self.folder = None
 
     def __enter__(self):
         self.folder = tempfile.TemporaryDirectory(prefix="pierglade-")
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._stop)
+            signal.signal(number, self._raise_stopped)
         return self
 
-    def _stop(self, number, frame):
-        # Once is enough: the clean-up must not be interrupted.
-        for each in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(each, signal.SIG_IGN)
+    def _raise_stopped(self, number, frame):
+        # Further signals are ignored, because they must not interrupt the clean-up.
+        for ignored in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(ignored, signal.SIG_IGN)
         raise StoppedBySignalError(signal.Signals(number).name)
 
     def path(self, name: str) -> str:
-        """A file of that name in the folder of this context."""
+        """Returns the path of a file in the temporary folder."""
         return os.path.join(self.folder.name, name)
 
     def start(self, name, *args):
-        """Starts `python -m ARGS`; returns its first line on standard output, decoded from JSON."""
+        """Starts `python -m ARGS`; returns its first line on standard output, decoded from JSON.
+
+        Raises ChildExitedError if that line is not JSON.
+        """
         errors = self._open_errors(name)
         process = subprocess.Popen(
             [sys.executable, "-m", *args],
@@ -81,57 +85,63 @@
             process.wait()
             raise ChildExitedError(self._how(name)) from None
 
-    def start_logged(self, name, words, log, env=(), cwd=None):
-        """Starts `python WORDS` with standard output in the file `log`; returns its line."""
+    def start_logged(self, name, args, log, env=(), cwd=None):
+        """Starts `python ARGS` with standard output in the file `log`; returns its `started` event.
+
+        Raises ChildExitedError if it ends or takes longer than START_TIMEOUT_S.
+        """
         errors = self._open_errors(name)
-        with open(log, "wb") as out:
+        with open(log, "wb") as log_file:
             process = subprocess.Popen(
-                [sys.executable, *words],
+                [sys.executable, *args],
                 stdin=subprocess.PIPE,
                 stderr=errors,
-                stdout=out,
+                stdout=log_file,
                 cwd=cwd,
                 env={**os.environ, "TMPDIR": self.folder.name, **dict(env)},
             )
         self.running[name] = process, errors
-        until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until:
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline:
             started = _started_line(log)
             if started is not None:
                 return started
             if process.poll() is not None:
                 raise ChildExitedError(self._how(name))
-            time.sleep(LOOK_INTERVAL_S)
-        raise ChildExitedError(f"{name} did not start within {START_TIMEOUT_S:g} s")
+            time.sleep(POLL_INTERVAL_S)
+        raise ChildExitedError(f"{name} did not log `started` within {START_TIMEOUT_S:g} s")
 
     def _open_errors(self, name):
-        """The file of a child's standard error; `end` closes it."""
+        """Opens the file for a child's standard error; `end` closes it."""
         return open(self.path(name + ".err"), "wb+")
 
     def look(self) -> None:
-        """Raises ChildExitedError if one has ended."""
+        """Raises ChildExitedError if a child has ended."""
         for name, (process, _) in self.running.items():
             if process.poll() is not None:
                 raise ChildExitedError(self._how(name))
 
     def _how(self, name):
+        """Describes the end of a child: its exit status and last line of standard error."""
         process, errors = self.running[name]
         errors.seek(0)
-        last = errors.read().decode(errors="replace").strip().splitlines()
-        return f"{name} ended with {process.returncode}" + (f": {last[-1]}" if last else "")
+        error_lines = errors.read().decode(errors="replace").strip().splitlines()
+        return f"{name} ended with {process.returncode}" + (
+            f": {error_lines[-1]}" if error_lines else ""
+        )
 
     def end(self, name):
-        """Ends one child; what it still wrote on standard output, as lines."""
+        """Ends a child; returns the lines that are left on its standard output."""
         process, errors = self.running.pop(name)
         if process.poll() is None:
             process.terminate()
         try:
-            rest, _ = process.communicate(timeout=END_TIMEOUT_S)
+            output, _ = process.communicate(timeout=END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
-            rest, _ = process.communicate()
+            output, _ = process.communicate()
         errors.close()
-        return (rest or b"").decode(errors="replace").splitlines()
+        return (output or b"").decode(errors="replace").splitlines()
 
     def __exit__(self, *_):
         for process, _ in self.running.values():
@@ -143,7 +153,7 @@
 
 
 def _started_line(log):
-    """The whole line `started` of a log so far, decoded; None if there is none."""
+    """Returns the decoded event `started` of a log; None if it is not complete yet."""
     with open(log, "rb") as file:
         lines = file.read().splitlines(keepends=True)
     for line in lines:
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: invalid plans, figures against hand calculation, and runs that complete, are stopped or fail."""
+"""Experiments: invalid plans, figures against hand calculation, and complete or aborted runs."""
 
 import json
 import os
@@ -38,15 +38,19 @@
 
 
 def plan_with(**tables):
+    """Returns BASE_PLAN with some of its tables replaced."""
     return {**BASE_PLAN, **tables}
 
 
 def write_plans(folder, **texts):
+    """Writes each text to the file NAME.toml."""
     for name, text in texts.items():
         pathlib.Path(folder, name + ".toml").write_text(text)
 
 
 class InvalidPlans(TraceTest):
+    """Plans that are rejected, and plans that extend a base."""
+
     def test_invalid_plans_are_reported_with_their_place(self):
         """An invalid plan must be reported in one line before any process is started."""
         lines = []
@@ -84,6 +88,8 @@
 
 
 class Figures(TraceTest):
+    """Figures of a run, and the comparison of runs."""
+
     def test_service_faults_and_recovery_time(self):
         """Figures of a constructed ledger agree with hand calculation.
 
@@ -197,6 +203,7 @@
 
 
 def start_command(*args, **options):
+    """Starts `pierglade ARGS`."""
     return subprocess.Popen(
         [sys.executable, "-m", "pierglade.cli", *args],
         text=True,
@@ -207,6 +214,8 @@
 
 
 class Plays(TraceTest):
+    """Whole runs of the `experiment` command."""
+
     def test_to_the_end_stopped_and_without_a_node(self):
         """Runs that complete, are interrupted or lose a node leave a folder and no processes.
 
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator: latencies under a stall, generated arrival times, traces, and reported failures."""
+"""The load generator: latency under a stall, arrival times, traces, and reported failures."""
 
 import asyncio
 import json
@@ -35,9 +35,11 @@
         self.listening.wait(5)
 
     def run(self):
+        """Runs the server until `end` is called."""
         asyncio.run(self.serve())
 
     async def serve(self):
+        """Listens on a free loopback port."""
         self.stopping = asyncio.Event()
         self.loop = asyncio.get_running_loop()
         server = await asyncio.start_server(self.respond, "127.0.0.1", 0, backlog=4096)
@@ -47,6 +49,7 @@
         server.close()
 
     async def respond(self, reader, writer):
+        """Responds to each request of a connection, after the stall if it falls into it."""
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 now = time.monotonic()
@@ -59,11 +62,14 @@
             writer.close()
 
     def end(self):
+        """Stops the server and waits for its thread."""
         self.loop.call_soon_threadsafe(self.stopping.set)
         self.join(5)
 
 
 class LoadGenerator(TraceTest):
+    """Sent loads, their results and the reports of what went wrong."""
+
     def test_a_stall_counts_in_full(self):
         """Latency counts from the planned send time, also during a stall of the target.
 
@@ -89,7 +95,7 @@
         )
 
     def test_arrival_times_follow_the_rate(self):
-        """The number of requests is the area under the rate, and each arrives when it is reached."""
+        """Request n is due when the area under the rate reaches n, and none is missing."""
         lines = []
         for patterns, spacing in (
             ([plan.ArrivalPattern(rate=100, seconds=2)], "even"),
@@ -172,7 +178,7 @@
         self.check("load_void", [str(raised.exception)])
 
     def test_reports_falling_behind_and_partial_results_when_stopped(self):
-        """A load that was suspended reports that it fell behind; Ctrl-C leaves the results so far."""
+        """A suspended load reports that it fell behind; Ctrl-C leaves the results so far."""
         target, lines = Target(), []
         with tempfile.TemporaryDirectory() as folder:
             out = str(pathlib.Path(folder) / "out.json")
