--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Makes .venv as requirements.txt pins it; one that lacks a package, or was left half made, is built anew.
+# Creates .venv with the packages pinned in requirements.txt; an incomplete .venv is built from scratch.
 set -e
 cd "$(dirname "$0")/.."
 if ! .venv/bin/python -m pip -q install --no-index -r requirements.txt 2>/dev/null; then
@@ -7,9 +7,10 @@
     python3 -m venv .venv
     .venv/bin/python -m pip -q install -r requirements.txt
 fi
-# Where the tree is read-only later, each start would compile the sources again, for half of its time.
+# Compiles the sources in advance: if the tree is read-only later, each start would compile them again, which
+# takes half of the start time.
 .venv/bin/python -m compileall -q pierglade
-# The command beside the interpreter; it finds the sources from where it stands.
+# Installs the `pierglade` command next to the interpreter; it finds the sources relative to its own folder.
 launcher=.venv/bin/pierglade
 [ -x $launcher ] || {
     printf '%s\n' '#!/bin/sh' 'here=$(cd "$(dirname "$0")" && pwd)' \
--- a/experiments/admission/floods.py
+++ b/experiments/admission/floods.py
@@ -176,9 +176,9 @@
             ledger=children.path("clients.jsonl"),
         )
         tally = run.play(load)
-        from pierglade.cli.admission import told_by
+        from pierglade.cli.admission import fetch_admission
 
-        told = told_by(f"127.0.0.1:{management}")
+        told = fetch_admission(f"127.0.0.1:{management}")
         memory = psutil.Process(children.running["node"][0].pid).memory_info().rss / 1e6
         for each in flooders:
             each.join()
--- a/pierglade/cli/__init__.py
+++ b/pierglade/cli/__init__.py
@@ -1,6 +1,7 @@
-"""The `pierglade` command: one module a subcommand, each loaded when it is called.
+"""The `pierglade` command line: one module per subcommand, imported when the subcommand is invoked.
 
-Not for the platform, which starts `python -m pierglade` and loads nothing of this. Start with `main`.
+The platform starts a node with `python -m pierglade`, which imports nothing from this package. The entry
+point is `main`.
 """
 
 import importlib
@@ -11,47 +12,50 @@
 
 from pierglade import __version__
 
-# What a command ends with.
-DONE, BAD_INPUT, UNSURE, RULE_BROKEN = 0, 2, 3, 4
-EXITS = (
-    (DONE, "done"),
-    (BAD_INPUT, "bad input: one line says which place of which file"),
+# Exit codes of the commands.
+SUCCESS, BAD_INPUT, UNRELIABLE, RULE_BROKEN = 0, 2, 3, 4
+EXIT_CODES = (
+    (SUCCESS, "success"),
+    (BAD_INPUT, "bad input: one line names the file and the place in it"),
     (
-        UNSURE,
-        "the result is not to be trusted: a run was late, cut short, or its records have a hole",
+        UNRELIABLE,
+        "the result is not to be trusted: a run was late or was stopped, or its records have gaps",
     ),
-    (RULE_BROKEN, "one of the four rules, or the budget of further trips, was broken"),
+    (RULE_BROKEN, "one of the four rules, or the retry budget, was violated"),
 )
-# Each command, its line in the help, and the packages that it needs beside those of a node.
+# Each command: its line in the help, and the packages that it needs in addition to those of a node.
 COMMANDS = {
     "serve": ("Starts a node and serves until SIGTERM.", ()),
-    "check": ("Tells whether a node would start on a file.", ()),
-    "fleet": ("Plays stand-in backends and discovery.", ("numpy", "structlog")),
-    "demo": ("Shows what the node is for.", ("numpy", "rich", "structlog")),
-    "load": ("Sends requests when they were planned.", ("numpy", "hdrh")),
-    "audit": ("Says by the ledgers which rule held.", ()),
-    "admission": ("Who is let in, and who is not.", ()),
-    "learned": ("What nodes have learned and kept.", ("xxhash",)),
+    "check": ("Checks whether a node would start with a configuration file.", ()),
+    "fleet": ("Runs stand-in backends and discovery.", ("numpy", "structlog")),
+    "demo": ("Compares a node with plain round robin.", ("numpy", "rich", "structlog")),
+    "load": ("Sends an open-loop load to a target.", ("numpy", "hdrh")),
+    "audit": ("Checks from the ledgers which rules held.", ()),
+    "admission": ("Shows which clients a node rejects.", ()),
+    "learned": ("Inspects the snapshots that nodes have stored.", ("xxhash",)),
     "experiment": (
-        "Plays a plan and writes a page about it.",
+        "Runs a plan and writes a report.",
         ("numpy", "hdrh", "psutil", "rich", "structlog", "matplotlib"),
     ),
-    "scale": ("Plays hollow nodes and backends by the thousand.", ("numpy", "hdrh", "psutil")),
+    "scale": (
+        "Runs thousands of hollow nodes and backends.",
+        ("numpy", "hdrh", "psutil"),
+    ),
     "compare": (
-        "Sets two plays or builds side by side.",
+        "Compares two runs or two builds.",
         ("numpy", "hdrh", "psutil", "rich", "structlog"),
     ),
 }
 
 
-class Lazy(click.Group):
-    """Subcommands are imported when they are called, so that `pierglade serve` loads no tool."""
+class LazyGroup(click.Group):
+    """Imports a subcommand when it is invoked, so that `pierglade serve` loads none of the other tools."""
 
     def list_commands(self, ctx):
         return list(COMMANDS)
 
     def format_commands(self, ctx, formatter):
-        """From the table alone: one command that lacks a package must not take the help of all with it."""
+        """Writes the list from COMMANDS alone, so that a missing package of one command does not break the help."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, line) for name, (line, _) in COMMANDS.items()])
 
@@ -61,12 +65,12 @@
         line, packages = COMMANDS[name]
         for package in packages:
             if importlib.util.find_spec(package) is None:
-                return _lacking(name, line, package)
+                return _command_without_package(name, line, package)
         return getattr(importlib.import_module(f"pierglade.cli.{name}"), name)
 
 
-def _lacking(name, line, package):
-    """In the place of a command that lacks a package: whatever it is called with, it says so."""
+def _command_without_package(name, line, package):
+    """Returns a substitute for a command whose package is missing: with any arguments it fails and names it."""
     return click.Command(
         name,
         help=line,
@@ -80,15 +84,17 @@
 
 
 def fail(line, status=BAD_INPUT):
-    """Ends the command with one plain line on standard error."""
+    """Exits with `status` after printing one line to standard error."""
     click.echo(f"pierglade: {line}", err=True)
     sys.exit(status)
 
 
-EPILOG = "Exit codes: " + "; ".join(f"{code} {meaning}" for code, meaning in EXITS) + "."
+EPILOG = "Exit codes: " + "; ".join(f"{code} {meaning}" for code, meaning in EXIT_CODES) + "."
 
 
-@click.command(cls=Lazy, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(
+    cls=LazyGroup, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.version_option(__version__, prog_name="pierglade")
 def main():
     """A load balancer for fleets of HTTP servers that rotates around forecast pauses."""
--- a/pierglade/cli/__main__.py
+++ b/pierglade/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m pierglade.cli`: the command where it is not on the path."""
+"""`python -m pierglade.cli`: runs the command line where `pierglade` is not on the PATH."""
 
 from pierglade.cli import main
 
--- a/pierglade/cli/admission.py
+++ b/pierglade/cli/admission.py
@@ -1,41 +1,42 @@
-"""`pierglade admission top`: whom a node turns away, and what share it refuses for want of its core."""
+"""`pierglade admission top`: the clients that a node rejects, and the fraction it sheds under CPU overload."""
 
 import http.client
 import json
 
 import click
 
-from pierglade.cli import UNSURE, fail
+from pierglade.cli import UNRELIABLE, fail
 
-ASK_S = 2.0  # s; a node answers operators within 1 s under any load
+REQUEST_TIMEOUT_S = 2.0  # a node answers on its management address within 1 s under any load
 
 
-def told_by(address):
-    """What the node whose operators' address this is says of its admission."""
+def fetch_admission(address):
+    """Returns the admission state reported by the node with this management address."""
     from pierglade.config.read import is_address
 
     if not is_address(address):
-        fail(f"--at: {address!r} stands there; allowed: host:port")
+        fail(f"--at is {address!r}; expected host:port")
     host, _, port = address.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=ASK_S)
+    connection = http.client.HTTPConnection(host, int(port), timeout=REQUEST_TIMEOUT_S)
     try:
-        link.request("GET", "/admission")
-        answer = link.getresponse()
-        if answer.status != 200:
+        connection.request("GET", "/admission")
+        response = connection.getresponse()
+        if response.status != 200:
             fail(
-                f"{address} answers {answer.status}: no operators' address of a node that knows the call",
-                UNSURE,
+                f"GET /admission at {address} returned status {response.status}; expected 200 from the "
+                "management address of a node that supports this call",
+                UNRELIABLE,
             )
-        return json.loads(answer.read())
-    except (OSError, http.client.HTTPException, ValueError) as fault:
-        fail(f"{address}: {fault}", UNSURE)
+        return json.loads(response.read())
+    except (OSError, http.client.HTTPException, ValueError) as error:
+        fail(f"GET /admission at {address} failed: {error}", UNRELIABLE)
     finally:
-        link.close()
+        connection.close()
 
 
 @click.group(epilog="Example: pierglade admission top --at 127.0.0.1:8082")
 def admission():
-    """Who is let in, and who is not."""
+    """Shows which clients a node rejects."""
 
 
 @admission.command(epilog="Example: pierglade admission top --at 127.0.0.1:8082")
@@ -46,21 +47,21 @@
     show_default=True,
     help="The node's `management` address.",
 )
-@click.option("--json", "as_json", is_flag=True, help="What the node says, as it says it.")
+@click.option("--json", "as_json", is_flag=True, help="Print the node's JSON reply.")
 def top(address, as_json):
-    """The addresses that the node has turned away most, and what share it refuses as its core is short."""
-    told = told_by(address)
+    """Lists the client addresses rejected most often, and the fraction of requests shed under CPU overload."""
+    state = fetch_admission(address)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(state))
         return
     click.echo(
-        f"refused for want of the core: {told['refused_share']:.0%}; connections {told['open']} of "
-        f"{told['sockets']}, clients {told['clients']}"
-        + ("" if told["capped"] else "; no caps are set ([admission])")
+        f"shed under CPU overload: {state['refused_share']:.0%}; connections {state['open']} of "
+        f"{state['sockets']}, clients {state['clients']}"
+        + ("" if state["capped"] else "; no limits are set ([admission])")
     )
-    for row in told["top"]:
-        shut = f", shut out for {row['shut_out_s']:.0f} s" if row["shut_out_s"] else ""
+    for row in state["top"]:
+        blocked = f", blocked for {row['shut_out_s']:.0f} s" if row["shut_out_s"] else ""
         known = ", known" if row["known"] else ""
         click.echo(
-            f"{row['address']:40} turned away {row['turned_away']:6}, open {row['open']:4}{known}{shut}"
+            f"{row['address']:40} rejected {row['turned_away']:6}, open {row['open']:4}{known}{blocked}"
         )
--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -1,4 +1,4 @@
-"""`pierglade check FILE`: all that is wrong in an operator's file, a line each."""
+"""`pierglade check FILE`: lists every error in a configuration file, one line each."""
 
 import sys
 
@@ -9,7 +9,7 @@
 
 
 def lines_of(path):
-    """What is wrong with the file at `path`, a line each; empty where a node would start on it."""
+    """Returns the errors of the file at `path`, one line each; empty if a node would start with it."""
     from pierglade.__main__ import UnusableConfigError, config_from_document
     from pierglade.config.platform import to_platform
     from pierglade.config.read import UnusableFileError, read
@@ -20,50 +20,50 @@
                 config_from_document(orjson.loads(file.read()), path, {})
         else:
             config_from_document(to_platform(read(path)), path, {}, fixed=True)
-    except UnusableFileError as fault:
-        return fault.lines
-    except UnusableConfigError as fault:
-        return [str(fault)]
-    except OSError as fault:
-        return [f"{path}: {fault.strerror}"]
-    except ValueError as fault:
-        return [f"{path} is no JSON: {fault}"]
+    except UnusableFileError as error:
+        return error.lines
+    except UnusableConfigError as error:
+        return [str(error)]
+    except OSError as error:
+        return [f"{path}: {error.strerror}"]
+    except ValueError as error:
+        return [f"{path} is not valid JSON: {error}"]
     return []
 
 
 @click.command(epilog="Example: pierglade check deploy/pierglade.toml")
 @click.argument("file")
 @click.option(
-    "--platform", "as_platform", is_flag=True, help="Print the platform's document for FILE."
+    "--platform", "as_platform", is_flag=True, help="Print FILE as the platform's JSON document."
 )
 def check(file, as_platform):
-    """Tells whether a node would start on FILE; ends with 2 and a line for each fault if not."""
-    wrong = lines_of(file)
-    for line in wrong:
+    """Checks whether a node would start with FILE; if not, exits with 2 and prints a line for each error."""
+    errors = lines_of(file)
+    for line in errors:
         click.echo(f"pierglade: {line}", err=True)
-    if wrong:
+    if errors:
         sys.exit(BAD_INPUT)
     from pierglade.config.platform import from_platform, to_platform
     from pierglade.config.read import read
 
     if file.endswith(".json"):
-        with open(file, "rb") as opened:
+        with open(file, "rb") as opened_file:
             try:
-                told = from_platform(orjson.loads(opened.read()))
-            except (KeyError, TypeError, ValueError) as fault:
-                fail(f"{file}: {fault}")
+                config = from_platform(orjson.loads(opened_file.read()))
+            except (KeyError, TypeError, ValueError) as error:
+                fail(f"{file}: {error}")
     else:
-        told = read(file)
+        config = read(file)
     if as_platform:
-        click.echo(orjson.dumps(to_platform(told), option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(to_platform(config), option=orjson.OPT_INDENT_2).decode())
         return
     source = (
-        f"discovery at {told.discovery.address}"
-        if told.discovery
-        else f"{len(told.backends)} backends"
+        f"discovery at {config.discovery.address}"
+        if config.discovery
+        else f"{len(config.backends)} backends"
     )
     click.echo(
-        f"{file}: good. {told.node.name} listens on {told.listen.address}, {source}, "
-        f"{len(told.request_classes)} offerings: "
-        + ", ".join(f"{o.name} ({o.repeat})" for o in told.request_classes)
+        f"{file}: valid. {config.node.name} listens on {config.listen.address}, {source}, "
+        f"{len(config.request_classes)} offerings: "
+        + ", ".join(f"{each.name} ({each.repeat})" for each in config.request_classes)
     )
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -1,4 +1,4 @@
-"""`pierglade demo`: a node before eight stand-in backends, and plain round robin beside it, on one load."""
+"""`pierglade demo`: the same load through a node and through plain round robin, each before eight stand-in backends."""
 
 import asyncio
 import json
@@ -7,17 +7,18 @@
 
 import click
 
-from pierglade.cli import UNSURE, fail
+from pierglade.cli import UNRELIABLE, fail
 from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
 BACKENDS = 8
-PAUSES_EVERY, PAUSE_MS = (
+PAUSE_INTERVAL_REQUESTS, PAUSE_MS = (
     120,
     400,
-)  # settled invocations between pauses of a backend, and how long each is
-CRASH_AT, DRAIN_AT = 2 / 3, 0.8  # shares of the demo at which one backend dies and another drains
-PATIENCE_S = 1.0
-PLAN = """
+)  # completed requests between two pauses of a backend, and the length of each pause
+# Fractions of the demo's duration after which one backend crashes and another one drains.
+CRASH_AT_RATIO, DRAIN_AT_RATIO = 2 / 3, 0.8
+REQUEST_TIMEOUT_S = 1.0
+PLAN_TEMPLATE = """
 seed = 7
 seconds = {all_s}
 [[kind]]
@@ -48,7 +49,7 @@
 what = "drain"
 backends = ["b7"]
 """
-NODE = """
+NODE_TEMPLATE = """
 [node]
 name = "demo"
 [listen]
@@ -69,56 +70,59 @@
 """
 
 
-class Side:
-    """What clients saw of one of the two: the node, or plain round robin."""
+class ClientResults:
+    """Results that clients measured through one balancer: the node, or plain round robin."""
 
     def __init__(self, name, pool):
         self.name, self.pool = name, pool
-        self.latency, self.lately = [], []  # ms from the planned moment: of all, of the last second
+        # Milliseconds from the planned send time: of all requests, and of those in the last second.
+        self.latencies, self.recent_latencies = [], []
         self.answered = self.late = self.refused = self.failed = 0
 
-    def ended(self, request, status, backend, why):
-        took = (time.monotonic() - request.context) * 1000
+    def record(self, request, status, backend, reason):
+        """Counts a finished request; a response after more than 150 ms is late."""
+        latency_ms = (time.monotonic() - request.context) * 1000
         if status == 200:
             self.answered += 1
-            self.late += took > 150
+            self.late += latency_ms > 150
         elif status in (429, 503):
             self.refused += 1
         else:
             self.failed += 1
-        self.latency.append(took)
-        self.lately.append(took)
+        self.latencies.append(latency_ms)
+        self.recent_latencies.append(latency_ms)
 
-    def row(self):
-        """(a second, p50, p99) of the last second."""
-        lately, self.lately = sorted(self.lately), []
-        if not lately:
+    def take_recent(self):
+        """Returns (requests, p50 in ms, p99 in ms) of the last second and starts a new one."""
+        latencies, self.recent_latencies = sorted(self.recent_latencies), []
+        if not latencies:
             return 0, 0.0, 0.0
         return (
-            len(lately),
-            lately[len(lately) // 2],
-            lately[min(len(lately) - 1, int(len(lately) * 0.99))],
+            len(latencies),
+            latencies[len(latencies) // 2],
+            latencies[min(len(latencies) - 1, int(len(latencies) * 0.99))],
         )
 
-    def whole(self):
-        all_of = sorted(self.latency) or [0.0]
+    def summary(self):
+        """Returns the counts and the latency percentiles of the whole demo."""
+        latencies = sorted(self.latencies) or [0.0]
 
-        def at(share):
-            return round(all_of[min(len(all_of) - 1, int(len(all_of) * share))], 1)
+        def percentile(fraction):
+            return round(latencies[min(len(latencies) - 1, int(len(latencies) * fraction))], 1)
 
         return {
             "answered": self.answered,
             "late": self.late,
             "refused": self.refused,
             "failed": self.failed,
-            "p50_ms": at(0.5),
-            "p99_ms": at(0.99),
-            "max_ms": round(all_of[-1], 1),
+            "p50_ms": percentile(0.5),
+            "p99_ms": percentile(0.99),
+            "max_ms": round(latencies[-1], 1),
         }
 
 
-async def _known(address):
-    """What the node says of its backends, or None where it does not in time."""
+async def _fetch_backends(address):
+    """Returns the backends as the node reports them, or None if it does not answer within 0.5 s."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(0.5):
@@ -131,8 +135,8 @@
         return None
 
 
-def _why(row):
-    """In a word, why the node sends nothing ordinary to a backend; empty where it does."""
+def _skip_reason(row):
+    """Returns why the node sends no regular requests to a backend; empty if it does send them."""
     if row["state"] != "ready":
         return row["state"]
     if row["trouble"]:
@@ -140,29 +144,29 @@
     return "pause due" if row["pauses"] else ""
 
 
-async def _play(seconds, rate, sides, management, children, show):
+async def _send_load(seconds, rate, sides, management, children, show):
     from pierglade.load.client import Request
 
-    began, sent, told = time.monotonic(), 0, 0
+    began, sent, shown_seconds = time.monotonic(), 0, 0
     head = b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Trace-Id: %s-%d\r\n\r\n"
     while (now := time.monotonic() - began) < seconds:
         while sent < min(now, seconds) * rate:
             for side in sides:
                 request = Request(
-                    head % (side.name.encode()[:4], sent), side.ended, began + sent / rate
+                    head % (side.name.encode()[:4], sent), side.record, began + sent / rate
                 )
-                side.pool.send(request, PATIENCE_S)
+                side.pool.send(request, REQUEST_TIMEOUT_S)
             sent += 1
-        if now >= told + 1:
-            told += 1
+        if now >= shown_seconds + 1:
+            shown_seconds += 1
             children.look()
-            show(told, sides, await _known(management))
+            show(shown_seconds, sides, await _fetch_backends(management))
         await asyncio.sleep(max(0.001, began + (sent + 1) / rate - time.monotonic()))
-    await asyncio.sleep(PATIENCE_S + 0.1)
+    await asyncio.sleep(REQUEST_TIMEOUT_S + 0.1)
 
 
-class Lines:
-    """A line a second, where there is no terminal."""
+class LineDisplay:
+    """Prints one line a second, where the output is not a terminal."""
 
     def __init__(self, stream):
         self.stream = stream
@@ -171,25 +175,29 @@
         return self
 
     def __exit__(self, *_):
-        """Nothing stays open."""
+        """Does nothing: no resource has to be closed."""
 
-    def __call__(self, second, sides, known):
-        words = [f"{second:3} s"]
+    def __call__(self, second, sides, node_state):
+        parts = [f"{second:3} s"]
         for side in sides:
-            count, p50, p99 = side.row()
-            words.append(
+            count, p50, p99 = side.take_recent()
+            parts.append(
                 f"{side.name}: {count}/s p50 {p50:.0f} p99 {p99:.0f} ms, refused {side.refused}, "
                 f"failed {side.failed}"
             )
-        if known:
-            out = [f"{row['name']} {_why(row)}" for row in known["backends"] if _why(row)]
-            words.append("out: " + (", ".join(out) or "none"))
-        self.stream.write("; ".join(words) + "\n")
+        if node_state:
+            skipped = [
+                f"{row['name']} {_skip_reason(row)}"
+                for row in node_state["backends"]
+                if _skip_reason(row)
+            ]
+            parts.append("skipped: " + (", ".join(skipped) or "none"))
+        self.stream.write("; ".join(parts) + "\n")
         self.stream.flush()
 
 
-class Table:
-    """A live table on a terminal."""
+class LiveTable:
+    """Shows the results as a live table on a terminal."""
 
     def __init__(self, console):
         from rich.live import Live
@@ -200,19 +208,19 @@
         self.live.__enter__()
         return self
 
-    def __exit__(self, *told):
-        self.live.__exit__(*told)
+    def __exit__(self, *exception_info):
+        self.live.__exit__(*exception_info)
 
-    def __call__(self, second, sides, known):
+    def __call__(self, second, sides, node_state):
         from rich.console import Group
-        from rich.table import Table as Rows
+        from rich.table import Table
 
-        top = Rows(
-            "", "a second", "p50 ms", "p99 ms", "late", "refused", "failed", title=f"{second} s"
+        client_table = Table(
+            "", "requests/s", "p50 ms", "p99 ms", "late", "refused", "failed", title=f"{second} s"
         )
         for side in sides:
-            count, p50, p99 = side.row()
-            top.add_row(
+            count, p50, p99 = side.take_recent()
+            client_table.add_row(
                 side.name,
                 str(count),
                 f"{p50:.0f}",
@@ -221,24 +229,24 @@
                 str(side.refused),
                 str(side.failed),
             )
-        rows = Rows(
+        backend_table = Table(
             "backend",
-            "settled",
-            "out",
+            "answered",
+            "in flight",
             "level",
             "next pause",
-            "skipped or out",
-            title="as the node sees its backends",
+            "skipped because",
+            title="backends as seen by the node",
         )
-        for row in known["backends"] if known else ():
-            due = row["next_pause_ms"]
-            rows.add_row(
+        for row in node_state["backends"] if node_state else ():
+            next_pause_ms = row["next_pause_ms"]
+            backend_table.add_row(
                 row["name"],
                 str(row["settled"]),
                 str(row["out"]),
                 f"{row['level']:.2f}",
-                "" if due is None else f"{due} ms",
-                _why(row),
+                "" if next_pause_ms is None else f"{next_pause_ms} ms",
+                _skip_reason(row),
                 style="dim"
                 if row["state"] != "ready"
                 else "red"
@@ -247,24 +255,27 @@
                 if row["pauses"]
                 else "",
             )
-        self.live.update(Group(top, rows))
+        self.live.update(Group(client_table, backend_table))
 
 
 def _plan(seconds):
     pausing = ", ".join(f'"b{n}"' for n in range(BACKENDS - 2))
-    return PLAN.format(
+    return PLAN_TEMPLATE.format(
         all_s=seconds + 30,
         backends=BACKENDS,
         pausing=pausing,
-        every=PAUSES_EVERY,
+        every=PAUSE_INTERVAL_REQUESTS,
         pause_ms=PAUSE_MS,
-        crash_s=round(seconds * CRASH_AT, 1),
-        drain_s=round(seconds * DRAIN_AT, 1),
+        crash_s=round(seconds * CRASH_AT_RATIO, 1),
+        drain_s=round(seconds * DRAIN_AT_RATIO, 1),
     )
 
 
 def _start(children, seconds):
-    """Two fleets alike, a node before the one and plain round robin before the other."""
+    """Starts two identical fleets, with a node before the first and plain round robin before the second.
+
+    Returns the addresses of the node, of the plain node and of the node's management.
+    """
     with open(children.path("fleet.toml"), "w") as file:
         file.write(_plan(seconds))
     fleets = [
@@ -274,7 +285,9 @@
     management = f"127.0.0.1:{free_port()}"
     with open(children.path("node.toml"), "w") as file:
         file.write(
-            NODE.format(management=management.rpartition(":")[2], discovery=fleets[0]["discovery"])
+            NODE_TEMPLATE.format(
+                management=management.rpartition(":")[2], discovery=fleets[0]["discovery"]
+            )
         )
     node = children.start("node", "pierglade.cli", "serve", file.name, "--with-parent")
     while node.get("event") != "started":
@@ -290,16 +303,17 @@
     return node["listen"], plain["listen"], management
 
 
-def _ready(address, wait_s=5.0):
+def _wait_until_ready(address, wait_s=5.0):
+    """Returns whether the node at `address` becomes ready within `wait_s`."""
     import http.client
 
-    until = time.monotonic() + wait_s
-    while time.monotonic() < until:
+    deadline = time.monotonic() + wait_s
+    while time.monotonic() < deadline:
         try:
             host, _, port = address.rpartition(":")
-            link = http.client.HTTPConnection(host, int(port), timeout=1)
-            link.request("GET", "/health/ready")
-            if link.getresponse().status == 200:
+            connection = http.client.HTTPConnection(host, int(port), timeout=1)
+            connection.request("GET", "/health/ready")
+            if connection.getresponse().status == 200:
                 return True
         except OSError:
             pass
@@ -308,7 +322,7 @@
 
 
 def _drain_output(process):
-    """Reads a child's log so that it never waits for us."""
+    """Reads and discards a child's log, so that the child never blocks on a full pipe."""
     import threading
 
     def read():
@@ -327,21 +341,21 @@
     type=click.FloatRange(3, 3600),
     default=45.0,
     show_default=True,
-    help="How long it plays; one backend dies after two thirds, another drains after four fifths.",
+    help="Duration; one backend crashes after two thirds of it, another drains after four fifths.",
 )
 @click.option(
     "--rate",
     type=click.FloatRange(1, 2000),
     default=200.0,
     show_default=True,
-    help="Invocations a second, evenly.",
+    help="Requests per second, evenly spaced.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Only the result, as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print only the result, as JSON.")
 def demo(seconds, rate, as_json):
-    """Shows what the node is for: eight stand-in backends of which six pause, one that dies, one that drains.
+    """Compares a node with plain round robin before eight backends: six pause, one crashes, one drains.
 
-    The same load goes to a plain round robin before a fleet alike. All of it runs on this machine's loopback
-    and ends by itself.
+    Both get the same load and have a fleet of their own; the two fleets are identical. All of it runs on this
+    machine's loopback and ends by itself.
     """
     began = time.monotonic()
     try:
@@ -349,13 +363,21 @@
             node, plain, management = _start(children, seconds)
             for name in children.running:
                 _drain_output(children.running[name][0])
-            if not (_ready(node) and _ready(plain)):
-                fail("a node did not become ready within 5 s", UNSURE)
-            result = asyncio.run(_shown(seconds, rate, node, plain, management, children, as_json))
-    except ChildExitedError as fault:
-        fail(str(fault), UNSURE)
-    except StoppedBySignalError as fault:
-        fail(f"stopped by {fault} after {time.monotonic() - began:.0f} s; no result", UNSURE)
+            if not (_wait_until_ready(node) and _wait_until_ready(plain)):
+                fail(
+                    f"the node at {node} or the plain node at {plain} did not become ready within 5 s",
+                    UNRELIABLE,
+                )
+            result = asyncio.run(
+                _measure(seconds, rate, node, plain, management, children, as_json)
+            )
+    except ChildExitedError as error:
+        fail(str(error), UNRELIABLE)
+    except StoppedBySignalError as error:
+        fail(
+            f"stopped by {error} after {time.monotonic() - began:.0f} s; there is no result",
+            UNRELIABLE,
+        )
     if as_json:
         click.echo(json.dumps(result))
         return
@@ -369,21 +391,25 @@
         click.echo(f"{name:{width}}  " + ", ".join(figures))
 
 
-async def _shown(seconds, rate, node, plain, management, children, as_json):
+async def _measure(seconds, rate, node, plain, management, children, as_json):
+    """Sends the load through both nodes with a live display; returns {name: summary}."""
     from pierglade.load.client import Pool
 
     loop = asyncio.get_running_loop()
-    sides = [Side("pierglade", Pool(node, loop)), Side("round robin", Pool(plain, loop))]
+    sides = [
+        ClientResults("pierglade", Pool(node, loop)),
+        ClientResults("round robin", Pool(plain, loop)),
+    ]
     if as_json:
-        show = Lines(open("/dev/null", "w"))
+        show = LineDisplay(open("/dev/null", "w"))
     elif sys.stdout.isatty():
         from rich.console import Console
 
-        show = Table(Console())
+        show = LiveTable(Console())
     else:
-        show = Lines(sys.stdout)
+        show = LineDisplay(sys.stdout)
     with show:
-        await _play(seconds, rate, sides, management, children, show)
+        await _send_load(seconds, rate, sides, management, children, show)
     for side in sides:
         side.pool.close()
-    return {side.name: side.whole() for side in sides}
+    return {side.name: side.summary() for side in sides}
--- a/pierglade/cli/say.py
+++ b/pierglade/cli/event_log.py
@@ -1,14 +1,14 @@
-"""How tools say what happens: JSON lines, or readable ones on a terminal, through structlog."""
+"""Event logs of the tools through structlog: JSON lines, or readable lines on a terminal."""
 
 import sys
 
 import structlog
 
 
-def json_lines(stream=None):
-    """A log that writes a JSON object a line; a reader that has gone is no fault."""
+def json_log(stream=None):
+    """Returns a log that writes one JSON object per line; a reader that has disconnected is ignored."""
     return structlog.wrap_logger(
-        structlog.WriteLogger(_Unbothered(stream or sys.stdout)),
+        structlog.WriteLogger(_TolerantStream(stream or sys.stdout)),
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.JSONRenderer(),
@@ -16,11 +16,11 @@
     )
 
 
-def readable(stream=None):
-    """The same for people."""
+def readable_log(stream=None):
+    """Returns a log that writes readable lines; a reader that has disconnected is ignored."""
     stream = stream or sys.stdout
     return structlog.wrap_logger(
-        structlog.WriteLogger(_Unbothered(stream)),
+        structlog.WriteLogger(_TolerantStream(stream)),
         processors=[
             structlog.processors.TimeStamper(fmt="%H:%M:%S"),
             structlog.dev.ConsoleRenderer(colors=stream.isatty(), sort_keys=False),
@@ -28,7 +28,9 @@
     )
 
 
-class _Unbothered:
+class _TolerantStream:
+    """Wraps a stream and ignores writes to it after the reader has closed it."""
+
     def __init__(self, stream):
         self.stream = stream
 
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`pierglade experiment FILE`: a plan played, judged by the rules and told on a page."""
+"""`pierglade experiment FILE`: runs a plan, audits it against the rules and writes a report."""
 
 import os
 import sys
@@ -6,174 +6,194 @@
 
 import click
 
-from pierglade.cli import RULE_BROKEN, UNSURE, fail
+from pierglade.cli import RULE_BROKEN, UNRELIABLE, fail
 
 
 class Progress:
-    """A bar on a terminal, nothing elsewhere."""
+    """Shows a progress bar on a terminal, and nothing elsewhere."""
 
-    def __init__(self, plays):
-        self.plays, self.bar, self.task = plays, None, None
+    def __init__(self, total_runs):
+        self.total_runs, self.bar, self.task = total_runs, None, None
 
     def __enter__(self):
         if sys.stderr.isatty():
             from rich.console import Console
-            from rich.progress import Progress as Bar
+            from rich.progress import Progress as ProgressBar
 
-            self.bar = Bar(console=Console(stderr=True))
+            self.bar = ProgressBar(console=Console(stderr=True))
             self.bar.start()
-            self.task = self.bar.add_task("playing", total=self.plays)
+            self.task = self.bar.add_task("running", total=self.total_runs)
         return self
 
     def __exit__(self, *_):
         if self.bar is not None:
             self.bar.stop()
 
-    def __call__(self, played, share):
+    def __call__(self, finished_runs, fraction):
         if self.bar is not None:
-            self.bar.update(self.task, completed=played + share)
+            self.bar.update(self.task, completed=finished_runs + fraction)
 
 
-def plan_of(file, seed):
+def read_plan(file, seed):
+    """Reads the plan at `file`, with `seed` in place of the plan's unless it is None."""
     from pierglade.experiment import plan as plans
     from pierglade.simulation.plan import InvalidPlanError
 
     try:
         plan = plans.read(file)
-    except InvalidPlanError as fault:
-        fail(str(fault))
+    except InvalidPlanError as error:
+        fail(str(error))
     if seed is not None:
         plan.seed = seed
     return plan
 
 
-def builds_of(texts, keep):
-    """The builds that were named; `keep` is an ExitStack that removes their folders."""
+def open_builds(names, exit_stack):
+    """Returns the builds with these names; `exit_stack` is an ExitStack that removes their folders."""
     from pierglade.experiment import nodes
 
     try:
-        builds = [keep.enter_context(nodes.Build(text)) for text in texts]
-    except nodes.NoBuild as fault:
-        fail(str(fault))
+        builds = [exit_stack.enter_context(nodes.Build(name)) for name in names]
+    except nodes.NoBuild as error:
+        fail(str(error))
     if len({build.label for build in builds}) < len(builds):
-        fail("the same build is named twice")
+        fail(f"builds are {', '.join(names)}; expected each build to be named only once")
     return builds
 
 
-def folder_of(out, file):
-    """Where the plays go: what was asked for, or a new one under runs/."""
+def prepare_output_folder(out, file):
+    """Returns the output folder of the runs, created if missing: `out`, or by default a new one under runs/."""
     if out is None:
         name = os.path.splitext(os.path.basename(file))[0]
         out = os.path.join("runs", f"{name}-{time.strftime('%Y%m%d-%H%M%S')}")
     try:
         os.makedirs(out, exist_ok=True)
         if os.listdir(out):
-            fail(f"{out}: there are files in it already")
-    except OSError as fault:
-        fail(f"{out}: {fault.strerror}")
+            fail(
+                f"{out}: the output folder already contains files; expected an empty or new folder"
+            )
+    except OSError as error:
+        fail(f"{out}: {error.strerror}")
     return out
 
 
-def show(told, write=click.echo):
-    """The table of {label: [summary]}, and what stands against it."""
+def print_table(summaries, write=click.echo):
+    """Prints the figures of {label: [summary]} as a table, with the verdict on each figure."""
     from pierglade.experiment import compare
 
-    labels = list(told)
+    labels = list(summaries)
     width = max(16, *(len(label) + 2 for label in labels))
     write(" " * 18 + "".join(f"{label:>{width + 14}}" for label in labels))
-    for name, spread, verdict in compare.rows(told):
+    for name, spread, verdict in compare.rows(summaries):
         cells = []
         for label in labels:
             if label not in spread:
                 cells.append(f"{'-':>{width + 14}}")
                 continue
-            middle, low, high = spread[label]
-            apart = f" ({low:g} to {high:g})" if low != high else ""
-            cells.append(f"{f'{middle:g}{apart}':>{width + 14}}")
+            median, low, high = spread[label]
+            value_range = f" ({low:g} to {high:g})" if low != high else ""
+            cells.append(f"{f'{median:g}{value_range}':>{width + 14}}")
         write(f"{name:18}" + "".join(cells) + (f"  {verdict}" if verdict else ""))
 
 
-def end_with(told, ours):
-    """Says what stands against the plays and ends with 4 or 3 where it must; only `ours` can break a rule."""
+def exit_by_result(summaries, pierglade_labels):
+    """Prints the doubts about the runs; exits with 4 if a rule was violated, with 3 if a result is unreliable.
+
+    Only the builds in `pierglade_labels` are held to the rules.
+    """
     from pierglade.experiment import compare
 
-    _, lines = compare.doubts(told)
-    broken, _ = compare.doubts({label: some for label, some in told.items() if label in ours})
+    _, lines = compare.doubts(summaries)
+    is_broken, _ = compare.doubts(
+        {label: runs for label, runs in summaries.items() if label in pierglade_labels}
+    )
     for line in lines:
         click.echo(f"pierglade: {line}", err=True)
-    if broken:
+    if is_broken:
         sys.exit(RULE_BROKEN)
-    if any(some["not_to_be_trusted"] or some["holes"] for plays in told.values() for some in plays):
-        sys.exit(UNSURE)
+    if any(
+        summary["not_to_be_trusted"] or summary["holes"]
+        for runs in summaries.values()
+        for summary in runs
+    ):
+        sys.exit(UNRELIABLE)
 
 
-def stopping(play):
-    """Runs `play()`; a stop or a failure of it ends the command with 3 and one line."""
+def run_until_stopped(run):
+    """Returns `run()`; if it fails or is stopped by a signal, exits with 3 and one line."""
     from pierglade.experiment.play import Failed
     from pierglade.processes.children import StoppedBySignalError
 
     try:
-        return play()
-    except Failed as fault:
-        fail(str(fault), UNSURE)
-    except StoppedBySignalError as fault:
-        fail(f"stopped by {fault}; what was seen until then is in its folder, marked so", UNSURE)
+        return run()
+    except Failed as error:
+        fail(str(error), UNRELIABLE)
+    except StoppedBySignalError as error:
+        fail(
+            f"stopped by {error}; the results up to then are in the output folder, marked as incomplete",
+            UNRELIABLE,
+        )
 
 
-@click.command(epilog="Example: pierglade experiment experiments/crash.toml --beside turns")
+@click.command(epilog="Example: pierglade experiment experiments/sockets/crash.toml --beside turns")
 @click.argument("file")
 @click.option(
     "--build",
     default="pierglade",
     show_default=True,
-    help="What the nodes are: pierglade, turns, random, least, two, a folder, or @COMMIT.",
+    help="Build of the nodes: pierglade, turns, random, least, two, a folder, or @COMMIT.",
+)
+@click.option(
+    "--beside", multiple=True, help="Another build, which runs the same plan alternately."
 )
-@click.option("--beside", multiple=True, help="Another build, played on the same plan in turns.")
 @click.option(
-    "--times", type=click.IntRange(1, 100), default=1, show_default=True, help="Plays of each."
+    "--times", type=click.IntRange(1, 100), default=1, show_default=True, help="Runs of each build."
 )
-@click.option("--seed", type=int, help="In place of the plan's.")
+@click.option("--seed", type=int, help="Seed that replaces the plan's.")
 @click.option(
-    "--out", metavar="FOLDER", help="Where all of it is written; else a new folder under runs/."
+    "--out",
+    metavar="FOLDER",
+    help="Where the runs are written; by default a new folder under runs/.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The summaries as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the summaries as JSON.")
 def experiment(file, build, beside, times, seed, out, as_json):
-    """Plays FILE: nodes, a stand-in fleet, a load and what befalls them, all on this machine's loopback.
+    """Runs FILE: nodes, a stand-in fleet, a load and injected faults, all on this machine's loopback.
 
-    Leaves a folder a play: plan, ledgers, logs, CPU and memory, summary.json and report.html. A file with a
-    [cost] table gives what an answer and a refusal cost and the highest rate instead. Ends with 4 where a
-    rule
-    was broken, with 3 where a result is not to be trusted.
+    Writes a folder per run: plan, ledgers, logs, CPU and memory samples, summary.json and report.html. A file
+    with a [cost] table measures the CPU time per answer and per refusal and the highest rate instead. Exits
+    with 4 if a rule was violated, with 3 if a result is not to be trusted.
     """
     from contextlib import ExitStack
 
     from pierglade.experiment import cost
 
-    with ExitStack() as keep:
-        texts = [build, *beside]
+    with ExitStack() as exit_stack:
+        names = [build, *beside]
         if cost.is_cost(file):
-            return cost_of(file, builds_of(texts, keep), times, as_json)
+            return measure_cost(file, open_builds(names, exit_stack), times, as_json)
         from pierglade.experiment import compare, report
 
-        plan = plan_of(file, seed)
-        builds = builds_of(texts, keep)
-        out = folder_of(out, file)
-        with Progress(len(builds) * times) as bar:
-            told = stopping(lambda: compare.in_turns(plan, out, builds, times, bar))
+        plan = read_plan(file, seed)
+        builds = open_builds(names, exit_stack)
+        out = prepare_output_folder(out, file)
+        with Progress(len(builds) * times) as progress:
+            summaries = run_until_stopped(
+                lambda: compare.in_turns(plan, out, builds, times, progress)
+            )
         for name in sorted(os.listdir(out)):
             report.page(os.path.join(out, name))
     if as_json:
         import msgspec
 
-        click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(summaries)).decode())
     else:
-        show(told)
-        click.echo(f"in {out}: a folder a play, each with summary.json and report.html")
-    end_with(told, {build.label for build in builds if not build.plain})
+        print_table(summaries)
+        click.echo(f"{out} has a folder per run, each with summary.json and report.html")
+    exit_by_result(summaries, {build.label for build in builds if not build.plain})
 
 
-def cost_of(file, builds, times, as_json):
-    """The cost experiment."""
+def measure_cost(file, builds, times, as_json):
+    """Runs the cost experiment of `file` and prints its result."""
     import msgspec
 
     from pierglade.experiment import cost
@@ -181,14 +201,16 @@
 
     try:
         plan = cost.read(file)
-    except InvalidPlanError as fault:
-        fail(str(fault))
+    except InvalidPlanError as error:
+        fail(str(error))
     if any(build.plain for build in builds):
-        fail("--build: the cost is that of nodes of ours")
-    with Progress(len(builds) * times) as bar:
-        told = stopping(lambda: cost.measure(plan, builds, times, bar))
+        fail(
+            "--build or --beside names a plain policy; the cost experiment expects builds of pierglade"
+        )
+    with Progress(len(builds) * times) as progress:
+        result = run_until_stopped(lambda: cost.measure(plan, builds, times, progress))
     if as_json:
-        click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
         return
-    for line in cost.lines(told):
+    for line in cost.lines(result):
         click.echo(line)
--- a/pierglade/cli/fleet.py
+++ b/pierglade/cli/fleet.py
@@ -1,54 +1,57 @@
-"""`pierglade fleet FILE`: the stand-in fleet as one process."""
+"""`pierglade fleet FILE`: runs the stand-in fleet in one process."""
 
 import asyncio
 import sys
 
 import click
 
-from pierglade.cli import UNSURE, fail
+from pierglade.cli import UNRELIABLE, fail
 
 
 @click.command(epilog="Example: pierglade fleet experiments/fleet/eight.toml")
 @click.argument("file")
 @click.option(
-    "--seconds", type=click.FloatRange(min=0, min_open=True), help="It ends then; else on SIGTERM."
+    "--seconds",
+    type=click.FloatRange(min=0, min_open=True),
+    help="Duration in place of the plan's; SIGTERM ends the fleet earlier.",
 )
-@click.option("--with-parent", is_flag=True, help="It also ends when standard input does.")
+@click.option("--with-parent", is_flag=True, help="Also stop when standard input ends.")
 def fleet(file, seconds, with_parent):
-    """Plays the stand-in backends and the discovery of FILE on loopback ports.
+    """Runs the stand-in backends and the discovery of FILE on loopback ports.
 
-    The first line on standard output tells the addresses, the last one what arrived and ran. Ends with 3
-    where it was itself too late to be trusted, or the ledger has a hole.
+    The first line on standard output reports the addresses, the last one the requests that arrived and ran.
+    Exits with 3 if the fleet itself ran too late to be trusted, or the ledger has a gap.
     """
-    from pierglade.cli.say import json_lines
+    from pierglade.cli.event_log import json_log
     from pierglade.simulation.plan import InvalidPlanError
     from pierglade.testbed import plan as plans
     from pierglade.testbed import run
 
     try:
         plan = plans.read(file)
-    except InvalidPlanError as fault:
-        fail(str(fault))
+    except InvalidPlanError as error:
+        fail(str(error))
     if seconds is not None:
         plan.seconds = seconds
-    log = json_lines()
+    log = json_log()
     try:
         summary = asyncio.run(
             run.serve(plan, lambda event, **fields: log.info(event, **fields), with_parent)
         )
-    except run.CannotListen as fault:
-        fail(str(fault))
-    except OSError as fault:
-        fail(f"{fault.filename or file}: {fault.strerror}")
+    except run.CannotListen as error:
+        fail(str(error))
+    except OSError as error:
+        fail(f"{error.filename or file}: {error.strerror}")
     log.info("over", **summary)
     if summary["late"] or summary["ledger"]["hole"] or summary["troubles"]:
-        hole = summary["ledger"]["hole"]
-        why = (
-            "p99 of its own lateness %.1f ms" % summary["late_ms"]["p99"]
+        gap = summary["ledger"]["hole"]
+        reason = (
+            "the fleet itself was late, by %.1f ms at the 99th percentile"
+            % summary["late_ms"]["p99"]
             if summary["late"]
-            else f"ledger: {hole}"
-            if hole
+            else f"gap in the ledger: {gap}"
+            if gap
             else summary["troubles"][0]
         )
-        click.echo(f"pierglade: not to be trusted: {why}", err=True)
-        sys.exit(UNSURE)
+        click.echo(f"pierglade: not to be trusted: {reason}", err=True)
+        sys.exit(UNRELIABLE)
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -1,4 +1,4 @@
-"""`pierglade learned`: what a node has kept, looked at, checked and tidied up."""
+"""`pierglade learned`: shows, verifies and prunes the snapshots that nodes have stored."""
 
 import os
 import sys
@@ -8,64 +8,63 @@
 
 from pierglade.cli import fail
 
-UNUSABLE = 1  # a file that can't be used
+UNUSABLE = 1  # exit code for a file that can't be used
 
 
-def _age(snapshot):
+def _age_s(snapshot):
     return time.time() - snapshot.written_at / 10000
 
 
-def _found(folder):
-    from pierglade.snapshot import store as files
+def _find_snapshots(folder):
+    from pierglade.snapshot import store
 
     try:
-        return list(files.find_snapshots(folder))
-    except OSError as fault:
-        fail(f"{folder}: {fault.strerror}")
+        return list(store.find_snapshots(folder))
+    except OSError as error:
+        fail(f"{folder}: {error.strerror}")
 
 
-def _why(fault):
-    return getattr(fault, "strerror", None) or str(fault)
+def _reason(error):
+    return getattr(error, "strerror", None) or str(error)
 
 
 @click.group(epilog="Example: pierglade learned show /var/lib/pierglade/n1.learned")
 def learned():
-    """What nodes have learned and kept ([learning])."""
+    """Inspects the snapshots that nodes have stored ([learning])."""
 
 
 @learned.command(epilog="Example: pierglade learned show /var/lib/pierglade/n1.learned")
 @click.argument("file")
 def show(file):
-    """FILE as JSON; ends with 1 and one line where it can't be used."""
+    """Prints FILE as JSON; exits with 1 and one line if it can't be used."""
     import msgspec
 
-    from pierglade.snapshot import schema as form
-    from pierglade.snapshot import store as files
+    from pierglade.snapshot import schema, store
 
     try:
-        snapshot = files.load(file)
-    except (OSError, form.CorruptSnapshotError) as fault:
-        fail(f"{file}: {_why(fault)}", UNUSABLE)
-    told = {"age_s": round(_age(snapshot), 1), **msgspec.to_builtins(snapshot)}
-    click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
+        snapshot = store.load(file)
+    except (OSError, schema.CorruptSnapshotError) as error:
+        fail(f"{file}: {_reason(error)}", UNUSABLE)
+    document = {"age_s": round(_age_s(snapshot), 1), **msgspec.to_builtins(snapshot)}
+    click.echo(msgspec.json.format(msgspec.json.encode(document)).decode())
 
 
 @learned.command(epilog="Example: pierglade learned verify /var/lib/pierglade")
 @click.argument("folder")
 def verify(folder):
-    """A line for each snapshot in FOLDER; ends with 1 where one can't be used."""
-    bad = False
-    for name, told in _found(folder):
-        if isinstance(told, Exception):
-            # a writing cut short is no fault: the one before stands
-            bad = bad or not name.endswith(".part")
-            click.echo(f"{name}: can't be used: {_why(told)}")
+    """Prints a line for each snapshot in FOLDER; exits with 1 if one can't be used."""
+    has_unusable = False
+    for name, snapshot in _find_snapshots(folder):
+        if isinstance(snapshot, Exception):
+            # An interrupted write is no error: the previous snapshot is still valid.
+            has_unusable = has_unusable or not name.endswith(".part")
+            click.echo(f"{name}: can't be used: {_reason(snapshot)}")
         else:
             click.echo(
-                f"{name}: good, of {told.node}, {_age(told):.0f} s old, {len(told.backends)} backends, "
-                f"{len(told.request_classes)} offerings"
+                f"{name}: valid, of node {snapshot.node}, {_age_s(snapshot):.0f} s old, "
+                f"{len(snapshot.backends)} backends, {len(snapshot.request_classes)} offerings"
             )
-    sys.exit(UNUSABLE if bad else 0)
+    sys.exit(UNUSABLE if has_unusable else 0)
 
 
 @learned.command(epilog="Example: pierglade learned prune /var/lib/pierglade --older-than-h 24")
@@ -75,21 +74,21 @@
     type=click.FloatRange(min=0),
     default=24.0,
     show_default=True,
-    help="Whole snapshots of nodes that do not run, older than so many hours, go too.",
+    help="Also remove valid snapshots older than this many hours, of nodes that are not running.",
 )
 def prune(folder, older_than_h):
-    """Removes what can't be used or is too old; nothing of a node that runs."""
-    from pierglade.snapshot import store as files
-
-    for name, told in _found(folder):
-        node = name.partition(files.SUFFIX)[0]
-        if files.in_use(folder, node):
-            click.echo(f"{name}: kept, {node} runs")
-        elif isinstance(told, Exception) or _age(told) > older_than_h * 3600:
+    """Removes snapshots that can't be used or are too old; keeps those of running nodes."""
+    from pierglade.snapshot import store
+
+    for name, snapshot in _find_snapshots(folder):
+        node = name.partition(store.SUFFIX)[0]
+        if store.in_use(folder, node):
+            click.echo(f"{name}: kept, node {node} is running")
+        elif isinstance(snapshot, Exception) or _age_s(snapshot) > older_than_h * 3600:
             try:
                 os.unlink(os.path.join(folder, name))
                 click.echo(f"{name}: removed")
-            except OSError as fault:
-                fail(f"{name}: {fault.strerror}", UNUSABLE)
+            except OSError as error:
+                fail(f"{name}: could not be removed: {error.strerror}", UNUSABLE)
         else:
             click.echo(f"{name}: kept")
--- a/pierglade/cli/load.py
+++ b/pierglade/cli/load.py
@@ -1,4 +1,4 @@
-"""`pierglade load`: an open-loop load on a target, with a result that says whether it can be trusted."""
+"""`pierglade load`: sends an open-loop load to a target and reports whether the result can be trusted."""
 
 import ipaddress
 import json
@@ -8,26 +8,29 @@
 
 import click
 
-from pierglade.cli import UNSURE, fail
+from pierglade.cli import UNRELIABLE, fail
 
 
-def _target(url):
-    """(host:port, path) of a target on loopback; anything else is refused."""
+def _parse_target(url):
+    """Returns (host:port, path) of a target on loopback; rejects any other target."""
     parts = urllib.parse.urlsplit(url)
     try:
         host, port = parts.hostname or "", parts.port or 80
         address = ipaddress.ip_address("127.0.0.1" if host == "localhost" else host)
     except ValueError:
-        fail(f"--target: {url!r} stands there; allowed: http://127.0.0.1:PORT/PATH")
+        fail(f"--target is {url!r}; expected http://127.0.0.1:PORT/PATH")
     if parts.scheme != "http" or address.version != 4:
-        fail(f"--target: {url!r} stands there; allowed: http://127.0.0.1:PORT/PATH")
+        fail(f"--target is {url!r}; expected http://127.0.0.1:PORT/PATH")
     if not address.is_loopback:
-        fail(f"--target: {host} is not on loopback; a load is sent to this machine alone")
+        fail(
+            f"--target has host {host}; expected an address on loopback, as load is sent only to this machine"
+        )
     path = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
     return f"{address}:{port}", path
 
 
-def _moments(rate, seconds, spacing, shapes, trace, speed, seed):
+def _send_times(rate, seconds, spacing, shapes, trace, speed, seed):
+    """Returns the planned send times, and the rows of the trace or None."""
     import msgspec
 
     from pierglade.load import plan
@@ -36,16 +39,16 @@
     try:
         if trace:
             return plan.read_trace(trace, speed)
-        told = []
+        patterns = []
         for text in shapes:
             pairs = dict(
                 pair.split("=", 1) if "=" in pair else ("shape", pair) for pair in text.split(",")
             )
-            told.append(msgspec.convert(pairs, plan.ArrivalPattern, strict=False))
-        told = told or [plan.ArrivalPattern(rate=rate, seconds=seconds)]
-        return plan.moments(told, spacing, seed), None
-    except (InvalidPlanError, msgspec.ValidationError) as fault:
-        fail(str(fault))
+            patterns.append(msgspec.convert(pairs, plan.ArrivalPattern, strict=False))
+        patterns = patterns or [plan.ArrivalPattern(rate=rate, seconds=seconds)]
+        return plan.moments(patterns, spacing, seed), None
+    except (InvalidPlanError, msgspec.ValidationError) as error:
+        fail(str(error))
 
 
 @click.command(
@@ -57,7 +60,7 @@
     type=click.FloatRange(min=0, min_open=True),
     default=100.0,
     show_default=True,
-    help="Requests a second.",
+    help="Requests per second.",
 )
 @click.option(
     "--seconds",
@@ -73,52 +76,56 @@
     "shapes",
     multiple=True,
     metavar="SHAPE",
-    help="In place of rate and seconds, one after another: surge,rate=100,times=4,seconds=5 or "
-    "steady, ramp (to=), wave (to=, turn_s=).",
+    help="Replaces --rate and --seconds; several run one after another: surge,rate=100,times=4,seconds=5 "
+    "or steady, ramp (to=), wave (to=, turn_s=).",
 )
 @click.option(
     "--trace",
     metavar="FILE",
-    help="Recorded requests, CSV or JSON lines: offset, offering, customer, size.",
+    help="Recorded requests to replay, CSV or JSON lines: offset, offering, customer, size.",
 )
 @click.option(
     "--speed",
     type=click.FloatRange(min=0, min_open=True),
     default=1.0,
     show_default=True,
-    help="How many times as fast a trace is played.",
+    help="Factor by which a trace is replayed faster.",
 )
 @click.option(
     "--method", type=click.Choice(["GET", "POST", "HEAD"]), default="GET", show_default=True
 )
 @click.option("--header", "headers", multiple=True, metavar="'NAME: VALUE'")
 @click.option("--patience-ms", type=click.FloatRange(1, 600000), default=10000.0, show_default=True)
-@click.option("--one-each", is_flag=True, help="A new connection for each request.")
+@click.option("--one-each", is_flag=True, help="Open a new connection for each request.")
 @click.option(
     "--retries",
     type=click.IntRange(0, 20),
     default=0,
-    help="Tries more after a refusal or failure.",
+    help="Maximum number of client retries after a refusal or failure.",
 )
-@click.option("--marks", is_flag=True, help="Mark them with X-Second-Try.")
+@click.option("--marks", is_flag=True, help="Mark retries with the header X-Second-Try.")
 @click.option(
     "--leaves",
     "abandon_share",
     type=click.FloatRange(0, 1),
     default=0.0,
-    help="Share of clients that go away early.",
+    help="Fraction of requests whose client disconnects early.",
 )
 @click.option(
-    "--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="Processes."
+    "--workers",
+    type=click.IntRange(1, 64),
+    default=1,
+    show_default=True,
+    help="Number of processes.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--ledger",
     default="",
     metavar="FILE",
-    help="Where each request and answer is written down; with several workers, FILE.0 and so on.",
+    help="File that records each request and answer; with several workers, FILE.0 and so on.",
 )
-@click.option("--json", "out", metavar="FILE", help="Where the result is written.")
+@click.option("--json", "out", metavar="FILE", help="File that the result is written to.")
 def load(
     target,
     rate,
@@ -139,22 +146,24 @@
     ledger,
     out,
 ):
-    """Sends requests when they were planned, whatever has become of the others, and tells how long each took.
+    """Sends each request at its planned time, whether or not earlier ones have ended, and reports latencies.
 
-    Ends with 3 where it fell behind its own plan, was stopped, or lost a worker: the result is then not to be
+    Exits with 3 if it fell behind its own plan, was stopped, or lost a worker: the result is then not to be
     trusted.
     """
     from pierglade.load import run
 
-    where, path = _target(target)
+    address, path = _parse_target(target)
     for header in headers:
         if ":" not in header or any(ord(letter) < 32 for letter in header):
-            fail(f"--header: {header!r} stands there; allowed: NAME: VALUE")
-    moments, rows = _moments(rate, seconds, spacing, shapes, trace, speed, seed)
-    load_of = run.Load(
-        where,
+            fail(
+                f"--header is {header!r}; expected 'NAME: VALUE' on one line, without control characters"
+            )
+    send_times, rows = _send_times(rate, seconds, spacing, shapes, trace, speed, seed)
+    load_spec = run.Load(
+        address,
         path,
-        moments,
+        send_times,
         method,
         headers,
         patience_ms / 1000,
@@ -168,16 +177,16 @@
     )
     for path in filter(None, (ledger, out)):
         if not os.path.isdir(os.path.dirname(path) or "."):
-            fail(f"{path}: no such folder")
+            fail(f"{path}: the folder of this file does not exist")
     stopped = False
     try:
-        tally = run.play(load_of, workers)
-    except run.InvalidRunError as fault:
-        fail(str(fault), UNSURE)
-    except KeyboardInterrupt as fault:
-        stopped, tally = True, fault.args[0] if fault.args else None
+        tally = run.play(load_spec, workers)
+    except run.InvalidRunError as error:
+        fail(str(error), UNRELIABLE)
+    except KeyboardInterrupt as error:
+        stopped, tally = True, error.args[0] if error.args else None
         if tally is None:
-            fail("stopped before its first request", UNSURE)
+            fail("stopped before the first request was sent; there is no result", UNRELIABLE)
     result = tally.summary({"stopped": stopped, "workers": workers})
     result["behind"] = result["behind"] or stopped
     if out:
@@ -192,6 +201,10 @@
             f"{kind:10}  " + "  ".join(f"{name} {value:g}" for name, value in result[kind].items())
         )
     if result["behind"]:
-        why = "stopped; what was seen until then" if stopped else "it fell behind its own plan"
-        click.echo(f"pierglade: not to be trusted: {why}", err=True)
-        sys.exit(UNSURE)
+        reason = (
+            "stopped early; the result covers the requests until then"
+            if stopped
+            else "requests were sent later than planned"
+        )
+        click.echo(f"pierglade: not to be trusted: {reason}", err=True)
+        sys.exit(UNRELIABLE)
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -1,25 +1,27 @@
-"""`pierglade scale PLAN`: hollow nodes and backends by the thousand beside a few real nodes."""
+"""`pierglade scale PLAN`: runs thousands of hollow nodes and backends beside a few real nodes."""
 
 import sys
 import time
 
 import click
 
-from pierglade.cli import RULE_BROKEN, UNSURE, fail
+from pierglade.cli import RULE_BROKEN, UNRELIABLE, fail
 
 
 @click.command(epilog="Example: pierglade scale experiments/scale/target.toml")
 @click.argument("file", metavar="PLAN")
 @click.option(
-    "--axes", is_flag=True, help="Nodes, backends, tenants one after the other, and the shapes."
+    "--axes",
+    is_flag=True,
+    help="Vary nodes, backends and tenants one after the other, and fit how the costs grow.",
 )
-@click.option("--json", "as_json", is_flag=True, help="All of it as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print all results as JSON.")
 def scale(file, axes, as_json):
-    """Plays PLAN on this machine's loopback and sets what control needs against its budget.
+    """Runs PLAN on this machine's loopback and compares what the control plane needs with its budget.
 
-    Most nodes are hollow: docs/operate/scale.md says what is real and what is not. Refuses with 2 what would
-    take more than half of the memory or 200 processes; ends with 3 a run that does, or one that is not to be
-    trusted, and with 4 where a rule was broken.
+    Most nodes are hollow: docs/operate/scale.md lists what is real and what is not. Rejects with 2 a plan that
+    would take more than half of the memory or 200 processes; exits with 3 if a run does take more, or is not to
+    be trusted, and with 4 if a rule was violated.
     """
     import msgspec
 
@@ -29,35 +31,35 @@
     from pierglade.scale.guard import Over
     from pierglade.simulation.plan import InvalidPlanError
 
-    began = time.monotonic()
+    started_at = time.monotonic()
 
-    def say(line):
+    def print_progress(line):
         if sys.stderr.isatty():
-            click.echo(f"{time.monotonic() - began:6.1f} s  {line}", err=True)
+            click.echo(f"{time.monotonic() - started_at:6.1f} s  {line}", err=True)
 
     try:
         plan = plans.read(file)
         if axes:
-            told = report.axes(plan, file, play.play, say)
+            result = report.axes(plan, file, play.play, print_progress)
         else:
-            told = play.play(plan, file, say)
-    except InvalidPlanError as fault:
-        fail(str(fault))
-    except play.Failed as fault:
-        fail(str(fault), fault.status)
-    except Over as fault:
-        fail(str(fault), UNSURE)
-    except StoppedBySignalError as fault:
-        fail(f"stopped by {fault}; nothing is told", UNSURE)
+            result = play.play(plan, file, print_progress)
+    except InvalidPlanError as error:
+        fail(str(error))
+    except play.Failed as error:
+        fail(str(error), error.status)
+    except Over as error:
+        fail(str(error), UNRELIABLE)
+    except StoppedBySignalError as error:
+        fail(f"stopped by {error}; there is no result", UNRELIABLE)
     if as_json:
-        click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
+        click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
     else:
-        for line in report.axes_lines(told) if axes else report.lines(told):
+        for line in report.axes_lines(result) if axes else report.lines(result):
             click.echo(line)
-    runs = told["runs"] if axes else [told]
+    runs = result["runs"] if axes else [result]
     for line in [line for run in runs for line in [*run["wrong"], *run["doubts"]]]:
         click.echo(f"pierglade: {line}", err=True)
     if any(held is False for run in runs for held in run["counts"]["rules"].values()):
         sys.exit(RULE_BROKEN)
     if any(run["wrong"] or run["doubts"] for run in runs):
-        sys.exit(UNSURE)
+        sys.exit(UNRELIABLE)
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -1,4 +1,4 @@
-"""`pierglade serve FILE`: a node on an operator's file."""
+"""`pierglade serve FILE`: runs a node with a configuration file."""
 
 import os
 import signal
@@ -10,13 +10,14 @@
 
 from pierglade.cli import fail
 
-LETS_IN = 0.0005  # s; so long a file is read before a node that has something to do gets its turn
+# The longest that the thread reading a file runs before it yields to a node that has work to do.
+SWITCH_INTERVAL_S = 0.0005
 
 
-def place_from(path):
-    """What a node is told at its start by the file at `path`, ours or the platform's (`.json`).
+def load_config(path):
+    """Returns the node configuration of the file at `path`, in TOML or the platform's JSON (`.json`).
 
-    Raises ValueError with one line where it can't be used.
+    Raises ValueError with one line if the file can't be used.
     """
     from pierglade.__main__ import config_at, config_from_document, through
 
@@ -27,72 +28,80 @@
     from pierglade.config.read import read
 
     file = read(path)
-    place = config_from_document(to_platform(file), path, {}, fixed=True)
-    place.gives_ids = file.listen.ids == "optional"
-    place.caps = _caps(file.admission)
-    keep = file.learning
-    place.keeping = (
-        (keep.folder, keep.every_s, keep.half_life_s, keep.most_mb) if keep.folder else None
+    config = config_from_document(to_platform(file), path, {}, fixed=True)
+    config.gives_ids = file.listen.ids == "optional"
+    config.caps = _connection_limits(file.admission)
+    learning = file.learning
+    config.keeping = (
+        (learning.folder, learning.every_s, learning.half_life_s, learning.most_mb)
+        if learning.folder
+        else None
     )
-    terminal = os.isatty(1)
-    readable = file.log.form == "readable" or file.log.form == "auto" and terminal
-    if readable or file.log.level != "debug" or file.log.sampling < 1:
-        place.log = partial(
+    is_terminal = os.isatty(1)
+    is_readable = file.log.form == "readable" or file.log.form == "auto" and is_terminal
+    if is_readable or file.log.level != "debug" or file.log.sampling < 1:
+        config.log = partial(
             FilteredLog,
             level=file.log.level,
             sampling=file.log.sampling,
-            readable=readable,
-            colours=terminal,
+            readable=is_readable,
+            colours=is_terminal,
         )
-    return place
+    return config
 
 
-def place_again(path):
-    """The same while a node serves, which goes on meanwhile."""
+def reload_config(path):
+    """Returns the configuration read again from `path` while the node keeps serving."""
     if path.endswith(".json"):
         from pierglade.__main__ import config_at
 
         return config_at(path, {}, known=False)
     from gevent import get_hub
 
-    # The reader of TOML can't be stopped between two rows: its thread lets the node in now and then.
-    usual = sys.getswitchinterval()
-    sys.setswitchinterval(LETS_IN)
+    # The TOML parser can't be paused between two rows, so it runs in a thread that switches to the node often.
+    previous_interval = sys.getswitchinterval()
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
-        return get_hub().threadpool.apply(place_from, (path,))
+        return get_hub().threadpool.apply(load_config, (path,))
     finally:
-        sys.setswitchinterval(usual)
+        sys.setswitchinterval(previous_interval)
 
 
-def _caps(told):
-    """The caps of the operator's file, None where it states none."""
+def _connection_limits(settings):
+    """Returns the connection limits of the [admission] table, or None if it sets none."""
     from pierglade.admission.connection_admission import ConnectionLimits
 
-    if not (told.per_address or told.per_prefix or told.rate_per_address or told.reserve):
+    if not (
+        settings.per_address or settings.per_prefix or settings.rate_per_address or settings.reserve
+    ):
         return None
     return ConnectionLimits(
-        told.per_address, told.per_prefix, told.rate_per_address, told.known, told.reserve
+        settings.per_address,
+        settings.per_prefix,
+        settings.rate_per_address,
+        settings.known,
+        settings.reserve,
     )
 
 
-def first_place(path):
-    """The same; the line says where all that is wrong is told."""
+def load_initial_config(path):
+    """Like `load_config`; if the file has several errors, the message names the command that lists them all."""
     from pierglade.__main__ import UnusableConfigError
     from pierglade.config.read import UnusableFileError
 
     try:
-        return place_from(path)
-    except UnusableFileError as fault:
-        more = (
-            f" (and {len(fault.lines) - 1} more: pierglade check {path})"
-            if len(fault.lines) > 1
+        return load_config(path)
+    except UnusableFileError as error:
+        hint = (
+            f" (and {len(error.lines) - 1} more errors; list them with: pierglade check {path})"
+            if len(error.lines) > 1
             else ""
         )
-        raise UnusableConfigError(f"{fault}{more}") from None
+        raise UnusableConfigError(f"{error}{hint}") from None
 
 
-def _end_with_parent():
-    """Stops the node once nobody holds the other end of standard input."""
+def _stop_at_end_of_input():
+    """Stops the node when standard input ends, as it does once the parent has exited."""
     while os.read(0, 1024):
         pass
     os.kill(os.getpid(), signal.SIGTERM)
@@ -100,9 +109,9 @@
 
 @click.command(epilog="Example: pierglade serve deploy/pierglade.toml")
 @click.argument("file")
-@click.option("--with-parent", is_flag=True, help="It also stops when standard input ends.")
+@click.option("--with-parent", is_flag=True, help="Also stop when standard input ends.")
 def serve(file, with_parent):
-    """Starts a node on FILE and serves until SIGTERM; SIGHUP reads FILE again.
+    """Starts a node with FILE and serves until SIGTERM; SIGHUP reloads FILE.
 
     FILE is TOML (docs/operate/configuration.md), or the platform's JSON document.
     """
@@ -111,5 +120,5 @@
     if not os.path.exists(file):
         fail(f"{file}: No such file or directory")
     if with_parent:
-        threading.Thread(target=_end_with_parent, daemon=True).start()
-    sys.exit(run(lambda: first_place(file), lambda place: place_again(file)))
+        threading.Thread(target=_stop_at_end_of_input, daemon=True).start()
+    sys.exit(run(lambda: load_initial_config(file), lambda config: reload_config(file)))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as a process: it ends by itself, with the right code, and leaves no process and no file."""
+"""The command line as a process: exit codes, messages, and no process or file left behind."""
 
 import http.client
 import json
@@ -21,18 +21,19 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def started(*args, **more):
+def started(*args, **options):
     return subprocess.Popen(
         [sys.executable, "-m", "pierglade.cli", *args],
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
 class Command(TraceTest):
-    def test_help_exit_codes_and_what_a_node_loads(self):
+    def test_exit_codes_and_modules_loaded_by_a_node(self):
+        """Wrong calls exit with 2 and one line, and `python -m pierglade` imports no package of the tools."""
         lines = []
         for args in (
             ["nothing"],
@@ -44,7 +45,7 @@
             child = started(*args)
             errors = child.communicate(timeout=60)[1]
             lines.append(f"{' '.join(args)}: {child.returncode} {errors.strip().splitlines()[-1]}")
-        # The platform's start loads nothing of the tools.
+        # The start on the platform must not import the packages of the tools.
         loaded = subprocess.run(
             [
                 sys.executable,
@@ -58,31 +59,34 @@
         )
         self.check("cli_codes", lines + [f"a node loads {loaded.stdout.strip()}"])
 
-    def test_without_extras_the_help_lists_all_and_each_call_says_what_it_lacks(self):
-        """An install without extras listed nothing and ended with 2: the help asked each for its line."""
+    def test_without_extras_help_lists_all_and_each_command_names_its_missing_package(self):
+        """The help of an install without extras listed no command and exited with 2.
+
+        To print its line, the help imported each command, which failed on the missing package.
+        """
         extras = sorted({package for _, packages in COMMANDS.values() for package in packages})
         calls = [
             ["--help"],
             *(
-                [name, *more]
+                [name, *arguments]
                 for name, (_, packages) in COMMANDS.items()
                 if packages
-                for more in ([], ["--help"], ["x.toml", "--json"])
+                for arguments in ([], ["--help"], ["x.toml", "--json"])
             ),
         ]
-        # None in the place of a module is what an import system without it looks like.
+        # A None entry in sys.modules makes the import of that module fail as if it were not installed.
         script = (
             f"import sys; sys.modules.update(dict.fromkeys({extras}))\n"
             "import json; import click; from pierglade.cli import main\n"
             "from click.testing import CliRunner\n"
             f"for call in {calls}:\n"
-            "    told = CliRunner().invoke(main, call)\n"
-            "    print(json.dumps([call, told.exit_code, told.output]))"
+            "    result = CliRunner().invoke(main, call)\n"
+            "    print(json.dumps([call, result.exit_code, result.output]))"
         )
-        ran = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", script], capture_output=True, text=True, cwd=ROOT
         )
-        (_, code, text), *others = map(json.loads, ran.stdout.splitlines())
+        (_, code, text), *others = map(json.loads, completed.stdout.splitlines())
         listed = [
             line.split()[0] for line in text.split("Commands:")[1].splitlines() if line.strip()
         ]
@@ -92,8 +96,8 @@
         self.check("cli_extras", lines)
 
 
-class Own(BaseHTTPRequestHandler):
-    """An operator's own backend: it knows nothing of ids."""
+class BackendHandler(BaseHTTPRequestHandler):
+    """A plain HTTP backend of an operator, which does not know trace ids."""
 
     protocol_version = "HTTP/1.1"
 
@@ -101,24 +105,28 @@
         self.send_response(200)
         self.send_header("Content-Length", "3")
         self.end_headers()
-        self.wfile.write(self.server.word)
+        self.wfile.write(self.server.body)
 
     do_POST = do_GET
 
     def log_message(self, *_):
-        """Nothing."""
+        """Suppresses the log of the standard library's server."""
 
 
-def own(word):
-    server = ThreadingHTTPServer(("127.0.0.1", 0), Own)
-    server.word = word
+def start_backend(body):
+    server = ThreadingHTTPServer(("127.0.0.1", 0), BackendHandler)
+    server.body = body
     threading.Thread(target=server.serve_forever, daemon=True).start()
     return server
 
 
 class Serve(TraceTest):
-    def test_two_own_backends_no_ids_and_a_list_that_changes(self):
-        servers = [own(word) for word in (b"one", b"two")]
+    def test_static_backends_without_ids_and_reloads_of_the_file(self):
+        """A node serves requests without trace ids from the file's backends.
+
+        On SIGHUP it rejects an invalid file and applies a changed list of backends.
+        """
+        servers = [start_backend(body) for body in (b"one", b"two")]
         text = (
             (ROOT / "deploy" / "pierglade.toml")
             .read_text()
@@ -133,25 +141,25 @@
             file.flush()
             node = started("serve", file.name)
             try:
-                where = ""
-                while not where:
+                address = ""
+                while not address:
                     line = json.loads(node.stdout.readline())
-                    where = line.get("listen") if line["event"] == "started" else ""
-                link = http.client.HTTPConnection(*where.split(":"), timeout=10)
+                    address = line.get("listen") if line["event"] == "started" else ""
+                connection = http.client.HTTPConnection(*address.split(":"), timeout=10)
 
-                def ask(method, path):
-                    link.request(method, path)
-                    answer = link.getresponse()
-                    return f"{answer.status} {answer.read().decode().strip()}"
+                def request(method, path):
+                    connection.request(method, path)
+                    response = connection.getresponse()
+                    return f"{response.status} {response.read().decode().strip()}"
 
                 lines.append(
-                    "GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)}))
+                    "GET /look: " + " ".join(sorted({request("GET", "/look/1") for _ in range(6)}))
                 )
                 lines += [
-                    f"POST /pay: {ask('POST', '/pay/1')[:3]}",
-                    f"GET /other: {ask('GET', '/other')}",
+                    f"POST /pay: {request('POST', '/pay/1')[:3]}",
+                    f"GET /other: {request('GET', '/other')}",
                 ]
-                for change, until in (
+                for change, event in (
                     (
                         ('[[backends]]\nname = "b1"', '[[members]]\nname = "b1"'),
                         "config_rejected",
@@ -169,15 +177,15 @@
                     file.write(text.replace(*change))
                     file.flush()
                     node.send_signal(signal.SIGHUP)
-                    while (line := json.loads(node.stdout.readline()))["event"] != until:
+                    while (line := json.loads(node.stdout.readline()))["event"] != event:
                         pass
-                    lines.append(until + line.get("error", "").replace(file.name, " FILE"))
+                    lines.append(event + line.get("error", "").replace(file.name, " FILE"))
                 while (line := json.loads(node.stdout.readline()))["event"] != "endpoints_updated":
                     pass
                 lines.append(
-                    "GET /look: " + " ".join(sorted({ask("GET", "/look/1") for _ in range(6)}))
+                    "GET /look: " + " ".join(sorted({request("GET", "/look/1") for _ in range(6)}))
                 )
-                link.close()
+                connection.close()
                 node.terminate()
                 lines.append(f"exit {node.wait(20)}")
             finally:
@@ -190,9 +198,9 @@
 
 
 class Reload(TraceTest):
-    def test_a_long_file_is_read_while_clients_are_answered(self):
-        """In one go it kept the node from its clients for as long as it was read: 2.6 s with 47,000 tenants."""
-        server = own(b"one")
+    def test_long_file_is_reloaded_while_clients_are_served(self):
+        """Reading the file in one go blocked the event loop, for 2.6 s with 47,000 tenants."""
+        server = start_backend(b"one")
         text = (
             (ROOT / "deploy" / "pierglade.toml")
             .read_text()
@@ -210,78 +218,83 @@
             try:
                 while (line := json.loads(node.stdout.readline()))["event"] != "started":
                     pass
-                link = http.client.HTTPConnection(*line["listen"].split(":"), timeout=10)
+                connection = http.client.HTTPConnection(*line["listen"].split(":"), timeout=10)
                 file.write(rows[0].replace("tenant-0", "one-more").replace("{}", "4"))
                 file.flush()
-                longest, read = 0.0, threading.Event()
+                max_latency, is_reloaded = 0.0, threading.Event()
 
-                def listen():
+                def wait_for_reload():
                     while json.loads(node.stdout.readline())["event"] != "config_reloaded":
                         pass
-                    read.set()
+                    is_reloaded.set()
 
-                threading.Thread(target=listen, daemon=True).start()
+                threading.Thread(target=wait_for_reload, daemon=True).start()
                 began = time.monotonic()
                 node.send_signal(signal.SIGHUP)
-                while not read.is_set():
-                    asked = time.monotonic()
-                    link.request("GET", "/look/1")
-                    self.assertEqual(link.getresponse().read(), b"one")
-                    longest = max(longest, time.monotonic() - asked)
-                span = time.monotonic() - began
-                link.close()
+                while not is_reloaded.is_set():
+                    sent_at = time.monotonic()
+                    connection.request("GET", "/look/1")
+                    self.assertEqual(connection.getresponse().read(), b"one")
+                    max_latency = max(max_latency, time.monotonic() - sent_at)
+                reload_duration = time.monotonic() - began
+                connection.close()
             finally:
                 node.kill()
                 node.communicate()
                 server.shutdown()
                 server.server_close()
-        self.assertLess(longest, span / 2)
+        self.assertLess(max_latency, reload_duration / 2)
 
 
 class Demo(TraceTest):
-    def left(self, pids):
-        """Processes of these that still run, after they had a moment."""
-        until = time.monotonic() + 5
-        while time.monotonic() < until and any(map(psutil.pid_exists, pids)):
+    def still_running(self, pids):
+        """Returns those of the processes that still run after up to 5 s."""
+        deadline = time.monotonic() + 5
+        while time.monotonic() < deadline and any(map(psutil.pid_exists, pids)):
             time.sleep(0.05)
         return [pid for pid in pids if psutil.pid_exists(pid)]
 
-    def test_ends_by_itself_or_by_a_signal_or_with_a_child(self):
-        """Each way one line at most, nothing left; a child that dies ends it as well."""
-        hows = "by itself", "SIGINT", "SIGTERM", "killed outright", "the fleet dies"
-        with ThreadPoolExecutor(len(hows)) as beside:
+    def test_ends_by_itself_by_a_signal_or_with_a_child(self):
+        """However the demo ends, it prints at most one error line and leaves no process and no file.
+
+        A child that dies ends the demo as well.
+        """
+        endings = "by itself", "SIGINT", "SIGTERM", "killed by SIGKILL", "fleet killed"
+        with ThreadPoolExecutor(len(endings)) as pool:
             self.check(
-                "cli_demo", [line for lines in beside.map(self.ended, hows) for line in lines]
+                "cli_demo", [line for lines in pool.map(self.run_demo, endings) for line in lines]
             )
 
-    def ended(self, how):
+    def run_demo(self, ending):
+        """Runs the demo until this ending; returns lines that describe what it left behind."""
         with tempfile.TemporaryDirectory() as folder:
             demo = started(
                 "demo",
                 "--seconds",
-                "3" if how == "by itself" else "60",
+                "3" if ending == "by itself" else "60",
                 "--rate",
                 "60",
                 env={**os.environ, "TMPDIR": folder},
             )
-            demo.stdout.readline()  # its first second is over
+            demo.stdout.readline()  # The first line follows after one second.
             children = psutil.Process(demo.pid).children(recursive=True)
             pids = [child.pid for child in children]
-            if how.startswith("SIG"):
-                demo.send_signal(getattr(signal, how))
-            elif how == "killed outright":
+            if ending.startswith("SIG"):
+                demo.send_signal(getattr(signal, ending))
+            elif ending == "killed by SIGKILL":
                 demo.kill()
-            elif how == "the fleet dies":
+            elif ending == "fleet killed":
                 next(c for c in children if "fleet.toml" in " ".join(c.cmdline())).kill()
-            out, errors = demo.communicate(timeout=60)
-            said = [line for line in errors.strip().splitlines() if line]
-            files = len(os.listdir(folder)) if how != "killed outright" else "-"
+            output, errors = demo.communicate(timeout=60)
+            error_lines = [line for line in errors.strip().splitlines() if line]
+            files = len(os.listdir(folder)) if ending != "killed by SIGKILL" else "-"
             lines = [
-                f"{how}: exit {demo.returncode}, {len(pids)} children, left {len(self.left(pids))}, "
-                f"lines on errors {len(said)}, files left {files}"
+                f"{ending}: exit {demo.returncode}, {len(pids)} children, "
+                f"still running {len(self.still_running(pids))}, "
+                f"lines on standard error {len(error_lines)}, files left {files}"
             ]
-            if how == "by itself":
-                rows = out.strip().splitlines()[-2:]
+            if ending == "by itself":
+                rows = output.strip().splitlines()[-2:]
                 lines += [
                     f"    {row.split('  ')[0].strip()} has a result {'p99' in row}" for row in rows
                 ]
