--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -1,14 +1,14 @@
-"""What one node's parts cost as tenants, backends and nodes grow to the target; the base of docs/CAPACITY.md.
+"""Measures how the costs of one node grow with tenants, backends and nodes; the basis of docs/CAPACITY.md.
 
-    .venv/bin/python experiments/capacity/slopes.py run OUT.json [PLAYS [AXIS ...]]   a process a row
-    .venv/bin/python experiments/capacity/slopes.py again OUT.json         plays anew what failed in it
-    .venv/bin/python experiments/capacity/slopes.py pairs OUT.json       a request, all tenants against few
-    .venv/bin/python experiments/capacity/slopes.py show OUT.json [OTHER.json]   fits and figures as text
+    .venv/bin/python experiments/capacity/slopes.py run OUT.json [RUNS [AXIS ...]]   one process per row
+    .venv/bin/python experiments/capacity/slopes.py again OUT.json       repeats the rows that failed
+    .venv/bin/python experiments/capacity/slopes.py pairs OUT.json       a request with all tenants and with few
+    .venv/bin/python experiments/capacity/slopes.py show OUT.json [OTHER.json]   prints fits and figures
 
-Times are CPU time of the process that does the work, so that a busy machine shifts them little; the two
-that are wall time say so. Whole processes: a real `python -m pierglade` beside a stand-in discovery of a
-few lines. Shares of all tenants together are the target's 170,000 requests/s in every row, so a node has
-236 a second and the same number of backends in view.
+Times are CPU time of the process that does the work, so that a busy machine affects them little, except for the
+two that are wall time, `ready_s` and `held_ms`. Whole processes are a real `python -m pierglade` with a minimal
+stand-in discovery. The quotas of all tenants together are the target's 170,000 requests/s in every row, so a node
+gets 236 requests/s and the same number of backends in its subset.
 """
 
 import gc
@@ -27,41 +27,49 @@
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT))
 
-import orjson  # noqa: E402 - the checkout that this file stands in
+import orjson  # noqa: E402 - after the path of the checkout that contains this file
 
-TENANTS, BACKENDS, NODES, RATE = 47000, 6800, 720, 170000  # the target
-LEAST = {"tenants": 100, "backends": 32, "nodes": 5}
-PARTS = (8, 4, 2, 1)  # an axis is played at an eighth, a quarter, a half and the whole
-NOW, GAP, TOOK = 10**9, 42, 200  # tenths of a ms: the start, between requests (236/s), each answer
+TENANTS, BACKENDS, NODES, RATE = 47000, 6800, 720, 170000  # the target; RATE in requests/s
+BASELINE = {"tenants": 100, "backends": 32, "nodes": 5}
+DIVISORS = (8, 4, 2, 1)  # an axis is measured at an eighth, a quarter, a half and all of the target
+# Ticks (tenths of a ms): the start, the interval between requests (236/s), and the time of each response.
+START_TICKS, REQUEST_INTERVAL_TICKS, RESPONSE_TICKS = 10**9, 42, 200
 CHANGES, REQUESTS, RELOADS = 50, 3000, 5
-IDLE_S = 10  # s; how long a whole process is watched with nothing to do
-READ_MOST = 65536
-UNLIKE = 0.6180339887  # shares from half of the mean to one and a half, no two neighbours alike
+IDLE_S = 10  # how long an idle process is measured
+MAX_READ_BYTES = 65536
+# Fractional part of the golden ratio: spreads quotas from half of the mean to one and a half, neighbours apart.
+GOLDEN_RATIO_FRACTION = 0.6180339887
 
 
 def rows():
-    whole = {"tenants": TENANTS, "backends": BACKENDS, "nodes": NODES}
-    for axis, most in whole.items():
-        for part in PARTS:
-            yield axis, {**LEAST, "nodes": NODES, axis: most // part}
-    yield "least", {**LEAST, "nodes": NODES}
-    yield "all", whole
+    """Yields (axis, sizes) of each row."""
+    target = {"tenants": TENANTS, "backends": BACKENDS, "nodes": NODES}
+    for axis, size in target.items():
+        for divisor in DIVISORS:
+            yield axis, {**BASELINE, "nodes": NODES, axis: size // divisor}
+    yield "least", {**BASELINE, "nodes": NODES}
+    yield "all", target
 
 
-def settings_of(tenants, nodes):
+def settings_document(tenants, nodes):
+    """Returns the platform's settings for this many tenants and nodes."""
     example = json.loads((ROOT / "deploy" / "example.json").read_text())["settings"]
     return dict(
         example,
         siblings=nodes,
         me=3,
         customers=[
-            {"name": f"tenant-{i}", "quotaPerS": round(RATE / tenants * (0.5 + i * UNLIKE % 1), 2)}
+            {
+                "name": f"tenant-{i}",
+                "quotaPerS": round(RATE / tenants * (0.5 + i * GOLDEN_RATIO_FRACTION % 1), 2),
+            }
             for i in range(tenants)
         ],
     )
 
 
-def endpoints_of(backends, address="127.0.0.1:9001"):
+def endpoint_entries(backends, address="127.0.0.1:9001"):
+    """Returns the entries of an endpoint list."""
     return [
         {
             "name": f"svc-{i % 210}-b{i}",
@@ -77,27 +85,29 @@
     ]
 
 
-def document_of(tenants, nodes, **others):
+def node_document(tenants, nodes, **others):
+    """Returns the JSON document that a node is started with."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024, "memory_mb": 192},
-        "settings": settings_of(tenants, nodes),
+        "settings": settings_document(tenants, nodes),
         **others,
     }
 
 
-def write(path, document):
-    # As operators replace it: never half a file.
-    new = path + ".new"
-    with open(new, "wb") as file:
+def write_document(path, document):
+    """Replaces the file atomically, as operators do."""
+    temporary_path = path + ".new"
+    with open(temporary_path, "wb") as file:
         file.write(orjson.dumps(document))
-    os.replace(new, path)
+    os.replace(temporary_path, path)
 
 
 def memory_mb(pid="self"):
+    """Returns the resident memory of a process."""
     if pid == "self":
         gc.collect()
     for line in open(f"/proc/{pid}/status"):
@@ -105,103 +115,110 @@
             return int(line.split()[1]) / 1024
 
 
-def cpu_ms(call, *what):
+def cpu_ms(call, *arguments):
+    """Returns the result of the call and its CPU time in ms."""
     begin = time.process_time()
-    result = call(*what)
+    result = call(*arguments)
     return result, (time.process_time() - begin) * 1e3
 
 
-def timed(spans, call, *what):
-    result, ms = cpu_ms(call, *what)
-    spans.append(ms)
+def append_cpu_ms(durations, call, *arguments):
+    """Returns the result of the call and appends its CPU time in ms to `durations`."""
+    result, ms = cpu_ms(call, *arguments)
+    durations.append(ms)
     return result
 
 
-def walked(steps, spans):
-    """What a work in steps returns; the CPU ms of each step are added to `spans`."""
+def run_steps(steps, durations):
+    """Runs a generator to its end and returns its result; appends the CPU ms of each step to `durations`."""
     while True:
         begin = time.process_time()
         try:
             next(steps)
-        except StopIteration as over:
-            return over.value
+        except StopIteration as stop:
+            return stop.value
         finally:
-            spans.append((time.process_time() - begin) * 1e3)
+            durations.append((time.process_time() - begin) * 1e3)
 
 
-# One row: the decisions and the settings alone, then the same through the state of a whole node.
+# One row: the decisions and the settings alone, then the same through the state machine of a whole node.
 
 
-def play(tenants, backends, nodes):
+def measure_row(tenants, backends, nodes):
+    """Measures the decisions and the settings in this process; returns the figures by name."""
     from pierglade.balancer.balancer import Balancer
     from pierglade.model.decision import SendAttempt
     from pierglade.model.endpoint import Endpoint, EndpointState
     from pierglade.model.outcome import Outcome
     from pierglade.model.request import Request
-    from pierglade.settings import platform as t
+    from pierglade.settings import platform as platform_settings
 
-    found = {}
-    document = document_of(tenants, nodes)
+    figures = {}
+    document = node_document(tenants, nodes)
     text = orjson.dumps(document["settings"])
-    listed = [
+    endpoints = [
         Endpoint(e["name"], EndpointState.READY, e["zone"], e["group"], 0, 1.0)
-        for e in endpoints_of(backends)
+        for e in endpoint_entries(backends)
     ]
     del document
-    before = memory_mb()
-    terms, found["settings_ms"] = cpu_ms(lambda: t.settings_from(orjson.loads(text)))
-    with_terms = memory_mb()
-    found["settings_mb"] = with_terms - before
-    node = Balancer(1, terms, NOW)
-    _, found["list_ms"] = cpu_ms(node.endpoints_updated, NOW, listed, True)
-    found["list_mb"] = memory_mb() - with_terms
-
-    def changes():
+    initial_mb = memory_mb()
+    settings, figures["settings_ms"] = cpu_ms(
+        lambda: platform_settings.settings_from(orjson.loads(text))
+    )
+    mb_with_settings = memory_mb()
+    figures["settings_mb"] = mb_with_settings - initial_mb
+    node = Balancer(1, settings, START_TICKS)
+    _, figures["list_ms"] = cpu_ms(node.endpoints_updated, START_TICKS, endpoints, True)
+    figures["list_mb"] = memory_mb() - mb_with_settings
+
+    def apply_changes():
         for k in range(CHANGES):
-            e = listed[k * 7 % backends]
+            endpoint = endpoints[k * 7 % backends]
             state = EndpointState.READY if k % 2 else EndpointState.DRAINING
             node.endpoints_updated(
-                NOW + k, [Endpoint(e.name, state, e.zone, e.cell, 0, 1.0)], False
+                START_TICKS + k,
+                [Endpoint(endpoint.name, state, endpoint.zone, endpoint.cell, 0, 1.0)],
+                False,
             )
 
-    found["change_us"] = cpu_ms(changes)[1] * 1e3 / CHANGES
+    figures["change_us"] = cpu_ms(apply_changes)[1] * 1e3 / CHANGES
 
     steps = []
 
-    def requests():
-        now, out = NOW + 10**5, []
-        request_class = terms.request_classes[0]
+    def process_requests():
+        now, in_flight = START_TICKS + 10**5, []
+        request_class = settings.request_classes[0]
         for k in range(REQUESTS):
-            now += GAP
+            now += REQUEST_INTERVAL_TICKS
             begin = time.process_time()
             node.request_received(
                 now,
                 Request(
                     k,
                     request_class,
-                    terms.tenants[k % tenants],
+                    settings.tenants[k % tenants],
                     now,
                     now + request_class.request_timeout,
                 ),
             )
             while (decision := node.next_decision(now)) is not None:
                 if type(decision) is SendAttempt:
-                    out.append((now + TOOK, decision.attempt))
-            while out and out[0][0] <= now:
-                node.attempt_ended(now, out.pop(0)[1], Outcome.SUCCESS, TOOK, True)
+                    in_flight.append((now + RESPONSE_TICKS, decision.attempt))
+            while in_flight and in_flight[0][0] <= now:
+                node.attempt_ended(now, in_flight.pop(0)[1], Outcome.SUCCESS, RESPONSE_TICKS, True)
             steps.append((time.process_time() - begin) * 1e6)
 
-    found["request_us"] = cpu_ms(requests)[1] * 1e3 / REQUESTS
-    # What a request waits for in its turn: 1.4 ms are the target's for all that a node adds.
-    found["step_p99_us"] = sorted(steps)[REQUESTS * 99 // 100]
-    del node, terms, listed
+    figures["request_us"] = cpu_ms(process_requests)[1] * 1e3 / REQUESTS
+    # How long a step delays a request that waits for it; the target allows 1.4 ms for all that a node adds.
+    figures["step_p99_us"] = sorted(steps)[REQUESTS * 99 // 100]
+    del node, settings, endpoints
     gc.collect()
-    found.update(play_state(tenants, backends, nodes))
-    return found
+    figures.update(measure_state(tenants, backends, nodes))
+    return figures
 
 
-def play_state(tenants, backends, nodes):
-    """Through the reducer and the file that SIGHUP reads again."""
+def measure_state(tenants, backends, nodes):
+    """Measures changes through the state machine, and reloads of the file as after SIGHUP."""
     import msgspec
 
     from pierglade.__main__ import GARBAGE, config_from_environ, reloaded_config
@@ -210,96 +227,106 @@
 
     try:
         from pierglade.__main__ import reload_steps
-        from pierglade.reconfiguration import quota_changes as shares
+        from pierglade.reconfiguration import quota_changes
     except ImportError:
-        shares = None  # before changes by difference
+        quota_changes = None  # commits before changes were applied as differences
     try:
         from pierglade.reconfiguration.document_reader import parsed
     except ImportError:
-        parsed = None  # before lists were read in steps
-    found = {}
-    document, whole = document_of(tenants, nodes), endpoints_of(backends)
-    snapshot = {"index": 1, "snapshot": True, "endpoints": whole}
-    drained = {"index": 2, "snapshot": False, "endpoints": [dict(whole[7], status="DRAINING")]}
-    encode = msgspec.json.Encoder().encode  # as the stand-in discovery does
-    line, found["list_encode_ms"] = cpu_ms(encode, snapshot)
-    found["file_bytes"], found["list_bytes"] = len(orjson.dumps(document)), len(line)
-    found["difference_bytes"] = len(b"%x\r\n%s\n\r\n" % (len(encode(drained)) + 1, encode(drained)))
-    found["heartbeat_bytes"] = len(b"1\r\n\n\r\n")
-    found["tenant_bytes"] = len(orjson.dumps(document["settings"]["customers"][-1]))
+        parsed = None  # commits before lists were parsed in steps
+    figures = {}
+    document, entries = node_document(tenants, nodes), endpoint_entries(backends)
+    snapshot = {"index": 1, "snapshot": True, "endpoints": entries}
+    drained = {"index": 2, "snapshot": False, "endpoints": [dict(entries[7], status="DRAINING")]}
+    encode = msgspec.json.Encoder().encode  # the encoder of the stand-in discovery
+    line, figures["list_encode_ms"] = cpu_ms(encode, snapshot)
+    figures["file_bytes"], figures["list_bytes"] = len(orjson.dumps(document)), len(line)
+    figures["difference_bytes"] = len(
+        b"%x\r\n%s\n\r\n" % (len(encode(drained)) + 1, encode(drained))
+    )
+    figures["heartbeat_bytes"] = len(b"1\r\n\n\r\n")
+    figures["tenant_bytes"] = len(orjson.dumps(document["settings"]["customers"][-1]))
     with tempfile.TemporaryDirectory() as folder:
         path = os.environ["BALANCER_CONFIG"] = os.path.join(folder, "n1.json")
-        write(path, document)
-        first = config_from_environ(os.environ)
+        write_document(path, document)
+        config = config_from_environ(os.environ)
         gc.collect()
-        gc.freeze()  # as a node does; else collections count among the steps
+        gc.freeze()  # As in a node; otherwise garbage collections would count towards the steps.
         gc.set_threshold(GARBAGE, 20, 20)
         reducer = ProxyStateMachine(
-            first.seed, first.settings, NOW, 1000, first.discovery, first.document
+            config.seed, config.settings, START_TICKS, 1000, config.discovery, config.document
         )
-        _, found["state_list_ms"] = cpu_ms(
-            lambda: reducer.apply(NOW, EndpointsUpdated(orjson.loads(line)))
+        _, figures["state_list_ms"] = cpu_ms(
+            lambda: reducer.apply(START_TICKS, EndpointsUpdated(orjson.loads(line)))
         )
-        now, spans = NOW, []
+        now, durations = START_TICKS, []
         for k in range(CHANGES):
-            entry = dict(whole[k * 7 % backends], status="SERVING" if k % 2 else "DRAINING")
-            told = orjson.dumps({"index": k + 2, "snapshot": False, "endpoints": [entry]})
+            entry = dict(entries[k * 7 % backends], status="SERVING" if k % 2 else "DRAINING")
+            message = orjson.dumps({"index": k + 2, "snapshot": False, "endpoints": [entry]})
             now += 10
-            spans.append(
-                cpu_ms(lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(told))))[1]
+            durations.append(
+                cpu_ms(lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(message))))[1]
             )
-        found["state_change_us"] = sum(spans) * 1e3 / CHANGES
-        # The whole list heard again as it is, as from a discovery that came back without its history.
+        figures["state_change_us"] = sum(durations) * 1e3 / CHANGES
+        # The whole list received again unchanged, as from a discovery that restarted without its history.
         steps = []
         now += 10000
-        again_told = orjson.dumps({**snapshot, "index": now})
-        heard = (
-            walked(parsed(again_told), steps) if parsed else timed(steps, orjson.loads, again_told)
+        repeated_list = orjson.dumps({**snapshot, "index": now})
+        parsed_list = (
+            run_steps(parsed(repeated_list), steps)
+            if parsed
+            else append_cpu_ms(steps, orjson.loads, repeated_list)
         )
-        timed(steps, reducer.apply, now, EndpointsUpdated(heard))
-        found["list_again_ms"], found["list_again_step_ms"] = sum(steps), max(steps)
-        # A zone, one in ten backends, is gone and comes back, each in one message.
-        zone = [entry for entry in whole if entry["zone"] == "z3"]
-        for name, other in (
+        append_cpu_ms(steps, reducer.apply, now, EndpointsUpdated(parsed_list))
+        figures["list_again_ms"], figures["list_again_step_ms"] = sum(steps), max(steps)
+        # A zone, one in ten backends, is removed and added again, each in one message.
+        zone = [entry for entry in entries if entry["zone"] == "z3"]
+        for name, fields in (
             ("zone_gone_ms", {"status": "DELETED"}),
-            ("zone_back_ms", {"since_ms": NOW // 10}),
+            ("zone_back_ms", {"since_ms": START_TICKS // 10}),
         ):
             now += 10000
-            changed = [{**entry, **other} for entry in zone]
-            told = orjson.dumps({"index": now, "snapshot": False, "endpoints": changed})
-            _, found[name] = cpu_ms(
-                lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(told)))
+            changed = [{**entry, **fields} for entry in zone]
+            message = orjson.dumps({"index": now, "snapshot": False, "endpoints": changed})
+            _, figures[name] = cpu_ms(
+                lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(message)))
             )
-            found["zone_bytes"] = len(told)
+            figures["zone_bytes"] = len(message)
 
         def reload(change):
-            """CPU ms of it all, and of the longest step; requests pass between two, where it has steps."""
+            """Returns the CPU ms of the reload and of its longest step; requests are served between steps."""
             nonlocal now
             change(document["settings"])
-            write(path, document)
+            write_document(path, document)
             now += 10000
             steps = []
-            if shares is None:
-                place, ms = cpu_ms(reloaded_config, first)
+            if quota_changes is None:
+                new_config, ms = cpu_ms(reloaded_config, config)
                 steps.append(
                     ms
                     + cpu_ms(
                         reducer.apply,
                         now,
-                        ConfigurationLoaded(place.discovery, place.document, place.settings),
+                        ConfigurationLoaded(
+                            new_config.discovery, new_config.document, new_config.settings
+                        ),
                     )[1]
                 )
                 return sum(steps), steps[0]
-            place = walked(reload_steps(first), steps)
-            told = walked(
-                shares.steps(reducer.balancers.settings.tenants, place.settings.tenants.shares),
+            new_config = run_steps(reload_steps(config), steps)
+            changes = run_steps(
+                quota_changes.steps(
+                    reducer.balancers.settings.tenants, new_config.settings.tenants.shares
+                ),
                 steps,
             )
             steps.append(
                 cpu_ms(
                     reducer.apply,
                     now,
-                    ConfigurationLoaded(place.discovery, place.document, place.settings, told),
+                    ConfigurationLoaded(
+                        new_config.discovery, new_config.document, new_config.settings, changes
+                    ),
                 )[1]
             )
             return sum(steps), max(steps)
@@ -311,20 +338,20 @@
                 lambda settings: settings["offerings"][0].update(credit=now / 10**9),
             ),
         ):
-            spans = [reload(change) for _ in range(RELOADS)]
-            found[f"{name}_ms"] = sum(ms for ms, _ in spans) / RELOADS
-            found[f"{name}_step_ms"] = max(step for _, step in spans)
-    return found
+            durations = [reload(change) for _ in range(RELOADS)]
+            figures[f"{name}_ms"] = sum(ms for ms, _ in durations) / RELOADS
+            figures[f"{name}_step_ms"] = max(step for _, step in durations)
+    return figures
 
 
 # A whole process.
 
 
-class Agent:
-    """Answers as discovery does: the whole list, then a watch of heartbeats."""
+class DiscoveryAgent:
+    """A stand-in discovery: serves the whole list, then a watch that only sends heartbeats."""
 
     def __init__(self, backends, *address):
-        endpoints = endpoints_of(backends, *address)
+        endpoints = endpoint_entries(backends, *address)
         self.body = orjson.dumps({"index": 1, "snapshot": True, "endpoints": endpoints})
         self.server = socket.create_server(("127.0.0.1", 0))
         self.address = "%s:%d" % self.server.getsockname()
@@ -340,11 +367,11 @@
 
     def serve(self, sock):
         try:
-            if b"follow=1" not in sock.recv(READ_MOST):
+            if b"follow=1" not in sock.recv(MAX_READ_BYTES):
                 sock.sendall(
                     b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body) + self.body
                 )
-                sock.recv(READ_MOST)
+                sock.recv(MAX_READ_BYTES)
                 return
             sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             while True:
@@ -361,63 +388,69 @@
         return "%s:%d" % server.getsockname()
 
 
-class Prober:
-    """Asks /health/ready every 4 ms on one connection; the longest answer is how long the loop was held."""
+class ReadinessProbe:
+    """Requests /health/ready every 4 ms on one connection; the slowest response shows how long the loop blocked."""
 
     def __init__(self, address):
-        self.address, self.worst, self.over, self.fault = address, 0.0, False, None
+        self.address, self.max_latency, self.is_stopped, self.error = address, 0.0, False, None
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
     def run(self):
-        asker = None
+        connection = None
         try:
-            while not self.over:
-                asker = asker or http.client.HTTPConnection(self.address, timeout=30)
+            while not self.is_stopped:
+                connection = connection or http.client.HTTPConnection(self.address, timeout=30)
                 begin = time.perf_counter()
-                asker.request("GET", "/health/ready")
-                answer = asker.getresponse()
-                answer.read()
-                if answer.will_close:
-                    asker.close()
-                self.worst = max(self.worst, time.perf_counter() - begin)
+                connection.request("GET", "/health/ready")
+                response = connection.getresponse()
+                response.read()
+                if response.will_close:
+                    connection.close()
+                self.max_latency = max(self.max_latency, time.perf_counter() - begin)
                 time.sleep(0.004)
-        except (OSError, http.client.HTTPException) as fault:
-            self.fault = repr(fault)
+        except (OSError, http.client.HTTPException) as error:
+            self.error = repr(error)
 
-    def end(self):
-        self.over = True
+    def stop(self):
+        """Stops the probe; returns the longest latency in ms."""
+        self.is_stopped = True
         self.thread.join()
-        return self.worst * 1e3
+        return self.max_latency * 1e3
 
 
-def ready(address):
+def is_ready(address):
     try:
-        asker = http.client.HTTPConnection(address, timeout=30)
-        asker.request("GET", "/health/ready")
-        return asker.getresponse().status == 200
+        connection = http.client.HTTPConnection(address, timeout=30)
+        connection.request("GET", "/health/ready")
+        return connection.getresponse().status == 200
     except OSError:
         return False
 
 
-def cpu_of(pid):
+def cpu_s(pid):
+    """Returns the CPU time of a process in seconds."""
     fields = open(f"/proc/{pid}/stat").read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def play_process(tenants, backends, nodes, told):
-    """`told`: the list comes from a discovery; else it stands in the file and discovery is unreachable."""
-    found = {}
-    agent = Agent(backends) if told else None
+def measure_process(tenants, backends, nodes, uses_discovery):
+    """Measures a node process; returns the figures by name.
+
+    `uses_discovery`: the endpoint list comes from a discovery; otherwise from the file, with an unreachable
+    discovery.
+    """
+    figures = {}
+    agent = DiscoveryAgent(backends) if uses_discovery else None
     listen = free_address()
-    document = document_of(
-        tenants, nodes, listen=listen, discovery=agent.address if told else "127.0.0.1:1"
+    document = node_document(
+        tenants, nodes, listen=listen, discovery=agent.address if uses_discovery else "127.0.0.1:1"
     )
-    if not told:
-        document["known"] = {"index": 1, "snapshot": True, "endpoints": endpoints_of(backends)}
+    if not uses_discovery:
+        document["known"] = {"index": 1, "snapshot": True, "endpoints": endpoint_entries(backends)}
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "n1.json")
-        write(path, document)
+        write_document(path, document)
         with open(os.path.join(folder, "log"), "w") as log:
             began = time.perf_counter()
             node = subprocess.Popen(
@@ -427,38 +460,42 @@
                 env={**os.environ, "BALANCER_CONFIG": path},
             )
         try:
-            while not ready(listen):
+            while not is_ready(listen):
                 if node.poll() is not None:
-                    raise SystemExit(f"the node ended with {node.returncode}")
+                    raise SystemExit(
+                        f"the node exited with {node.returncode} before it became ready"
+                    )
                 time.sleep(0.02)
-            found["ready_s"] = time.perf_counter() - began
-            found["start_cpu_s"] = cpu_of(node.pid)
-            found["start_mb"] = memory_mb(node.pid)
+            figures["ready_s"] = time.perf_counter() - began
+            figures["start_cpu_s"] = cpu_s(node.pid)
+            figures["start_mb"] = memory_mb(node.pid)
             time.sleep(1)
-            begin = cpu_of(node.pid)
+            begin = cpu_s(node.pid)
             time.sleep(IDLE_S)
-            found["idle_core"] = (cpu_of(node.pid) - begin) / IDLE_S
-            worst, begin = [], cpu_of(node.pid)
+            figures["idle_core"] = (cpu_s(node.pid) - begin) / IDLE_S
+            blocked_ms, begin = [], cpu_s(node.pid)
             for k in range(RELOADS):
                 document["settings"]["customers"][k % tenants]["quotaPerS"] += 1
-                write(path, document)
-                prober = Prober(listen)
+                write_document(path, document)
+                probe = ReadinessProbe(listen)
                 time.sleep(0.2)
                 node.send_signal(signal.SIGHUP)
                 time.sleep(0.5)
                 while log_count(folder, "config_reloaded") <= k:
                     if log_count(folder, "config_rejected") or node.poll() is not None:
-                        raise SystemExit("the node refused a change, or ended")
+                        raise SystemExit(
+                            f"the node rejected change {k} of the settings, or exited while applying it"
+                        )
                     time.sleep(0.05)
                 time.sleep(0.3)
-                worst.append(prober.end())
-                if prober.fault:
-                    found["prober"] = prober.fault
+                blocked_ms.append(probe.stop())
+                if probe.error:
+                    figures["prober"] = probe.error
                 if k == 0:
-                    found["one_change_mb"] = memory_mb(node.pid)
-            found["changes_mb"] = memory_mb(node.pid)
-            found["changes_cpu_s"] = cpu_of(node.pid) - begin
-            found["held_ms"] = worst
+                    figures["one_change_mb"] = memory_mb(node.pid)
+            figures["changes_mb"] = memory_mb(node.pid)
+            figures["changes_cpu_s"] = cpu_s(node.pid) - begin
+            figures["held_ms"] = blocked_ms
         finally:
             node.send_signal(signal.SIGTERM)
             try:
@@ -468,17 +505,18 @@
                 node.wait()
             if agent:
                 agent.server.close()
-    return found
+    return figures
 
 
 def log_count(folder, event):
+    """Returns how often `event` occurs in the node's log."""
     return pathlib.Path(folder, "log").read_text().count(event)
 
 
-# All rows, and what they say.
+# All rows, and their evaluation.
 
 
-def commit():
+def current_commit():
     return subprocess.run(
         ["git", "describe", "--always", "--dirty", "--exclude=*"],
         cwd=ROOT,
@@ -487,37 +525,42 @@
     ).stdout.strip()
 
 
-def run(out, plays, *axes):
-    """`axes`: only rows of these, and no whole processes."""
+def run(out, runs, *axes):
+    """Measures all rows and processes `runs` times; with `axes` only rows of these axes, and no processes."""
     result = {
-        "commit": commit(),
+        "commit": current_commit(),
         "began": time.strftime("%H:%M:%S"),
         "load": [os.getloadavg()[0]],
-        "plays": plays,
+        "plays": runs,
         "rows": [],
         "processes": [],
     }
     shapes = (
         ("empty", 1, 1),
-        ("tenants", TENANTS, LEAST["backends"]),
-        ("backends", LEAST["tenants"], BACKENDS),
+        ("tenants", TENANTS, BASELINE["backends"]),
+        ("backends", BASELINE["tenants"], BACKENDS),
         ("full", TENANTS, BACKENDS),
     )
-    for play_number in range(plays):
+    for run_number in range(runs):
         for axis, row in rows():
             if axes and axis not in axes:
                 continue
             result["rows"].append(
-                {"axis": axis, "play": play_number, **row, **child("row", *row.values())}
+                {"axis": axis, "play": run_number, **row, **run_child("row", *row.values())}
             )
-        for told in () if axes else (False, True):
+        for uses_discovery in () if axes else (False, True):
             for shape, tenants, backends in shapes:
-                row = {"shape": shape, "told": told, "tenants": tenants, "backends": backends}
+                row = {
+                    "shape": shape,
+                    "told": uses_discovery,
+                    "tenants": tenants,
+                    "backends": backends,
+                }
                 result["processes"].append(
                     {
                         **row,
-                        "play": play_number,
-                        **child("process", tenants, backends, NODES, int(told)),
+                        "play": run_number,
+                        **run_child("process", tenants, backends, NODES, int(uses_discovery)),
                     }
                 )
         result["load"].append(os.getloadavg()[0])
@@ -525,80 +568,82 @@
         pathlib.Path(out).write_text(json.dumps(result, indent=1) + "\n")
 
 
-def again(out):
-    """Plays anew the rows that failed, and keeps what they failed of."""
+def repeat_failed(out):
+    """Repeats the rows that failed and retains their error as `failed_before`."""
     result = json.loads(pathlib.Path(out).read_text())
     for row in result["rows"] + result["processes"]:
         if "failed" not in row:
             continue
         row["failed_before"] = row.pop("failed")
-        figures = [row[name] for name in (*LEAST, "told") if name in row]
+        sizes = [row[name] for name in (*BASELINE, "told") if name in row]
         if "shape" in row:
-            figures.insert(2, NODES)
-        row.update(child("process" if "shape" in row else "row", *map(int, figures)))
+            sizes.insert(2, NODES)
+        row.update(run_child("process" if "shape" in row else "row", *map(int, sizes)))
     pathlib.Path(out).write_text(json.dumps(result, indent=1) + "\n")
 
 
-def pairs(out, plays):
-    """CPU of a request with all tenants over that with few, one right after the other; sorted."""
-    result = {"load": os.getloadavg()[0], "plays": plays}
-    for backends in (LEAST["backends"], BACKENDS):
+def run_pairs(out, runs):
+    """Measures the CPU time of a request with all tenants relative to few, one right after the other; sorted."""
+    result = {"load": os.getloadavg()[0], "plays": runs}
+    for backends in (BASELINE["backends"], BACKENDS):
         ratios = []
-        for _ in range(plays):
-            few, all_ = (
-                child("row", tenants, backends, NODES) for tenants in (LEAST["tenants"], TENANTS)
+        for _ in range(runs):
+            few_tenants, all_tenants = (
+                run_child("row", tenants, backends, NODES)
+                for tenants in (BASELINE["tenants"], TENANTS)
             )
-            ratios.append(all_["request_us"] / few["request_us"])
+            ratios.append(all_tenants["request_us"] / few_tenants["request_us"])
         result[f"{backends} backends"] = [round(ratio, 2) for ratio in sorted(ratios)]
     pathlib.Path(out).write_text(json.dumps(result) + "\n")
     print(json.dumps(result))
 
 
-def child(kind, *figures):
-    got = subprocess.run(
-        [sys.executable, __file__, kind, *map(str, figures)],
+def run_child(kind, *sizes):
+    """Runs one measurement in a process of its own; returns its figures, or {"failed": the error}."""
+    completed = subprocess.run(
+        [sys.executable, __file__, kind, *map(str, sizes)],
         cwd=ROOT,
         text=True,
         capture_output=True,
     )
-    if got.returncode:
-        return {"failed": got.stderr.strip().splitlines()[-1:] or got.returncode}
-    return rounded(json.loads(got.stdout))
+    if completed.returncode:
+        return {"failed": completed.stderr.strip().splitlines()[-1:] or completed.returncode}
+    return round_figures(json.loads(completed.stdout))
 
 
-def rounded(found):
+def round_figures(figures):
     return {
         key: [round(v, 3) for v in value]
         if isinstance(value, list)
         else round(value, 4)
         if isinstance(value, float)
         else value
-        for key, value in found.items()
+        for key, value in figures.items()
     }
 
 
-def show(paths):
-    from pierglade.scale.fit import (
-        fit,
-    )  # rows need nothing of it, so that they play on earlier commits
+def print_results(paths):
+    """Prints the figures of each result file, with a fit along each axis."""
+    # Imported here, so that rows can be measured on earlier commits, which lack this module.
+    from pierglade.scale.fit import fit
 
     for path in paths:
         result = json.loads(pathlib.Path(path).read_text())
         print(
-            f"\n{path}: {result['commit']}, {result['plays']} plays, {result['began']} to "
+            f"\n{path}: {result['commit']}, {result['plays']} runs, {result['began']} to "
             f"{result['ended']}, load {min(result['load']):.0f} to {max(result['load']):.0f}"
         )
-        good = [row for row in result["rows"] if "failed" not in row]
+        succeeded = [row for row in result["rows"] if "failed" not in row]
         for row in result["rows"] + result["processes"]:
             if "failed" in row:
                 print("failed:", row)
-        names = [key for key in good[0] if key not in ("axis", "play", *LEAST)]
+        names = [key for key in succeeded[0] if key not in ("axis", "play", *BASELINE)]
         for name in names:
-            for axis in LEAST:
-                if not any(row["axis"] == axis for row in good):
+            for axis in BASELINE:
+                if not any(row["axis"] == axis for row in succeeded):
                     continue
-                xs, ys = zip(*((row[axis], row[name]) for row in good if row["axis"] == axis))
-                one = fit(list(zip(xs, ys)))
+                xs, ys = zip(*((row[axis], row[name]) for row in succeeded if row["axis"] == axis))
+                fitted = fit(list(zip(xs, ys)))
                 means = [
                     sum(y for at, y in zip(xs, ys) if at == x) / xs.count(x)
                     for x in sorted(set(xs))
@@ -606,50 +651,55 @@
                 print(
                     f"{name:17} {axis:9}",
                     *(f"{mean:11.4g}" for mean in means),
-                    f"  {one.shape:9} {one.base:.3g} {one.slope:.3g}, power {one.exponent:.2f}, "
-                    f"error {one.error:.0%}",
+                    f"  {fitted.shape:9} {fitted.base:.3g} {fitted.slope:.3g}, power {fitted.exponent:.2f}, "
+                    f"error {fitted.error:.0%}",
                 )
             for axis in ("least", "all"):
-                ys = [row[name] for row in good if row["axis"] == axis]
+                ys = [row[name] for row in succeeded if row["axis"] == axis]
                 print(
                     f"{name:17} {axis:9}",
                     f"{sum(ys) / len(ys):11.4g}  ({min(ys):.4g} to {max(ys):.4g})",
                 )
         print()
         processes = [row for row in result["processes"] if "failed" not in row]
-        for told in (False, True):
+        for uses_discovery in (False, True):
             for shape in ("empty", "tenants", "backends", "full"):
-                same = [row for row in processes if row["shape"] == shape and row["told"] == told]
-                if not same:
+                matching = [
+                    row
+                    for row in processes
+                    if row["shape"] == shape and row["told"] == uses_discovery
+                ]
+                if not matching:
                     continue
                 means = {
-                    key: sum(row[key] for row in same) / len(same)
-                    for key in same[0]
+                    key: sum(row[key] for row in matching) / len(matching)
+                    for key in matching[0]
                     if key.endswith(("_mb", "_s", "_core"))
                 }
-                held = [ms for row in same for ms in row["held_ms"]]
+                blocked_ms = [ms for row in matching for ms in row["held_ms"]]
                 print(
-                    f"{shape:9} {'told' if told else 'file':5}",
+                    f"{shape:9} {'watch' if uses_discovery else 'file':5}",
                     *(f"{key} {value:.3g}" for key, value in means.items()),
-                    f"held ms {min(held):.0f} to {max(held):.0f}",
-                    *{row["prober"] for row in same if "prober" in row},
+                    f"loop blocked ms {min(blocked_ms):.0f} to {max(blocked_ms):.0f}",
+                    *{row["prober"] for row in matching if "prober" in row},
                 )
 
 
-def main(kind, *what):
-    if kind == "row":
-        print(json.dumps(play(*map(int, what))))
-    elif kind == "process":
-        *figures, told = map(int, what)
-        print(json.dumps(play_process(*figures, bool(told))))
-    elif kind == "run":
-        run(what[0], int(what[1]) if len(what) > 1 else 3, *what[2:])
-    elif kind == "pairs":
-        pairs(what[0], int(what[1]) if len(what) > 1 else 7)
-    elif kind == "again":
-        again(what[0])
-    elif kind == "show":
-        show(what)
+def main(command, *arguments):
+    """Runs the command given on the command line."""
+    if command == "row":
+        print(json.dumps(measure_row(*map(int, arguments))))
+    elif command == "process":
+        *sizes, uses_discovery = map(int, arguments)
+        print(json.dumps(measure_process(*sizes, bool(uses_discovery))))
+    elif command == "run":
+        run(arguments[0], int(arguments[1]) if len(arguments) > 1 else 3, *arguments[2:])
+    elif command == "pairs":
+        run_pairs(arguments[0], int(arguments[1]) if len(arguments) > 1 else 7)
+    elif command == "again":
+        repeat_failed(arguments[0])
+    elif command == "show":
+        print_results(arguments)
     else:
         sys.exit(__doc__)
 
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -1,20 +1,20 @@
-"""What a cold backend gets from all nodes together, against its budget: the decisions alone, virtual time.
+"""Compares what a cold backend gets from all nodes together with its budget: decisions only, in virtual time.
 
     .venv/bin/python experiments/cold/budget.py [--seeds 5] [--nodes 5,10,20,30,720] [--jobs 3]
 
-Many nodes under one clock, 20 warm backends (or --backends less one) and one that has just started, answers
-of 50 ms. N is what the settings allow the cold one in the time in which it falls over: the tip multiple
-times what it can do at that age; the pace of a warm one is its part of what tenants may ask for. What the
-nodes give out (`_cold_allows`, all together) is less, at most half of it while that is little; `strict` is
-the worst window against that as N.
+Many nodes share one clock, with 20 warm backends (or --backends less one) and one that has just started, which
+answer in 50 ms. N is the number of attempts that the settings allow the cold backend in the time in which it
+becomes overloaded: the overload multiple times its capacity at that age, where the pace of a warm backend is its
+fraction of the tenants' quotas. The slow-start allowances of all nodes together are lower, at most half of N
+while N is small; `strict` compares the worst window with that lower number as N.
 
-`told`: nodes that have run for 5 s are all told of the start in the same moment. `started`: all nodes start
-in that moment, with the list and nothing learned. `silence`: as `told`, nothing is asked for during the
-first half of the cold time, then fifteen times as much as shares allow for 2 s. `undivided`: as `told`, but
-each node takes itself for the only one.
+`told`: nodes that have run for 5 s are all notified of the start at the same moment. `started`: all nodes start
+at that moment, with the endpoint list and nothing learned. `silence`: as `told`, but nothing is requested during
+the first half of the slow start, and then fifteen times the quotas for 2 s. `undivided`: as `told`, but each node
+assumes that it is the only one.
 
-`mild` settings: cold for 8 s from 0.4 of its pace, tip multiple 3, falls in 2 s. `harsh`: 22 s, 0.13, 2.5,
-1.5 s.
+`mild` settings: slow start of 8 s from 0.4 of the warm capacity, overload multiple 3, overloaded within 2 s.
+`harsh`: 22 s, 0.13, 2.5, 1.5 s.
 """
 
 import os
@@ -39,16 +39,17 @@
 from pierglade.settings.balancer import BalancerSettings
 from pierglade.tenants.registry import TenantRegistry  # noqa: E402
 
-SECOND = 10000  # tenths of a millisecond
-TOOK = 500
-WARM_UP, RUSH = 5 * SECOND, 15
-NODES, NS = "5,10,20,30,720", "2,5,30"
+SECOND = 10000  # ticks; a tick is a tenth of a millisecond
+RESPONSE_TICKS = 500
+# How long the nodes run before the start, in ticks, and the multiple of the quotas requested after the silence.
+WARM_UP_TICKS, RUSH_FACTOR = 5 * SECOND, 15
+DEFAULT_NODES, DEFAULT_BUDGETS = "5,10,20,30,720", "2,5,30"
 CASES = ("told", "started", "silence", "undivided")
 
 
 @dataclass(frozen=True)
-class Cold:
-    """What the settings say of cold backends, and the time in which one falls over."""
+class SlowStartSettings:
+    """The slow-start settings, in ticks and fractions; `window` is the time in which a backend is overloaded."""
 
     slow_start_duration: int
     slow_start_capacity: float
@@ -56,6 +57,7 @@
     window: int
 
     def capacity(self, age):
+        """Returns the capacity at this age as a fraction of the warm capacity."""
         return min(
             1.0,
             self.slow_start_capacity
@@ -63,216 +65,251 @@
         )
 
     def bears(self, age):
-        """Times a warm one's pace, by the rule."""
+        """Returns the rate that the rule allows at this age, as a multiple of a warm backend's pace."""
         return self.slow_start_overload * self.capacity(age)
 
-    def given(self, age):
-        """The same, of what all nodes together give it."""
+    def granted(self, age):
+        """Returns the rate that all nodes together grant at this age, as a multiple of a warm backend's pace."""
         return max(MARGIN, self.capacity(age)) * min(1.0, self.bears(age))
 
-    def over(self, share, begin, end):
-        """What `share` comes to from one age to another, for a pace of one a second."""
-        width = (end - begin) / STEPS
-        return sum(share(begin + (n + 0.5) * width) for n in range(STEPS)) * width / SECOND
+    def integrate(self, rate, begin, end):
+        """Returns the integral of `rate(age)` from one age to another, for a pace of one per second."""
+        width = (end - begin) / INTEGRATION_STEPS
+        return (
+            sum(rate(begin + (n + 0.5) * width) for n in range(INTEGRATION_STEPS)) * width / SECOND
+        )
 
-    def worst(self, sent, pace, share):
-        """The most in a window over N + 2 x root of N + 2: (that share, what came, N)."""
-        found = []
+    def worst(self, sent, pace, rate):
+        """Returns the window with the most attempts relative to the bound: (ratio, attempts, N).
+
+        The bound is N + 2 x root of N + 2.
+        """
+        windows = []
         for n, first in enumerate(sent):
-            got = sum(first <= moment < first + self.window for moment in sent[n:])
+            attempts = sum(first <= moment < first + self.window for moment in sent[n:])
             begin = min(first, self.slow_start_duration - self.window)
-            allowed = pace * self.over(share, begin, begin + self.window)
-            found.append((got / bound(allowed), got, allowed))
-        return max(found, default=(0.0, 0, pace * self.over(share, 0, self.window)))
+            allowed = pace * self.integrate(rate, begin, begin + self.window)
+            windows.append((attempts / bound(allowed), attempts, allowed))
+        return max(windows, default=(0.0, 0, pace * self.integrate(rate, 0, self.window)))
 
 
 def bound(allowed):
+    """Returns the bound on the attempts of a window: N plus two standard deviations of a Poisson count, plus 2."""
     return allowed + 2 * sqrt(allowed) + 2
 
 
-STEPS = 20
+INTEGRATION_STEPS = 20
 SETTINGS = {
-    "mild": Cold(8 * SECOND, 0.4, 3.0, 2 * SECOND),
-    "harsh": Cold(22 * SECOND, 0.13, 2.5, 15000),
+    "mild": SlowStartSettings(8 * SECOND, 0.4, 3.0, 2 * SECOND),
+    "harsh": SlowStartSettings(22 * SECOND, 0.13, 2.5, 15000),
 }
 
 
 class Fleet:
-    """So many nodes, each told of `pace` a second for each backend that tenants may ask for."""
+    """Nodes under one clock whose tenants' quotas sum up to `pace` requests/s for each backend."""
 
     def __init__(
         self,
         nodes,
         pace,
         seed,
-        cold,
+        slow_start,
         case="told",
         load=1.0,
         shares=True,
         backends=21,
         all_cold=False,
     ):
-        self.cold, self.case, self.seed, self.nodes = cold, case, seed, []
-        self.count, self.load, self.shares, self.all_cold = nodes, load, shares, all_cold
-        self.backends, self.asked = backends, pace * backends
-        self.chance, self.order, self.due = random.Random(seed), count(), []
-        self.woken, self.sent = [None] * nodes, []
-        self.now, self.start = 100 * SECOND, 100 * SECOND + WARM_UP
-
-    def _terms(self, number):
-        undivided = self.case == "undivided"
-        shares = {"all": self.asked} if self.shares else {}
+        self.slow_start, self.case, self.seed, self.nodes = slow_start, case, seed, []
+        self.node_count, self.load, self.shares, self.all_cold = nodes, load, shares, all_cold
+        self.backends, self.quota = backends, pace * backends
+        self.random, self.sequence, self.scheduled = random.Random(seed), count(), []
+        self.wakeups, self.sent = [None] * nodes, []
+        self.now, self.started_at = 100 * SECOND, 100 * SECOND + WARM_UP_TICKS
+
+    def _balancer_settings(self, number):
+        is_undivided = self.case == "undivided"
+        quotas = {"all": self.quota} if self.shares else {}
         return BalancerSettings(
             request_classes=[RequestClass(0, "look", Idempotency.SAFE, "all", 0, 4000, 10000, 1.0)],
-            tenants=TenantRegistry(shares),
-            node_number=0 if undivided else number,
-            node_count=1 if undivided else self.count,
+            tenants=TenantRegistry(quotas),
+            node_number=0 if is_undivided else number,
+            node_count=1 if is_undivided else self.node_count,
             max_attempts=3,
             may_cancel=True,
             may_check_health=False,
             max_retry_after=0,
-            slow_start_duration=self.cold.slow_start_duration,
-            slow_start_capacity=self.cold.slow_start_capacity,
-            slow_start_overload=self.cold.slow_start_overload,
+            slow_start_duration=self.slow_start.slow_start_duration,
+            slow_start_capacity=self.slow_start.slow_start_capacity,
+            slow_start_overload=self.slow_start.slow_start_overload,
             worst_class_weight=0.2,
         )
 
-    def at(self, moment, call, *what):
-        heappush(self.due, (moment, next(self.order), call, what))
+    def schedule(self, moment, call, *arguments):
+        """Schedules `call(*arguments)` at `moment`; calls of the same moment run in the order of scheduling."""
+        heappush(self.scheduled, (moment, next(self.sequence), call, arguments))
 
     def play(self):
-        """Moments at which a trip left for the cold backend, from its start to the end of its cold time."""
-        self.at(self.start if self.case == "started" else self.now, self._begin)
+        """Runs the fleet; returns the ages in ticks at which an attempt was sent to the cold backend."""
+        self.schedule(self.started_at if self.case == "started" else self.now, self._start_nodes)
         if self.case != "started":
-            self.at(self.start, self._tell)
-        self.at(self.start if self.case == "started" else self.now, self._arrive)
-        while self.due and self.due[0][0] < self.start + self.cold.slow_start_duration:
-            self.now, _, call, what = heappop(self.due)
-            call(*what)
-        return [moment - self.start for moment in self.sent]
-
-    def _entry(self, b):
-        cold = (b == 0 or self.all_cold) and self.now >= self.start
-        return Endpoint(f"b{b}", EndpointState.READY, "z", 0, self.start if cold else 0, 1.0)
-
-    def _begin(self):
-        entries = [self._entry(b) for b in range(self.backends)]
-        for number in range(self.count):
-            self.nodes.append(Balancer(self.seed * 1009 + number, self._terms(number), self.now))
-            self.nodes[number].endpoints_updated(self.now, entries, True)
-            self._pull(number)
-
-    def _tell(self):
+            self.schedule(self.started_at, self._notify_start)
+        self.schedule(
+            self.started_at if self.case == "started" else self.now, self._schedule_arrival
+        )
+        while (
+            self.scheduled
+            and self.scheduled[0][0] < self.started_at + self.slow_start.slow_start_duration
+        ):
+            self.now, _, call, arguments = heappop(self.scheduled)
+            call(*arguments)
+        return [moment - self.started_at for moment in self.sent]
+
+    def _endpoint(self, number):
+        is_cold = (number == 0 or self.all_cold) and self.now >= self.started_at
+        return Endpoint(
+            f"b{number}", EndpointState.READY, "z", 0, self.started_at if is_cold else 0, 1.0
+        )
+
+    def _start_nodes(self):
+        endpoints = [self._endpoint(b) for b in range(self.backends)]
+        for number in range(self.node_count):
+            self.nodes.append(
+                Balancer(self.seed * 1009 + number, self._balancer_settings(number), self.now)
+            )
+            self.nodes[number].endpoints_updated(self.now, endpoints, True)
+            self._run_decisions(number)
+
+    def _notify_start(self):
         for number, node in enumerate(self.nodes):
-            node.endpoints_updated(self.now, [self._entry(0)], False)
-            self._pull(number)
-
-    def _pace(self):
-        """Asked for in a tenth of a millisecond, and until when that holds."""
-        age, silent = self.now - self.start, self.cold.slow_start_duration // 2
-        if self.case == "silence" and 0 <= age < silent:
-            return 0.0, self.start + silent
-        if self.case == "silence" and 0 <= age < silent + 2 * SECOND:
-            return RUSH * self.asked / SECOND, self.start + silent + 2 * SECOND
+            node.endpoints_updated(self.now, [self._endpoint(0)], False)
+            self._run_decisions(number)
+
+    def _request_rate(self):
+        """Returns the requests per tick at present, and the moment until which this rate holds."""
+        age, silence = self.now - self.started_at, self.slow_start.slow_start_duration // 2
+        if self.case == "silence" and 0 <= age < silence:
+            return 0.0, self.started_at + silence
+        if self.case == "silence" and 0 <= age < silence + 2 * SECOND:
+            return RUSH_FACTOR * self.quota / SECOND, self.started_at + silence + 2 * SECOND
         return (
-            self.load * self.asked / SECOND,
-            self.start if age < 0 else self.start + self.cold.slow_start_duration,
+            self.load * self.quota / SECOND,
+            self.started_at if age < 0 else self.started_at + self.slow_start.slow_start_duration,
         )
 
-    def _arrive(self):
-        pace, until = self._pace()
-        gap = self.chance.expovariate(pace) if pace else until - self.now
-        if self.now + gap >= until:  # what is asked for has no memory: drawn anew from there
-            self.at(until, self._arrive)
+    def _schedule_arrival(self):
+        rate, until = self._request_rate()
+        interval = self.random.expovariate(rate) if rate else until - self.now
+        # Poisson arrivals are memoryless, so the interval is drawn again when the rate changes.
+        if self.now + interval >= until:
+            self.schedule(until, self._schedule_arrival)
             return
-        self.at(int(self.now + gap) + 1, self._take)
+        self.schedule(int(self.now + interval) + 1, self._receive_request)
 
-    def _take(self):
-        number = self.chance.randrange(self.count)
+    def _receive_request(self):
+        number = self.random.randrange(self.node_count)
         node = self.nodes[number]
         tenant = node.settings.tenants.of("all", self.now) if self.shares else None
         node.request_received(
             self.now,
             Request(None, node.settings.request_classes[0], tenant, self.now, self.now + 10000),
         )
-        self._pull(number)
-        self._arrive()
+        self._run_decisions(number)
+        self._schedule_arrival()
 
-    def _pull(self, number):
+    def _run_decisions(self, number):
         node = self.nodes[number]
         while (decision := node.next_decision(self.now)) is not None:
             if type(decision) is SendAttempt:
-                subject = decision.attempt
-                if node.endpoints.names[subject.backend] == "b0" and self.now >= self.start:
+                attempt = decision.attempt
+                if node.endpoints.names[attempt.backend] == "b0" and self.now >= self.started_at:
                     self.sent.append(self.now)
-                self.at(self.now + TOOK, self._end, number, subject)
-        wake = node.next_wakeup(self.now)
-        if wake is not None and (self.woken[number] is None or wake < self.woken[number]):
-            self.woken[number] = wake
-            self.at(wake, self._wake, number, wake)
+                self.schedule(self.now + RESPONSE_TICKS, self._end_attempt, number, attempt)
+        wakeup = node.next_wakeup(self.now)
+        if wakeup is not None and (self.wakeups[number] is None or wakeup < self.wakeups[number]):
+            self.wakeups[number] = wakeup
+            self.schedule(wakeup, self._wake, number, wakeup)
 
     def _wake(self, number, moment):
-        if self.woken[number] == moment:
-            self.woken[number] = None
-            self._pull(number)
+        if self.wakeups[number] == moment:
+            self.wakeups[number] = None
+            self._run_decisions(number)
 
-    def _end(self, number, attempt):
+    def _end_attempt(self, number, attempt):
         if attempt.outcome is None:
             self.nodes[number].attempt_ended(
                 self.now, attempt, Outcome.SUCCESS, self.now - attempt.sent_at, True
             )
-            self._pull(number)
+            self._run_decisions(number)
 
 
-def pace(at_first, cold):
-    """Of a warm backend, a second, so that N is `at_first` in the first window."""
-    return at_first / cold.over(cold.bears, 0, cold.window)
+def pace(first_budget, slow_start):
+    """Returns the requests/s of a warm backend for which N is `first_budget` in the first window."""
+    return first_budget / slow_start.integrate(slow_start.bears, 0, slow_start.window)
 
 
-def one(job):
-    nodes, first, case, seed, cold, load, shares, backends = job
-    return Fleet(nodes, pace(first, cold), seed, cold, case, load, shares, backends).play()
+def run_fleet(job):
+    """Runs one fleet; returns the ages in ticks at which an attempt was sent to the cold backend."""
+    nodes, first_budget, case, seed, slow_start, load, shares, backends = job
+    return Fleet(
+        nodes, pace(first_budget, slow_start), seed, slow_start, case, load, shares, backends
+    ).play()
 
 
 @click.command()
 @click.option("--seeds", type=click.IntRange(1), default=5, show_default=True)
-@click.option("--nodes", default=NODES, show_default=True)
-@click.option("--budgets", default=NS, show_default=True, help="N in the first window.")
+@click.option("--nodes", default=DEFAULT_NODES, show_default=True)
+@click.option(
+    "--budgets", default=DEFAULT_BUDGETS, show_default=True, help="N in the first window."
+)
 @click.option("--cases", default=",".join(CASES), show_default=True)
 @click.option("--settings", type=click.Choice(list(SETTINGS)), default="mild", show_default=True)
-@click.option("--load", default=1.0, show_default=True, help="Of what tenants may ask for.")
+@click.option(
+    "--load", default=1.0, show_default=True, help="Requests as a multiple of the tenants' quotas."
+)
 @click.option("--backends", type=click.IntRange(1), default=21, show_default=True)
 @click.option(
-    "--no-shares", is_flag=True, help="No tenant has a share; nodes go by what they settle."
+    "--no-shares",
+    is_flag=True,
+    help="Set no tenant quotas; nodes then estimate the load from completed requests.",
 )
 @click.option("--jobs", type=click.IntRange(1), default=3, show_default=True)
 def main(seeds, nodes, budgets, cases, settings, load, backends, no_shares, jobs):
-    cold = SETTINGS[settings]
+    """Prints a table with a row for each case, budget and number of nodes."""
+    slow_start = SETTINGS[settings]
     rows = list(
         product(cases.split(","), map(float, budgets.split(",")), map(int, nodes.split(",")))
     )
-    work = [
-        (n, first, case, seed, cold, load, not no_shares, backends)
-        for case, first, n in rows
+    jobs_to_run = [
+        (n, first_budget, case, seed, slow_start, load, not no_shares, backends)
+        for case, first_budget, n in rows
         for seed in range(1, seeds + 1)
     ]
     print(
-        "| case | nodes | N at first | got, of what is given | last second | worst window: got, N, bound "
-        "| share | strict |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
+        "| case | nodes | N at first | sent, of granted | last second | worst window: sent, N, bound "
+        "| ratio | strict |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
     )
     with ProcessPoolExecutor(jobs) as pool:
-        plays = pool.map(one, work)
-        for case, first, n in rows:
-            got = [next(plays) for _ in range(seeds)]
-            warm, end = pace(first, cold), cold.slow_start_duration
-            share, most, allowed = max(cold.worst(sent, warm, cold.bears) for sent in got)
-            strict = max(cold.worst(sent, warm, cold.given)[0] for sent in got)
-            whole = sum(map(len, got)) / seeds
-            last = sum(moment >= end - SECOND for sent in got for moment in sent) / seeds
-            given, late = (warm * cold.over(cold.given, since, end) for since in (0, end - SECOND))
+        pending_results = pool.map(run_fleet, jobs_to_run)
+        for case, first_budget, n in rows:
+            results = [next(pending_results) for _ in range(seeds)]
+            warm_pace, end = pace(first_budget, slow_start), slow_start.slow_start_duration
+            ratio, attempts, allowed = max(
+                slow_start.worst(sent, warm_pace, slow_start.bears) for sent in results
+            )
+            strict = max(
+                slow_start.worst(sent, warm_pace, slow_start.granted)[0] for sent in results
+            )
+            mean_sent = sum(map(len, results)) / seeds
+            last_second = sum(moment >= end - SECOND for sent in results for moment in sent) / seeds
+            granted, granted_last = (
+                warm_pace * slow_start.integrate(slow_start.granted, since, end)
+                for since in (0, end - SECOND)
+            )
             print(
-                f"| {case} | {n} | {first:g} | {whole:.1f} of {given:.1f} | {last:.1f} of {late:.1f} "
-                f"| {most}, {allowed:.1f}, {bound(allowed):.1f} | {share:.2f} | {strict:.2f} |",
+                f"| {case} | {n} | {first_budget:g} | {mean_sent:.1f} of {granted:.1f} "
+                f"| {last_second:.1f} of {granted_last:.1f} "
+                f"| {attempts}, {allowed:.1f}, {bound(allowed):.1f} | {ratio:.2f} | {strict:.2f} |",
                 flush=True,
             )
 
--- a/experiments/fleet/count.py
+++ b/experiments/fleet/count.py
@@ -1,7 +1,8 @@
-"""Adds up what the nodes of a fleet did: `python experiments/fleet/count.py FOLDER` reads every *.log in it.
+"""Sums the counters in the logs of a fleet's nodes: `python experiments/fleet/count.py FOLDER` reads *.log in it.
 
-Prints a row a second with what all nodes counted together, then how late the nodes heard of changes of the
-list, and the backends that most trips were lost at. What one node does is never shown: it is harmless alone.
+Prints a row per second with the counters of all nodes together, then how far apart the nodes received changes of
+the endpoint list, and the backends with the most failed attempts. Counters of a single node are not shown, as
+only their sum over the fleet matters.
 """
 
 import pathlib
@@ -21,77 +22,80 @@
     "request_rejected",
     "request_failed",
 )
-LOST_MOST = 10  # backends that are shown; the worst
+MAX_BACKENDS_SHOWN = 10  # those with the most failed attempts
 
 
-class Unusable(ValueError):
-    """What cannot be read, with its place."""
+class UnusableLogError(ValueError):
+    """A log that cannot be read; the message names the file and the line."""
 
 
-def events(folder):
-    """All lines of all logs in order; what stands before the object is whoever collected the logs."""
+def read_events(folder):
+    """Returns the events of all logs by time; text before the JSON object is from the log collector."""
     paths = sorted(pathlib.Path(folder).glob("*.log"))
     if not paths:
-        raise Unusable(f"{folder}: no file *.log")
-    found = []
+        raise UnusableLogError(f"{folder} contains no *.log file")
+    events = []
     for path in paths:
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             begin = line.find(b'{"')
             if begin < 0:
-                continue  # Not the node's: a shell's or an interpreter's word.
+                continue  # Not from the node but from a shell or an interpreter.
             try:
                 event = orjson.loads(line[begin:])
             except ValueError:
-                raise Unusable(f"{path}:{number}: no JSON object") from None
+                raise UnusableLogError(f"{path}:{number} is not a JSON object") from None
             if "at_ms" in event:
-                found.append(event)
-    if not found:
-        raise Unusable(f"{folder}: no line of a node")
-    return sorted(found, key=lambda event: event["at_ms"])
+                events.append(event)
+    if not events:
+        raise UnusableLogError(f"{folder}: the logs contain no event of a node")
+    return sorted(events, key=lambda event: event["at_ms"])
 
 
-def table(found):
-    """Lines to print."""
-    begin = found[0]["at_ms"]
-    done, started, lost = defaultdict(Counter), Counter(), defaultdict(Counter)
-    heard = defaultdict(dict)  # (backend, state) to node to when
-    for event in found:
+def report_lines(events):
+    """Yields the lines of the report."""
+    begin = events[0]["at_ms"]
+    counters, started, failed_attempts = defaultdict(Counter), Counter(), defaultdict(Counter)
+    received_at = defaultdict(dict)  # time in ms by (backend, state) and node
+    for event in events:
         second = int((event["at_ms"] - begin) // 1000)
         if event["event"] == "counters":
-            done[second].update({name: event.get(name, 0) for name in COLUMNS})
+            counters[second].update({name: event.get(name, 0) for name in COLUMNS})
         elif event["event"] == "started":
             started[second] += 1
         elif event["event"] == "attempt_failed":
-            lost[event["backend"]][event["node"]] += 1
+            failed_attempts[event["backend"]][event["node"]] += 1
         elif event["event"] == "endpoints_updated":
             for name, state in event["changed"]:
-                heard[name, state].setdefault(event["node"], event["at_ms"])
+                received_at[name, state].setdefault(event["node"], event["at_ms"])
     yield "second  started  " + "  ".join(COLUMNS)
-    for second in sorted({*done, *started}):
-        cells = [f"{done[second][name]:{len(name)}d}" for name in COLUMNS]
+    for second in sorted({*counters, *started}):
+        cells = [f"{counters[second][name]:{len(name)}d}" for name in COLUMNS]
         yield f"{second:6d}  {started[second]:7d}  " + "  ".join(cells)
-    spans = sorted((max(at.values()) - min(at.values()), len(at)) for at in heard.values())
+    spans = sorted(
+        (max(times.values()) - min(times.values()), len(times)) for times in received_at.values()
+    )
     if spans:
-        middle, (longest, _) = spans[len(spans) // 2][0], spans[-1]
+        median, (longest, _) = spans[len(spans) // 2][0], spans[-1]
         yield (
-            f"changes of the list: {len(spans)}, heard by {min(n for _, n in spans)} to "
-            f"{max(n for _, n in spans)} nodes; first to last node {middle:.0f} ms in the middle, "
-            f"{longest:.0f} ms at most"
+            f"endpoint list changes: {len(spans)}, received by {min(n for _, n in spans)} to "
+            f"{max(n for _, n in spans)} nodes; first to last node {median:.0f} ms median, "
+            f"{longest:.0f} ms maximum"
         )
-    worst = sorted(lost.items(), key=lambda item: (-item[1].total(), item[0]))
-    for name, nodes in worst[:LOST_MOST]:
-        yield f"lost at {name}: {nodes.total()} attempts of {len(nodes)} nodes"
+    worst = sorted(failed_attempts.items(), key=lambda item: (-item[1].total(), item[0]))
+    for name, nodes in worst[:MAX_BACKENDS_SHOWN]:
+        yield f"failed at {name}: {nodes.total()} attempts of {len(nodes)} nodes"
 
 
 def main(arguments):
+    """Prints the report of the folder in `arguments`; returns the exit code."""
     if len(arguments) != 1:
         print("usage: count.py FOLDER", file=sys.stderr)
         return 2
     try:
-        for line in table(events(arguments[0])):
+        for line in report_lines(read_events(arguments[0])):
             print(line)
-    except (Unusable, OSError, KeyError, TypeError, ValueError) as fault:
-        print(f"count.py: {fault}", file=sys.stderr)
+    except (UnusableLogError, OSError, KeyError, TypeError, ValueError) as error:
+        print(f"count.py: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -1,13 +1,13 @@
-"""Service after a rolling restart of all nodes: with what they had learned, without, and with wrong memories.
+"""Measures service after a restart of all nodes: with their snapshots, without, and with wrong snapshots.
 
     .venv/bin/python experiments/learned/restart.py [TIMES]
 
 Two nodes before twelve stand-in backends (three at 0.35 of the others' speed, six that pause for 400 ms after
-some 250 invocations), 420 a second. After 20 s each node is replaced by a process on the same address.
-"stale"
-is a snapshot of an hour ago, with a half-life of an hour, of a fleet in which the slow ones were quick, the
-quick ones slow and everything was twice as slow; "fresh lie" is the same, taken for a second old: the worst
-that a file can tell.
+about 250 requests), 420 requests/s. After 20 s each node is replaced by a process on the same address.
+
+"stale" is a snapshot that is an hour old, with a half-life of an hour, of a fleet in which the slow backends were
+fast, the fast ones slow, and everything took twice as long. "fresh lie" is the same snapshot dated one second ago,
+which is the worst content that a file can have.
 """
 
 import json
@@ -19,12 +19,12 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
 from pierglade.load import plan, run  # noqa: E402
-from pierglade.processes.children import Children, free_port  # noqa: E402 - the checkout that this file stands in
-from pierglade.snapshot import schema as form
-from pierglade.snapshot import store as files
+from pierglade.processes.children import Children, free_port  # noqa: E402 - from the checkout that contains this file
+from pierglade.snapshot import schema, store
 
-NODES, RATE, RESTART_AT, AFTER, EXPECTED_MS = 2, 420, 20, 32, 120
-WINDOWS = (5, 10, 30)
+# RATE in requests/s.
+NODES, RATE, RESTART_AT_S, RUN_AFTER_RESTART_S, EXPECTED_MS = 2, 420, 20, 32, 120
+WINDOWS_S = (5, 10, 30)  # after the restart
 FLEET = {
     "kind": [{"name": "quick", "cores": 2}, {"name": "slow", "cores": 2, "speed": 0.35}],
     "place": [{"kind": "quick", "count": 9}, {"kind": "slow", "count": 3}],
@@ -50,7 +50,7 @@
     "seconds": 600,
     "seed": 5,
 }
-NODE = """
+NODE_TEMPLATE = """
 [node]
 name = "n{number}"
 number = {number}
@@ -68,26 +68,26 @@
 repeat = "harmless"
 {learning}
 """
-LEARNING = '[learning]\nfolder = "{folder}"\nevery_s = 2\nhalf_life_s = {half_life}\n'
+LEARNING_TEMPLATE = '[learning]\nfolder = "{folder}"\nevery_s = 2\nhalf_life_s = {half_life}\n'
 
 
-def lie(folder, name, age_s):
-    """Turns the snapshot of a node into what the page above calls a lie."""
-    kept = files.SnapshotStore(folder, name)
-    one, _, _ = kept.read()
-    one.written_at = int(time.time() * 10000 - age_s * 10000)
-    for row in one.request_classes.values():
+def falsify_snapshot(folder, name, age_s):
+    """Replaces the snapshot of a node by a wrong one of this age, as the module's docstring describes."""
+    snapshot_store = store.SnapshotStore(folder, name)
+    snapshot, _, _ = snapshot_store.read()
+    snapshot.written_at = int(time.time() * 10000 - age_s * 10000)
+    for row in snapshot.request_classes.values():
         row["typical"] *= 2
-    for backend in one.backends.values():
-        told = backend.statistics
-        told["level"] = 3.0 if told["level"] < 1.5 else 0.5
-        told["mean_pause"] = 40000
-        told["pauses"] = []
-    kept.write(form.encode(one))
+    for backend in snapshot.backends.values():
+        statistics_row = backend.statistics
+        statistics_row["level"] = 3.0 if statistics_row["level"] < 1.5 else 0.5
+        statistics_row["mean_pause"] = 40000
+        statistics_row["pauses"] = []
+    snapshot_store.write(schema.encode(snapshot))
 
 
-def play(case, seed):
-    """{window: service in so many seconds after the restart} of one play."""
+def run_case(case, seed):
+    """Runs a case once; returns {window: fraction of requests answered in time within it after the restart}."""
     with Children() as children:
         with open(children.path("fleet.json"), "w") as file:
             json.dump({**FLEET, "seed": seed}, file)
@@ -97,14 +97,14 @@
         learning = (
             ""
             if case == "without"
-            else LEARNING.format(folder=folder, half_life=3600 if case == "stale" else 60)
+            else LEARNING_TEMPLATE.format(folder=folder, half_life=3600 if case == "stale" else 60)
         )
         ports = [free_port() for _ in range(NODES)]
 
-        def start(number, again=""):
-            with open(children.path(f"n{number}{again}.toml"), "w") as file:
+        def start_node(number, suffix=""):
+            with open(children.path(f"n{number}{suffix}.toml"), "w") as file:
                 file.write(
-                    NODE.format(
+                    NODE_TEMPLATE.format(
                         number=number,
                         nodes=NODES,
                         port=ports[number],
@@ -114,13 +114,13 @@
                     )
                 )
             children.start_logged(
-                f"n{number}{again}",
+                f"n{number}{suffix}",
                 ["-m", "pierglade.cli", "serve", file.name, "--with-parent"],
-                children.path(f"n{number}{again}.log"),
+                children.path(f"n{number}{suffix}.log"),
             )
 
         for number in range(NODES):
-            start(number)
+            start_node(number)
         time.sleep(1.0)
         begins = time.monotonic() + 0.5
         ledgers = [children.path(f"clients-{number}") for number in range(NODES)]
@@ -131,7 +131,11 @@
                         f"127.0.0.1:{port}",
                         "/look/x",
                         plan.moments(
-                            [plan.ArrivalPattern(rate=RATE / NODES, seconds=RESTART_AT + AFTER)],
+                            [
+                                plan.ArrivalPattern(
+                                    rate=RATE / NODES, seconds=RESTART_AT_S + RUN_AFTER_RESTART_S
+                                )
+                            ],
                             "poisson",
                             seed * 10 + number,
                         ),
@@ -144,13 +148,13 @@
             ],
             begins,
         )
-        time.sleep(max(0.0, begins + RESTART_AT - time.monotonic()))
-        ahead = time.time() - time.monotonic()
+        time.sleep(max(0.0, begins + RESTART_AT_S - time.monotonic()))
+        clock_offset = time.time() - time.monotonic()
         restarted = time.monotonic()
         for number in range(NODES):
             if case in ("stale", "fresh lie"):
-                lie(folder, f"n{number}", 3600 if case == "stale" else 1)
-            start(number, "b")
+                falsify_snapshot(folder, f"n{number}", 3600 if case == "stale" else 1)
+            start_node(number, "b")
             children.running[f"n{number}"][0].terminate()
         worker_pool.collect()
         worker_pool.end()
@@ -165,26 +169,32 @@
                     elif row["event"] == "answer" and row["status"] == 200:
                         sent[row["id"]][1] = row["t_ms"] - sent[row["id"]][0] <= EXPECTED_MS
             rows += sent.values()
-        moment = (restarted + ahead) * 1000
-        told = {}
-        for span in WINDOWS:
-            some = [good for at, good in rows if moment <= at < moment + span * 1000]
-            told[span] = sum(some) / max(1, len(some))
-        return told
+        restarted_ms = (restarted + clock_offset) * 1000
+        service = {}
+        for window in WINDOWS_S:
+            in_time = [
+                is_in_time
+                for at, is_in_time in rows
+                if restarted_ms <= at < restarted_ms + window * 1000
+            ]
+            service[window] = sum(in_time) / max(1, len(in_time))
+        return service
 
 
 def main(times="3"):
-    cases = {case: [] for case in ("with", "without", "stale", "fresh lie")}
-    for turn in range(int(times)):
-        for case, told in cases.items():
-            told.append(play(case, 5 + turn))
-    for case, told in cases.items():
+    """Runs each case `times` times; prints the median and the range of the service in each window."""
+    results_by_case = {case: [] for case in ("with", "without", "stale", "fresh lie")}
+    for run_number in range(int(times)):
+        for case, results in results_by_case.items():
+            results.append(run_case(case, 5 + run_number))
+    for case, results in results_by_case.items():
         print(
             f"{case:10} "
             + "; ".join(
-                f"{span} s {statistics.median(t[span] for t in told):.4f} "
-                f"({min(t[span] for t in told):.4f} to {max(t[span] for t in told):.4f})"
-                for span in WINDOWS
+                f"{window} s {statistics.median(each[window] for each in results):.4f} "
+                f"({min(each[window] for each in results):.4f} "
+                f"to {max(each[window] for each in results):.4f})"
+                for window in WINDOWS_S
             ),
             flush=True,
         )
--- a/experiments/limit/fast.py
+++ b/experiments/limit/fast.py
@@ -1,10 +1,10 @@
-"""A real node on sockets before backends that answer within a millisecond, or in 100 ms.
+"""Measures a real node on sockets before backends that answer within a millisecond, or in 100 ms.
 
     .venv/bin/python experiments/limit/fast.py --answer-ms 0.2 --rate 600 --seconds 10
 
-Open loop: each request is planned beforehand and counts from its planned moment; `service` counts from its
-real send. Backends, clients and the node are processes of their own on loopback; all ports are the kernel's
-choice. Prints one JSON object: times in ms, the node's CPU as a share of one core.
+Open loop: the send times are planned in advance and latency counts from the planned time; `service` counts from
+the actual send. Backends, clients and the node are separate processes on loopback; the kernel chooses all ports.
+Prints one JSON object: times in ms, the node's CPU time as a fraction of one core.
 """
 
 import json
@@ -21,50 +21,52 @@
 from gevent import socket
 from gevent.queue import LifoQueue
 
-READY_WITHIN = 10.0  # s; a node is ready in a fraction of one
-WARM = 1.0  # s; opening connections is no part of what is measured
-LEFT = 3.0  # s; what is still owed after the last request
+READY_TIMEOUT_S = 10.0  # a node is ready within a fraction of a second
+WARM_UP_S = 1.0  # not measured: connections are opened in this time
+DRAIN_TIMEOUT_S = 3.0  # how long outstanding responses are awaited after the last request
 
 
 def serve(answer_s, pipe):
-    """A backend: answers each request after a while, one at a time on each connection."""
+    """Runs a backend that answers each request after `answer_s`, one at a time on each connection."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1024)
     os.write(pipe, b"%d\n" % listener.getsockname()[1])
     os.close(pipe)
 
-    def talk(link):
-        link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        while link.recv(65536):
+    def serve_connection(connection):
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        while connection.recv(65536):
             if answer_s >= 0.001:
                 gevent.sleep(answer_s)
             elif answer_s:
                 until = time.perf_counter() + answer_s
                 while time.perf_counter() < until:
-                    pass  # The loop's timers are too coarse for less than a millisecond.
-            link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                    pass  # The event loop's timers are too coarse for less than a millisecond.
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
     while True:
-        link, _ = listener.accept()
-        gevent.spawn(talk, link)
+        connection, _ = listener.accept()
+        gevent.spawn(serve_connection, connection)
 
 
-def backends(count, answer_s):
-    """Starts so many processes; returns them with their ports."""
-    started = []
+def start_backends(count, answer_s):
+    """Starts `count` backend processes; returns them with their ports."""
+    backends = []
     for _ in range(count):
-        reads, writes = os.pipe()
+        read_end, write_end = os.pipe()
         process = subprocess.Popen(
-            [sys.executable, __file__, "--backend", str(answer_s), str(writes)], pass_fds=(writes,)
+            [sys.executable, __file__, "--backend", str(answer_s), str(write_end)],
+            pass_fds=(write_end,),
         )
-        os.close(writes)
-        with os.fdopen(reads) as file:
-            started.append((process, int(file.readline())))
-    return started
+        os.close(write_end)
+        with os.fdopen(read_end) as file:
+            backends.append((process, int(file.readline())))
+    return backends
 
 
-def configured(ports, listen, expected_ms):
+def configuration(ports, listen, expected_ms):
+    """Returns the node's configuration document, for backends on these ports."""
     settings = {
         "offerings": [
             {
@@ -109,65 +111,77 @@
 
 
 class Clients:
+    """Clients of the node, which share a pool of idle connections."""
+
     def __init__(self, port):
-        self.port, self.idle, self.count = port, LifoQueue(), 0
-        self.took, self.service, self.statuses = (
+        self.port, self.idle, self.request_count = port, LifoQueue(), 0
+        # Seconds from the planned send time, and from the actual one.
+        self.latencies, self.service_times, self.statuses = (
             [],
             [],
             {},
-        )  # from planned and from sent, in seconds
+        )
 
-    def ask(self, planned):
-        self.count += 1
-        number, link = self.count, None  # another one may be counted before this one is sent
+    def send_request(self, planned):
+        """Sends a request and records its result; `planned` is its send time, None if it is not measured."""
+        self.request_count += 1
+        # The number is copied: another request may be counted before this one is sent.
+        number, connection = self.request_count, None
         try:
-            link = (
+            connection = (
                 self.idle.get_nowait()
                 if not self.idle.empty()
                 else socket.create_connection(("127.0.0.1", self.port))
             )
-            link.settimeout(10)
+            connection.settimeout(10)
             sent = time.perf_counter()
-            link.sendall(b"GET /look/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: t%d\r\n\r\n" % number)
-            answer = link.recv(65536)
-            status = int(answer[9:12]) if len(answer) > 12 else 0
+            connection.sendall(
+                b"GET /look/x HTTP/1.1\r\nHost: n\r\nX-Trace-Id: t%d\r\n\r\n" % number
+            )
+            response = connection.recv(65536)
+            status = int(response[9:12]) if len(response) > 12 else 0
             if planned is not None:
-                self.service.append(time.perf_counter() - sent)
+                self.service_times.append(time.perf_counter() - sent)
         except OSError:
             status = 0
         if planned is not None:
-            self.took.append(time.perf_counter() - planned)
+            self.latencies.append(time.perf_counter() - planned)
             self.statuses[status] = self.statuses.get(status, 0) + 1
-        if status and b"close" not in answer.lower():
-            self.idle.put(link)
-        elif link is not None:
-            link.close()
-
-    def play(self, rate, seconds, seed):
-        """Open loop, Poisson; returns how late the latest request was sent, in seconds."""
-        gaps = np.random.default_rng(seed).exponential(1 / rate, int(rate * seconds))
-        start, late, jobs = time.perf_counter(), 0.0, []
-        for moment in np.cumsum(gaps).tolist():
-            ahead = start + moment - time.perf_counter()
-            gevent.sleep(max(0.0, ahead))
-            late = max(late, time.perf_counter() - start - moment)
-            planned = start + moment if moment > WARM else None
-            jobs.append(gevent.spawn(self.ask, planned))
-        gevent.joinall(jobs, timeout=LEFT)
-        return late
-
-    def keep(self, kept, seconds):
+        if status and b"close" not in response.lower():
+            self.idle.put(connection)
+        elif connection is not None:
+            connection.close()
+
+    def run_open_loop(self, rate, seconds, seed):
+        """Sends requests in an open loop with Poisson arrivals; returns the greatest send delay in seconds."""
+        intervals = np.random.default_rng(seed).exponential(1 / rate, int(rate * seconds))
+        start, max_delay, jobs = time.perf_counter(), 0.0, []
+        for moment in np.cumsum(intervals).tolist():
+            remaining = start + moment - time.perf_counter()
+            gevent.sleep(max(0.0, remaining))
+            max_delay = max(max_delay, time.perf_counter() - start - moment)
+            planned = start + moment if moment > WARM_UP_S else None
+            jobs.append(gevent.spawn(self.send_request, planned))
+        gevent.joinall(jobs, timeout=DRAIN_TIMEOUT_S)
+        return max_delay
+
+    def run_closed_loop(self, client_count, seconds):
+        """Runs clients that each send the next request as soon as they have the response."""
         end = time.perf_counter() + seconds
-        warm = time.perf_counter() + WARM
+        warm_up_end = time.perf_counter() + WARM_UP_S
 
-        def one():
+        def run_client():
             while (now := time.perf_counter()) < end:
-                self.ask(now if now > warm else None)
+                self.send_request(now if now > warm_up_end else None)
 
-        gevent.joinall([gevent.spawn(one) for _ in range(kept)], timeout=seconds + LEFT)
+        gevent.joinall(
+            [gevent.spawn(run_client) for _ in range(client_count)],
+            timeout=seconds + DRAIN_TIMEOUT_S,
+        )
 
 
-def cpu(pid):
+def cpu_s(pid):
+    """Returns the CPU time of a process in seconds."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -181,26 +195,32 @@
     type=click.FloatRange(0, 50000),
     default=600.0,
     show_default=True,
-    help="Requests a second; 0 with --kept.",
+    help="Requests per second; 0 with --kept.",
 )
 @click.option(
-    "--kept", type=click.IntRange(0, 5000), default=0, help="Clients that ask again at once."
+    "--kept",
+    type=click.IntRange(0, 5000),
+    default=0,
+    help="Closed-loop clients, which send the next request as soon as they have the response.",
 )
 @click.option("--seconds", type=click.FloatRange(2, 600), default=10.0, show_default=True)
 @click.option("--expected-ms", type=click.IntRange(1, 60000), default=400, show_default=True)
 @click.option(
-    "--tree", default=".", type=click.Path(exists=True), help="The build whose node is started."
+    "--tree",
+    default=".",
+    type=click.Path(exists=True),
+    help="The source tree whose node is started.",
 )
 def main(answer_ms, count, rate, kept, seconds, expected_ms, tree):
-    """Plays a load on a node before stand-in backends, and prints what came back."""
+    """Sends a load through a node to stand-in backends and prints the results."""
     fleet, node = [], None
     try:
-        fleet = backends(count, answer_ms / 1000)
+        fleet = start_backends(count, answer_ms / 1000)
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             listen = probe.getsockname()[1]
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-            json.dump(configured([port for _, port in fleet], listen, expected_ms), file)
+            json.dump(configuration([port for _, port in fleet], listen, expected_ms), file)
             file.flush()
             node = subprocess.Popen(
                 [sys.executable, "-m", "pierglade"],
@@ -208,17 +228,24 @@
                 stdout=subprocess.DEVNULL,
                 env={**os.environ, "BALANCER_CONFIG": file.name},
             )
-            until = time.monotonic() + READY_WITHIN
-            while time.monotonic() < until and node.poll() is None:
+            deadline = time.monotonic() + READY_TIMEOUT_S
+            while time.monotonic() < deadline and node.poll() is None:
                 try:
                     socket.create_connection(("127.0.0.1", listen)).close()
                     break
                 except OSError:
                     gevent.sleep(0.05)
-            clients, before, began = Clients(listen), cpu(node.pid), time.perf_counter()
-            late = clients.keep(kept, seconds) if kept else clients.play(rate, seconds, 1)
-            used = (cpu(node.pid) - before) / (time.perf_counter() - began)
-        took, service = np.array(clients.took) * 1000, np.array(clients.service) * 1000
+            clients, cpu_before, began = Clients(listen), cpu_s(node.pid), time.perf_counter()
+            max_delay = (
+                clients.run_closed_loop(kept, seconds)
+                if kept
+                else clients.run_open_loop(rate, seconds, 1)
+            )
+            node_cpu = (cpu_s(node.pid) - cpu_before) / (time.perf_counter() - began)
+        latencies_ms, service_ms = (
+            np.array(clients.latencies) * 1000,
+            np.array(clients.service_times) * 1000,
+        )
         print(
             json.dumps(
                 {
@@ -226,16 +253,16 @@
                     "backends": count,
                     "rate": rate,
                     "kept": kept,
-                    "answered": len(took),
+                    "answered": len(latencies_ms),
                     "statuses": clients.statuses,
-                    "per_s": round(len(took) / (seconds - WARM), 1),
+                    "per_s": round(len(latencies_ms) / (seconds - WARM_UP_S), 1),
                     **{
-                        f"p{p:g}_ms": round(float(np.percentile(took, p)), 2)
+                        f"p{p:g}_ms": round(float(np.percentile(latencies_ms, p)), 2)
                         for p in (50, 99, 99.9)
                     },
-                    "service_p99_ms": round(float(np.percentile(service, 99)), 2),
-                    "node_cpu": round(used, 2),
-                    "sent_late_ms": round((late or 0) * 1000, 1),
+                    "service_p99_ms": round(float(np.percentile(service_ms, 99)), 2),
+                    "node_cpu": round(node_cpu, 2),
+                    "sent_late_ms": round((max_delay or 0) * 1000, 1),
                 }
             )
         )
