--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -36,10 +36,8 @@
 
 TENANTS = 100  # how tenants divide the 170,000 requests/s does not matter here
 CHANGE_INTERVAL = 600000  # ticks (1 min), from the removal of the zone to its return
-DURATION_S, REFUSED_AFTER_MS = (
-    60,
-    100,
-)  # of the run with a dead backend; until a connection is refused
+# Duration of the run with a dead backend, and the time until it refuses a connection.
+DURATION_S, REFUSED_AFTER_MS = 60, 100
 
 
 def subsets_of_node(settings, number, endpoints):
@@ -53,7 +51,7 @@
         (False, [replace(e, started_at=now + 2 * CHANGE_INTERVAL) for e in zone]),
     ):
         node.endpoints_updated(now, changed, is_whole)
-        subsets.append({node.endpoints.names[b] for b in node.rotation.subset})
+        subsets.append({node.endpoints.names[backend] for backend in node.rotation.subset})
         now += CHANGE_INTERVAL
     return subsets
 
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -172,7 +172,7 @@
         )
 
     def _start_nodes(self):
-        endpoints = [self._endpoint(b) for b in range(self.backends)]
+        endpoints = [self._endpoint(number) for number in range(self.backends)]
         for number in range(self.node_count):
             self.nodes.append(
                 Balancer(self.seed * 1009 + number, self._balancer_settings(number), self.now)
--- a/experiments/limit/fast.py
+++ b/experiments/limit/fast.py
@@ -110,17 +110,13 @@
     }
 
 
-class Clients:
+class ClientPool:
     """Clients of the node, which share a pool of idle connections."""
 
     def __init__(self, port):
         self.port, self.idle, self.request_count = port, LifoQueue(), 0
         # Seconds from the planned send time, and from the actual one.
-        self.latencies, self.service_times, self.statuses = (
-            [],
-            [],
-            {},
-        )
+        self.latencies, self.service_times, self.statuses = [], [], {}
 
     def send_request(self, planned):
         """Sends a request and records its result; `planned` is its send time, None if it is not measured."""
@@ -235,7 +231,7 @@
                     break
                 except OSError:
                     gevent.sleep(0.05)
-            clients, cpu_before, began = Clients(listen), cpu_s(node.pid), time.perf_counter()
+            clients, cpu_before, began = ClientPool(listen), cpu_s(node.pid), time.perf_counter()
             max_delay = (
                 clients.run_closed_loop(kept, seconds)
                 if kept
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -141,13 +141,14 @@
     return {
         "in time": summary["per_s"]["in_time"] / requests_per_s,
         "p99": summary["p99_ms"],
-        "met pause": sum(b.met_pause for b in backends) / sum(b.offered for b in backends),
-        "forecast": sum(b.forecast_pauses for b in backends)
-        / max(1, sum(b.observed_pauses for b in backends)),
-        "pauses": sum(b.pauses for b in backends),
-        "attempts": sum(b.offered for b in backends) / requests_per_s / seconds * 2,
+        "met pause": sum(each.met_pause for each in backends)
+        / sum(each.offered for each in backends),
+        "forecast": sum(each.forecast_pauses for each in backends)
+        / max(1, sum(each.observed_pauses for each in backends)),
+        "pauses": sum(each.pauses for each in backends),
+        "attempts": sum(each.offered for each in backends) / requests_per_s / seconds * 2,
         "mean in flight": summary["mean_out"] / BACKENDS,
-        "max in flight": max(b.max_in_flight for b in backends),
+        "max in flight": max(each.max_in_flight for each in backends),
         "subset size": sum(subset_sizes) / max(1, len(subset_sizes)),
         "broken": summary["broken"],
     }
--- a/experiments/services/groups.py
+++ b/experiments/services/groups.py
@@ -26,11 +26,8 @@
 # Standard deviation of the logarithm of a service's load; one of 210 services has several times the mean load.
 SIGMA = 0.8
 # Number of groups, and the most load of a group as a multiple of the mean (consistent hashing with bounded loads).
-GROUPS, MAX_LOAD_RATIO = (
-    21,
-    1.1,
-)
-MIN_NODES = 4  # nodes per service, each in another zone
+GROUPS, MAX_LOAD_RATIO = 21, 1.1
+MIN_NODES = 4  # per service, each in another zone
 HASHED, BY_LOAD, DEALT = "hashed", "hashed, by load", "dealt"
 
 
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -11,10 +11,8 @@
 from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
 BACKENDS = 8
-PAUSE_INTERVAL_REQUESTS, PAUSE_MS = (
-    120,
-    400,
-)  # completed requests between two pauses of a backend, and the length of each pause
+# Completed requests between two pauses of a backend, and the length of each pause.
+PAUSE_INTERVAL_REQUESTS, PAUSE_MS = 120, 400
 # Fractions of the demo's duration after which one backend crashes and another one drains.
 CRASH_AT_RATIO, DRAIN_AT_RATIO = 2 / 3, 0.8
 REQUEST_TIMEOUT_S = 1.0
