--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -35,7 +35,7 @@
 from pierglade.settings import platform as platform_settings
 
 TENANTS = 100  # how tenants divide the 170,000 requests/s does not matter here
-CHANGE_INTERVAL = 600000  # ticks (1 min), from the removal of the zone to its return
+CHANGE_INTERVAL_TICKS = 600000  # 1 min, from the removal of the zone to its return
 # Duration of the run with a dead backend, and the time until it refuses a connection.
 DURATION_S, REFUSED_AFTER_MS = 60, 100
 
@@ -48,11 +48,11 @@
     for is_whole, changed in (
         (True, endpoints),
         (False, [replace(e, state=EndpointState.REMOVED) for e in zone]),
-        (False, [replace(e, started_at=now + 2 * CHANGE_INTERVAL) for e in zone]),
+        (False, [replace(e, started_at=now + 2 * CHANGE_INTERVAL_TICKS) for e in zone]),
     ):
         node.endpoints_updated(now, changed, is_whole)
         subsets.append({node.endpoints.names[backend] for backend in node.rotation.subset})
-        now += CHANGE_INTERVAL
+        now += CHANGE_INTERVAL_TICKS
     return subsets
 
 
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -39,10 +39,10 @@
 from pierglade.settings.balancer import BalancerSettings
 from pierglade.tenants.registry import TenantRegistry  # noqa: E402
 
-SECOND = 10000  # ticks; a tick is a tenth of a millisecond
+SECOND_TICKS = 10000  # a tick is a tenth of a millisecond
 RESPONSE_TICKS = 500
 # How long the nodes run before the start, in ticks, and the multiple of the quotas requested after the silence.
-WARM_UP_TICKS, RUSH_FACTOR = 5 * SECOND, 15
+WARM_UP_TICKS, RUSH_FACTOR = 5 * SECOND_TICKS, 15
 DEFAULT_NODES, DEFAULT_BUDGETS = "5,10,20,30,720", "2,5,30"
 CASES = ("told", "started", "silence", "undivided")
 
@@ -76,7 +76,9 @@
         """Returns the integral of `rate(age)` from one age to another, for a pace of one per second."""
         width = (end - begin) / INTEGRATION_STEPS
         return (
-            sum(rate(begin + (n + 0.5) * width) for n in range(INTEGRATION_STEPS)) * width / SECOND
+            sum(rate(begin + (n + 0.5) * width) for n in range(INTEGRATION_STEPS))
+            * width
+            / SECOND_TICKS
         )
 
     def worst(self, sent, pace, rate):
@@ -100,8 +102,8 @@
 
 INTEGRATION_STEPS = 20
 SETTINGS = {
-    "mild": SlowStartSettings(8 * SECOND, 0.4, 3.0, 2 * SECOND),
-    "harsh": SlowStartSettings(22 * SECOND, 0.13, 2.5, 15000),
+    "mild": SlowStartSettings(8 * SECOND_TICKS, 0.4, 3.0, 2 * SECOND_TICKS),
+    "harsh": SlowStartSettings(22 * SECOND_TICKS, 0.13, 2.5, 15000),
 }
 
 
@@ -125,7 +127,7 @@
         self.backends, self.quota = backends, pace * backends
         self.random, self.sequence, self.scheduled = random.Random(seed), count(), []
         self.wakeups, self.sent = [None] * nodes, []
-        self.now, self.started_at = 100 * SECOND, 100 * SECOND + WARM_UP_TICKS
+        self.now, self.started_at = 100 * SECOND_TICKS, 100 * SECOND_TICKS + WARM_UP_TICKS
 
     def _balancer_settings(self, number):
         is_undivided = self.case == "undivided"
@@ -190,10 +192,13 @@
         age, silence = self.now - self.started_at, self.slow_start.slow_start_duration // 2
         if self.case == "silence" and 0 <= age < silence:
             return 0.0, self.started_at + silence
-        if self.case == "silence" and 0 <= age < silence + 2 * SECOND:
-            return RUSH_FACTOR * self.quota / SECOND, self.started_at + silence + 2 * SECOND
+        if self.case == "silence" and 0 <= age < silence + 2 * SECOND_TICKS:
+            return (
+                RUSH_FACTOR * self.quota / SECOND_TICKS,
+                self.started_at + silence + 2 * SECOND_TICKS,
+            )
         return (
-            self.load * self.quota / SECOND,
+            self.load * self.quota / SECOND_TICKS,
             self.started_at if age < 0 else self.started_at + self.slow_start.slow_start_duration,
         )
 
@@ -301,10 +306,12 @@
                 slow_start.worst(sent, warm_pace, slow_start.granted)[0] for sent in results
             )
             mean_sent = sum(map(len, results)) / seeds
-            last_second = sum(moment >= end - SECOND for sent in results for moment in sent) / seeds
+            last_second = (
+                sum(moment >= end - SECOND_TICKS for sent in results for moment in sent) / seeds
+            )
             granted, granted_last = (
                 warm_pace * slow_start.integrate(slow_start.granted, since, end)
-                for since in (0, end - SECOND)
+                for since in (0, end - SECOND_TICKS)
             )
             print(
                 f"| {case} | {n} | {first_budget:g} | {mean_sent:.1f} of {granted:.1f} "
