--- a/experiments/admission/floods.py
+++ b/experiments/admission/floods.py
@@ -177,11 +177,11 @@
         load = run.Load(
             node["listen"],
             "/look/x",
-            plan.moments([plan.ArrivalPattern(rate=RATE, seconds=seconds)], "even", 1),
+            plan.arrival_times([plan.ArrivalPattern(rate=RATE, seconds=seconds)], "even", 1),
             timeout_s=1.0,
             ledger=children.path("clients.jsonl"),
         )
-        tally = run.play(load)
+        tally = run.run_load(load)
         from pierglade.cli.admission import fetch_admission
 
         admission = fetch_admission(f"127.0.0.1:{management}")
--- a/experiments/capacity/slopes.py
+++ b/experiments/capacity/slopes.py
@@ -221,7 +221,7 @@
     """Measures changes through the state machine, and reloads of the file as after SIGHUP."""
     import msgspec
 
-    from pierglade.__main__ import GARBAGE, config_from_environ, reloaded_config
+    from pierglade.__main__ import GC_THRESHOLD, config_from_environ, reloaded_config
     from pierglade.proxy.state.events import ConfigurationLoaded, EndpointsUpdated
     from pierglade.proxy.state.machine import ProxyStateMachine
 
@@ -231,9 +231,9 @@
     except ImportError:
         quota_changes = None  # commits before changes were applied as differences
     try:
-        from pierglade.reconfiguration.document_reader import parsed
+        from pierglade.reconfiguration.document_reader import read_endpoint_list
     except ImportError:
-        parsed = None  # commits before lists were parsed in steps
+        read_endpoint_list = None  # commits before lists were parsed in steps
     figures = {}
     document, entries = node_document(tenants, nodes), endpoint_entries(backends)
     snapshot = {"index": 1, "snapshot": True, "endpoints": entries}
@@ -252,12 +252,12 @@
         config = config_from_environ(os.environ)
         gc.collect()
         gc.freeze()  # As in a node; otherwise garbage collections would count towards the steps.
-        gc.set_threshold(GARBAGE, 20, 20)
-        reducer = ProxyStateMachine(
+        gc.set_threshold(GC_THRESHOLD, 20, 20)
+        state_machine = ProxyStateMachine(
             config.seed, config.settings, START_TICKS, 1000, config.discovery, config.document
         )
         _, figures["state_list_ms"] = cpu_ms(
-            lambda: reducer.apply(START_TICKS, EndpointsUpdated(orjson.loads(line)))
+            lambda: state_machine.apply(START_TICKS, EndpointsUpdated(orjson.loads(line)))
         )
         now, durations = START_TICKS, []
         for k in range(CHANGES):
@@ -265,7 +265,7 @@
             message = orjson.dumps({"index": k + 2, "snapshot": False, "endpoints": [entry]})
             now += 10
             durations.append(
-                cpu_ms(lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(message))))[1]
+                cpu_ms(lambda: state_machine.apply(now, EndpointsUpdated(orjson.loads(message))))[1]
             )
         figures["state_change_us"] = sum(durations) * 1e3 / CHANGES
         # The whole list received again unchanged, as from a discovery that restarted without its history.
@@ -273,11 +273,11 @@
         now += 10000
         repeated_list = orjson.dumps({**snapshot, "index": now})
         parsed_list = (
-            run_steps(parsed(repeated_list), steps)
-            if parsed
+            run_steps(read_endpoint_list(repeated_list), steps)
+            if read_endpoint_list
             else append_cpu_ms(steps, orjson.loads, repeated_list)
         )
-        append_cpu_ms(steps, reducer.apply, now, EndpointsUpdated(parsed_list))
+        append_cpu_ms(steps, state_machine.apply, now, EndpointsUpdated(parsed_list))
         figures["list_again_ms"], figures["list_again_step_ms"] = sum(steps), max(steps)
         # A zone, one in ten backends, is removed and added again, each in one message.
         zone = [entry for entry in entries if entry["zone"] == "z3"]
@@ -289,7 +289,7 @@
             changed = [{**entry, **fields} for entry in zone]
             message = orjson.dumps({"index": now, "snapshot": False, "endpoints": changed})
             _, figures[name] = cpu_ms(
-                lambda: reducer.apply(now, EndpointsUpdated(orjson.loads(message)))
+                lambda: state_machine.apply(now, EndpointsUpdated(orjson.loads(message)))
             )
             figures["zone_bytes"] = len(message)
 
@@ -305,7 +305,7 @@
                 steps.append(
                     ms
                     + cpu_ms(
-                        reducer.apply,
+                        state_machine.apply,
                         now,
                         ConfigurationLoaded(
                             new_config.discovery, new_config.document, new_config.settings
@@ -315,14 +315,14 @@
                 return sum(steps), steps[0]
             new_config = run_steps(reload_steps(config), steps)
             changes = run_steps(
-                quota_changes.steps(
-                    reducer.balancers.settings.tenants, new_config.settings.tenants.shares
+                quota_changes.compare_quotas(
+                    state_machine.balancers.settings.tenants, new_config.settings.tenants.quotas
                 ),
                 steps,
             )
             steps.append(
                 cpu_ms(
-                    reducer.apply,
+                    state_machine.apply,
                     now,
                     ConfigurationLoaded(
                         new_config.discovery, new_config.document, new_config.settings, changes
--- a/experiments/capacity/views.py
+++ b/experiments/capacity/views.py
@@ -45,12 +45,12 @@
     node, now = Balancer(number, replace(settings, node_number=number), START_TICKS), START_TICKS
     subsets = []
     zone = [e for e in endpoints if e.zone == "z3"]
-    for is_whole, changed in (
+    for is_full_list, changed in (
         (True, endpoints),
         (False, [replace(e, state=EndpointState.REMOVED) for e in zone]),
         (False, [replace(e, started_at=now + 2 * CHANGE_INTERVAL_TICKS) for e in zone]),
     ):
-        node.endpoints_updated(now, changed, is_whole)
+        node.endpoints_updated(now, changed, is_full_list)
         subsets.append({node.endpoints.names[backend] for backend in node.rotation.subset})
         now += CHANGE_INTERVAL_TICKS
     return subsets
--- a/experiments/cold/budget.py
+++ b/experiments/cold/budget.py
@@ -214,7 +214,7 @@
     def _receive_request(self):
         number = self.random.randrange(self.node_count)
         node = self.nodes[number]
-        tenant = node.settings.tenants.of("all", self.now) if self.shares else None
+        tenant = node.settings.tenants.tenant("all", self.now) if self.shares else None
         node.request_received(
             self.now,
             Request(None, node.settings.request_classes[0], tenant, self.now, self.now + 10000),
--- a/experiments/learned/restart.py
+++ b/experiments/learned/restart.py
@@ -130,7 +130,7 @@
                     run.Load(
                         f"127.0.0.1:{port}",
                         "/look/x",
-                        plan.moments(
+                        plan.arrival_times(
                             [
                                 plan.ArrivalPattern(
                                     rate=RATE / NODES, seconds=RESTART_AT_S + RUN_AFTER_RESTART_S
--- a/experiments/learned/size.py
+++ b/experiments/learned/size.py
@@ -15,7 +15,7 @@
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
 
 from pierglade.snapshot import aging, schema, store
-from tests.support.scene import Desk, entry  # noqa: E402
+from tests.support.scene import StateMachineHarness, entry  # noqa: E402
 
 
 def time_call(call, times=15):
@@ -32,8 +32,8 @@
     """Prints a row for each number of backends."""
     print("backends    bytes   gather ms (max)   write ms (max)  read ms   restore ms")
     for count in (10, 100, 500, 1000):
-        desk = Desk([entry(f"b{n}") for n in range(count)])
-        node = desk.reducer.balancers.current
+        harness = StateMachineHarness([entry(f"b{n}") for n in range(count)])
+        node = harness.state_machine.balancers.current
         for backend in range(count):
             node.pause_forecast.pauses[backend] = deque(range(0, 9000, 1000))
             node.pause_forecast.next_pause_answered[backend] = 9000.0
@@ -41,12 +41,12 @@
             snapshot_store = store.SnapshotStore(path, "n1")
 
             def gather():
-                request_classes, backends, _, entries = desk.reducer.snapshot.export(
-                    aging.KEYS, aging.ROW_KEYS
+                request_classes, backends, _, entries = harness.state_machine.snapshot.export(
+                    aging.BACKEND_KEYS, aging.REQUEST_CLASS_KEYS
                 )
                 return schema.Snapshot(
                     "n1",
-                    desk.now,
+                    harness.now,
                     0,
                     0.0,
                     request_classes,
@@ -62,7 +62,7 @@
                 time_call(gather),
                 time_call(lambda: snapshot_store.write(schema.encode(snapshot))),
                 time_call(snapshot_store.read),
-                time_call(lambda: desk.reducer.snapshot.restore(snapshot, 600000)),
+                time_call(lambda: harness.state_machine.snapshot.restore(snapshot, 600000)),
             )
         print(
             f"{count:8} {len(data):8}  {timings[0][0]:8.2f} ({timings[0][1]:.2f})  {timings[1][0]:8.2f} "
--- a/experiments/services/carry.py
+++ b/experiments/services/carry.py
@@ -92,9 +92,9 @@
     def _end_pause(self):
         self.is_paused = False
 
-    def _finish(self, job, plan_number):
+    def _finish(self, job, schedule_number):
         handled_before = self.handled
-        super()._finish(job, plan_number)
+        super()._finish(job, schedule_number)
         if (
             self.by_work
             and self.handled > handled_before
--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from pierglade.errors import PiergladeError
-from pierglade.reconfiguration import document_reader as reading
+from pierglade.reconfiguration import document_reader
 from pierglade.settings.balancer import BalancerSettings
 from pierglade.settings.platform import InvalidSettingsError, settings_from
 from pierglade.settings.validation import missing_key
@@ -22,7 +22,7 @@
 DEFAULT_MEMORY_MB = 192  # used where no limit is configured
 # Net allocations before a garbage collection. Collections free next to nothing in a node, and each
 # one takes CPU time.
-GARBAGE = 10000
+GC_THRESHOLD = 10000
 
 
 @dataclass(slots=True)
@@ -39,11 +39,11 @@
     document: dict  # the JSON document, without its customers and the initial endpoint list
     management: str | None = None  # host:port of the management address; None: there is none
     memory_mb: int = DEFAULT_MEMORY_MB
-    gives_ids: bool = False  # whether requests without a trace id are assigned one
+    assigns_trace_ids: bool = False  # whether requests without a trace id are assigned one
     caps: "ConnectionLimits | None" = None  # limits on client connections; None: no limits
     # Arguments of SnapshotSettings: folder, period in s, half-life in s, maximum size in MB. None:
     # no snapshots are written.
-    keeping: tuple | None = None
+    snapshot_settings: tuple | None = None
     log: "Callable[[int, str], Log] | None" = None  # creates the log; None: the default `Log`
 
 
@@ -51,7 +51,7 @@
     """The configuration cannot be used; the message is one line."""
 
 
-def through(steps: Generator) -> object:
+def run_to_end(steps: Generator) -> object:
     """Runs a generator to its end and returns its return value."""
     while True:
         try:
@@ -68,7 +68,7 @@
     Raises:
         UnusableConfigError: the configuration cannot be used.
     """
-    return through(_config_steps(environ))
+    return run_to_end(_config_steps(environ))
 
 
 def _config_steps(environ, known=True):
@@ -89,7 +89,7 @@
     try:
         with open(path, "rb") as file:
             text = file.read()
-        document, quotas = yield from reading.steps(text, known)
+        document, quotas = yield from document_reader.read_document(text, known)
     except OSError as error:
         raise UnusableConfigError(f"{path} cannot be read: {error.strerror}") from None
     except InvalidSettingsError as error:
@@ -120,7 +120,7 @@
     """
     try:
         if quotas is None:
-            document = reading.without_customers(document, quotas := {})
+            document = document_reader.without_customers(document, quotas := {})
         limits = document.get("limits") or {}
         config = NodeConfig(
             name=environ.get("BALANCER_NAME") or document["name"],
@@ -175,7 +175,7 @@
         UnusableConfigError: the configuration cannot be used, or lacks a key that `initial`, the
             configuration that the node started with, has.
     """
-    return through(reload_steps(initial))
+    return run_to_end(reload_steps(initial))
 
 
 def reload_steps(initial: NodeConfig) -> Generator:
@@ -228,7 +228,7 @@
         return 2
     config.known = {}  # The server has loaded it.
     gc.freeze()  # Loaded modules stay for good; collections need not visit their objects again.
-    gc.set_threshold(GARBAGE, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
     return server.run(lambda: reload_config(config), early_signals)
 
 
--- a/pierglade/admission/connection_admission.py
+++ b/pierglade/admission/connection_admission.py
@@ -114,22 +114,22 @@
         self.active = {}  # states with open connections
         self.idle = OrderedDict()  # without open connections, not penalised
         self.penalised = OrderedDict()  # without open connections, with points or a block
-        self.strangers = 0  # open connections of unknown addresses
+        self.unknown_open = 0  # open connections of unknown addresses
         self.by_reason = Counter()  # rejections since the last `take_rejections`
         self.by_address = Counter()  # the same, for at most MAX_IDLE_ADDRESSES addresses
 
     def set_limits(self, limits: ConnectionLimits):
         """Replaces the limits; connections that are already open stay open."""
-        self.limits, self.strangers = limits, 0
+        self.limits, self.unknown_open = limits, 0
         for states in (self.idle, self.penalised):
             for state in states.values():
                 state.known = None
         for key, state in self.active.items():
             if not key.endswith(PREFIX_SUFFIXES):
                 state.known = self._is_known(key)
-                self.strangers += state.open * (not state.known)
+                self.unknown_open += state.open * (not state.known)
 
-    def opened(self, now: int, address: str, budget: int) -> RejectionReason | None:
+    def admit(self, now: int, address: str, budget: int) -> RejectionReason | None:
         """Counts a connection from `address` if it is admitted, or returns why it is rejected.
 
         Args:
@@ -152,10 +152,10 @@
             return reason
         state.open += 1
         self._activate(now, state.prefix).open += 1
-        self.strangers += not state.known
+        self.unknown_open += not state.known
         return None
 
-    def knows(self, now: int, address: str) -> bool:
+    def is_known_client(self, now: int, address: str) -> bool:
         """Returns whether an admitted address is known and is not blocked for its own faults."""
         state = self.active[_address_key(address)]
         return bool(state.known) and now >= state.blocked_until
@@ -169,7 +169,7 @@
         prefix = self.active.get(state.prefix)
         if limits.per_prefix and prefix is not None and prefix.open >= limits.per_prefix:
             return RejectionReason.PREFIX
-        if limits.reserve and self.strangers >= (1 - limits.reserve) * budget:
+        if limits.reserve and self.unknown_open >= (1 - limits.reserve) * budget:
             return RejectionReason.RESERVE
         if limits.rate:
             max_tokens = max(1.0, BURST_S * limits.rate)
@@ -184,20 +184,20 @@
             state.tokens -= 1
         return None
 
-    def closed(self, now: int, address: str):
+    def connection_closed(self, now: int, address: str):
         """Records that an admitted connection of `address` has closed."""
         key = _address_key(address)
         state = self.active.get(key)
         if state is None or not state.open:
             return
         state.open -= 1
-        self.strangers -= not state.known
+        self.unknown_open -= not state.known
         prefix = self.active[state.prefix]
         prefix.open -= 1
         self._deactivate(now, state.prefix, prefix)
         self._deactivate(now, key, state)
 
-    def faulted(self, now: int, address: str, points: float = FAULT_POINTS):
+    def record_fault(self, now: int, address: str, points: float = FAULT_POINTS):
         """Records that `address` sent a malformed or incomplete request."""
         key = _address_key(address)
         self._add_points(now, key, self._activate(now, key), points)
@@ -232,7 +232,7 @@
         self.by_reason, self.by_address = Counter(), Counter()
         return dict(by_reason), by_address.most_common(MAX_LOGGED_ADDRESSES)
 
-    def top(self, now: int, max_count: int = 20) -> list[dict]:
+    def most_rejected(self, now: int, max_count: int = 20) -> list[dict]:
         """Returns the rejected or blocked addresses, most rejected first, for `GET /admission`."""
         entries = [
             (key, state)
--- a/pierglade/admission/load_shedder.py
+++ b/pierglade/admission/load_shedder.py
@@ -47,7 +47,7 @@
         self.threshold = 0.0
         order = sorted(set(priority_weights))
         # Shedding class by request class, whether it is a retry, and whether its client is known.
-        self.classes = [
+        self.shedding_classes = [
             [
                 [
                     order.index(priority_weight) + len(order) * (is_first + 2 * is_known)
@@ -61,7 +61,7 @@
         self.rejected_ratios = [0.0] * (4 * len(order))  # by shedding class
         self.stepped_at, self.min_wait_ratio = None, NEVER
 
-    def note_wait(self, now: int, wait_ratio: float):
+    def record_wait(self, now: int, wait_ratio: float):
         """Records that an admitted request waited for a fraction of its latency objective."""
         if wait_ratio < self.min_wait_ratio:
             self.min_wait_ratio = wait_ratio
@@ -76,7 +76,7 @@
             is_retry: Whether it is a retry.
             is_known: Whether its client is known.
         """
-        shedding_class = self.classes[request_class][is_retry][is_known]
+        shedding_class = self.shedding_classes[request_class][is_retry][is_known]
         self.recent_arrivals[shedding_class] += 1
         ratio = self.rejected_ratios[shedding_class]
         return ratio > 0.0 and (ratio >= 1.0 or self.random_float() < ratio)
--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -65,11 +65,11 @@
         has_quotas = settings.tenants.total > 0
         # Without a report of what other nodes receive, probing rounds find the limit
         # (docs/notes/limit.md).
-        self.learns = bool(
+        self.learns_limit = bool(
             not has_quotas and settings.node_count > 1 and settings.load_report_source
         )
         rate = settings.tenants.total / settings.node_count / 10000
-        demand = MIN_REQUEST_RATE if self.learns else rate or None
+        demand = MIN_REQUEST_RATE if self.learns_limit else rate or None
         class_count = len(settings.request_classes)
         self.limit = ConcurrencyLimiter(settings.node_count, class_count, now, demand)
         self.polling = PollSchedule(settings.polls_endpoints, now, self.pick)
@@ -80,7 +80,7 @@
             settings,
             now,
             self.pick,
-            self.learns,
+            self.learns_limit,
             self.limit,
             self.wakeup,
             self.endpoints,
@@ -95,14 +95,14 @@
 
     def _make_stats(self, now: int) -> None:
         """Creates the components that only record figures."""
-        settings, learns = self.settings, self.learns
+        settings, learns_limit = self.settings, self.learns_limit
         longest_timeout = max(each.request_timeout for each in settings.request_classes)
         self.endpoints = EndpointStats(longest_timeout)
         self.request_stats = RequestStats(settings.request_classes, now)
         self.request_costs = RequestCosts(self.request_stats)
         self.pause_forecast = PauseForecast()
         self.slow_start = SlowStart.from_settings(settings)
-        by_checks = learns and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
+        by_checks = learns_limit and settings.load_report_source == LoadReportSource.HEALTH_CHECKS
         reports_are_rare = by_checks and "throughput" not in settings.load_report_fields
         self.load_reports = LoadReports(
             settings, self.endpoints, self.request_stats, self.slow_start, reports_are_rare, now
@@ -137,7 +137,7 @@
         """Creates the components that select backends and requests."""
         self.selection = Selection(
             self.settings,
-            self.learns,
+            self.learns_limit,
             self.limit,
             self.endpoints,
             self.request_stats,
@@ -179,7 +179,7 @@
             self.rotation,
         )
         self._sweep = PeriodicSweep(
-            self.learns,
+            self.learns_limit,
             self.wakeup,
             self.rotation,
             self.polling,
@@ -244,10 +244,10 @@
         """Applies changed quotas of tenants that had quotas before."""
         self.rotation.quotas_updated(now)
 
-    def endpoints_updated(self, now: int, entries: Iterable[Endpoint], is_whole: bool) -> None:
-        """Applies the endpoint list: all backends if `is_whole`, else the changed ones."""
+    def endpoints_updated(self, now: int, entries: Iterable[Endpoint], is_full_list: bool) -> None:
+        """Applies the endpoint list: all backends if `is_full_list`, else the changed ones."""
         self.polling.endpoints_updated()
-        self._endpoint_list.apply(now, entries, is_whole)
+        self._endpoint_list.apply(now, entries, is_full_list)
 
     def discovery_lost(self, now: int, since_update: int = -NEVER) -> None:
         """Schedules a poll after the list was lost; `since_update`: time since its last update."""
--- a/pierglade/balancer/endpoint_list.py
+++ b/pierglade/balancer/endpoint_list.py
@@ -36,9 +36,9 @@
         self._slow_start, self._load_reports = slow_start, load_reports
         self._selection, self._rotation = selection, rotation
 
-    def apply(self, now: int, entries: Iterable[Endpoint], is_whole: bool) -> None:
-        """Applies the list: all backends if `is_whole`, else the changed ones."""
-        if is_whole:
+    def apply(self, now: int, entries: Iterable[Endpoint], is_full_list: bool) -> None:
+        """Applies the list: all backends if `is_full_list`, else the changed ones."""
+        if is_full_list:
             self._remove_missing(now, entries)
         for entry in entries:
             backend = self._endpoints.index.get(entry.name)
@@ -68,7 +68,7 @@
             allowance = self._draw_fraction()
             slow_start.process_started(backend, now, entry.started_at, allowance)
             self._outliers.process_started(backend, now)
-        endpoints.left_at[backend] = 0
+        endpoints.unready_since[backend] = 0
         if endpoints.state[backend] != EndpointState.READY:
             endpoints.became_ready(backend)
             self._rotation.add(backend)
--- a/pierglade/balancer/endpoint_stats.py
+++ b/pierglade/balancer/endpoint_stats.py
@@ -11,11 +11,11 @@
 from pierglade.model.request import Idempotency, Request, RequestClass
 
 # Multiple of the longest request timeout. A removed backend's index is reused after that.
-REUSE_AFTER = 2
+INDEX_REUSE_RATIO = 2
 # Fraction of the latency objective assumed as typical latency; leaves enough time for a retry.
 INITIAL_LATENCY = 0.25
 # Requests. A kind of idempotency that none of the last ones had no longer occurs, or too rarely.
-KIND_SEEN_WITHIN = 100
+IDEMPOTENCY_WINDOW = 100
 # Ticks (0.5 s). A rate over a shorter span is random.
 MIN_RATE_SPAN = 5000
 # Factor applied to the recent counts per DECAY_INTERVAL (50 ms), so that they cover about 50 s.
@@ -29,7 +29,7 @@
     zone=None,
     cell=None,
     size=0.0,
-    left_at=0,
+    unready_since=0,
 )
 
 
@@ -44,7 +44,7 @@
         """The index of each name; a removed backend keeps it until it is reused."""
         self.removed: OrderedDict[int, None] = OrderedDict()
         """Removed backends, the one removed first in front."""
-        self._reuse_after = REUSE_AFTER * longest_timeout
+        self._reuse_after = INDEX_REUSE_RATIO * longest_timeout
         self.names: list[str] = []
         self.rank: list[bytes] = []
         """Position on the hash ring."""
@@ -53,13 +53,13 @@
         self.cell: list[str | None] = []
         self.size: list[float] = []
         """The largest weight received."""
-        self.left_at: list[int] = []
+        self.unready_since: list[int] = []
         """When it started draining or was removed; 0 while it is listed as ready."""
 
     def add(self, name: str, now: int, in_flight: Container[int]) -> int:
         """Returns an index for a new backend, reusing one of a removed backend without attempts."""
         backend = next((backend for backend in self.removed if backend not in in_flight), None)
-        if backend is None or now - self.left_at[backend] <= self._reuse_after:
+        if backend is None or now - self.unready_since[backend] <= self._reuse_after:
             backend = len(self.names)
         else:
             del self.index[self.names[backend]], self.removed[backend]
@@ -67,7 +67,7 @@
             getattr(self, array)[backend : backend + 1] = [initial]  # appends if the index is new
         self.names[backend] = name
         self.rank[backend] = blake2b(name.encode(), digest_size=8).digest() + name.encode()
-        self.left_at[backend] = now
+        self.unready_since[backend] = now
         self.index[name] = backend
         return backend
 
@@ -129,7 +129,7 @@
             kind: (
                 0
                 if any(each.idempotency == kind for each in request_classes)
-                else -KIND_SEEN_WITHIN
+                else -IDEMPOTENCY_WINDOW
             )
             for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
         }
@@ -153,7 +153,7 @@
 
         A kind that clients no longer send would never provide a trial request.
         """
-        oldest_recent = self.received - KIND_SEEN_WITHIN
+        oldest_recent = self.received - IDEMPOTENCY_WINDOW
         return next(kind for kind, number in self.last_received.items() if number > oldest_recent)
 
     def rate(self, now: int, field: str) -> float:
--- a/pierglade/balancer/health_checks.py
+++ b/pierglade/balancer/health_checks.py
@@ -6,7 +6,7 @@
 CHECKS_PER_ATTEMPT, CHECKS_PER_ATTEMPT_RARE = 0.05, 0.15
 # Health checks due at the start; without them, a node with few attempts would wait seconds for the
 # first load report.
-INITIAL_DUE = 3.0
+INITIAL_CHECKS_DUE = 3.0
 
 
 class HealthChecks:
@@ -17,9 +17,9 @@
         self._pending: deque[int] = deque()
         self._provides_load = provides_load
         self._per_attempt = CHECKS_PER_ATTEMPT_RARE if reports_are_rare else CHECKS_PER_ATTEMPT
-        self._due = INITIAL_DUE
+        self._due = INITIAL_CHECKS_DUE
 
-    def copy_due(self, previous: "HealthChecks") -> None:
+    def copy_checks_due(self, previous: "HealthChecks") -> None:
         """Copies how soon the next check for a load report is due."""
         self._due = previous._due
 
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -142,7 +142,7 @@
         """
         endpoints, ejections = self._endpoints, self._ejections
         if endpoints.state[backend] == EndpointState.READY:
-            endpoints.left_at[backend] = now
+            endpoints.unready_since[backend] = now
             if (
                 state == EndpointState.REMOVED
                 and not self._settings.removal_binds
@@ -291,7 +291,7 @@
         ejections.double_trial_interval(backend)
         if (
             ejections.trial_interval[backend] == MAX_TRIAL_INTERVAL
-            and endpoints.left_at[backend]
+            and endpoints.unready_since[backend]
             and endpoints.state[backend] == EndpointState.READY
         ):
             self.take_out_of_rotation(backend, EndpointState.REMOVED, now)
--- a/pierglade/balancer/pause_forecast.py
+++ b/pierglade/balancer/pause_forecast.py
@@ -12,7 +12,7 @@
 # Coefficients of variation of the work between pauses that separate these three windows.
 MAX_REGULAR_VARIATION, MIN_IRREGULAR_VARIATION = 0.1, 1.0
 # Enough pauses to determine the variation, few enough to follow a change within a minute.
-PAUSES_KEPT = 30
+MAX_STORED_PAUSES = 30
 # Two pauses define a line; the third can contradict it.
 MIN_PAUSES = 3
 # Ticks (1.5 s). A longer silence is an outage and is not used for the forecast.
@@ -100,7 +100,7 @@
         if duration > MAX_PAUSE:
             return
         self.mean_pause[backend] += (duration - self.mean_pause[backend]) // 4
-        pauses = self.pauses[backend] = self.pauses[backend] or deque(maxlen=PAUSES_KEPT)
+        pauses = self.pauses[backend] = self.pauses[backend] or deque(maxlen=MAX_STORED_PAUSES)
         pauses.append(self.answered[backend])
         self.discard_forecast(backend)
         if len(pauses) < MIN_PAUSES:
--- a/pierglade/balancer/polling.py
+++ b/pierglade/balancer/polling.py
@@ -9,7 +9,7 @@
 # list.
 INTERVAL, MAX_INTERVAL = 20000, 160000
 # Ticks (0.6 s). Minimum time from a loss to a poll.
-INTERVAL_LEAST = 6000
+MIN_INTERVAL = 6000
 # Ticks (4.4 s). A listed change must be known 6 s after it was published, and a poll itself takes
 # time.
 MAX_LIST_AGE = 44000
@@ -46,7 +46,7 @@
         `since_update` is the time since the last update. All nodes lose the list at the same time:
         the time of the poll is random, and polls are as rare as permitted.
         """
-        interval = max(INTERVAL_LEAST, min(self._interval, (MAX_LIST_AGE - since_update) * 2 // 3))
+        interval = max(MIN_INTERVAL, min(self._interval, (MAX_LIST_AGE - since_update) * 2 // 3))
         self.next_at = now + interval // 2 + self.pick(interval)
         self._interval = min(MAX_INTERVAL, self._interval * 2)
 
--- a/pierglade/balancer/request_cost.py
+++ b/pierglade/balancer/request_cost.py
@@ -39,8 +39,8 @@
     def copy_from(self, previous: "RequestCosts") -> None:
         """Copies the state of `previous`; shares no mutable data with it."""
         self.median_slowness = previous.median_slowness
-        self.slowness.newest = previous.slowness.newest.copy()
-        self.slowness.figures = previous.slowness.figures.copy()
+        self.slowness.newest_values = previous.slowness.newest_values.copy()
+        self.slowness.sorted_values = previous.slowness.sorted_values.copy()
 
     def assess(self, now: int, request: Request, stats: RequestClassStats) -> None:
         """Sets the relative cost of a request that has just arrived."""
@@ -81,14 +81,14 @@
             return  # Such a latency is normal for this tenant and gives no information.
         tenant.slowness = slowness + (ratio - slowness) * SLOWNESS_SMOOTHING
         tenant.slowness_seen_at = now
-        self.slowness.see(now, tenant.name, tenant.slowness)
+        self.slowness.add(now, tenant.name, tenant.slowness)
 
     def update_median(self, now: int) -> None:
         """Updates the slowness that is normal among tenants.
 
         A mean would hide a large slow tenant; if all tenants are slow, none counts as slow.
         """
-        self.median_slowness = max(1.0, self.slowness.figure(now) or 1.0)
+        self.median_slowness = max(1.0, self.slowness.median(now) or 1.0)
 
     def _slowness(self, tenant: Tenant, now: int) -> float:
         """Returns the tenant's slowness, which decays over time.
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -35,7 +35,7 @@
         settings: BalancerSettings,
         now: int,
         pick: Callable[[int], int],
-        learns: bool,
+        learns_limit: bool,
         limit: ConcurrencyLimiter,
         wakeup: Wakeup,
         endpoints: EndpointStats,
@@ -46,7 +46,7 @@
     ) -> None:
         """Starts with an empty ring.
 
-        `learns`: without quotas, requests and load reports determine the size of the subset.
+        `learns_limit`: without quotas, requests and load reports determine the size of the subset.
         """
         self._settings, self.pick, self.limit, self._wakeup = settings, pick, limit, wakeup
         self._endpoints, self._request_stats = endpoints, request_stats
@@ -57,7 +57,7 @@
         """Requests per tick that this node receives."""
         self.subset_size: int | None = (
             max(MIN_SUBSET_SIZE, int(self.request_rate * MAX_REQUEST_INTERVAL))
-            if self.has_quotas or learns
+            if self.has_quotas or learns_limit
             else None
         )
         """Number of backends of mean size in the subset; None for all backends."""
--- a/pierglade/balancer/selection.py
+++ b/pierglade/balancer/selection.py
@@ -63,7 +63,7 @@
     def __init__(
         self,
         settings: BalancerSettings,
-        learns: bool,
+        learns_limit: bool,
         limit: ConcurrencyLimiter,
         endpoints: EndpointStats,
         request_stats: RequestStats,
@@ -78,28 +78,28 @@
         self._preferred_zone = (
             settings.zone if settings.cross_zone_penalty >= MIN_CROSS_ZONE_PENALTY else None
         )
-        self._latency_level_exponent = LATENCY_LEVEL_EXPONENT if learns else 1
+        self._latency_level_exponent = LATENCY_LEVEL_EXPONENT if learns_limit else 1
         self._endpoints, self._request_stats = endpoints, request_stats
         self._pause_forecast, self._slow_start = pause_forecast, slow_start
         self._ejections, self._outliers = ejections, outliers
         self._rotation, self._retry_rules = rotation, retry_rules
-        self.turn_share: list[float] = []
+        self.accumulated_weight: list[float] = []
         """Weight that each backend has accumulated toward its next selection, 0 to 1."""
 
     def add(self, backend: int, fraction: float) -> None:
         """Adds a new backend that has accumulated the weight `fraction`."""
-        self.turn_share[backend : backend + 1] = [fraction]
+        self.accumulated_weight[backend : backend + 1] = [fraction]
 
     def copy_from(self, previous: "Selection") -> None:
         """Copies the accumulated weights of `previous`."""
-        self.turn_share = previous.turn_share.copy()
+        self.accumulated_weight = previous.accumulated_weight.copy()
 
     def choose(self, request: Request, now: int) -> int | None:
         """Returns the next backend in the rotation that has no reason to be skipped.
 
         If all are skipped, returns the first one skipped for a reason in `FALLBACKS`, else None.
         """
-        rotation, sizes, accumulated = self._rotation, self._endpoints.size, self.turn_share
+        rotation, sizes, accumulated = self._rotation, self._endpoints.size, self.accumulated_weight
         subset, position, fallback = rotation.subset, rotation.position, None
         count = len(subset)
         # Where crossing zones is expensive, a first lap covers only the backends of the own zone.
--- a/pierglade/balancer/sweep.py
+++ b/pierglade/balancer/sweep.py
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        learns: bool,
+        learns_limit: bool,
         wakeup: Wakeup,
         rotation: Rotation,
         polling: PollSchedule,
@@ -34,7 +34,7 @@
         ejections: Ejections,
         outliers: OutlierDetection,
     ) -> None:
-        self._learns, self._wakeup, self._rotation = learns, wakeup, rotation
+        self._learns, self._wakeup, self._rotation = learns_limit, wakeup, rotation
         self._polling, self._pending, self._queue = polling, pending, queue
         self._dispatch, self._deadlines = dispatch, deadlines
         self._request_stats, self._request_costs = request_stats, request_costs
--- a/pierglade/cli/check.py
+++ b/pierglade/cli/check.py
@@ -8,7 +8,7 @@
 from pierglade.cli import BAD_INPUT, fail
 
 
-def lines_of(path):
+def config_errors(path):
     """Returns the errors of the file at `path`, one line each; empty if a node would start with it."""
     from pierglade.__main__ import UnusableConfigError, config_from_document
     from pierglade.config.platform import to_platform
@@ -38,7 +38,7 @@
 )
 def check(file, as_platform):
     """Checks whether a node would start with FILE; if not, exits with 2 and prints a line for each error."""
-    errors = lines_of(file)
+    errors = config_errors(file)
     for line in errors:
         click.echo(f"pierglade: {line}", err=True)
     if errors:
--- a/pierglade/cli/compare.py
+++ b/pierglade/cli/compare.py
@@ -68,10 +68,10 @@
         with ExitStack() as exit_stack:
             plan = read_plan(file, seed)
             builds = open_builds((one, other), exit_stack)
-            pierglade_labels = {build.label for build in builds if not build.plain}
+            pierglade_labels = {build.label for build in builds if not build.is_reference}
             with Progress(2 * times) as progress:
                 summaries = run_until_stopped(
-                    lambda: comparison.in_turns(
+                    lambda: comparison.run_alternating(
                         plan, prepare_output_folder(out, file), builds, times, progress
                     )
                 )
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -157,7 +157,7 @@
             sent += 1
         if now >= shown_seconds + 1:
             shown_seconds += 1
-            children.look()
+            children.raise_if_exited()
             show(shown_seconds, sides, await _fetch_backends(management))
         await asyncio.sleep(max(0.001, began + (sent + 1) / rate - time.monotonic()))
     await asyncio.sleep(REQUEST_TIMEOUT_S + 0.1)
@@ -290,7 +290,7 @@
     node = children.start("node", "pierglade.cli", "serve", file.name, "--with-parent")
     while node.get("event") != "started":
         node = json.loads(children.running["node"][0].stdout.readline() or b"{}")
-        children.look()
+        children.raise_if_exited()
     plain = children.start(
         "plain node",
         "pierglade.testbed.plain",
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -54,7 +54,7 @@
 
     try:
         builds = [exit_stack.enter_context(nodes.Build(name)) for name in names]
-    except nodes.NoBuild as error:
+    except nodes.BuildError as error:
         fail(str(error))
     if len({build.label for build in builds}) < len(builds):
         fail(f"builds are {', '.join(names)}; expected each build to be named only once")
@@ -84,7 +84,7 @@
     labels = list(summaries)
     width = max(16, *(len(label) + 2 for label in labels))
     write(" " * 18 + "".join(f"{label:>{width + 14}}" for label in labels))
-    for name, spread, verdict in compare.rows(summaries):
+    for name, spread, verdict in compare.compare_figures(summaries):
         cells = []
         for label in labels:
             if label not in spread:
@@ -103,8 +103,8 @@
     """
     from pierglade.experiment import compare
 
-    _, lines = compare.doubts(summaries)
-    is_broken, _ = compare.doubts(
+    _, lines = compare.reliability_warnings(summaries)
+    is_broken, _ = compare.reliability_warnings(
         {label: runs for label, runs in summaries.items() if label in pierglade_labels}
     )
     for line in lines:
@@ -121,12 +121,12 @@
 
 def run_until_stopped(run):
     """Returns `run()`; if it fails or is stopped by a signal, exits with 3 and one line."""
-    from pierglade.experiment.play import Failed
+    from pierglade.experiment.play import RunFailedError
     from pierglade.processes.children import StoppedBySignalError
 
     try:
         return run()
-    except Failed as error:
+    except RunFailedError as error:
         fail(str(error), UNRELIABLE)
     except StoppedBySignalError as error:
         fail(
@@ -169,7 +169,7 @@
 
     with ExitStack() as exit_stack:
         names = [build, *beside]
-        if cost.is_cost(file):
+        if cost.has_cost_table(file):
             return measure_cost(file, open_builds(names, exit_stack), times, as_json)
         from pierglade.experiment import compare, report
 
@@ -178,10 +178,10 @@
         out = prepare_output_folder(out, file)
         with Progress(len(builds) * times) as progress:
             summaries = run_until_stopped(
-                lambda: compare.in_turns(plan, out, builds, times, progress)
+                lambda: compare.run_alternating(plan, out, builds, times, progress)
             )
         for name in sorted(os.listdir(out)):
-            report.page(os.path.join(out, name))
+            report.write_report(os.path.join(out, name))
     if as_json:
         import msgspec
 
@@ -189,7 +189,7 @@
     else:
         print_table(summaries)
         click.echo(f"{out} has a folder per run, each with summary.json and report.html")
-    exit_by_result(summaries, {build.label for build in builds if not build.plain})
+    exit_by_result(summaries, {build.label for build in builds if not build.is_reference})
 
 
 def measure_cost(file, builds, times, as_json):
@@ -203,7 +203,7 @@
         plan = cost.read(file)
     except InvalidPlanError as error:
         fail(str(error))
-    if any(build.plain for build in builds):
+    if any(build.is_reference for build in builds):
         fail(
             "--build or --beside names a plain policy; the cost experiment expects builds of pierglade"
         )
@@ -212,5 +212,5 @@
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
         return
-    for line in cost.lines(result):
+    for line in cost.table_lines(result):
         click.echo(line)
--- a/pierglade/cli/fleet.py
+++ b/pierglade/cli/fleet.py
@@ -38,7 +38,7 @@
         summary = asyncio.run(
             run.serve(plan, lambda event, **fields: log.info(event, **fields), with_parent)
         )
-    except run.CannotListen as error:
+    except run.ListenError as error:
         fail(str(error))
     except OSError as error:
         fail(f"{error.filename or file}: {error.strerror}")
--- a/pierglade/cli/learned.py
+++ b/pierglade/cli/learned.py
@@ -81,8 +81,8 @@
     from pierglade.snapshot import store
 
     for name, snapshot in _find_snapshots(folder):
-        node = name.partition(store.SUFFIX)[0]
-        if store.in_use(folder, node):
+        node = name.partition(store.NEWEST_SUFFIX)[0]
+        if store.is_in_use(folder, node):
             click.echo(f"{name}: kept, node {node} is running")
         elif isinstance(snapshot, Exception) or _age_s(snapshot) > older_than_h * 3600:
             try:
--- a/pierglade/cli/load.py
+++ b/pierglade/cli/load.py
@@ -46,7 +46,7 @@
             )
             patterns.append(msgspec.convert(pairs, plan.ArrivalPattern, strict=False))
         patterns = patterns or [plan.ArrivalPattern(rate=rate, seconds=seconds)]
-        return plan.moments(patterns, spacing, seed), None
+        return plan.arrival_times(patterns, spacing, seed), None
     except (InvalidPlanError, msgspec.ValidationError) as error:
         fail(str(error))
 
@@ -169,7 +169,7 @@
         patience_ms / 1000,
         not one_each,
         retries,
-        marks=marks,
+        marks_retries=marks,
         abandon_share=abandon_share,
         seed=seed,
         rows=rows,
@@ -180,7 +180,7 @@
             fail(f"{path}: the folder of this file does not exist")
     stopped = False
     try:
-        tally = run.play(load_spec, workers)
+        tally = run.run_load(load_spec, workers)
     except run.InvalidRunError as error:
         fail(str(error), UNRELIABLE)
     except KeyboardInterrupt as error:
--- a/pierglade/cli/scale.py
+++ b/pierglade/cli/scale.py
@@ -28,7 +28,7 @@
     from pierglade.processes.children import StoppedBySignalError
     from pierglade.scale import plan as plans
     from pierglade.scale import play, report
-    from pierglade.scale.guard import Over
+    from pierglade.scale.guard import ResourceLimitError
     from pierglade.simulation.plan import InvalidPlanError
 
     started_at = time.monotonic()
@@ -40,21 +40,21 @@
     try:
         plan = plans.read(file)
         if axes:
-            result = report.axes(plan, file, play.play, print_progress)
+            result = report.run_axes(plan, file, play.run_plan, print_progress)
         else:
-            result = play.play(plan, file, print_progress)
+            result = play.run_plan(plan, file, print_progress)
     except InvalidPlanError as error:
         fail(str(error))
-    except play.Failed as error:
+    except play.RunFailedError as error:
         fail(str(error), error.status)
-    except Over as error:
+    except ResourceLimitError as error:
         fail(str(error), UNRELIABLE)
     except StoppedBySignalError as error:
         fail(f"stopped by {error}; there is no result", UNRELIABLE)
     if as_json:
         click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
     else:
-        for line in report.axes_lines(result) if axes else report.lines(result):
+        for line in report.fit_table_lines(result) if axes else report.table_lines(result):
             click.echo(line)
     runs = result["runs"] if axes else [result]
     for line in [line for run in runs for line in [*run["wrong"], *run["doubts"]]]:
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -19,20 +19,20 @@
 
     Raises ValueError with one line if the file can't be used.
     """
-    from pierglade.__main__ import config_at, config_from_document, through
+    from pierglade.__main__ import config_at, config_from_document, run_to_end
 
     if path.endswith(".json"):
-        return through(config_at(path, {}))
+        return run_to_end(config_at(path, {}))
     from pierglade.config.logged import FilteredLog
     from pierglade.config.platform import to_platform
     from pierglade.config.read import read
 
     file = read(path)
     config = config_from_document(to_platform(file), path, {}, fixed=True)
-    config.gives_ids = file.listen.ids == "optional"
+    config.assigns_trace_ids = file.listen.ids == "optional"
     config.caps = _connection_limits(file.admission)
     learning = file.learning
-    config.keeping = (
+    config.snapshot_settings = (
         (learning.folder, learning.every_s, learning.half_life_s, learning.most_mb)
         if learning.folder
         else None
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -68,7 +68,7 @@
         return self._budget.nodes
 
     @property
-    def each(self) -> float:
+    def per_backend(self) -> float:
         """The limit for each backend."""
         return self._budget.per_backend
 
--- a/pierglade/experiment/compare.py
+++ b/pierglade/experiment/compare.py
@@ -35,7 +35,7 @@
 )
 
 
-def in_turns(plan, folder, builds, times, progress=lambda completed, fraction: None):
+def run_alternating(plan, folder, builds, times, progress=lambda completed, fraction: None):
     """Runs `plan` `times` times with each of `builds`, alternating; returns {label: [summary]}.
 
     Each round starts with a different build, so that a drift of the machine affects all builds
@@ -48,7 +48,7 @@
         for build in builds[round_number % len(builds) :] + builds[: round_number % len(builds)]:
             run_folder = os.path.join(folder, f"{_folder_name(build.label)}-{round_number}")
             summaries_by_label[build.label].append(
-                runner.play(
+                runner.run_experiment(
                     plan,
                     run_folder,
                     build,
@@ -93,7 +93,7 @@
     return found
 
 
-def rows(summaries_by_label):
+def compare_figures(summaries_by_label):
     """Yields (figure, {label: (median, minimum, maximum)}, verdict) for {label: [summary]}.
 
     The verdict names the better of two builds if their ranges do not overlap, and otherwise states
@@ -123,7 +123,7 @@
     return f"{first if (first_min > second_max) == is_higher_better else second} is better"
 
 
-def doubts(summaries_by_label):
+def reliability_warnings(summaries_by_label):
     """Returns (whether a rule was broken, lines with broken rules and reasons for distrust)."""
     is_broken, lines = False, []
     for label, of_label in summaries_by_label.items():
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -10,13 +10,20 @@
 
 from pierglade.experiment import plan as plans
 from pierglade.experiment import play as runner
-from pierglade.simulation.plan import Count, InvalidPlanError, Positive, Share, Struct, tables
+from pierglade.simulation.plan import (
+    Count,
+    InvalidPlanError,
+    PlanTable,
+    Positive,
+    Share,
+    read_tables,
+)
 
 LATENCY_LIMITS = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
 MAX_DOUBLINGS = 16  # of the first rate in the search for the highest rate
 
 
-class Cost(Struct):
+class Cost(PlanTable):
     """The `[cost]` table."""
 
     core: int = 1  # of the node; all other processes run on the other cores
@@ -30,17 +37,17 @@
     seed: int = 1
 
 
-def is_cost(path):
+def has_cost_table(path):
     """Whether the file has a [cost] table; False if it can't be read."""
     try:
-        return "cost" in tables(path)
+        return "cost" in read_tables(path)
     except InvalidPlanError:
         return False
 
 
 def read(path):
     """Returns the Cost in the file at `path`; raises InvalidPlanError, which names the place."""
-    raw = tables(path)
+    raw = read_tables(path)
     if set(raw) - {"cost", "title"}:
         raise InvalidPlanError(
             f"{path}: $.{sorted(set(raw) - {'cost', 'title'})[0]}: unknown key; "
@@ -74,7 +81,7 @@
     }
     if is_rejected:
         raw["fleet"]["befall"] = [{"at_s": 0.0, "what": "drain"}]
-    plan = plans.made(raw)
+    plan = plans.plan_from(raw)
     if is_rejected:
         raw["fleet"]["befall"][0]["at_s"] = -0.8  # before the first request of the load
     return plan
@@ -86,7 +93,7 @@
 
 def _run(cost, build, rate, is_rejected=False):
     with tempfile.TemporaryDirectory(prefix="pierglade-") as folder:
-        summary = runner.play(_plan(cost, rate, is_rejected), folder, build)
+        summary = runner.run_experiment(_plan(cost, rate, is_rejected), folder, build)
     if summary["not_to_be_trusted"]:
         raise UnreliableRunError(summary["not_to_be_trusted"][0])
     return summary
@@ -116,7 +123,7 @@
 
 
 def measure(plan, builds, times, progress=lambda completed, fraction: None):
-    """Returns {label: {figure: [value of each round]}}; raises Failed if a run is invalid."""
+    """Returns {label: {figure: [value of each round]}}; raises RunFailedError if a run is invalid."""
     results = {
         build.label: {"cpu_ms_an_answer": [], "cpu_ms_a_refusal": [], "highest_a_second": []}
         for build in builds
@@ -129,9 +136,9 @@
                 figures["cpu_ms_an_answer"].append(_run(plan, build, plan.rate)["cpu_ms_an_answer"])
                 rejections = _run(plan, build, plan.rate, is_rejected=True)
             except UnreliableRunError as error:
-                raise runner.Failed(str(error)) from None
+                raise runner.RunFailedError(str(error)) from None
             if rejections["in_time"]:
-                raise runner.Failed(
+                raise runner.RunFailedError(
                     f"{rejections['in_time']} requests were answered while all backends were "
                     "draining; expected only rejections"
                 )
@@ -142,7 +149,7 @@
     return results
 
 
-def lines(results):
+def table_lines(results):
     """Yields the lines of a table that compares each build with the first."""
     first = next(iter(results))
     for figure in results[first]:
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -15,10 +15,10 @@
 from pierglade.testbed.plain import POLICIES
 
 PACKAGE_NAME = "pierglade"
-HERE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+ROOT_FOLDER = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 # Runs a node that ends when its standard input, a pipe from the parent process, is closed. A build
 # itself has no such option.
-START = """
+NODE_PROGRAM = """
 import os, runpy, signal, sys, threading
 def end_with_parent():
     while os.read(0, 1024):
@@ -30,7 +30,7 @@
 """
 
 
-class NoBuild(Exception):
+class BuildError(Exception):
     """The name is not that of a build; the message is one line."""
 
 
@@ -48,33 +48,35 @@
         if text in POLICIES:
             return
         if text == PACKAGE_NAME:
-            self.root = HERE
+            self.root = ROOT_FOLDER
         elif text.startswith("@"):
             self._check_out(text[1:])
         else:
             self.root = os.path.abspath(text)
         if not os.path.isfile(os.path.join(self.root, "pierglade", "__main__.py")):
-            raise NoBuild(
+            raise BuildError(
                 f"{text!r} is not a build; expected {PACKAGE_NAME}, {', '.join(POLICIES)}, "
                 "a folder with pierglade/__main__.py, or @COMMIT"
             )
 
     def _check_out(self, commit):
-        if shutil.which("git") is None or not os.path.isdir(os.path.join(HERE, ".git")):
-            raise NoBuild(f"@{commit}: {HERE} is not a git checkout, or git is not installed")
+        if shutil.which("git") is None or not os.path.isdir(os.path.join(ROOT_FOLDER, ".git")):
+            raise BuildError(
+                f"@{commit}: {ROOT_FOLDER} is not a git checkout, or git is not installed"
+            )
         self.folder = tempfile.TemporaryDirectory(prefix="pierglade-build-")
         self.root = self.folder.name
         for args in (
-            ["clone", "-q", "--no-checkout", HERE, self.root],
+            ["clone", "-q", "--no-checkout", ROOT_FOLDER, self.root],
             ["-C", self.root, "checkout", "-q", commit, "--"],
         ):
             completed = subprocess.run(["git", *args], capture_output=True, text=True)
             if completed.returncode:
                 self.folder.cleanup()
-                raise NoBuild(f"@{commit}: no such commit in {HERE}")
+                raise BuildError(f"@{commit}: no such commit in {ROOT_FOLDER}")
 
     @property
-    def plain(self):
+    def is_reference(self):
         """Whether it is a reference balancer."""
         return self.root is None
 
@@ -132,7 +134,7 @@
 def start(children, build, plan, number, discovery, management, log):
     """Starts one node; returns (its process, the address that it listens on)."""
     name = f"node {number}"
-    if build.plain:
+    if build.is_reference:
         args = [
             "-m",
             "pierglade.testbed.plain",
@@ -151,7 +153,7 @@
             file.write(msgspec.json.encode(document(plan, number, discovery, management)))
         started = children.start_logged(
             name,
-            ["-c", START],
+            ["-c", NODE_PROGRAM],
             log,
             cwd=build.root,
             env={"BALANCER_CONFIG": path, "PYTHONPATH": build.root},
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -12,22 +12,22 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.load.plan import ArrivalPattern, RecordedRequest, moments
+from pierglade.load.plan import ArrivalPattern, RecordedRequest, arrival_times
 from pierglade.simulation.plan import (
     Count,
     InvalidPlanError,
     NotNegative,
+    PlanTable,
     Positive,
     Share,
-    Struct,
-    tables,
+    read_tables,
 )
 from pierglade.testbed import plan as fleets
 
 MAX_BASES = 4  # files in a chain of `base` references
 
 
-class ClientPlan(Struct):
+class ClientPlan(PlanTable):
     """The behaviour of the clients."""
 
     spacing: Literal["even", "poisson"] = "poisson"
@@ -42,7 +42,7 @@
     processes: Count = 1  # sender processes for each node
 
 
-class Member(Struct):
+class Member(PlanTable):
     """A tenant, as named in X-Customer."""
 
     name: str
@@ -50,7 +50,7 @@
     per_s: NotNegative = 0.0  # quota in the settings of the nodes; 0: none
 
 
-class Nodes(Struct):
+class Nodes(PlanTable):
     """The nodes in front of the fleet."""
 
     count: Count = 2
@@ -60,7 +60,7 @@
     core: int = -1  # core of the first node, each next node on the next core; -1: not bound
 
 
-class Rules(Struct):
+class Rules(PlanTable):
     """Parameters of the rules that the run is audited against."""
 
     drain_grace_ms: NotNegative = 1000.0
@@ -69,7 +69,7 @@
     further_share: Share = 0.0  # further retries, as a fraction of the requests in the window
 
 
-class Experiment(Struct):
+class Experiment(PlanTable):
     """The whole plan."""
 
     fleet: fleets.Plan
@@ -102,7 +102,7 @@
 
         All of them are reproducible from the seed.
         """
-        times = moments(self.load, self.clients.spacing, self.seed)
+        times = arrival_times(self.load, self.clients.spacing, self.seed)
         generator = np.random.default_rng([self.seed, 1])
 
         def draw(candidates):
@@ -137,11 +137,11 @@
     override those of the base, and a list replaces that of the base. Raises InvalidPlanError with
     one line that names the place.
     """
-    return made(_read_with_bases(path, MAX_BASES), path)
+    return plan_from(_read_with_bases(path, MAX_BASES), path)
 
 
 def _read_with_bases(path, max_bases):
-    raw = tables(path)
+    raw = read_tables(path)
     base = raw.pop("base", None)
     if base is None:
         return raw
@@ -165,7 +165,7 @@
     }
 
 
-def made(raw, path="plan"):
+def plan_from(raw, path="plan"):
     """Returns the Experiment in a mapping; raises InvalidPlanError, with `path` in the message."""
     try:
         plan = msgspec.convert(
@@ -174,7 +174,7 @@
     except msgspec.ValidationError as error:
         raise InvalidPlanError(f"{path}: {error}") from None
     plan.raw = raw
-    plan.fleet = fleets.made(raw["fleet"], f"{path}: fleet")
+    plan.fleet = fleets.plan_from(raw["fleet"], f"{path}: fleet")
     if plan.fleet.ledger.path:
         raise InvalidPlanError(
             f"{path}: $.fleet.ledger.path is {plan.fleet.ledger.path!r}; expected no path, "
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -23,15 +23,15 @@
 READY_TIMEOUT_S = 8.0  # for all nodes to become ready
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """The run failed or its result is invalid; the message is one line."""
 
 
-def play(plan, folder, build, progress=lambda fraction: None):
+def run_experiment(plan, folder, build, progress=lambda fraction: None):
     """Runs `plan` (an Experiment) with nodes of `build`; returns the summary.
 
     Creates `folder` with plan.json, summary.json, samples.json, breaks.json, backends.jsonl,
-    clients-N.jsonl and node-N.log. Raises Failed if there is no valid result. Raises
+    clients-N.jsonl and node-N.log. Raises RunFailedError if there is no valid result. Raises
     StoppedBySignalError after a signal; if the load had started, a summary that is marked as
     partial is written before.
     """
@@ -48,9 +48,9 @@
                 if run.worker_pool is not None:
                     run.worker_pool.end()
     except ChildExitedError as error:
-        raise Failed(str(error)) from None
+        raise RunFailedError(str(error)) from None
     except loads.InvalidRunError as error:
-        raise Failed(str(error)) from None
+        raise RunFailedError(str(error)) from None
     except StoppedBySignalError as error:
         if run.start_time is None or time.monotonic() <= run.start_time:
             raise
@@ -98,14 +98,14 @@
         self.start_unix_ms = fleet["began_ms"] + lead_s * 1000
         self.start_time = self.start_unix_ms / 1000 - clock_offset
         if time.monotonic() > self.start_time - 0.2:
-            raise Failed(f"the nodes did not start within the lead time of {lead_s:g} s")
+            raise RunFailedError(f"the nodes did not start within the lead time of {lead_s:g} s")
         self.worker_pool = loads.WorkerPool(
             [(load, (0, 1)) for load in self._client_loads()], self.start_time
         )
         pollers = [
             threading.Thread(target=self._poll_backends, args=(number, management), daemon=True)
             for number, management in enumerate(management_addresses)
-            if not self.build.plain
+            if not self.build.is_reference
         ]
         for poller in pollers:
             poller.start()
@@ -146,12 +146,12 @@
             [address for _, address in self.nodes],
         )
         while pending:
-            self.children.look()
+            self.children.raise_if_exited()
             pending = [
                 address for address in pending if _http_get(address, "/health/ready")[0] != 200
             ]
             if time.monotonic() > deadline:
-                raise Failed(
+                raise RunFailedError(
                     f"{len(pending)} of {len(self.nodes)} nodes were not ready within "
                     f"{READY_TIMEOUT_S:g} s"
                 )
@@ -161,7 +161,7 @@
     def _client_loads(self):
         plan, clients = self.plan, self.plan.clients
         times, rows, senders = plan.arrivals()
-        repeats = {
+        idempotency_by_class = {
             request_class.name: request_class.repeats for request_class in plan.fleet.request_class
         }
         for number in range(plan.ledgers()):
@@ -174,11 +174,11 @@
                 reuses_connections=clients.kept,
                 retries=clients.retries,
                 retry_s=clients.retry_ms / 1000,
-                marks=clients.marks,
+                marks_retries=clients.marks,
                 abandon_share=clients.abandon_share,
                 seed=plan.seed + number,
                 exponential_backoff=clients.doubled,
-                repeats=repeats,
+                idempotency_by_class=idempotency_by_class,
                 rows=[row for row, is_included in zip(rows, is_own) if is_included],
                 node=f"n{node}",
                 ledger=self.path(f"clients-{number}.jsonl"),
@@ -189,7 +189,7 @@
         processes = [psutil.Process(process.pid) for process, _ in self.nodes]
         seconds = self.plan.seconds()
         while self.worker_pool.running():
-            self.children.look()
+            self.children.raise_if_exited()
             now = time.monotonic() - self.start_time
             try:
                 for number, process in enumerate(processes):
--- a/pierglade/experiment/report.py
+++ b/pierglade/experiment/report.py
@@ -30,12 +30,12 @@
 td:first-child,th:first-child{text-align:left}img{max-width:100%}.bad{color:#a00;font-weight:bold}"""
 
 
-def page(folder):
+def write_report(folder):
     """Writes report.html into the folder of a run; returns its path."""
     summary = _read(folder, "summary.json")
     raw = _read(folder, "plan.json")
     raw.pop("build")
-    plan = plans.made(raw)
+    plan = plans.plan_from(raw)
     samples = _read(folder, "samples.json")
     clients = []
     for number in range(plan.ledgers()):
@@ -160,7 +160,7 @@
     try:
         draw(axes, plan, *data)
         for fault in plan.fleet.befall:
-            until = min(plan.seconds(), fault.until())
+            until = min(plan.seconds(), fault.ends_at_s())
             if until > fault.at_s:
                 axes.axvspan(fault.at_s, until, color="#000000", alpha=0.07, linewidth=0)
             axes.axvline(fault.at_s, color="#000000", alpha=0.4, linewidth=0.8)
--- a/pierglade/experiment/sums.py
+++ b/pierglade/experiment/sums.py
@@ -165,8 +165,8 @@
     first = min((fault.at_s for fault in plan.fleet.befall), default=end)
     baseline = requests.service(requests.at_s < first)
     for fault in plan.fleet.befall:
-        until = min(end, fault.until())
-        has_duration = fault.until() > fault.at_s
+        until = min(end, fault.ends_at_s())
+        has_duration = fault.ends_at_s() > fault.at_s
         during = (requests.at_s >= fault.at_s) & (
             requests.at_s < (until if has_duration else fault.at_s + 5.0)
         )
--- a/pierglade/load/plan.py
+++ b/pierglade/load/plan.py
@@ -11,13 +11,13 @@
 import numpy as np
 from msgspec import Meta
 
-from pierglade.simulation.plan import InvalidPlanError, Positive, Struct
+from pierglade.simulation.plan import InvalidPlanError, PlanTable, Positive
 
 MAX_REQUESTS = 20_000_000  # of one arrival pattern; their arrival times alone take 160 MB
 WAVE_POINTS_PER_PERIOD = 32  # points that approximate one period of a wave
 
 
-class ArrivalPattern(Struct):
+class ArrivalPattern(PlanTable):
     """A section of the load; rates are requests per second."""
 
     shape: Literal["steady", "ramp", "surge", "wave"] = "steady"
@@ -43,7 +43,7 @@
     return np.array([0.0, duration]), np.array([level, level])
 
 
-def moments(patterns, spacing, seed):
+def arrival_times(patterns, spacing, seed):
     """Returns the arrival times of all requests of consecutive patterns.
 
     `spacing` is "even" or "poisson". Raises InvalidPlanError for a pattern with more than
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -50,14 +50,14 @@
         reuses_connections=True,
         retries=0,
         retry_s=0.2,
-        marks=False,
+        marks_retries=False,
         abandon_share=0.0,
         seed=1,
         rows=None,
         body=b"",
         ledger="",
         exponential_backoff=True,
-        repeats=None,
+        idempotency_by_class=None,
         node="",
     ):
         self.target, self.path, self.moments, self.method = target, path, moments, method
@@ -66,15 +66,19 @@
             timeout_s,
             reuses_connections,
         )
-        self.retries, self.retry_s, self.marks, self.abandon_share, self.seed = (
+        self.retries, self.retry_s, self.marks_retries, self.abandon_share, self.seed = (
             retries,
             retry_s,
-            marks,
+            marks_retries,
             abandon_share,
             seed,
         )
         self.rows, self.body, self.ledger = rows, body, ledger
-        self.exponential_backoff, self.repeats, self.node = exponential_backoff, repeats, node
+        self.exponential_backoff, self.idempotency_by_class, self.node = (
+            exponential_backoff,
+            idempotency_by_class,
+            node,
+        )
 
 
 class _Sender:
@@ -109,7 +113,10 @@
         """Returns the encoded request; `retry` is 0 for the first attempt."""
         load, row = self.load, self.load.rows[number] if self.load.rows else None
         path = f"/{row.request_class}/x" if row and row.request_class else load.path
-        method, idempotency = load.method, load.repeats and load.repeats[row.request_class]
+        method, idempotency = (
+            load.method,
+            load.idempotency_by_class and load.idempotency_by_class[row.request_class],
+        )
         if idempotency:
             method = "GET" if idempotency == "harmless" else "POST"
         lines = [
@@ -121,7 +128,7 @@
         ]
         if row and row.customer:
             lines.append(f"X-Customer: {row.customer}")
-        if retry and load.marks:
+        if retry and load.marks_retries:
             lines.append("X-Second-Try: 1")
         if idempotency == "stamped":
             lines.append(f"Idempotency-Key: {self.id_prefix}-{number}")
@@ -244,7 +251,7 @@
     pipe.close()
 
 
-def play(load, workers=1):
+def run_load(load, workers=1):
     """Sends a Load with `workers` processes; returns its LatencyRecorder.
 
     Raises InvalidRunError if a worker exits before it has sent its part of the plan. When it is
--- a/pierglade/model/request.py
+++ b/pierglade/model/request.py
@@ -66,7 +66,7 @@
 class Request:
     """A request accepted from a client; it gets exactly one final answer."""
 
-    host_context: object
+    caller_context: object
     """Data of the caller, never read by the decisions."""
     request_class: RequestClass
     tenant: Tenant | None
--- a/pierglade/processes/children.py
+++ b/pierglade/processes/children.py
@@ -83,7 +83,7 @@
             return json.loads(line)
         except ValueError:
             process.wait()
-            raise ChildExitedError(self._how(name)) from None
+            raise ChildExitedError(self.describe_exit(name)) from None
 
     def start_logged(self, name, args, log, env=(), cwd=None):
         """Starts `python ARGS` with standard output in the file `log`; returns its `started` event.
@@ -107,7 +107,7 @@
             if started is not None:
                 return started
             if process.poll() is not None:
-                raise ChildExitedError(self._how(name))
+                raise ChildExitedError(self.describe_exit(name))
             time.sleep(POLL_INTERVAL_S)
         raise ChildExitedError(f"{name} did not log `started` within {START_TIMEOUT_S:g} s")
 
@@ -115,13 +115,13 @@
         """Opens the file for a child's standard error; `end` closes it."""
         return open(self.path(name + ".err"), "wb+")
 
-    def look(self) -> None:
+    def raise_if_exited(self) -> None:
         """Raises ChildExitedError if a child has ended."""
         for name, (process, _) in self.running.items():
             if process.poll() is not None:
-                raise ChildExitedError(self._how(name))
+                raise ChildExitedError(self.describe_exit(name))
 
-    def _how(self, name):
+    def describe_exit(self, name):
         """Describes the end of a child: its exit status and last line of standard error."""
         process, errors = self.running[name]
         errors.seek(0)
--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -12,11 +12,11 @@
 
 from pierglade.errors import PiergladeError
 from pierglade.proxy import socket_io
-from pierglade.proxy.event_loop import TICKS_PER_SECOND, in_steps
+from pierglade.proxy.event_loop import TICKS_PER_SECOND, run_in_steps
 from pierglade.proxy.http.message import request_head
 from pierglade.proxy.http.reader import ProtocolError, ResponseReader
 from pierglade.proxy.state.events import DiscoveryLost, EndpointsUpdated
-from pierglade.reconfiguration import document_reader as reading
+from pierglade.reconfiguration import document_reader
 
 LIST_PATH = b"/registry/instances"
 # Seconds. The discovery agent is local; together with RETRY_INTERVAL this is less than the smallest
@@ -122,7 +122,7 @@
     def run(self):
         """Does nothing."""
 
-    resync = ask = stop = run
+    resync = poll_now = stop = run
 
 
 class DiscoveryClient:
@@ -161,7 +161,7 @@
                 if not isinstance(error, (OSError, DiscoveryUnavailableError)):
                     self.index = None  # The data that could not be read may have been a change.
                 if not self.stopped:
-                    self.server.tell(
+                    self.server.handle_event(
                         DiscoveryLost(f"{type(error).__name__}: {error}", self._ticks_unobserved())
                     )
             finally:
@@ -185,7 +185,7 @@
         else:
             gevent.sleep(RETRY_INTERVAL)
 
-    def ask(self):
+    def poll_now(self):
         """Ends the wait, so that the next request is sent now."""
         self.poll_requested.set()
 
@@ -219,14 +219,14 @@
         sock.settimeout(max(RESPONSE_TIMEOUT, self.last_activity + timeout_s - monotonic()))
         return sock
 
-    def _tell(self, line):
-        document = in_steps(reading.parsed(line), 0)
+    def _report(self, line):
+        document = run_in_steps(document_reader.read_endpoint_list(line), 0)
         if self.stopped:
             # Discovery has moved while the document was parsed: reported now, it would be applied
             # to the list of the new address.
             raise DiscoveryUnavailableError("the discovery client was stopped")
         self.index = document.get("index") if isinstance(document, dict) else None
-        self.server.tell(EndpointsUpdated(document))
+        self.server.handle_event(EndpointsUpdated(document))
         if self.index is None:
             raise DiscoveryUnavailableError("the document does not fit the known version")
 
@@ -247,7 +247,7 @@
             raise DiscoveryUnavailableError(
                 f"discovery rejected the request for the list: status {message.status}"
             )
-        self._tell(bytes(message.body))
+        self._report(bytes(message.body))
         self._close()
 
     def _watch(self):
@@ -267,5 +267,5 @@
             sock.settimeout(SILENCE_TIMEOUT)
             for line in lines:
                 if line.strip():
-                    self._tell(line)
+                    self._report(line)
         raise DiscoveryUnavailableError("the watch has ended")
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -49,15 +49,15 @@
     """
 
     def __init__(self, sock: socket.socket, server, address: str):
-        self.sock, self.tell, self.budget, self.prepared_rejection = (
+        self.sock, self.handle_event, self.budget, self.prepared_rejection = (
             sock,
-            server.tell,
+            server.handle_event,
             server.budget,
             server.prepared_rejection,
         )
         self.server, self.admission_queue, self.address = server, server.admission_queue, address
         # The ConnectionAdmission that admitted the connection; None: there are no limits.
-        self.admission = server.reducer.descriptors.admission
+        self.admission = server.state_machine.descriptors.admission
         self.now = server.clock.now
         self.requests = RequestReader()
         self.read_resumed = Event()
@@ -76,8 +76,10 @@
         # (bytes read by then, time) of reads while requests wait behind the current one.
         self.pipelined_reads = deque()
         socket_io.set_up(sock)
-        self.is_known = self.admission is not None and self.admission.knows(self.now(), address)
-        self.tell(ConnectionOpened(self, self.is_known))
+        self.is_known = self.admission is not None and self.admission.is_known_client(
+            self.now(), address
+        )
+        self.handle_event(ConnectionOpened(self, self.is_known))
 
     def run(self):
         """Reads until the connection ends, and reports the reason."""
@@ -118,13 +120,13 @@
         finally:
             self.requests.drop()
             self._abort_body()
-        self.tell(ClientDisconnected(self.client, reason))
+        self.handle_event(ClientDisconnected(self.client, reason))
 
     def _handle_read(self, byte_count):
         """Handles `byte_count` bytes that were read; returns whether the connection is open."""
         self.requests.filled(byte_count)
         self.received += byte_count
-        if self.server.reducer.balancers.load_shedder.threshold and self._reject_unparsed():
+        if self.server.state_machine.balancers.load_shedder.threshold and self._reject_unparsed():
             return True
         arrived_at = NEVER
         if self.admission_queue.full():
@@ -163,19 +165,19 @@
             # The end of the malformed part is unknown: nothing behind it is read as a request.
             self.is_discarding = True
             self._abort_body()
-            self.tell(MalformedRequest(self.client, error.status, str(error)))
+            self.handle_event(MalformedRequest(self.client, error.status, str(error)))
             return
         if message is not None and self.requests.is_streamed:
             self._begin_body_stream(message)
         elif message is not None:
             if self.pipelined_reads:
-                self.tell(
+                self.handle_event(
                     RequestReceived(self.client, message), arrived_at=self._pipelined_arrival()
                 )
             else:
-                self.tell(RequestReceived(self.client, message), arrived_at=arrived_at)
+                self.handle_event(RequestReceived(self.client, message), arrived_at=arrived_at)
         elif self.requests.has_begun():
-            self.tell(RequestStarted(self.client, self.requests.body_bytes_received()))
+            self.handle_event(RequestStarted(self.client, self.requests.body_bytes_received()))
             if self.requests.expects_continue():
                 socket_io.send_now(self.sock, CONTINUE_RESPONSE, b"")
 
@@ -185,11 +187,11 @@
         if not self.budget.reserve(STREAM_RESERVATION_BYTES):
             # Rejected before the body is read: many such bodies exceed the memory of the process.
             self.is_discarding, self.max_discard_bytes = True, MAX_UPLOAD_DISCARD_BYTES
-            self.tell(MalformedRequest(self.client, 503))
+            self.handle_event(MalformedRequest(self.client, 503))
             return
         self.reserved_bytes = STREAM_RESERVATION_BYTES
         self.message, self.is_announced = message, False
-        message.flow = self.body_stream = BodyStream(
+        message.body_stream = self.body_stream = BodyStream(
             self.requests.length if self.requests.pieces is None else None, self.read_resumed.set
         )
         if self.requests.expects_continue():
@@ -203,12 +205,12 @@
         if requests.body_complete:
             body.finish()
         if self.is_announced:
-            self.tell(BodyReceived(self.client))
+            self.handle_event(BodyReceived(self.client))
         elif requests.body_complete or not self._buffers_whole():
             self.is_announced = True
-            self.tell(RequestReceived(self.client, self.message))
+            self.handle_event(RequestReceived(self.client, self.message))
         else:
-            self.tell(RequestStarted(self.client, body.size))
+            self.handle_event(RequestStarted(self.client, body.size))
         if requests.body_complete:
             self.body_stream = None
 
@@ -226,7 +228,7 @@
     def _abort_body(self):
         """Aborts the body, as its connection has ended or its response was sent."""
         if self.body_stream is not None:
-            self.body_stream.break_off()
+            self.body_stream.abort_body()
             self.body_stream = None
 
     def _release_request(self):
@@ -239,7 +241,7 @@
         """Sends a response; `body`: bytes or a BodyStream; `close_after`: it is the last one."""
         self._release_request()
         if self.admission is not None and head[9:12] in MALFORMED_STATUSES:
-            self.admission.faulted(self.now(), self.address)
+            self.admission.record_fault(self.now(), self.address)
         if isinstance(body, BodyStream):
             self.is_streaming_response = True
             gevent.spawn(self._stream_body, head, body, close_after, chunked)
@@ -249,7 +251,9 @@
         except OSError as error:
             # The reading greenlet may wait for this response, and see the failure only at its
             # timeout.
-            return self.tell(ClientDisconnected(self.client, f"connection lost: {error.strerror}"))
+            return self.handle_event(
+                ClientDisconnected(self.client, f"connection lost: {error.strerror}")
+            )
         if unsent:
             gevent.spawn(self._write_rest, unsent, close_after)
         else:
@@ -259,26 +263,32 @@
         try:
             self.sock.sendall(unsent)
         except OSError as error:
-            return self.tell(ClientDisconnected(self.client, f"connection lost: {error.strerror}"))
+            return self.handle_event(
+                ClientDisconnected(self.client, f"connection lost: {error.strerror}")
+            )
         self._response_written(close_after)
 
     def _stream_body(self, head, body, close_after, chunked):
         """Streams a response; resets the connection if it is aborted, lest it look complete."""
         try:
             socket_io.stream_body(
-                self.sock, head, body, chunked, lambda: self.tell(ResponseProgressed(self.client))
+                self.sock,
+                head,
+                body,
+                chunked,
+                lambda: self.handle_event(ResponseProgressed(self.client)),
             )
         except OSError:
-            body.break_off()
-        if body.broken:
+            body.abort_body()
+        if body.is_aborted:
             socket_io.reset(self.sock)
-            self.tell(ClientDisconnected(self.client, "response aborted before its end"))
+            self.handle_event(ClientDisconnected(self.client, "response aborted before its end"))
         else:
             self._response_written(close_after)
 
     def _response_written(self, close_after):
         self.is_streaming_response = False
-        self.tell(ResponseSent(self.client))
+        self.handle_event(ResponseSent(self.client))
         if close_after:
             # Closed with data unread, the connection would be reset and the response lost.
             if (
@@ -329,7 +339,7 @@
         if not self.requests.has_begun() and not socket_io.is_readable(self.sock):
             # Without a switch of greenlets: a request that arrived between would be lost.
             socket_io.close_now(self.sock)
-            self.tell(ClientDisconnected(self.client, reason))
+            self.handle_event(ClientDisconnected(self.client, reason))
 
     def end(self):
         """Ends the connection at once."""
@@ -338,5 +348,5 @@
         # A streamed response that the timeout of either side aborts must not look complete.
         (socket_io.reset if self.is_streaming_response else socket_io.close_now)(self.sock)
         if self.admission is not None:
-            self.admission.closed(self.now(), self.address)
+            self.admission.connection_closed(self.now(), self.address)
             self.admission = None
--- a/pierglade/proxy/event_loop.py
+++ b/pierglade/proxy/event_loop.py
@@ -17,7 +17,7 @@
 MIN_WAIT_NS = 150000  # a poll that slept for less found events at once
 
 
-def in_steps(work: object, pause_s: float = STEP_PAUSE_S) -> object:
+def run_in_steps(work: object, pause_s: float = STEP_PAUSE_S) -> object:
     """Returns the result of `work`; a generator is run, pausing for `pause_s` after each step."""
     if not isinstance(work, Generator):
         return work
--- a/pierglade/proxy/http/body_stream.py
+++ b/pierglade/proxy/http/body_stream.py
@@ -45,8 +45,8 @@
     def __init__(self, length, *wakes):
         self.length, self.wakes = length, list(wakes)
         # `waiting`: bytes in `pieces`; `size`: bytes read in all.
-        self.pieces, self.waiting, self.size = deque(), 0, 0
-        self.whole = self.broken = False  # read to its end; aborted
+        self.pieces, self.buffered_bytes, self.size = deque(), 0, 0
+        self.is_complete = self.is_aborted = False  # read to its end; aborted
         self.is_partly_taken = False  # whether pieces were taken, and so discarded
 
     def wake(self):
@@ -56,26 +56,26 @@
 
     def add(self, piece: bytes):
         """Adds a piece that was read."""
-        if piece and not self.broken:
+        if piece and not self.is_aborted:
             self.pieces.append(piece)
-            self.waiting += len(piece)
+            self.buffered_bytes += len(piece)
             self.size += len(piece)
             self.wake()
 
     def full(self) -> bool:
         """Returns whether the reading side should pause until a piece is taken."""
-        return self.waiting >= WINDOW and not self.broken
+        return self.buffered_bytes >= WINDOW and not self.is_aborted
 
     def finish(self):
         """Records that the body was read to its end."""
-        self.whole = True
+        self.is_complete = True
         self.wake()
 
-    def break_off(self):
+    def abort_body(self):
         """Aborts the body: nothing more is read or written."""
-        self.broken = True
+        self.is_aborted = True
         self.pieces.clear()
-        self.waiting = 0
+        self.buffered_bytes = 0
         self.wake()
 
     def take(self) -> bytes | None:
@@ -83,11 +83,11 @@
         if self.pieces:
             self.is_partly_taken = True
             piece = self.pieces.popleft()
-            self.waiting -= len(piece)
+            self.buffered_bytes -= len(piece)
             self.wake()
             return piece
-        return None if self.whole or self.broken else b""
+        return None if self.is_complete or self.is_aborted else b""
 
-    def spent(self) -> bool:
+    def is_not_repeatable(self) -> bool:
         """Returns whether a retry cannot send the body, as pieces were taken or it was aborted."""
-        return self.is_partly_taken or self.broken
+        return self.is_partly_taken or self.is_aborted
--- a/pierglade/proxy/http/head.py
+++ b/pierglade/proxy/http/head.py
@@ -60,7 +60,7 @@
     """
     fields = message.fields
     coding, length = fields.get(b"transfer-encoding"), fields.get(b"content-length")
-    if not FRAMING_FIELDS.isdisjoint(message.doubled) or (
+    if not FRAMING_FIELDS.isdisjoint(message.repeated_fields) or (
         coding is not None and length is not None
     ):
         raise ProtocolError(400, "framed twice")
--- a/pierglade/proxy/http/message.py
+++ b/pierglade/proxy/http/message.py
@@ -41,13 +41,13 @@
 
     __slots__ = (
         "body",
-        "doubled",
+        "body_stream",
         "fields",
-        "flow",
-        "given",
+        "has_assigned_id",
         "headers",
-        "keep",
+        "is_reusable",
         "method",
+        "repeated_fields",
         "status",
         "url",
         "version",
@@ -58,12 +58,12 @@
         self.status = 0
         self.headers = []  # (name, value, name in lower case) as received
         self.fields = {}  # the last value of each field, by name in lower case
-        self.doubled = ()  # names in lower case of fields that occurred more than once
+        self.repeated_fields = ()  # names in lower case of fields that occurred more than once
         self.body = b""
-        self.keep = False  # whether the connection may be reused after the message
+        self.is_reusable = False  # whether the connection may be reused after the message
         self.version = "1.1"
-        self.flow = None  # the body as a BodyStream, where it is too large to buffer
-        self.given = False  # whether the trace id was assigned by this process
+        self.body_stream = None  # the body as a BodyStream, where it is too large to buffer
+        self.has_assigned_id = False  # whether the trace id was assigned by this process
 
 
 def target(url):
@@ -79,7 +79,7 @@
     return (parsed.path or b"/") + (b"?" + parsed.query if parsed.query else b"")
 
 
-def passed_on(message, excluded):
+def forwarded_headers(message, excluded):
     """Returns the headers that the proxy forwards.
 
     Omits the headers that `Connection` names, and those in `excluded` (names in lower case).
@@ -110,7 +110,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
-def answer_head(status, headers, length, close, chunked=False):
+def response_head(status, headers, length, close, chunked=False):
     """Builds the head of a response.
 
     `length`: bytes of the body; None where the end is marked by the last chunk (`chunked`) or by
--- a/pierglade/proxy/http/reader.py
+++ b/pierglade/proxy/http/reader.py
@@ -310,7 +310,7 @@
         if framing is BodyFraming.CHUNKED:
             self.pieces, self.chunk_framer = [], ChunkFramer()
         elif framing is BodyFraming.NONE and not self._has_no_body():
-            self.until_end, self.pieces, self.message.keep = True, [], False
+            self.until_end, self.pieces, self.message.is_reusable = True, [], False
 
     # Callbacks of the parser.
 
@@ -323,13 +323,13 @@
         message, lowercase_name = self.message, name.lower()
         message.headers.append((name, value, lowercase_name))
         if lowercase_name in message.fields:
-            message.doubled = (*message.doubled, lowercase_name)
+            message.repeated_fields = (*message.repeated_fields, lowercase_name)
         message.fields[lowercase_name] = value
 
     def on_headers_complete(self):
         """Handles the end of the head (parser callback)."""
         self.head_complete = True
-        self.message.keep = self.parser.should_keep_alive()
+        self.message.is_reusable = self.parser.should_keep_alive()
         self.message.version = self.parser.get_http_version()
         self._on_head()
 
--- a/pierglade/proxy/listener.py
+++ b/pierglade/proxy/listener.py
@@ -49,7 +49,8 @@
             self._admit(sock, address)
             accepted += 1
             if (
-                accepted >= self.server.reducer.descriptors.acceptable(MAX_ACCEPTS_PER_TURN)
+                accepted
+                >= self.server.state_machine.descriptors.max_new_clients(MAX_ACCEPTS_PER_TURN)
                 or self.server.admission_queue.full()
             ):
                 # Lets the loop close ended connections before the next one takes a descriptor.
@@ -57,8 +58,8 @@
                 gevent.sleep(0)
 
     def _admit(self, sock, address):
-        reducer = self.server.reducer
-        if reducer.descriptors.admission is not None and not reducer.descriptors.admits(
+        state_machine = self.server.state_machine
+        if state_machine.descriptors.admission is not None and not state_machine.descriptors.admits(
             self.server.clock.now(), address[0]
         ):
             return self._reject(sock)
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -6,7 +6,7 @@
 from gevent import socket
 
 from pierglade.proxy import socket_io
-from pierglade.proxy.http.message import answer_head
+from pierglade.proxy.http.message import response_head
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state.events import ManagementCall
 
@@ -49,7 +49,7 @@
         """Sends the response; `allow`: the value of the Allow header, where there is one."""
         headers = [(b"Content-Type", b"text/plain")] + ([(b"Allow", allow)] if allow else [])
         try:
-            socket_io.send_now(self.sock, answer_head(status, headers, len(body), True), body)
+            socket_io.send_now(self.sock, response_head(status, headers, len(body), True), body)
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass  # The client has closed.
@@ -89,7 +89,7 @@
         try:
             with gevent.Timeout(REQUEST_TIMEOUT_S, False):
                 if request.read():
-                    self.server.tell(ManagementCall(request))
+                    self.server.handle_event(ManagementCall(request))
             with gevent.Timeout(LINGER_S, False):
                 while request.sock.recv(4096):
                     pass
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -15,7 +15,7 @@
 from pierglade.proxy.admission_queue import AdmissionQueue
 from pierglade.proxy.discovery import DiscoveryClient, FixedEndpointList
 from pierglade.proxy.downstream import DownstreamHandler
-from pierglade.proxy.event_loop import Clock, EventLoopMonitor, Timer, in_steps
+from pierglade.proxy.event_loop import Clock, EventLoopMonitor, Timer, run_in_steps
 from pierglade.proxy.http.body_stream import BufferBudget
 from pierglade.proxy.listener import Listener
 from pierglade.proxy.logging import Log
@@ -93,7 +93,7 @@
             - len(os.listdir("/proc/self/fd"))
             - (MAX_CONNECTIONS if self.management else 0)
         )
-        self.reducer = ProxyStateMachine(
+        self.state_machine = ProxyStateMachine(
             config.seed,
             config.settings,
             self.clock.now(),
@@ -102,8 +102,8 @@
             config.document,
             self.is_sole_process,
         )
-        self.reducer.requests.assigns_ids = config.gives_ids
-        self.reducer.descriptors.admission = (
+        self.state_machine.requests.assigns_ids = config.assigns_trace_ids
+        self.state_machine.descriptors.admission = (
             ConnectionAdmission(config.caps) if config.caps is not None else None
         )
         self.faults = self.pending_reloads = 0
@@ -111,14 +111,14 @@
     def _restore(self, config):
         """Loads the initial endpoint list and the snapshot, and makes the discovery client."""
         self.snapshot_writer = None
-        if config.keeping is not None:
+        if config.snapshot_settings is not None:
             # Imported only where snapshots are written.
             from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 
-            settings = SnapshotSettings(*config.keeping)
+            settings = SnapshotSettings(*config.snapshot_settings)
             self.snapshot_writer = SnapshotWriter(self, settings, config.name)
         writer = self.snapshot_writer
-        self.reducer.endpoints.restore(
+        self.state_machine.endpoints.restore(
             writer.newer_endpoints(config.known) if writer else config.known
         )
         if writer:
@@ -127,7 +127,7 @@
         self.fixed_endpoints = config.known if config.discovery is None else None
         # Starts from the known version: forty requests for the whole list at once keep discovery
         # busy for seconds.
-        self.follow(config.discovery, self.reducer.endpoints.version)
+        self.follow(config.discovery, self.state_machine.endpoints.version)
 
     def _bind_effects(self):
         self._pending_events, self.is_applying_events = deque(), False
@@ -142,7 +142,7 @@
             Connect: self._connect,
             SendRequest: lambda connection, head, body: connection.io.write(head, body),
             CloseUpstream: self._end_connection,
-            PollDiscovery: lambda: self.discovery.ask(),
+            PollDiscovery: lambda: self.discovery.poll_now(),
             ResyncEndpoints: lambda: self.discovery.resync(),
             FollowDiscovery: self._move_discovery,
             OpenListener: self._open_listener,
@@ -170,9 +170,9 @@
             self.spawn(self.listener.run)
         else:
             self.spawn(self._wait_until_sole_process)
-        self.tell(TimerFired())
+        self.handle_event(TimerFired())
         if self.fixed_endpoints is not None:
-            self.tell(EndpointsUpdated(self.fixed_endpoints))
+            self.handle_event(EndpointsUpdated(self.fixed_endpoints))
         self.note("started", listen=self.listener.address())
         if signal.SIGHUP in early_signals:
             self._reload(reload_config)
@@ -186,7 +186,7 @@
         return 0
 
     def _stop(self):
-        self.tell(StopRequested(self.process_lock.successor_is_running()))
+        self.handle_event(StopRequested(self.process_lock.successor_is_running()))
 
     def _open_listener(self):
         """Starts listening; during a takeover not before the endpoint list is current."""
@@ -196,7 +196,7 @@
     def _wait_until_sole_process(self):
         while not self.process_lock.is_sole_process():
             gevent.sleep(POLL_INTERVAL_S)
-        self.tell(SoleProcess())
+        self.handle_event(SoleProcess())
 
     def follow(self, address: str | None, index: int | None = None):
         """Creates the discovery client; `address` None: the endpoint list is fixed."""
@@ -204,7 +204,7 @@
             self.discovery = FixedEndpointList()
         else:
             self.discovery = DiscoveryClient(address, self, index)
-        self.discovery.is_polled = lambda: self.reducer.balancers.settings.polls_endpoints
+        self.discovery.is_polled = lambda: self.state_machine.balancers.settings.polls_endpoints
 
     def _move_discovery(self, address):
         """Replaces the discovery client, as discovery has moved; no state is carried over."""
@@ -228,36 +228,38 @@
     def _reload_once(self, reload_config):
         """Reloads once; an unusable file, such as a half-written one, changes nothing."""
         try:
-            config = in_steps(reload_config())
+            config = run_in_steps(reload_config())
         except ValueError as error:
             self.note("config_rejected", error=str(error))
         else:
             tenants = config.settings.tenants
-            difference = in_steps(
-                quota_changes.steps(self.reducer.balancers.settings.tenants, tenants.shares)
+            difference = run_in_steps(
+                quota_changes.compare_quotas(
+                    self.state_machine.balancers.settings.tenants, tenants.quotas
+                )
             )
-            self.reducer.requests.assigns_ids = config.gives_ids
+            self.state_machine.requests.assigns_ids = config.assigns_trace_ids
             self._set_limits(config.caps)
-            self.tell(
+            self.handle_event(
                 ConfigurationLoaded(config.discovery, config.document, config.settings, difference)
             )
             fixed_endpoints = config.known if config.discovery is None else None
             if fixed_endpoints is not None and fixed_endpoints != self.fixed_endpoints:
-                self.tell(EndpointsUpdated(fixed_endpoints))
+                self.handle_event(EndpointsUpdated(fixed_endpoints))
             self.fixed_endpoints = fixed_endpoints
-            if tenants is not self.reducer.balancers.settings.tenants:
-                in_steps(quota_changes.clear(tenants.shares))
+            if tenants is not self.state_machine.balancers.settings.tenants:
+                run_in_steps(quota_changes.clear_quotas(tenants.quotas))
 
     def _set_limits(self, limits):
         """Applies new connection limits; open connections stay.
 
         If there were no limits at the start, connections are counted from now on.
         """
-        admission = self.reducer.descriptors.admission
+        admission = self.state_machine.descriptors.admission
         if admission is not None:
             admission.set_limits(limits or ConnectionLimits())
         elif limits is not None:
-            self.reducer.descriptors.admission = ConnectionAdmission(limits)
+            self.state_machine.descriptors.admission = ConnectionAdmission(limits)
 
     def note(self, event: str, **fields):
         """Logs an event."""
@@ -274,9 +276,9 @@
             except Exception as error:
                 self._log_internal_error(error)
             if isinstance(handler, DownstreamHandler):
-                return self.tell(MalformedRequest(handler.client, 500))
+                return self.handle_event(MalformedRequest(handler.client, 500))
             if isinstance(handler, UpstreamHandler):
-                return self.tell(
+                return self.handle_event(
                     UpstreamClosed(handler.connection, CloseCause.RESET, True, "internal error")
                 )
             gevent.sleep(0.1)  # Other greenlets, such as the listener's, are started again.
@@ -288,7 +290,7 @@
     def _timer_fired(self, lag_ticks):
         if lag_ticks > MIN_LOGGED_LAG_TICKS:
             self.note("event_loop_lag", lag_ms=lag_ticks / 10)
-        self.tell(TimerFired())
+        self.handle_event(TimerFired())
 
     def arrival_time(self) -> int:
         """Returns when the data read in this turn of the loop is likely to have arrived."""
@@ -296,7 +298,7 @@
 
     def prepared_rejection(self, client, requests):
         """Returns the rejection of the request that a client sent, if load is shed; else None."""
-        return self.reducer.requests.preview(
+        return self.state_machine.requests.preview(
             self.clock.now(),
             client,
             requests,
@@ -304,7 +306,7 @@
             self.loop_monitor.idle_at,
         )
 
-    def tell(self, event, arrived_at=NEVER):
+    def handle_event(self, event, arrived_at=NEVER):
         """Applies an event and carries out its effects.
 
         Events that are raised by carrying out effects are applied after them. `arrived_at`: when
@@ -320,19 +322,21 @@
             while self._pending_events:
                 event, arrived_at, idle_at = self._pending_events.popleft()
                 try:
-                    effects = self.reducer.apply(
-                        self.clock.now(), event, came=arrived_at, idle=idle_at
+                    effects = self.state_machine.apply(
+                        self.clock.now(), event, arrived_at=arrived_at, last_idle_at=idle_at
                     )
                 except Exception as error:
                     self._log_internal_error(error)
-                    effects = self.reducer.salvage(getattr(event, "connection", None))
+                    effects = self.state_machine.recover_from_fault(
+                        getattr(event, "connection", None)
+                    )
                 for effect in effects:
                     self._carry_out(effect)
         finally:
             self.is_applying_events = False
         now = self.clock.now()
         try:
-            wakeup_at = self.reducer.next_wakeup(now)
+            wakeup_at = self.state_machine.next_wakeup(now)
         except Exception as error:
             self._log_internal_error(error)
             wakeup_at = now + RETRY_WAKEUP_TICKS
@@ -354,5 +358,5 @@
             connection.io = None
 
     def _connect(self, connection):
-        connection.io = UpstreamHandler(connection, self.tell)
+        connection.io = UpstreamHandler(connection, self.handle_event)
         self.spawn(connection.io.run, connection.io)
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -49,14 +49,14 @@
 
     def newer_endpoints(self, known: dict | None) -> dict | None:
         """Returns the endpoint list to start with: `known`, or that of the snapshot if newer."""
-        return known if self.snapshot is None else aging.newer_list(self.snapshot, known)
+        return known if self.snapshot is None else aging.newer_endpoint_list(self.snapshot, known)
 
     def restore(self) -> None:
         """Restores the figures that are still valid; called once the endpoint list is loaded."""
         if self.snapshot is None:
             return
         try:
-            message = self.server.reducer.snapshot.restore(
+            message = self.server.state_machine.snapshot.restore(
                 self.snapshot, int(self.settings.half_life_s * 10000)
             )
             self.server.note("snapshot_restored", file=self.file, summary=message)
@@ -94,8 +94,8 @@
 
     def _gather(self) -> schema.Snapshot:
         now = self.server.clock.now()
-        request_classes, backends, completed, entries = self.server.reducer.snapshot.export(
-            aging.KEYS, aging.ROW_KEYS
+        request_classes, backends, completed, entries = self.server.state_machine.snapshot.export(
+            aging.BACKEND_KEYS, aging.REQUEST_CLASS_KEYS
         )
         if now > self.rate_measured_at and completed >= self.completed:
             self.request_rate = (completed - self.completed) / (now - self.rate_measured_at)
@@ -107,7 +107,7 @@
             request_rate=self.request_rate,
             request_classes=request_classes,
             backends={name: schema.StoredBackend(*fields) for name, fields in backends.items()},
-            endpoints_version=self.server.reducer.endpoints.version,
+            endpoints_version=self.server.state_machine.endpoints.version,
             endpoints=entries,
         )
 
--- a/pierglade/proxy/socket_io.py
+++ b/pierglade/proxy/socket_io.py
@@ -66,7 +66,7 @@
         else:
             changed.clear()
             changed.wait()
-    if chunked and not body.broken:
+    if chunked and not body.is_aborted:
         sock.sendall(b"0\r\n\r\n")
 
 
--- a/pierglade/proxy/state/attempts.py
+++ b/pierglade/proxy/state/attempts.py
@@ -70,8 +70,8 @@
             match decision:
                 case SendAttempt(attempt):
                     self.counters.count("trials" if attempt.is_trial else "attempts")
-                    flow = attempt.request.host_context.message.flow
-                    if flow is not None and not flow.whole:
+                    flow = attempt.request.caller_context.message.body_stream
+                    if flow is not None and not flow.is_complete:
                         # The backend executes it only once whole: until then it is not late.
                         attempt.sent_at = attempt.timeout_at = now + MAX_BODY_DURATION
                     self.send(attempt)
@@ -88,7 +88,7 @@
                 case RejectRequest(request) | FailRequest(request):
                     # If the deadline passed in this same step, the request is already answered and
                     # must not be answered again.
-                    if request.host_context.request is request:
+                    if request.caller_context.request is request:
                         self.downstream.respond_without_backend(
                             request, type(decision) is RejectRequest
                         )
@@ -111,14 +111,14 @@
         connection = self.connections.get(attempt)
         if connection is not None:
             connection.attempt = None
-            attempt.request.host_context.last_abort_at = self.step.now
+            attempt.request.caller_context.last_abort_at = self.step.now
             self.upstream.close(connection, reason)
 
     def send(self, attempt):
         """Sends an attempt on an idle connection, or on a new one."""
         backend = self.endpoints.records.get(attempt.request.owner.endpoint_name(attempt.backend))
-        flow = attempt.request.host_context.message.flow
-        if flow is not None and flow.spent():
+        flow = attempt.request.caller_context.message.body_stream
+        if flow is not None and flow.is_not_repeatable():
             # Part of its body was consumed by an earlier attempt and cannot be sent again.
             return self.report_outcome(attempt, Outcome.NOT_SENT)
         if backend is None or self.endpoints.is_draining(backend):
@@ -166,22 +166,22 @@
         if connection.address != backend.address:
             # Another process may have the old address by now, in a state that is not known here.
             return self.withdraw(connection, None)
-        if self.step.now < attempt.request.host_context.last_abort_at + RESEND_DELAY:
+        if self.step.now < attempt.request.caller_context.last_abort_at + RESEND_DELAY:
             # Two connections are not ordered: the end of the aborted attempt must arrive before the
             # first byte of the next one, or the backends see two attempts in flight at once.
             return self.timers.schedule(
-                attempt.request.host_context.last_abort_at + RESEND_DELAY,
+                attempt.request.caller_context.last_abort_at + RESEND_DELAY,
                 self._write_delayed,
                 (connection, attempt),
             )
-        message = attempt.request.host_context.message
-        headers = http.passed_on(message, REPLACED_HEADERS)
-        flow, request = message.flow, attempt.request
+        message = attempt.request.caller_context.message
+        headers = http.forwarded_headers(message, REPLACED_HEADERS)
+        flow, request = message.body_stream, attempt.request
         length, body = len(message.body), message.body
         time_left = attempt.timeout_at - DEADLINE_MARGIN - self.step.now
         if flow is not None:
-            length, body = flow.size if flow.whole else flow.length, flow
-            if not flow.whole:
+            length, body = flow.size if flow.is_complete else flow.length, flow
+            if not flow.is_complete:
                 time_left = request.deadline - request.arrived_at - DEADLINE_MARGIN
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, time_left // 10)))
         method = b"GET" if message.method == b"HEAD" else message.method
--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -93,10 +93,10 @@
         "address",
         "attempt",
         "backend",
-        "cut",
-        "flow",
+        "body_stream",
+        "closed_while_busy",
         "io",
-        "probing",
+        "is_health_check",
         "receiver",
         "response_piece_due_at",
         "since",
@@ -111,10 +111,12 @@
         self.state = ConnectionState.CONNECTING
         self.timer = self.timer_queued_at = None
         self.attempt = None
-        self.probing = False
+        self.is_health_check = False
         self.response_piece_due_at = 0  # when the next piece of a response is due; 0: none is
-        self.cut = False  # it was closed while busy
-        self.flow = self.receiver = None  # the response being streamed, and its client's connection
+        self.closed_while_busy = False
+        self.body_stream = self.receiver = (
+            None  # the response being streamed, and its client's connection
+        )
         self.since = 0  # when it was opened or became idle
 
 
@@ -128,8 +130,8 @@
         "entry",
         "health_check_connection",
         "idle",
-        "links",
         "name",
+        "open_connections",
         "started",
         "state",
         "was_draining",
@@ -141,7 +143,7 @@
         self.draining_since = None  # since when it is draining or removed
         self.was_draining = False  # it was listed as draining since it was last ready
         self.idle = []  # idle connections, the most recently used last
-        self.links = 0  # open connections, including idle ones
+        self.open_connections = 0  # open connections, including idle ones
         self.connecting_count = 0  # of these, those that are not established yet
         self.health_check_connection = None  # the connection of a pending health check
         self.entry = None  # the last Endpoint that discovery reported
--- a/pierglade/proxy/state/descriptors.py
+++ b/pierglade/proxy/state/descriptors.py
@@ -6,7 +6,7 @@
     NEW,
     READING_REQUEST,
 )
-from pierglade.proxy.state.constants import LOG_INTERVAL, SPARE
+from pierglade.proxy.state.constants import LOG_INTERVAL, RESERVED_DESCRIPTORS
 from pierglade.proxy.state.effects import CloseWhenRead
 
 # Times are tenths of a millisecond.
@@ -23,7 +23,7 @@
     def __init__(self, step, timers, limit, sole_process):
         self.step = step
         self.timers = timers
-        self.full_limit = limit - SPARE
+        self.full_limit = limit - RESERVED_DESCRIPTORS
         # During a takeover two processes share the node's limit, and each keeps to half of it.
         self.limit = self.full_limit // (1 if sole_process else 2)
         self.open_count = 0  # downstream and upstream connections
@@ -60,7 +60,7 @@
 
     def admits(self, now, address):
         """Returns whether a client may connect; called only where connection limits are set."""
-        if self.admission.opened(now, address, self.limit) is None:
+        if self.admission.admit(now, address, self.limit) is None:
             return True
         if not self.rejected_count:
             self.timers.schedule(now + LOG_INTERVAL, self._log_rejected, None)
@@ -74,7 +74,7 @@
         )
         self.step.log("connections_rejected", reason=reasons, addresses=dict(addresses))
 
-    def acceptable(self, maximum):
+    def max_new_clients(self, maximum):
         """Returns how many clients, up to `maximum`, may connect before others must be closed."""
         return max(1, min(maximum, self.limit // 2 - self.open_count))
 
@@ -107,7 +107,7 @@
                 if slow is not None:
                     self.downstream.refuse(slow, 503, last=True)
                 return False
-        return self.open_count <= self.limit + SPARE // 2
+        return self.open_count <= self.limit + RESERVED_DESCRIPTORS // 2
 
     def limit_idle_clients(self, newcomer):
         """Closes clients that hold many descriptors without using them, so that others connect."""
@@ -122,7 +122,7 @@
 
     def _longest_waiting(self, state, newcomer, after=0):
         """Returns the client that has been in a state longest, if that was at least `after`."""
-        if self.open_count > self.limit + SPARE // 2:
+        if self.open_count > self.limit + RESERVED_DESCRIPTORS // 2:
             # A client that was just opened or answered may send a request while it is closed, and
             # that request would be lost: it stays open for a while, unless the descriptors beyond
             # the budget are in use as well.
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -30,7 +30,7 @@
 HEAD_TIMEOUT = 25000
 BODY_TIMEOUT = 20000  # 2 s; how far a client may fall behind MIN_BODY_RATE
 MIN_BODY_RATE = 3.2  # bytes per tick, which is 32 kB/s; half the rate of slow clients
-SLOW_READER = 50000  # 5 s; a client must read part of a response within this time
+CLIENT_READ_TIMEOUT = 50000  # 5 s; a client must read part of a response within this time
 # 2.5 s; one-time clients that stay connected would use up descriptors of upstream connections.
 CLIENT_IDLE_TIMEOUT = 25000
 LINGER_TIMEOUT = 10000  # 1 s; for a client to close after its last response
@@ -111,12 +111,12 @@
 
     def await_body(self, client, timeout):
         """Expects more of a request body within `timeout` ticks."""
-        client.body_size_at_last_check = client.message.flow.size
+        client.body_size_at_last_check = client.message.body_stream.size
         self.timers.set_timer(client, self.step.now + timeout, self._body_stalled)
 
     def _body_stalled(self, client):
         """Ends a stalled upload: the client stalls it if all received bytes are forwarded."""
-        flow, request = client.message.flow, client.request
+        flow, request = client.message.body_stream, client.request
         if (
             not flow.full()
             and flow.size - client.body_size_at_last_check < MIN_BODY_RATE * BODY_TIMEOUT
@@ -139,7 +139,7 @@
         if (
             request is None
             or client.state is not AWAITING_RESPONSE
-            or not client.message.flow.whole
+            or not client.message.body_stream.is_complete
         ):
             return
         waited = self.step.now - request.arrived_at
@@ -201,20 +201,24 @@
             client.last
             or self.lifecycle.is_draining()
             or (length is None and not chunked)
-            or (message is not None and message.flow is not None and not message.flow.whole)
+            or (
+                message is not None
+                and message.body_stream is not None
+                and not message.body_stream.is_complete
+            )
         )
-        head = http.answer_head(status, headers, length, client.last, chunked)
+        head = http.response_head(status, headers, length, client.last, chunked)
         if message is not None and message.method == b"HEAD":
             body, source = b"", None
         set_state(client, WRITING_RESPONSE, self.by_state)
         self._release_request(client)
         if source is not None:
-            client.source, source.receiver, source.flow = source, client, body
-        self.timers.set_timer(client, self.step.now + SLOW_READER, self._reads_too_slowly)
+            client.source, source.receiver, source.body_stream = source, client, body
+        self.timers.set_timer(client, self.step.now + CLIENT_READ_TIMEOUT, self._reads_too_slowly)
         self.step.emit(SendResponse(client, head, body, chunked if source is not None else None))
 
     def _reads_too_slowly(self, client):
-        if client.source is not None and not client.source.flow.waiting:
+        if client.source is not None and not client.source.body_stream.buffered_bytes:
             # It has read all that was received; the upstream connection has its own timeout.
             return self.response_progressed(client)
         self.close(client, "slow reader")
@@ -222,7 +226,9 @@
     def response_progressed(self, client):
         """Restarts the read timeout: part of the response was written."""
         if client.state is WRITING_RESPONSE:
-            self.timers.set_timer(client, self.step.now + SLOW_READER, self._reads_too_slowly)
+            self.timers.set_timer(
+                client, self.step.now + CLIENT_READ_TIMEOUT, self._reads_too_slowly
+            )
 
     def response_sent(self, client):
         """Handles the end of a response: the client becomes idle, or is to close."""
@@ -270,9 +276,9 @@
         )
         self.counters.count(event)
         if may_retry:
-            self.reject(request.host_context, request.owner)
+            self.reject(request.caller_context, request.owner)
         else:
-            self.respond(request.host_context, 504)
+            self.respond(request.caller_context, 504)
 
     def reject(self, client, balancer):
         """Rejects a request that may be retried: 503, with Retry-After where that is set."""
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -16,7 +16,7 @@
 
 # 0.3 s; with the list restored at the start, a process waits this long for a newer one.
 INITIAL_LIST_TIMEOUT = 3000
-NAMED = 40  # names per log line; a longer line would be truncated and lose all of them
+MAX_LOGGED_NAMES = 40  # names per log line; a longer line would be truncated and lose all of them
 STATE_BY_STATUS = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
@@ -114,12 +114,14 @@
         for balancer in (*self.balancers.earlier, self.balancers.current):
             balancer.endpoints_updated(self.step.now, listed, False)
         if changed:
-            more = {"more": len(changed) - NAMED} if len(changed) > NAMED else {}
+            more = (
+                {"more": len(changed) - MAX_LOGGED_NAMES} if len(changed) > MAX_LOGGED_NAMES else {}
+            )
             self.step.log(
                 "endpoints_updated",
                 version=document["index"],
                 whole=whole,
-                changed=changed[:NAMED],
+                changed=changed[:MAX_LOGGED_NAMES],
                 **more,
             )
 
@@ -149,7 +151,7 @@
                 break
             old.append(name)
         for name in old:
-            if not self.records[name].links:
+            if not self.records[name].open_connections:
                 del self.records[name], self.removed[name]
 
     def _set_state(self, name, backend, state, changed):
--- a/pierglade/proxy/state/health_checks.py
+++ b/pierglade/proxy/state/health_checks.py
@@ -1,6 +1,6 @@
 """Health checks and load reports of backends."""
 
-from pierglade.settings.platform import load_from_text
+from pierglade.settings.platform import parse_load_report
 
 
 class HealthChecks:
@@ -15,12 +15,13 @@
     def uses_reports(self, source):
         """Returns whether load reports come from `source` and are used; parsing costs CPU time."""
         return (
-            self.balancers.settings.load_report_source == source and self.balancers.current.learns
+            self.balancers.settings.load_report_source == source
+            and self.balancers.current.learns_limit
         )
 
     def load_reported(self, connection, text):
         """Passes a backend's load report to the balancer; ignores an unreadable one."""
-        load = load_from_text(bytes(text).decode("latin-1"))
+        load = parse_load_report(bytes(text).decode("latin-1"))
         if load is not None:
             self.balancers.current.load_reported(self.step.now, connection.backend.name, load)
 
@@ -36,12 +37,12 @@
         connection = self.upstream.open(backend)
         if connection is None:
             return self._notify(name, False, 0)
-        connection.probing, backend.health_check_connection = True, connection
+        connection.is_health_check, backend.health_check_connection = True, connection
         self.upstream.restart_timeout(connection)
 
     def finished(self, connection, is_healthy):
         """Reports the result of the health check on a connection."""
-        connection.probing, connection.backend.health_check_connection = False, None
+        connection.is_health_check, connection.backend.health_check_connection = False, None
         self._notify(connection.backend.name, is_healthy, self.step.now - connection.since)
 
     def _notify(self, name, is_healthy, latency):
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -148,14 +148,14 @@
             self.exiting = True
             self.step.emit(Exit())
 
-    def salvage(self, connection):
+    def recover_from_fault(self, connection):
         """After an exception in `apply`, answers and closes the connection of the event."""
         if isinstance(connection, UpstreamConnection) and connection.state is not CLOSED:
             attempt, connection.attempt = connection.attempt, None
             self.upstream.close(connection, "fault")
             if attempt is not None:
                 self.attempts.connections.pop(attempt, None)
-                connection = attempt.request.host_context
+                connection = attempt.request.caller_context
         if isinstance(connection, DownstreamConnection) and connection.state in (
             NEW,
             IDLE,
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -164,13 +164,13 @@
             TimerFired: _do_nothing,
         }
 
-    def apply(self, now, event, came=NEVER, idle=NEVER):
+    def apply(self, now, event, arrived_at=NEVER, last_idle_at=NEVER):
         """Handles one event and returns its effects in order.
 
-        `came`: when the event may have happened, if before the caller could handle it; `idle`: when
-        the caller was last idle.
+        `arrived_at`: when the event may have happened, if before the caller could handle it;
+        `last_idle_at`: when the caller was last idle.
         """
-        self.step.begin(now, came, idle)
+        self.step.begin(now, arrived_at, last_idle_at)
         kind = type(event)
         self._handlers[kind](*event)
         if self.timers.run_due() or kind not in EVENTS_WITHOUT_DECISIONS:
@@ -190,9 +190,9 @@
             wakes.append(self.timers.heap[0][0])
         return min(wakes, default=None)
 
-    def salvage(self, connection):
+    def recover_from_fault(self, connection):
         """Returns the effects after an exception in `apply`; `connection`: the event's, or None."""
-        return self.lifecycle.salvage(connection)
+        return self.lifecycle.recover_from_fault(connection)
 
 
 def _do_nothing():
--- a/pierglade/proxy/state/management.py
+++ b/pierglade/proxy/state/management.py
@@ -91,8 +91,8 @@
             "clients": sum(map(len, self.downstream.by_state.values())),
             "sockets": self.descriptors.limit,
             "capped": admission is not None,
-            "strangers": admission.strangers if admission is not None else None,
-            "top": admission.top(self.step.now) if admission is not None else [],
+            "strangers": admission.unknown_open if admission is not None else None,
+            "top": admission.most_rejected(self.step.now) if admission is not None else [],
         }
 
     def _backend_status(self):
@@ -111,7 +111,7 @@
                     "state": STATE_NAMES[backend.state],
                     "in_view": status.is_in_subset,
                     "out": status.in_flight,
-                    "links": backend.links,
+                    "links": backend.open_connections,
                     "trouble": EJECTION_REASON_NAMES.get(status.ejection_reason),
                     "pauses": status.is_pausing,
                     "next_pause_ms": None if next_pause is None else round((next_pause - now) / 10),
--- a/pierglade/proxy/state/reconfiguration.py
+++ b/pierglade/proxy/state/reconfiguration.py
@@ -7,7 +7,7 @@
     FollowDiscovery,
     PollDiscovery,
 )
-from pierglade.reconfiguration.quota_changes import fits_in_place
+from pierglade.reconfiguration.quota_changes import can_apply_in_place
 from pierglade.snapshot.handover import take_over
 
 # Times are tenths of a millisecond.
@@ -62,12 +62,12 @@
     def _replace_settings(self, settings, document):
         """Creates a balancer for new requests; the earlier one keeps its pending requests."""
         self.raw_settings = document.get("settings")
-        settings.tenants.follow(self.balancers.settings.tenants)
+        settings.tenants.take_over_state(self.balancers.settings.tenants)
         self.balancers.earlier.append(self.balancers.current)
         load_shedder = self.balancers.load_shedder
         self.balancers.apply_settings(settings, self.step.now)
         take_over(self.balancers.current, self.balancers.earlier[-1], self.step.now)
-        if load_shedder.classes == self.balancers.load_shedder.classes:
+        if load_shedder.shedding_classes == self.balancers.load_shedder.shedding_classes:
             # Otherwise all that the earlier one sheds would be admitted at once.
             self.balancers.load_shedder = load_shedder
         if self.balancers.earlier[-1].settings.polls_endpoints:
@@ -81,8 +81,8 @@
     def _apply_quotas_in_place(self, quota_delta, settings):
         """Applies a change of quotas if it fits the current ones; returns whether it did."""
         tenants = self.balancers.settings.tenants
-        if quota_delta.base != tenants.version or not fits_in_place(
-            tenants, settings.tenants.shares
+        if quota_delta.base_version != tenants.version or not can_apply_in_place(
+            tenants, settings.tenants.quotas
         ):
             return False
         tenants.apply(quota_delta)
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -17,7 +17,7 @@
     READY_PATH,
 )
 from pierglade.proxy.state.downstream import BODY_TIMEOUT, CLIENT_IDLE_TIMEOUT
-from pierglade.settings.platform import down
+from pierglade.settings.platform import floor_ticks
 
 # Times are tenths of a millisecond.
 
@@ -68,7 +68,7 @@
             return
         self.descriptors.cancel_close(client)
         client.message = message
-        if not message.keep:
+        if not message.is_reusable:
             client.last = True
         path = http.target(message.url)
         if path is None:
@@ -138,7 +138,7 @@
     def _admit(self, client, request_class, request_id, time_left):
         """Sheds a valid request, or passes it to the balancer; `time_left`: until its deadline."""
         message = client.message
-        self.balancers.load_shedder.note_wait(
+        self.balancers.load_shedder.record_wait(
             self.step.now, (self.step.now - self.step.arrived_at) / request_class.latency_objective
         )
         refused = (
@@ -173,7 +173,7 @@
         set_state(client, AWAITING_RESPONSE, self.downstream.by_state)
         client.request, client.id = request, request_id
         self.ids[request_id] = client
-        if message.flow is None or message.flow.whole:
+        if message.body_stream is None or message.body_stream.is_complete:
             self.downstream.await_response(client)
         else:
             self.downstream.await_body(client, BODY_TIMEOUT)
@@ -182,7 +182,9 @@
     def _tenant(self, name):
         # A name that is not valid UTF-8 decodes to one that no settings can contain.
         return (
-            self.balancers.settings.tenants.of(name.decode(errors="surrogateescape"), self.step.now)
+            self.balancers.settings.tenants.tenant(
+                name.decode(errors="surrogateescape"), self.step.now
+            )
             if name
             else None
         )
@@ -208,7 +210,7 @@
             return None
         refusals = self.balancers.refusals
         if wait not in refusals:
-            refusals[wait] = http.answer_head(
+            refusals[wait] = http.response_head(
                 503, [(b"Retry-After", wait)] if wait else [], 0, False
             )
         return refusals[wait]
@@ -277,7 +279,7 @@
         )
         message.headers.append((b"X-Trace-Id", request_id, b"x-trace-id"))
         message.fields[b"x-trace-id"] = request_id
-        message.given = True
+        message.has_assigned_id = True
         return request_id
 
     def _log_shed(self, _):
@@ -298,7 +300,7 @@
 
 def _describe_fault(message, request_class, request_id, expires_in):
     """Describes the first fault of a request: a header or body missing, repeated or excessive."""
-    doubled = sorted(SINGLE_VALUE_HEADERS.intersection(message.doubled))
+    doubled = sorted(SINGLE_VALUE_HEADERS.intersection(message.repeated_fields))
     if doubled:
         return f"{doubled[0].decode()} stands twice"
     if not request_id:
@@ -323,7 +325,7 @@
     for pair in (props or b"").split(b","):
         figure = pair.strip().removeprefix(HINT_PREFIX)
         if len(figure) < len(pair.strip()) and figure.isdigit() and len(figure) <= 9:
-            return down(figure)
+            return floor_ticks(figure)
     return 0
 
 
@@ -335,13 +337,15 @@
         or len(request_id) > MAX_ID_BYTES
         or not expires_in.isdigit()
         or len(expires_in) > 9
-        or (message.doubled and not SINGLE_VALUE_HEADERS.isdisjoint(message.doubled))
+        or (
+            message.repeated_fields and not SINGLE_VALUE_HEADERS.isdisjoint(message.repeated_fields)
+        )
         or (message.version == "1.1" and b"host" not in fields)
         or (
             (b"idempotency-key" in fields) != (idempotency == Idempotency.KEYED)
-            and not message.given
+            and not message.has_assigned_id
         )
-        or (idempotency == Idempotency.SAFE and (len(message.body) or message.flow))
+        or (idempotency == Idempotency.SAFE and (len(message.body) or message.body_stream))
     )
 
 
--- a/pierglade/proxy/state/responses.py
+++ b/pierglade/proxy/state/responses.py
@@ -29,7 +29,7 @@
 
     def part_received(self, connection):
         """Restarts the timeout for the next piece of a response; its reader bounds its size."""
-        if connection.flow is not None:
+        if connection.body_stream is not None:
             self.timers.set_timer(
                 connection, self.step.now + STREAM_PIECE_TIMEOUT, self._stream_stalled
             )
@@ -38,7 +38,7 @@
             self.upstream.restart_timeout(connection)
 
     def _stream_stalled(self, connection):
-        if connection.flow.full():
+        if connection.body_stream.full():
             # The client reads it slowly, and has its own timeout.
             return self.part_received(connection)
         self.upstream.close(connection, "stalled")
@@ -52,7 +52,7 @@
             return self.upstream.close(connection, "unasked answer")
         if connection.state is not BUSY:
             return
-        if connection.probing:
+        if connection.is_health_check:
             if message.status == 200 and self.health_checks.uses_reports(
                 LoadReportSource.HEALTH_CHECKS
             ):
@@ -66,7 +66,7 @@
             if self._attempt_answered(connection, message):
                 return self.part_received(connection)
         # A body that no client waits for would block the connection.
-        self.upstream.release(connection, message.keep and message.flow is None)
+        self.upstream.release(connection, message.is_reusable and message.body_stream is None)
 
     def _attempt_answered(self, connection, message):
         """Reports a response to the balancer; returns whether its body is still to be streamed."""
@@ -92,12 +92,12 @@
                 latency_ms=(self.step.now - request.arrived_at) / 10,
                 backend=connection.backend.name,
             )
-        client, headers = request.host_context, http.passed_on(message, WITHHELD_HEADERS)
-        if message.flow is None:
+        client, headers = request.caller_context, http.forwarded_headers(message, WITHHELD_HEADERS)
+        if message.body_stream is None:
             self.downstream.respond(client, message.status, headers, message.body)
             return False
         has_body = client.message.method != b"HEAD"
-        self.downstream.respond(client, message.status, headers, message.flow, connection)
+        self.downstream.respond(client, message.status, headers, message.body_stream, connection)
         return has_body
 
     def _attempt_failed(self, connection, attempt, message):
@@ -115,10 +115,10 @@
 
     def completed(self, connection, keep):
         """Releases the connection of a streamed response that is whole."""
-        if connection.flow is None or connection.state is CLOSED:
+        if connection.body_stream is None or connection.state is CLOSED:
             return
         if connection.receiver is not None:
             connection.receiver.source = None
-        connection.flow = connection.receiver = None
+        connection.body_stream = connection.receiver = None
         connection.response_piece_due_at = 0
         self.upstream.release(connection, keep)
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -1,7 +1,7 @@
 """Exports learned statistics for `pierglade/snapshot/` and restores them, as plain values."""
 
 from pierglade.model.endpoint import EndpointState
-from pierglade.snapshot.aging import aged
+from pierglade.snapshot.aging import decayed_statistics
 from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
 
 # Times are tenths of a millisecond.
@@ -64,7 +64,7 @@
             for name, backend in self.endpoints.records.items()
             if backend.state == EndpointState.READY
         }
-        rows, backends, line = aged(
+        rows, backends, line = decayed_statistics(
             snapshot,
             self.step.now,
             half_life,
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -59,7 +59,7 @@
         if not self.descriptors.free_descriptors(None):
             self.descriptors.open_count -= 1
             return None
-        backend.links += 1
+        backend.open_connections += 1
         backend.connecting_count += 1
         set_state(connection, CONNECTING, self.by_state)
         connection.since = self.step.now
@@ -76,7 +76,7 @@
         if connection.attempt is not None:
             # Times out before the client's deadline.
             moment = min(moment, connection.attempt.timeout_at - DEADLINE_MARGIN)
-        elif connection.probing:
+        elif connection.is_health_check:
             moment = min(moment, connection.since + HEALTH_CHECK_TIMEOUT)
         self.timers.set_timer(connection, moment, self._timed_out)
 
@@ -102,12 +102,12 @@
         connection.backend.connecting_count -= 1
         set_state(connection, BUSY, self.by_state)
         self.restart_timeout(connection)
-        if connection.attempt is None and not connection.probing:
+        if connection.attempt is None and not connection.is_health_check:
             # Its attempt was sent on another connection that became idle first.
             return self.release(connection, True)
-        if connection.probing and self.endpoints.is_draining(connection.backend):
+        if connection.is_health_check and self.endpoints.is_draining(connection.backend):
             self.disconnected(connection, CloseCause.CONNECT_FAILED, False, "drained")
-        elif connection.probing:
+        elif connection.is_health_check:
             path = (
                 STATS_PATH
                 if self.health_checks.uses_reports(LoadReportSource.HEALTH_CHECKS)
@@ -121,7 +121,7 @@
     def request_not_sent(self, connection):
         """Abandons the request: the client had ended its side before anything was written."""
         if connection.state is BUSY and connection.attempt is not None:
-            self.downstream.disconnected(connection.attempt.request.host_context, "client closed")
+            self.downstream.disconnected(connection.attempt.request.caller_context, "client closed")
             self.attempts.withdraw(connection, Outcome.NOT_SENT)
 
     def release(self, connection, keep):
@@ -175,7 +175,7 @@
         attempt, connection.attempt = connection.attempt, None
         if connection.state is CONNECTING:
             self.counters.count("connections_refused")
-        if connection.probing:
+        if connection.is_health_check:
             self.health_checks.finished(connection, False)
         self.close(connection, reason)
         if attempt is None:
@@ -186,7 +186,7 @@
         if cause in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
             # Closed by the proxy: the backend may still be answering, and counts the attempt as in
             # flight until the close arrives.
-            attempt.request.host_context.last_abort_at = self.step.now
+            attempt.request.caller_context.last_abort_at = self.step.now
         # If the attempt's own client left during the upload, that is no failure of the backend.
         outcome = (
             Outcome.SERVER_ERROR
@@ -207,7 +207,7 @@
         del self.by_state[connection.state][connection]
         backend = connection.backend
         self.descriptors.open_count -= 1
-        backend.links -= 1
+        backend.open_connections -= 1
         backend.connecting_count -= connection.state is CONNECTING
         if connection.state is IDLE:
             backend.idle.remove(connection)
@@ -219,8 +219,8 @@
             backend=connection.backend.name,
             state=connection.state,
         )
-        connection.cut, connection.state = connection.state is BUSY, CLOSED
+        connection.closed_while_busy, connection.state = connection.state is BUSY, CLOSED
         if connection.receiver is not None:
             connection.receiver.source = None
-            connection.flow = connection.receiver = None
+            connection.body_stream = connection.receiver = None
         self.step.emit(CloseUpstream(connection))
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -21,15 +21,17 @@
 
 
 class UpstreamHandler:
-    """Reads and writes the socket of one connection to a backend; reports events by `tell`."""
+    """Reads and writes the socket of one connection to a backend; events go to `handle_event`."""
 
-    def __init__(self, connection, tell: Callable):
-        self.connection, self.tell = connection, tell
+    def __init__(self, connection, handle_event: Callable):
+        self.connection, self.handle_event = connection, handle_event
         self.sock = socket.socket()
-        self.answers = ResponseReader()
+        self.responses = ResponseReader()
         # The connection was idle or carried a response since it was established.
         self.is_reused = False
-        self.whole = False  # the last byte of the request in flight was handed to the kernel
+        self.is_request_written = (
+            False  # the last byte of the request in flight was handed to the kernel
+        )
         # The BodyStream being read, where the response is too large to buffer.
         self.body_stream = None
         self.read_resumed = Event()
@@ -39,7 +41,7 @@
         try:
             self._run()
         finally:
-            self.answers.drop()
+            self.responses.drop()
 
     def _run(self):
         try:
@@ -50,7 +52,7 @@
             return self._report_closed(
                 CloseCause.CONNECT_FAILED, f"connect failed: {error.strerror or error}"
             )
-        self.tell(UpstreamConnected(self.connection))
+        self.handle_event(UpstreamConnected(self.connection))
         # A connection that no attempt uses once it is established is idle: without the check before
         # the first write, its end would count as a failure of the attempt.
         self.is_reused = self.connection.state is IDLE
@@ -65,16 +67,16 @@
                     self.read_resumed.clear()
                     self.read_resumed.wait()
                     continue
-                if not (byte_count := self.sock.recv_into(self.answers.writable())):
+                if not (byte_count := self.sock.recv_into(self.responses.writable())):
                     break
-                self.answers.filled(byte_count)
+                self.responses.filled(byte_count)
                 self._handle_input()
-                if self.answers.has_begun():
+                if self.responses.has_begun():
                     if self.connection.state is IDLE:
                         # Unsolicited bytes would be taken for the next response.
                         return self._report_closed(CloseCause.RESET, "unsolicited bytes while idle")
-                    self.tell(ResponsePartReceived(self.connection))
-            if self.answers.ended():
+                    self.handle_event(ResponsePartReceived(self.connection))
+            if self.responses.ended():
                 self._handle_last_response()
         except ProtocolError as error:
             return self._report_closed(
@@ -89,54 +91,56 @@
     def _handle_input(self):
         while True:
             if self.body_stream is not None:
-                self.body_stream.add(self.answers.piece())
-                self.tell(ResponsePartReceived(self.connection))
-                if not self.answers.body_complete:
+                self.body_stream.add(self.responses.piece())
+                self.handle_event(ResponsePartReceived(self.connection))
+                if not self.responses.body_complete:
                     return
-                self._finish_body(self.answers.message)
-            elif (message := self.answers.next()) is None:
+                self._finish_body(self.responses.message)
+            elif (message := self.responses.next()) is None:
                 return
-            elif self.answers.is_streamed:
-                has_length = self.answers.pieces is None
-                message.flow = self.body_stream = BodyStream(
-                    self.answers.length if has_length else None, self.read_resumed.set
+            elif self.responses.is_streamed:
+                has_length = self.responses.pieces is None
+                message.body_stream = self.body_stream = BodyStream(
+                    self.responses.length if has_length else None, self.read_resumed.set
                 )
-                self.body_stream.add(self.answers.piece())
-                self.tell(ResponseReceived(self.connection, message))
-                if self.body_stream is None or not self.answers.body_complete:
+                self.body_stream.add(self.responses.piece())
+                self.handle_event(ResponseReceived(self.connection, message))
+                if self.body_stream is None or not self.responses.body_complete:
                     return  # The body was aborted, or there is more to read.
                 self._finish_body(message)
             else:
                 self._handle_response(message)
-            self.answers.release()
+            self.responses.release()
 
     def _handle_response(self, message):
         # The connection is not reused after a response that comes before its request was written
         # whole, as the rest of the request would follow; nor with bytes behind the response, such
         # as a duplicate, which would be taken for the response to the next attempt.
-        message.keep = message.keep and self.whole and not self.answers.has_more()
-        self.is_reused, self.whole = True, False
-        self.tell(ResponseReceived(self.connection, message))
+        message.is_reusable = (
+            message.is_reusable and self.is_request_written and not self.responses.has_more()
+        )
+        self.is_reused, self.is_request_written = True, False
+        self.handle_event(ResponseReceived(self.connection, message))
 
     def _finish_body(self, message):
         body, self.body_stream = self.body_stream, None
         if body is not None:
             body.finish()
-        keep = message.keep and self.whole and not self.answers.has_more()
-        self.is_reused, self.whole = True, False
-        self.tell(ResponseCompleted(self.connection, keep))
+        keep = message.is_reusable and self.is_request_written and not self.responses.has_more()
+        self.is_reused, self.is_request_written = True, False
+        self.handle_event(ResponseCompleted(self.connection, keep))
 
     def _handle_last_response(self):
         """Handles a response whose end is the end of the connection."""
         if self.body_stream is not None:
-            self._finish_body(self.answers.message)
+            self._finish_body(self.responses.message)
         else:
-            self._handle_response(self.answers.message)
+            self._handle_response(self.responses.message)
 
     def _report_closed(self, cause, reason):
         """Reports the connection's end, and whether the request in flight was written whole."""
         self._abort_body()
-        self.tell(UpstreamClosed(self.connection, cause, self.whole, reason))
+        self.handle_event(UpstreamClosed(self.connection, cause, self.is_request_written, reason))
 
     def _has_no_client(self):
         """Returns whether no client waits any more for the request that is to be written.
@@ -144,34 +148,34 @@
         It is checked as late as possible, and so covers every place where the request may have
         waited before.
         """
-        if self.connection.probing:
+        if self.connection.is_health_check:
             return False
         attempt = self.connection.attempt
         return (
             attempt is None
-            or (client := attempt.request.host_context.io) is None
+            or (client := attempt.request.caller_context.io) is None
             or socket_io.peer_has_closed(client.sock)
         )
 
     def write(self, head: bytes, body):
         """Sends a request; `body`: bytes or a BodyStream."""
         if self.is_reused and socket_io.is_readable(self.sock):
-            self.tell(
+            self.handle_event(
                 UpstreamClosed(
                     self.connection, CloseCause.STALE, False, "closed or sent bytes while idle"
                 )
             )
             return
         if self._has_no_client():
-            self.tell(RequestNotSent(self.connection))
+            self.handle_event(RequestNotSent(self.connection))
             return
         if isinstance(body, BodyStream):
-            gevent.spawn(self._write_flow, head, body)
+            gevent.spawn(self._write_body_stream, head, body)
             return
         try:
             unsent = socket_io.send_now(self.sock, head, body)
         except OSError as error:
-            self.tell(
+            self.handle_event(
                 UpstreamClosed(
                     self.connection, CloseCause.RESET, False, f"connection lost: {error.strerror}"
                 )
@@ -180,14 +184,14 @@
         if unsent:
             gevent.spawn(self._write_rest, unsent)
         else:
-            self.whole = True
+            self.is_request_written = True
 
     def _write_rest(self, unsent):
         try:
             while unsent:
                 if self._has_no_client():
                     # A backend executes a request only after its last byte, so not this one.
-                    return self.tell(
+                    return self.handle_event(
                         UpstreamClosed(
                             self.connection,
                             CloseCause.CLIENT_GONE,
@@ -199,24 +203,24 @@
                     unsent = unsent[self.sock._sock.send(unsent, socket.MSG_DONTWAIT) :]
                 except BlockingIOError:
                     socket_io.wait_writable(self.sock)
-            self.whole = True
+            self.is_request_written = True
         except OSError as error:
             # The last piece may have been sent: the request counts as written, as it must not be
             # executed twice.
-            self.tell(
+            self.handle_event(
                 UpstreamClosed(
                     self.connection, CloseCause.RESET, True, f"connection lost: {error.strerror}"
                 )
             )
 
-    def _write_flow(self, head, body):
+    def _write_body_stream(self, head, body):
         """Sends a body: one that is buffered whole is kept for a retry, others are streamed."""
         try:
-            if body.whole and not body.is_partly_taken:
+            if body.is_complete and not body.is_partly_taken:
                 self.sock.sendall(head)
                 for piece in list(body.pieces):
                     if self._has_no_client():
-                        return self.tell(
+                        return self.handle_event(
                             UpstreamClosed(
                                 self.connection,
                                 CloseCause.CLIENT_GONE,
@@ -227,10 +231,10 @@
                     self.sock.sendall(piece)
             else:
                 socket_io.stream_body(self.sock, head, body, body.length is None, lambda: None)
-            self.whole = not body.broken
-            if body.broken and self.connection.attempt is not None:
+            self.is_request_written = not body.is_aborted
+            if body.is_aborted and self.connection.attempt is not None:
                 # Without cancellation nothing else ends the attempt: its body stays incomplete.
-                self.tell(
+                self.handle_event(
                     UpstreamClosed(
                         self.connection,
                         CloseCause.CLIENT_GONE,
@@ -241,25 +245,25 @@
         except OSError as error:
             # Counts as written if the last piece was being sent, as above; before that, the backend
             # has not begun to execute the request.
-            self.tell(
+            self.handle_event(
                 UpstreamClosed(
                     self.connection,
                     CloseCause.RESET,
-                    body.whole and not body.waiting,
+                    body.is_complete and not body.buffered_bytes,
                     f"connection lost: {error.strerror}",
                 ),
             )
 
     def _abort_body(self):
         if self.body_stream is not None:
-            self.body_stream.break_off()
+            self.body_stream.abort_body()
             self.body_stream = None
 
     def end(self):
         """Ends the connection at once."""
         self._abort_body()
         self.read_resumed.set()
-        if self.connection.cut:
+        if self.connection.closed_while_busy:
             # No client waits: the bytes of a large request in the kernel's buffer must not be sent.
             socket_io.discard_unsent(self.sock)
         socket_io.close_now(self.sock)
--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -41,7 +41,7 @@
     """Value that replaces it in the document."""
 
 
-def steps(
+def read_document(
     text: bytes, with_known_endpoints: bool = True
 ) -> Generator[None, None, tuple[Any, dict[str, float]]]:
     """Yields after each step; returns the document without customers, and quotas by customer.
@@ -91,7 +91,7 @@
     return document, quotas
 
 
-def parsed(text: bytes) -> Generator[None, None, Any]:
+def read_endpoint_list(text: bytes) -> Generator[None, None, Any]:
     """Yields after each step; returns the endpoint list, or any other value in the JSON."""
     rows = []
     document = yield from _parse_without(
--- a/pierglade/reconfiguration/quota_changes.py
+++ b/pierglade/reconfiguration/quota_changes.py
@@ -8,7 +8,7 @@
 BATCH_SIZE = 1000
 
 
-def steps(
+def compare_quotas(
     current: TenantRegistry, new_quotas: dict[str, float]
 ) -> Generator[None, None, QuotaDelta]:
     """Yields after each step; returns the difference from `current` to `new_quotas`.
@@ -18,20 +18,20 @@
     base, changed, common = current.version, {}, 0
     for names in _batches(new_quotas):
         for name in names:
-            quota = current.shares.get(name)
+            quota = current.quotas.get(name)
             common += quota is not None
             if quota != new_quotas[name]:
                 changed[name] = new_quotas[name]
         yield
     removed = []
-    if common < len(current.shares):
-        for names in _batches(current.shares):
+    if common < len(current.quotas):
+        for names in _batches(current.quotas):
             removed += [name for name in names if name not in new_quotas]
             yield
     return QuotaDelta(base, base + 1, changed, removed)
 
 
-def clear(quotas: dict[str, float]) -> Iterator[None]:
+def clear_quotas(quotas: dict[str, float]) -> Iterator[None]:
     """Yields after each step; empties an unused table. In one step it would delay requests."""
     while quotas:
         for _ in range(min(BATCH_SIZE, len(quotas))):
@@ -39,7 +39,7 @@
         yield
 
 
-def fits_in_place(current: TenantRegistry, new_quotas: dict[str, float]) -> bool:
+def can_apply_in_place(current: TenantRegistry, new_quotas: dict[str, float]) -> bool:
     """Whether a node can apply new quotas without being replaced.
 
     When the first quota is added or the last one removed, its demand is derived from other figures,
--- a/pierglade/scale/discovery.py
+++ b/pierglade/scale/discovery.py
@@ -15,12 +15,12 @@
 from pierglade.audit.ledger import Ledger
 from pierglade.scale import child
 from pierglade.scale.plan import Plan, endpoint_entries
-from pierglade.testbed.discovery import Agent
+from pierglade.testbed.discovery import DiscoveryServer
 
 LEDGER_MB = 256.0
 
 
-class ScaleDiscovery(Agent):
+class ScaleDiscovery(DiscoveryServer):
     """The list of backends, and the commands that change it."""
 
     def __init__(self, spec):
@@ -39,7 +39,7 @@
         self.initial_entries = {
             entry["name"]: entry for entry in endpoint_entries(plan, spec["port_of_backends"])
         }
-        self.first(self.initial_entries.values())
+        self.set_initial_entries(self.initial_entries.values())
         for name, (status, since_ms) in (spec.get("changed") or {}).items():
             self._change(name, status, since_ms)
         self.index, self.changes = spec.get("index") or 1, []
@@ -49,7 +49,7 @@
         self.differences[name] = [status, since_ms]
         if (status, since_ms) == ("SERVING", 0):
             del self.differences[name]
-        self._tell({**initial_entry, "status": status, "since_ms": since_ms})
+        self._publish({**initial_entry, "status": status, "since_ms": since_ms})
 
     # Commands.
 
@@ -65,8 +65,8 @@
         """Returns the version, the bytes sent and received, and the number of open watches."""
         return {
             "index": self.index,
-            "sent": self.sent,
-            "heard": self.heard,
+            "sent": self.sent_bytes,
+            "heard": self.received_bytes,
             "watches": len(self.watches),
         }
 
--- a/pierglade/scale/guard.py
+++ b/pierglade/scale/guard.py
@@ -13,7 +13,7 @@
 CHECK_INTERVAL_S = 0.25
 
 
-class Over(Exception):
+class ResourceLimitError(Exception):
     """A run exceeded its memory or process limit; the message is one line."""
 
 
@@ -58,7 +58,7 @@
         self.peak_mb = self.peak_count = 0
 
     def check(self):
-        """Measures all processes; raises Over if a limit is exceeded."""
+        """Measures all processes; raises ResourceLimitError if a limit is exceeded."""
         used_mb, count = {}, 0
         for name, pid in self.list_processes():
             try:
@@ -71,12 +71,12 @@
         total_mb = sum(used_mb.values())
         self.peak_mb, self.peak_count = max(self.peak_mb, total_mb), max(self.peak_count, count)
         if total_mb > self.max_mb:
-            raise Over(
+            raise ResourceLimitError(
                 f"the run used {total_mb:,.0f} MB, at most {self.max_mb:,.0f} MB are allowed; "
                 f"it was stopped"
             )
         if count > self.max_count:
-            raise Over(
+            raise ResourceLimitError(
                 f"the run had {count} processes, at most {self.max_count} are allowed; "
                 f"it was stopped"
             )
@@ -88,7 +88,7 @@
 
 
 class GuardThread(threading.Thread):
-    """Checks a guard at regular intervals; `error` is the Over that it raised, if any."""
+    """Checks a guard at regular intervals; `error` is the ResourceLimitError that it raised, if any."""
 
     def __init__(self, guard):
         super().__init__(daemon=True)
@@ -99,7 +99,7 @@
         while not self.stop_requested.wait(CHECK_INTERVAL_S):
             try:
                 self.guard.check()
-            except Over as error:
+            except ResourceLimitError as error:
                 self.error = error
                 return
 
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -1,7 +1,7 @@
 """`python -m pierglade.scale.hollow SPEC`: hollow nodes, one or many in a process.
 
 A hollow node has a real watch on a socket of its own (`pierglade.proxy.discovery`) and parses each
-message itself. A full one stores the list and the settings in a real reducer and balancer, like a
+message itself. A full one stores the list and the settings in a real state machine and balancer, like a
 node that receives no requests. A watch-only one records only the version and the entries that differ
 from the initial list.
 SPEC is a JSON file: `plan`, `discovery`, `port_of_backends`, `first`, `count`, `full`, `config`.
@@ -16,10 +16,10 @@
 import msgspec
 from gevent.fileobject import FileObjectPosix
 
-from pierglade.__main__ import GARBAGE, UnusableConfigError, config_from_environ, reload_steps
+from pierglade.__main__ import GC_THRESHOLD, UnusableConfigError, config_from_environ, reload_steps
 from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.discovery import DiscoveryClient
-from pierglade.proxy.event_loop import Clock, Timer, in_steps
+from pierglade.proxy.event_loop import Clock, Timer, run_in_steps
 from pierglade.proxy.state.effects import LogEvent, PollDiscovery, ResyncEndpoints
 from pierglade.proxy.state.events import (
     ConfigurationLoaded,
@@ -86,7 +86,7 @@
         self.create_watch(INITIAL_VERSION)
         self.start()
 
-    def tell(self, event):
+    def handle_event(self, event):
         """Handles an event of the discovery client."""
         if isinstance(event, DiscoveryLost):
             self.watch_losses += 1
@@ -158,7 +158,7 @@
 
 
 class FullNode(HollowNode):
-    """Runs the real reducer, which receives only list and settings changes."""
+    """Runs the real state machine, which receives only list and settings changes."""
 
     def __init__(self, number, discovery, clock, initial_names):
         self.clock, self.initial_names = clock, initial_names
@@ -167,11 +167,11 @@
         super().__init__(number, discovery)
 
     def reset(self):
-        """Creates the reducer anew from the configuration file."""
+        """Creates the state machine anew from the configuration file."""
         self.config, self.version = config_from_environ(os.environ), 0
         config = self.config
-        self.timer = Timer(self.clock, lambda late: self.tell(TimerFired()))
-        self.reducer = ProxyStateMachine(
+        self.timer = Timer(self.clock, lambda late: self.handle_event(TimerFired()))
+        self.state_machine = ProxyStateMachine(
             config.seed,
             config.settings,
             self.clock.now(),
@@ -179,44 +179,44 @@
             config.discovery,
             config.document,
         )
-        self.reducer.endpoints.restore(config.known)
-        config.known = {}  # frees the memory, as a node does: the reducer has its own copy
+        self.state_machine.endpoints.restore(config.known)
+        config.known = {}  # frees the memory, as a node does: the state machine has its own copy
 
     def apply(self, event):
-        """Applies an event to the reducer and carries out the effects that concern discovery."""
+        """Applies an event to the state machine and carries out the effects that concern discovery."""
         started_at = thread_time()
-        effects = self.reducer.apply(self.clock.now(), event)
+        effects = self.state_machine.apply(self.clock.now(), event)
         cpu_time_s = thread_time() - started_at
-        self.index = self.reducer.endpoints.version
+        self.index = self.state_machine.endpoints.version
         if isinstance(event, EndpointsUpdated):
             self.list_s.append(cpu_time_s)
         for effect in effects:
             if isinstance(effect, ResyncEndpoints):
                 self.discovery.resync()
             elif isinstance(effect, PollDiscovery):
-                self.discovery.ask()
+                self.discovery.poll_now()
             elif isinstance(effect, LogEvent) and effect.event == SETTINGS_APPLIED:
                 self.settings_times.append((self.version, monotonic()))
-        self.timer.set(self.reducer.next_wakeup(self.clock.now()))
+        self.timer.set(self.state_machine.next_wakeup(self.clock.now()))
 
     def reload_settings(self):
-        """Reloads the configuration file, as a node does on SIGHUP (`Host._reread`)."""
+        """Reloads the configuration file, as a node does on SIGHUP (`ProxyServer._reload`)."""
         started_at = thread_time()
-        config = in_steps(reload_steps(self.config))
-        difference = in_steps(
-            quota_changes.steps(
-                self.reducer.balancers.settings.tenants, config.settings.tenants.shares
+        config = run_in_steps(reload_steps(self.config))
+        difference = run_in_steps(
+            quota_changes.compare_quotas(
+                self.state_machine.balancers.settings.tenants, config.settings.tenants.quotas
             )
         )
         self.version = config.document["version"]
-        self.tell(
+        self.handle_event(
             ConfigurationLoaded(config.discovery, config.document, config.settings, difference)
         )
         self.settings_s.append(thread_time() - started_at)
 
     def count_wrong(self, changed):
         """Returns how many backends have another status than in discovery's `changed` entries."""
-        backends = self.reducer.endpoints.records
+        backends = self.state_machine.endpoints.records
         count = 0
         for name in self.initial_names:
             backend, status = backends.get(name), changed.get(name, ["SERVING", 0])[0]
@@ -331,7 +331,7 @@
     except UnusableConfigError as error:
         child.exit_with_error(str(error))
     gc.freeze()
-    gc.set_threshold(GARBAGE, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
     child.write_message({"nodes": len(process.nodes)})
     commands = {
         name: getattr(process, name)
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -14,10 +14,10 @@
     Count,
     InvalidPlanError,
     NotNegative,
+    PlanTable,
     Positive,
     Share,
-    Struct,
-    tables,
+    read_tables,
 )
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
@@ -39,7 +39,7 @@
 WATCH_KB, ENTRY_KB = 60.0, 0.2  # of an open watch; of a list entry while it is received
 
 
-class Nodes(Struct):
+class Nodes(PlanTable):
     """The numbers of nodes.
 
     Nodes beyond `loaded`, `idle` and `full` are hollow ones that only keep a watch open and record
@@ -53,7 +53,7 @@
     processes: Count = 4  # shared by the watch-only nodes
 
 
-class Backends(Struct):
+class Backends(PlanTable):
     """The hollow backends: number, layout, response time and port (0: any free port)."""
 
     count: Annotated[int, Meta(ge=10, le=MAX_BACKENDS)] = 6800
@@ -63,13 +63,13 @@
     port: Port = 0
 
 
-class Tenants(Struct):
+class Tenants(PlanTable):
     """The number of tenants in the settings."""
 
     count: Count = 47000
 
 
-class Load(Struct):
+class Load(PlanTable):
     """The load of each loaded node, and of the one sender that bypasses the nodes."""
 
     rate: Positive = 236.0
@@ -78,28 +78,28 @@
     limit_ms: Positive = 3000.0
 
 
-class DailyChanges(Struct):
+class DailyChanges(PlanTable):
     """Settings changes and backend restarts per day at the target size."""
 
     changes: Positive = 760.0
     restarts: Positive = 1700.0
 
 
-class Discovery(Struct):
+class Discovery(PlanTable):
     """The discovery process: its port (0: any free port) and the heartbeat interval of a watch."""
 
     port: Port = 0
     heartbeat_s: Positive = 2.0
 
 
-class Limits(Struct):
+class Limits(PlanTable):
     """Limits of the run, on top of the fixed ones of half the memory and 200 processes."""
 
     memory_mb: NotNegative = 0.0  # 0: half of the machine's memory
     processes: Annotated[int, Meta(ge=1, le=MAX_PROCESSES)] = MAX_PROCESSES
 
 
-class Scene(Struct):
+class Scene(PlanTable):
     """One phase of a run, with one kind of change."""
 
     what: Literal[SCENES]
@@ -113,7 +113,7 @@
         return TAIL_S.get(self.what, DEFAULT_TAIL_S)
 
 
-class Budget(Struct):
+class Budget(PlanTable):
     """What the operators allow for control at the target size."""
 
     cpu_share: Positive = 0.022  # fraction of a core per node, for control
@@ -127,7 +127,7 @@
     ready_s: Positive = 10.0
 
 
-class Axes(Struct):
+class Axes(PlanTable):
     """Each axis grows through fractions of its target while the others stay at their minimum."""
 
     shares: Annotated[list[Annotated[float, Meta(gt=0, le=1)]], Meta(min_length=3)] = msgspec.field(
@@ -138,7 +138,7 @@
     tenants: tuple[Count, Count] = (100, 47000)
 
 
-class Plan(Struct):
+class Plan(PlanTable):
     """The whole plan of a scale run."""
 
     scene: Annotated[list[Scene], Meta(min_length=1)]
@@ -208,7 +208,7 @@
 
     Raises InvalidPlanError with one line that names the key.
     """
-    return plan_from(tables(path), path)
+    return plan_from(read_tables(path), path)
 
 
 def plan_from(raw, path="plan"):
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -17,11 +17,19 @@
 
 from pierglade.audit import records, rules
 from pierglade.audit.settings import AuditSettings, request_class_rules
-from pierglade.experiment.nodes import HERE, START
+from pierglade.experiment.nodes import NODE_PROGRAM, ROOT_FOLDER
 from pierglade.load.recorder import LatencyRecorder
 from pierglade.processes.children import ChildExitedError, Children, free_port
 from pierglade.scale import figures
-from pierglade.scale.guard import GuardThread, Over, ResourceGuard, cpu_s, pss_mb, rss_mb, wait
+from pierglade.scale.guard import (
+    GuardThread,
+    ResourceGuard,
+    ResourceLimitError,
+    cpu_s,
+    pss_mb,
+    rss_mb,
+    wait,
+)
 from pierglade.scale.plan import (
     REQUEST_CLASS_REPEATS,
     Tenants,
@@ -44,7 +52,7 @@
 STRIDE = 7919  # prime, so that tenants and backends that change in succession lie far apart
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """A run could not be completed; the message is one line, `status` the exit code of the command."""
 
     def __init__(self, line, status=3):
@@ -52,11 +60,11 @@
         self.status = status
 
 
-def play(plan, path="plan", report_progress=lambda line: None):
+def run_plan(plan, path="plan", report_progress=lambda line: None):
     """Runs a Plan; returns plain data (`figures.summary`).
 
-    Raises InvalidPlanError before anything is started, Failed if the run could not be completed,
-    Over if it exceeded its memory or process limit, StoppedBySignalError on SIGTERM and SIGINT.
+    Raises InvalidPlanError before anything is started, RunFailedError if the run could not be completed,
+    ResourceLimitError if it exceeded its memory or process limit, StoppedBySignalError on SIGTERM and SIGINT.
     """
     check_limits(plan, path)
     with Children() as children:
@@ -65,10 +73,10 @@
             return scale_run.execute()
         except ChildExitedError as error:
             # Status 2 means bad input, such as a port in use; any other makes the run unreliable.
-            raise Failed(str(error), 2 if " ended with 2" in str(error) else 3) from None
+            raise RunFailedError(str(error), 2 if " ended with 2" in str(error) else 3) from None
         except (BrokenPipeError, ConnectionError):
-            children.look()
-            raise Failed(
+            children.raise_if_exited()
+            raise RunFailedError(
                 "lost the connection to a process of the run, which has not exited"
             ) from None
         finally:
@@ -112,9 +120,9 @@
             raise self.guard_thread.error
         for name, (process, _) in list(self.children.running.items()):
             if name not in self.expected_exits and process.poll() is not None:
-                raise ChildExitedError(self.children._how(name))
+                raise ChildExitedError(self.children.describe_exit(name))
         if self.restart_errors:
-            raise Failed(self.restart_errors[0])
+            raise RunFailedError(self.restart_errors[0])
 
     def _write_spec(self, name, **spec):
         path = self.children.path(name.replace(" ", "-") + ".spec")
@@ -142,11 +150,13 @@
         while not select.select([stdout], [], [], 0.2)[0]:
             self.check()
             if time.monotonic() > deadline:
-                raise Failed(f"{name} did not answer a command within {ANSWER_TIMEOUT_S:g} s")
+                raise RunFailedError(
+                    f"{name} did not answer a command within {ANSWER_TIMEOUT_S:g} s"
+                )
         line = stdout.readline()
         if not line:
             self.children.running[name][0].wait()
-            raise ChildExitedError(self.children._how(name))
+            raise ChildExitedError(self.children.describe_exit(name))
         return msgspec.json.decode(line)
 
     def request(self, name, **command):
@@ -264,10 +274,10 @@
             )
         self.children.start_logged(
             "empty node",
-            ["-c", START],
+            ["-c", NODE_PROGRAM],
             self.children.path("empty.log"),
-            cwd=HERE,
-            env={"BALANCER_CONFIG": path, "PYTHONPATH": HERE},
+            cwd=ROOT_FOLDER,
+            env={"BALANCER_CONFIG": path, "PYTHONPATH": ROOT_FOLDER},
         )
         wait(0.5, self.check)
         used_mb = rss_mb(self.children.running["empty node"][0].pid)
@@ -282,10 +292,10 @@
         self.node_logs[number].append([log, 0])  # path, bytes read so far
         started = self.children.start_logged(
             f"node {number}",
-            ["-c", START],
+            ["-c", NODE_PROGRAM],
             log,
-            cwd=HERE,
-            env={"BALANCER_CONFIG": self.document_paths[number], "PYTHONPATH": HERE},
+            cwd=ROOT_FOLDER,
+            env={"BALANCER_CONFIG": self.document_paths[number], "PYTHONPATH": ROOT_FOLDER},
         )
         self.node_addresses[number] = started["listen"]
         self.guard.check()
@@ -294,7 +304,7 @@
         while _http_get(self.node_addresses[number], "/health/ready")[0] != 200:
             self.check()
             if time.monotonic() - since > READY_TIMEOUT_S:
-                raise Failed(f"node {number} was not ready within {READY_TIMEOUT_S:g} s")
+                raise RunFailedError(f"node {number} was not ready within {READY_TIMEOUT_S:g} s")
             time.sleep(0.02)
         return time.monotonic() - since
 
@@ -304,7 +314,7 @@
             "watches"
         ] < self.plan.nodes.count:
             if time.monotonic() > deadline:
-                raise Failed(
+                raise RunFailedError(
                     f"only {totals['watches']} of {self.plan.nodes.count} watches were open after "
                     f"{READY_TIMEOUT_S:g} s"
                 )
@@ -514,7 +524,7 @@
                 self._start_real_node(number)
                 self.ready_times_s.append(self._wait_until_ready(number, started_at))
                 self.down_intervals[number][-1][1] = time.monotonic()
-            except (ChildExitedError, Failed, Over) as error:
+            except (ChildExitedError, RunFailedError, ResourceLimitError) as error:
                 self.restart_errors.append(str(error))
 
         thread = threading.Thread(target=restart, daemon=True)
--- a/pierglade/scale/report.py
+++ b/pierglade/scale/report.py
@@ -6,7 +6,7 @@
 from pierglade.scale.plan import AXES, axis_point, check_limits
 
 
-def axes(plan, path, play, report_progress):
+def run_axes(plan, path, run_plan, report_progress):
     """Runs each axis at each fraction of its target; returns {"runs": [...], "fits": [...]}."""
     from pierglade.simulation.plan import InvalidPlanError
 
@@ -27,7 +27,7 @@
                 "axis": axis,
                 "share": share,
                 "x": getattr(point, axis).count,
-                **play(point, path, report_progress),
+                **run_plan(point, path, report_progress),
             }
         )
     return {"title": plan.title, "runs": runs, "fits": fits(runs)}
@@ -58,7 +58,7 @@
     return results
 
 
-def axes_lines(results):
+def fit_table_lines(results):
     """Yields the lines of the fits for people."""
     for axis in AXES:
         yield f"{axis}"
@@ -76,7 +76,7 @@
                 )
 
 
-def lines(results):
+def table_lines(results):
     """Yields the lines of the tables for people."""
     sizes = results["sizes"]
     yield (
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from pierglade.load import run as load_run
-from pierglade.load.plan import ArrivalPattern, RecordedRequest, moments
+from pierglade.load.plan import ArrivalPattern, RecordedRequest, arrival_times
 from pierglade.scale import child
 from pierglade.scale.plan import REQUEST_CLASS_REPEATS, Plan
 
@@ -24,7 +24,7 @@
     It is the same for the same plan and sender number.
     """
     plan, seed = msgspec.convert(spec["plan"], Plan), [spec["plan"]["seed"], spec["number"]]
-    planned_at = moments(
+    planned_at = arrival_times(
         [ArrivalPattern(seconds=plan.seconds(), rate=plan.load.rate)], plan.load.spacing, seed
     )
     random = np.random.default_rng([*seed, 1])
@@ -41,7 +41,7 @@
         timeout_s=plan.load.limit_ms / 1000,
         seed=sum(seed),
         rows=rows,
-        repeats=REQUEST_CLASS_REPEATS,
+        idempotency_by_class=REQUEST_CLASS_REPEATS,
         node=spec["node"],
         ledger=spec["ledger"],
     )
@@ -64,7 +64,7 @@
     gc.freeze()
     # A collection would stall the sender; the size of the plan bounds the garbage.
     gc.disable()
-    tally = load_run.play(load)
+    tally = load_run.run_load(load)
     child.write_message({"tally": tally.encoded().decode()})
     threading.Event().wait()
 
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -44,12 +44,12 @@
 _MAX_COMMON_QUOTAS = 1000
 
 
-def down(microseconds: float) -> Ticks:
+def floor_ticks(microseconds: float) -> Ticks:
     """Converts microseconds to ticks, rounded down; for limits."""
     return int(microseconds) // 100
 
 
-def up(microseconds: float) -> Ticks:
+def ceil_ticks(microseconds: float) -> Ticks:
     """Converts microseconds to ticks, rounded up; for minimum waiting times."""
     return -(-int(microseconds) // 100)
 
@@ -79,10 +79,14 @@
         max_attempts=validation.whole_number(settings, "limits.mostTrips", 1),
         may_cancel=bool(limits.get("mayCancel")),
         may_check_health=validation.boolean(settings, "limits.probes"),
-        max_retry_after=down(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
+        max_retry_after=floor_ticks(limits.get("maxRetryAfterUs") or 0)
+        if limits.get("retryAfter")
+        else 0,
         worst_class_weight=_worst_class_weight(settings),
-        connect_timeout=down(limits.get("connectTimeoutUs") or DEFAULT_CONNECT_TIMEOUT * 100),
-        idle_timeout=down(limits.get("connIdleUs") or DEFAULT_IDLE_TIMEOUT * 100),
+        connect_timeout=floor_ticks(
+            limits.get("connectTimeoutUs") or DEFAULT_CONNECT_TIMEOUT * 100
+        ),
+        idle_timeout=floor_ticks(limits.get("connIdleUs") or DEFAULT_IDLE_TIMEOUT * 100),
         **_contract(settings),
         polls_endpoints=validation.one_of(("push", "ask"), settings, "membershipMode") == "ask",
         zone=settings.get("zone"),
@@ -114,7 +118,9 @@
     return quotas
 
 
-def load_from(fields: Iterable[str | None], values: Iterable[float | None]) -> LoadReport:
+def load_report_from_values(
+    fields: Iterable[str | None], values: Iterable[float | None]
+) -> LoadReport:
     """Returns a load report of values in the order of the configured fields."""
     return LoadReport(
         **{
@@ -125,7 +131,7 @@
     )
 
 
-def load_from_text(text: str) -> LoadReport | None:
+def parse_load_report(text: str) -> LoadReport | None:
     """Parses the report in a header or a health check's body, such as "TEXT qps=71, queue=2".
 
     Returns None if it is malformed.
@@ -165,7 +171,7 @@
         return validation.required(settings, f"offerings.{i}.{key}", accepts, expected)
 
     def _span(key):
-        return down(_setting(key, validation.is_positive, "a number above 0"))
+        return floor_ticks(_setting(key, validation.is_positive, "a number above 0"))
 
     return RequestClass(
         i,
@@ -178,7 +184,7 @@
             )
         ],
         row.get("group") or "all",
-        down(row.get("repeatWindowUs") or 0),
+        floor_ticks(row.get("repeatWindowUs") or 0),
         _span("expectedTimeUs"),
         _span("hardLimitUs"),
         float(row.get("credit", 1)),
@@ -207,10 +213,10 @@
 def _contract(settings: dict) -> dict[str, Any]:
     contract = settings["contract"]
     return {
-        "slow_start_duration": up(contract.get("coldUs") or 0),
+        "slow_start_duration": ceil_ticks(contract.get("coldUs") or 0),
         "slow_start_capacity": float(contract.get("startCapacity") or 1),
         "slow_start_overload": float(contract.get("tipMultiple") or 1),
-        "drain_grace": down(contract.get("drainGraceUs") or 0),
+        "drain_grace": floor_ticks(contract.get("drainGraceUs") or 0),
         "removal_binds": not validation.boolean(settings, "contract.onlyDrainingBinds"),
     }
 
@@ -226,7 +232,7 @@
             path, contract[given[0]], "lookBackUs to be set as well", message
         )
     return {
-        "retry_budget_window": up(validation.number(settings, "contract.lookBackUs")),
+        "retry_budget_window": ceil_ticks(validation.number(settings, "contract.lookBackUs")),
         "retry_budget_minimum": int(validation.number(settings, "contract.extraFloor")),
         "retry_budget_ratio": float(validation.number(settings, "contract.resendRatio")),
     }
--- a/pierglade/simulation/backend.py
+++ b/pierglade/simulation/backend.py
@@ -38,8 +38,8 @@
         "accounted_at",
         "end_callback",
         "io_wait",
-        "plan_number",
         "remaining",
+        "schedule_number",
         "state",
         "work",
     )
@@ -48,7 +48,7 @@
         self.work, self.io_wait, self.end_callback = work, io_wait, end_callback
         self.remaining = work
         self.accounted_at = 0.0  # when `remaining` was last updated
-        self.plan_number = 0  # increases with each schedule; earlier completions are ignored
+        self.schedule_number = 0  # increases with each schedule; earlier completions are ignored
         self.state: JobState | None = None  # None before it is accepted and after its end
 
 
@@ -149,13 +149,13 @@
         self._schedule_completion(job)
 
     def _schedule_completion(self, job):
-        job.plan_number += 1
+        job.schedule_number += 1
         speed = self.speed()
         if speed > 0:
-            self.clock.after(job.remaining / speed, self._finish, job, job.plan_number)
+            self.clock.after(job.remaining / speed, self._finish, job, job.schedule_number)
 
-    def _finish(self, job, plan_number):
-        if plan_number != job.plan_number or job.state is not JobState.RUNNING:
+    def _finish(self, job, schedule_number):
+        if schedule_number != job.schedule_number or job.state is not JobState.RUNNING:
             return
         self._accumulate_usage()
         del self.running[job]
--- a/pierglade/simulation/plan.py
+++ b/pierglade/simulation/plan.py
@@ -24,11 +24,11 @@
     """An invalid plan; the message is one line with the file, the key and the error."""
 
 
-class Struct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class PlanTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Base of the tables of a plan; unknown keys are errors."""
 
 
-class Kind(Struct):
+class Kind(PlanTable):
     """A group of identical backends."""
 
     count: Count = 1
@@ -43,7 +43,7 @@
     tip_s: Positive = 2.0  # span over which the work received is summed
 
 
-class Overdrive(Struct):
+class Overdrive(PlanTable):
     """Overload: more than cores + at * sqrt(cores) jobs on average slow a backend down."""
 
     at: Positive = 4.0
@@ -54,14 +54,14 @@
     most_s: Positive = 20.0  # longest overload; it recovers then at any utilization
 
 
-class Pause(Struct):
+class Pause(PlanTable):
     """Periodic pauses, in which each backend does no work."""
 
     every_s: Positive = 5.0
     for_ms: Positive = 200.0
 
 
-class Fleet(Struct):
+class Fleet(PlanTable):
     """The backends, and the network between them and the nodes."""
 
     kind: Annotated[list[Kind], Meta(min_length=1)]
@@ -72,7 +72,7 @@
     pause: Pause | None = None
 
 
-class RequestClassPlan(Struct):
+class RequestClassPlan(PlanTable):
     """A request class: its work and its settings."""
 
     name: str
@@ -89,7 +89,7 @@
     window_ms: NotNegative = 0.0
 
 
-class Nodes(Struct):
+class Nodes(PlanTable):
     """The balancer nodes and their settings."""
 
     count: Count = 1
@@ -97,7 +97,7 @@
     max_attempts: Count = msgspec.field(name="most_trips", default=3)
 
 
-class Load(Struct):
+class Load(PlanTable):
     """The load: a closed population of `kept` clients, or open arrivals at `rate` per second."""
 
     kept: Annotated[int, Meta(ge=0)] = 0
@@ -116,7 +116,7 @@
     try_timeout_share: Share = msgspec.field(name="patience", default=1.0)
 
 
-class Change(Struct):
+class Change(PlanTable):
     """A change of the backends or of the load during the run."""
 
     at_s: NotNegative
@@ -126,7 +126,7 @@
     listed: bool = True  # whether the endpoint list announces it
 
 
-class Plan(Struct):
+class Plan(PlanTable):
     """The whole plan."""
 
     fleet: Fleet
@@ -175,7 +175,7 @@
         return min(self.capacity(), requested)
 
 
-def tables(path: str) -> dict:
+def read_tables(path: str) -> dict:
     """Returns the unvalidated tables of a TOML or JSON file; raises InvalidPlanError."""
     try:
         with open(path, "rb") as file:
@@ -194,7 +194,7 @@
     A table `vary` maps keys of the plan to lists of values: `"fleet.kind.0.count" = [1, 4]`. There
     is one plan for each combination, in order.
     """
-    raw = tables(path)
+    raw = read_tables(path)
     vary = raw.pop("vary", {})
     if not isinstance(vary, dict) or not all(isinstance(v, list) and v for v in vary.values()):
         raise InvalidPlanError(
--- a/pierglade/simulation/policies.py
+++ b/pierglade/simulation/policies.py
@@ -38,9 +38,9 @@
     def _now(self):
         return int(self._clock.now)
 
-    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+    def endpoints_updated(self, endpoints: list[Endpoint], is_full_list: bool) -> None:
         """Handles a full endpoint list, or the changed entries of one."""
-        self._balancer.endpoints_updated(self._now(), endpoints, is_whole)
+        self._balancer.endpoints_updated(self._now(), endpoints, is_full_list)
         self._execute_decisions()
 
     def request_received(self, request) -> None:
@@ -48,7 +48,7 @@
         now = self._now()
         tenants = self._settings.tenants
         balancer_request = Request(
-            host_context=request,
+            caller_context=request,
             request_class=self._settings.request_classes[request.class_index],
             tenant=tenants[0] if tenants else None,
             arrived_at=now,
@@ -68,7 +68,7 @@
         now = self._now()
         is_success = outcome == Outcome.SUCCESS
         if is_success and not attempt.request.completed:
-            attempt.request.host_context.complete(Outcome.SUCCESS)
+            attempt.request.caller_context.complete(Outcome.SUCCESS)
         latency = max(1, now - attempt.sent_at)
         self._balancer.attempt_ended(now, attempt, outcome, latency, is_success)
         self._execute_decisions()
@@ -97,14 +97,14 @@
         match decision:
             case SendAttempt(attempt):
                 name = self._balancer.endpoint_name(attempt.backend)
-                request = attempt.request.host_context
+                request = attempt.request.caller_context
                 self._simulation.send(self, attempt, request, name, attempt.timeout_at)
             case CancelAttempt(attempt):
                 self._simulation.cancel(self, attempt)
             case CheckHealth(backend):
                 self._simulation.check_health(self, self._balancer.endpoint_name(backend))
             case RejectRequest(request) | FailRequest(request):
-                request.host_context.complete(type(decision))
+                request.caller_context.complete(type(decision))
 
     def _timer_fired(self, wakeup):
         if self._timer == wakeup:
@@ -144,7 +144,7 @@
         self._queue: deque = deque()
         self._node_count = simulation.plan.nodes.count
 
-    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+    def endpoints_updated(self, endpoints: list[Endpoint], is_full_list: bool) -> None:
         """Handles a full endpoint list, or the changed entries of one."""
         removed = {each.name for each in endpoints if each.state != EndpointState.READY}
         self._names = [name for name in self._names if name not in removed]
@@ -246,7 +246,7 @@
         self._network_delay = 2 * plan.fleet.delay_ms * MS
         self._least_work = min(each.work_ms for each in plan.request_class) * MS
 
-    def endpoints_updated(self, endpoints: list[Endpoint], is_whole: bool) -> None:
+    def endpoints_updated(self, endpoints: list[Endpoint], is_full_list: bool) -> None:
         """Does nothing: the oracle reads the backends of the simulation."""
 
     def limit(self) -> float:
--- a/pierglade/simulator_adapter/connection.py
+++ b/pierglade/simulator_adapter/connection.py
@@ -5,7 +5,7 @@
 import orjson
 
 from pierglade.model.endpoint import Endpoint
-from pierglade.settings.platform import down
+from pierglade.settings.platform import floor_ticks
 from pierglade.simulator_adapter.instance import BalancerInstance
 from pierglade.simulator_adapter.messages import (
     OUTCOMES,
@@ -97,8 +97,8 @@
             instance.balancer.discovery_lost(self._now)
             return
         endpoints = self._endpoint_lists[fields["ref"]]
-        is_whole = fields["scope"] != "update"
-        instance.balancer.endpoints_updated(self._now, endpoints, is_whole)
+        is_full_list = fields["scope"] != "update"
+        instance.balancer.endpoints_updated(self._now, endpoints, is_full_list)
 
     def _on_request(self, fields: dict) -> None:
         instance = self._instance(fields)
@@ -119,7 +119,7 @@
             return
         instance.receive_load_report(fields, self._now)
         outcome = OUTCOMES[fields["reason"]]
-        latency = down(fields["durationUs"])
+        latency = floor_ticks(fields["durationUs"])
         is_final = bool(fields["doneFlag"])
         instance.balancer.attempt_ended(self._now, attempt, outcome, latency, is_final)
         instance.discard_if_finished(attempt.request)
@@ -136,7 +136,7 @@
             return
         instance.receive_load_report(fields, self._now)
         is_healthy = fields["reason"] == "success"
-        latency = down(fields["durationUs"])
+        latency = floor_ticks(fields["durationUs"])
         instance.balancer.health_checked(self._now, fields["backend"], is_healthy, latency)
 
     def _on_timer(self, fields: dict) -> None:
--- a/pierglade/simulator_adapter/instance.py
+++ b/pierglade/simulator_adapter/instance.py
@@ -6,7 +6,7 @@
 from pierglade.model.decision import FailRequest, RejectRequest
 from pierglade.model.request import Attempt, Request
 from pierglade.model.ticks import Ticks
-from pierglade.settings.platform import load_from, settings_from
+from pierglade.settings.platform import load_report_from_values, settings_from
 from pierglade.simulator_adapter.messages import (
     US_PER_TICK,
     decode_cost_hint,
@@ -29,21 +29,21 @@
     def receive_request(self, fields: dict, now: Ticks, now_us: int) -> None:
         """Decodes a request and passes it to the balancer."""
         request = Request(
-            host_context=fields["call"],
+            caller_context=fields["call"],
             request_class=self._request_classes[fields["grade"]],
-            tenant=self.settings.tenants.of(fields.get("party"), now),
+            tenant=self.settings.tenants.tenant(fields.get("party"), now),
             arrived_at=now,
             deadline=(now_us + fields["leftUs"]) // US_PER_TICK,
             cost_hint=decode_cost_hint(fields),
         )
-        self._requests[request.host_context] = request
+        self._requests[request.caller_context] = request
         self.balancer.request_received(now, request)
 
     def receive_load_report(self, fields: dict, now: Ticks) -> None:
         """Handles the load report attached to another message, if there is one."""
         figures = fields.get("gauge")
         if figures is not None and self.settings.load_report_source:
-            report = load_from(self.settings.load_report_fields, figures)
+            report = load_report_from_values(self.settings.load_report_fields, figures)
             self.balancer.load_reported(now, fields["backend"], report)
 
     def request(self, request_id) -> Request | None:
@@ -60,7 +60,7 @@
     def discard_if_finished(self, request: Request) -> None:
         """Discards a request that is answered and has no attempt in flight."""
         if request.completed and not request.in_flight:
-            self._requests.pop(request.host_context, None)
+            self._requests.pop(request.caller_context, None)
 
     def timer_fired(self, mark: str) -> None:
         """Handles a fired timer; ignores one that has been replaced since."""
--- a/pierglade/simulator_adapter/messages.py
+++ b/pierglade/simulator_adapter/messages.py
@@ -17,7 +17,7 @@
 from pierglade.model.endpoint import Endpoint, EndpointState
 from pierglade.model.outcome import Outcome
 from pierglade.model.ticks import Ticks
-from pierglade.settings.platform import down
+from pierglade.settings.platform import floor_ticks
 
 US_PER_TICK = 100
 HAS_COST_HINT = 1
@@ -58,7 +58,7 @@
         state=ENDPOINT_STATES[entry["status"]],
         zone=entry.get("zone"),
         cell=entry.get("cluster"),
-        started_at=down(entry.get("sinceUs") or 0),
+        started_at=floor_ticks(entry.get("sinceUs") or 0),
         weight=float(entry.get("powerHint") or 1),
     )
 
@@ -67,7 +67,7 @@
     """Returns the cost hint of a request; 0 if it has none."""
     if not (fields.get("marks") or 0) & HAS_COST_HINT:
         return 0
-    return down(fields.get("hintUs") or 0)
+    return floor_ticks(fields.get("hintUs") or 0)
 
 
 def encode_decision(decision: Decision, instance: str, endpoint_name, now_us: int) -> dict:
@@ -80,20 +80,20 @@
             return {
                 "SubmitTo": {
                     "who": instance,
-                    "call": attempt.request.host_context,
+                    "call": attempt.request.caller_context,
                     "backend": endpoint_name(attempt.backend),
                     "capUs": max(1, attempt.timeout_at * US_PER_TICK - now_us),
                 }
             }
         case CancelAttempt(attempt):
-            request_id = attempt.request.host_context
+            request_id = attempt.request.caller_context
             return {"AbortAttempt": {"who": instance, "call": request_id, "sendNo": attempt.number}}
         case RejectRequest(request, retry_after):
             retry_after_us = retry_after * US_PER_TICK
-            request_id = request.host_context
+            request_id = request.caller_context
             return {"Bounce": {"who": instance, "call": request_id, "coolDownUs": retry_after_us}}
         case FailRequest(request):
-            return {"RespondError": {"who": instance, "call": request.host_context}}
+            return {"RespondError": {"who": instance, "call": request.caller_context}}
         case PollEndpoints():
             return {"Observe": {"who": instance, "active": True}}
         case CheckHealth(backend):
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -34,12 +34,12 @@
 DECAYING_KEYS = ("level", "quick", "mean_pause")
 PAUSE_KEYS = ("work", "pauses", "work_due", "window")
 THROUGHPUT_KEYS = ("usual", "usual_of")
-KEYS = (*DECAYING_KEYS, *PAUSE_KEYS, *THROUGHPUT_KEYS)
+BACKEND_KEYS = (*DECAYING_KEYS, *PAUSE_KEYS, *THROUGHPUT_KEYS)
 DECAYING_CLASS_KEYS = ("typical", "skew", "hinted")
-ROW_KEYS = (*DECAYING_CLASS_KEYS, "answers", "usual_left", "usual_votes")
+REQUEST_CLASS_KEYS = (*DECAYING_CLASS_KEYS, "answers", "usual_left", "usual_votes")
 
 
-def aged(snapshot, now, half_life, request_classes, initial_rows, ready_backends):
+def decayed_statistics(snapshot, now, half_life, request_classes, initial_rows, ready_backends):
     """Returns the statistics to restore from a snapshot, decayed by its age, and a summary.
 
     The result is (rows, backends, summary), the first two for `Balancer.restore_statistics`.
@@ -156,9 +156,9 @@
 
 
 def _max_pauses():
-    from pierglade.balancer.pause_forecast import PAUSES_KEPT
+    from pierglade.balancer.pause_forecast import MAX_STORED_PAUSES
 
-    return PAUSES_KEPT
+    return MAX_STORED_PAUSES
 
 
 def _decayed(stored, initial, weight):
@@ -170,7 +170,7 @@
     return type(value) in (int, float) and value == value and abs(value) < 1e15
 
 
-def newer_list(snapshot, known):
+def newer_endpoint_list(snapshot, known):
     """Returns the endpoint list to start with: the configuration's `known`, or the snapshot's.
 
     That is the newer one by discovery's version if both have a version; otherwise the snapshot's,
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -19,7 +19,7 @@
 """
 
 from pierglade.balancer.balancer import Balancer
-from pierglade.balancer.endpoint_stats import KIND_SEEN_WITHIN
+from pierglade.balancer.endpoint_stats import IDEMPOTENCY_WINDOW
 from pierglade.model.endpoint import Endpoint, EndpointState
 
 
@@ -41,13 +41,13 @@
         old_settings.load_report_fields,
     )
     same_nodes = settings.node_count == old_settings.node_count
-    both_learn = node.learns and before.learns
+    both_learn = node.learns_limit and before.learns_limit
     _copy_parts(node, before, same_reports)
     _copy_classes(node, before, old_indices)
     node.request_stats.copy_from(before.request_stats)
     if both_learn and same_reports:
         node.load_reports.copy_growth(before.load_reports)
-        node.health_checks.copy_due(before.health_checks)
+        node.health_checks.copy_checks_due(before.health_checks)
     node.rotation.copy_from(
         before.rotation, same_nodes and settings.node_number == old_settings.node_number, both_learn
     )
@@ -55,8 +55,8 @@
         if same_nodes:
             node.load_reports.traffic_share = before.load_reports.traffic_share
         node.limit.demand = before.limit.demand
-    same_limit_kind = (node.learns, node.rotation.has_quotas) == (
-        before.learns,
+    same_limit_kind = (node.learns_limit, node.rotation.has_quotas) == (
+        before.learns_limit,
         before.rotation.has_quotas,
     )
     if same_nodes and same_limit_kind and any(old_index is not None for old_index in old_indices):
@@ -69,7 +69,7 @@
     """Removes backends that were listed as removed but still used, if removal binds now."""
     endpoints = node.endpoints
     removed = (
-        [backend for backend in node.rotation.by_rank if endpoints.left_at[backend]]
+        [backend for backend in node.rotation.by_rank if endpoints.unready_since[backend]]
         if node.settings.removal_binds
         else ()
     )
@@ -133,4 +133,4 @@
     for kind in node.request_stats.last_received.keys() - {
         request_class.idempotency for request_class in node.settings.request_classes
     }:
-        node.request_stats.last_received[kind] = before.request_stats.received - KIND_SEEN_WITHIN
+        node.request_stats.last_received[kind] = before.request_stats.received - IDEMPOTENCY_WINDOW
