--- a/pierglade/snapshot/store.py
+++ b/pierglade/snapshot/store.py
@@ -19,7 +19,7 @@
 from pierglade.snapshot import schema
 from pierglade.snapshot.schema import CorruptSnapshotError, Snapshot
 
-SUFFIX, PREVIOUS_SUFFIX, LOCK_SUFFIX = ".learned", ".learned.1", ".lock"
+NEWEST_SUFFIX, PREVIOUS_SUFFIX, LOCK_SUFFIX = ".learned", ".learned.1", ".lock"
 # Earlier builds wrote `NAME.learned.part`; such files are found and removed as well.
 PART_PATTERN = re.compile(r"(.+)\.learned(\.[0-9]+-[0-9]+)?\.part")
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,100}")
@@ -85,11 +85,11 @@
         with self.write_lock:
             if self.lock_fd is not None:
                 self._remove_part_files()
-            part = self._path(f"{SUFFIX}.{os.getpid()}-{next(self.part_numbers)}.part")
+            part = self._path(f"{NEWEST_SUFFIX}.{os.getpid()}-{next(self.part_numbers)}.part")
             _write_synced(part, data)
             with contextlib.suppress(FileNotFoundError):
-                os.rename(self._path(SUFFIX), self._path(PREVIOUS_SUFFIX))
-            os.rename(part, self._path(SUFFIX))
+                os.rename(self._path(NEWEST_SUFFIX), self._path(PREVIOUS_SUFFIX))
+            os.rename(part, self._path(NEWEST_SUFFIX))
             fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(fd)
@@ -109,7 +109,7 @@
     def read(self) -> StoredSnapshot:
         """Reads the newest snapshot that can be used."""
         rejected = []
-        for suffix in (SUFFIX, PREVIOUS_SUFFIX):
+        for suffix in (NEWEST_SUFFIX, PREVIOUS_SUFFIX):
             try:
                 snapshot = load(self._path(suffix), self.max_bytes)
                 return StoredSnapshot(snapshot, self.name + suffix, rejected)
@@ -154,14 +154,14 @@
 def find_snapshots(path: str) -> Iterator[tuple[str, Snapshot | CorruptSnapshotError | OSError]]:
     """Yields the name of each snapshot file of a directory, with its snapshot or its error."""
     for name in sorted(os.listdir(path)):
-        if name.endswith((SUFFIX, PREVIOUS_SUFFIX)) or PART_PATTERN.fullmatch(name):
+        if name.endswith((NEWEST_SUFFIX, PREVIOUS_SUFFIX)) or PART_PATTERN.fullmatch(name):
             try:
                 yield name, load(os.path.join(path, name))
             except (OSError, CorruptSnapshotError) as error:
                 yield name, error
 
 
-def in_use(path: str, name: str) -> bool:
+def is_in_use(path: str, name: str) -> bool:
     """Returns whether a process holds the lock of node `name`, without creating a file."""
     try:
         fd = os.open(os.path.join(path, name + LOCK_SUFFIX), os.O_RDWR | os.O_CLOEXEC)
--- a/pierglade/tenants/registry.py
+++ b/pierglade/tenants/registry.py
@@ -23,9 +23,9 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaDelta:
-    """The difference between the quotas of version `base` and a later version."""
+    """The difference between the quotas of version `base_version` and a later version."""
 
-    base: int
+    base_version: int
     version: int
     """The version of the later table."""
     changed: dict[str, float]
@@ -40,12 +40,12 @@
 class TenantRegistry:
     """Quotas by name, in requests a second over all nodes; 0 for a tenant without one.
 
-    The dictionary `shares` belongs to the caller and is changed in place.
+    The dictionary `quotas` belongs to the caller and is changed in place.
     """
 
-    def __init__(self, shares: dict[str, float] | None = None, version: int = 0) -> None:
-        self.shares, self.version = {} if shares is None else shares, version
-        self.total = sum(self.shares.values())
+    def __init__(self, quotas: dict[str, float] | None = None, version: int = 0) -> None:
+        self.quotas, self.version = {} if quotas is None else quotas, version
+        self.total = sum(self.quotas.values())
         # Tenants with traffic, in two generations: one without requests in a whole one is dropped.
         self.current_generation: dict[str, Tenant] = {}
         self.previous_generation: dict[str, Tenant] = {}
@@ -54,14 +54,14 @@
         self.names: list[str] | None = None
 
     def __len__(self) -> int:
-        return len(self.shares)
+        return len(self.quotas)
 
     def __getitem__(self, index: int) -> Tenant:
         if self.names is None:
-            self.names = list(self.shares)
-        return self.of(self.names[index])
+            self.names = list(self.quotas)
+        return self.tenant(self.names[index])
 
-    def of(self, name: str, now: Ticks | None = None) -> Tenant | None:
+    def tenant(self, name: str, now: Ticks | None = None) -> Tenant | None:
         """Returns the tenant of that name, or None if there is none.
 
         Its state is new if it has sent no requests for long.
@@ -73,7 +73,7 @@
         if tenant is None:
             tenant = self.previous_generation.pop(name, None)
             if tenant is None:
-                quota = self.shares.get(name)
+                quota = self.quotas.get(name)
                 if quota is None:
                     return None
                 tenant = Tenant(name, quota)
@@ -88,24 +88,25 @@
         Raises:
             VersionConflictError: It is not based on the current version; nothing was changed.
         """
-        if delta.base != self.version:
+        if delta.base_version != self.version:
             raise VersionConflictError(
-                f"quota change is based on version {delta.base}; expected version {self.version}"
+                f"quota change is based on version {delta.base_version}; "
+                f"expected version {self.version}"
             )
         for name in delta.removed:
-            self.shares.pop(name, None)
+            self.quotas.pop(name, None)
             self.current_generation.pop(name, None)
             self.previous_generation.pop(name, None)
-        self.shares.update(delta.changed)
+        self.quotas.update(delta.changed)
         for name, quota in delta.changed.items():
             for generation in (self.current_generation, self.previous_generation):
                 if name in generation:
                     generation[name] = replace(generation[name], quota_per_second=quota)
         # Summed again: additions and subtractions would leave a rounding error when all quotas are
         # removed.
-        self.total, self.version, self.names = sum(self.shares.values()), delta.version, None
+        self.total, self.version, self.names = sum(self.quotas.values()), delta.version, None
 
-    def follow(self, previous: "TenantRegistry") -> None:
+    def take_over_state(self, previous: "TenantRegistry") -> None:
         """Takes over the state of tenants with traffic from `previous`, which this one replaces."""
         self.next_generation_at = previous.next_generation_at
         for source, target in (
@@ -113,8 +114,8 @@
             (previous.current_generation, self.current_generation),
         ):
             for name, tenant in source.items():
-                if name in self.shares:
-                    target[name] = replace(tenant, quota_per_second=self.shares[name])
+                if name in self.quotas:
+                    target[name] = replace(tenant, quota_per_second=self.quotas[name])
 
 
 class RunningMedian:
@@ -126,21 +127,26 @@
     def __init__(self, span: Ticks) -> None:
         self.span = span
         # Name to a value and when it was recorded, the oldest first.
-        self.newest: dict[str, tuple[float, Ticks]] = {}
-        self.figures: list[float] = []  # the same values, sorted
+        self.newest_values: dict[str, tuple[float, Ticks]] = {}
+        self.sorted_values: list[float] = []  # the same values, sorted
 
-    def see(self, now: Ticks, name: str, value: float) -> None:
+    def add(self, now: Ticks, name: str, value: float) -> None:
         """Records the newest value of that name."""
-        self._drop(self.newest.pop(name, None))
-        self.newest[name] = value, now
-        insort(self.figures, value)
+        self._drop(self.newest_values.pop(name, None))
+        self.newest_values[name] = value, now
+        insort(self.sorted_values, value)
 
-    def figure(self, now: Ticks) -> float | None:
+    def median(self, now: Ticks) -> float | None:
         """Returns the median, or the lower of two; None without values within the span."""
-        while self.newest and now - self.newest[oldest := next(iter(self.newest))][1] >= self.span:
-            self._drop(self.newest.pop(oldest))
-        return self.figures[(len(self.figures) - 1) // 2] if self.figures else None
+        while (
+            self.newest_values
+            and now - self.newest_values[oldest := next(iter(self.newest_values))][1] >= self.span
+        ):
+            self._drop(self.newest_values.pop(oldest))
+        return (
+            self.sorted_values[(len(self.sorted_values) - 1) // 2] if self.sorted_values else None
+        )
 
     def _drop(self, recorded: tuple[float, Ticks] | None) -> None:
         if recorded is not None:
-            del self.figures[bisect_left(self.figures, recorded[0])]
+            del self.sorted_values[bisect_left(self.sorted_values, recorded[0])]
--- a/pierglade/testbed/discovery.py
+++ b/pierglade/testbed/discovery.py
@@ -10,7 +10,7 @@
 LISTEN_BACKLOG = 4096  # pending connections; hundreds of watches may reconnect at once
 
 
-class Agent:
+class DiscoveryServer:
     """Publishes the endpoint list to nodes, each change `notice_s` after it was made."""
 
     def __init__(self, fleet):
@@ -22,7 +22,9 @@
         # Seconds added to `notice_s`, and whether messages end in the middle.
         self.late_by, self.truncates_messages = 0.0, False
         self.watches, self.server, self.address = set(), None, ""
-        self.sent = self.heard = 0  # bytes of HTTP sent and received on all connections
+        self.sent_bytes = self.received_bytes = (
+            0  # bytes of HTTP sent and received on all connections
+        )
         self.encode = msgspec.json.Encoder().encode
         # Index to the encoded line with the changes since then, encoded once for all watches.
         self.encoded_lines = {}
@@ -41,7 +43,7 @@
             for task in list(self.watches):
                 task.cancel()
 
-    def first(self, entries):
+    def set_initial_entries(self, entries):
         """Sets the initial list, without delay."""
         self.entries = {entry["name"]: entry for entry in entries}
         self.encoded_lines.clear()
@@ -49,9 +51,9 @@
     def changed(self, entry, at_once=False):
         """Schedules the publication of a changed entry."""
         delay = 0.0 if at_once else (self.fleet.plan.discovery.notice_s + self.late_by) * 10000
-        self.clock.after(delay, self._tell, entry)
+        self.clock.after(delay, self._publish, entry)
 
-    def _tell(self, entry):
+    def _publish(self, entry):
         self.index += 1
         self.encoded_lines.clear()
         if entry["status"] == "DELETED":
@@ -92,7 +94,7 @@
         return line
 
     def _write(self, writer, data):
-        self.sent += len(data)
+        self.sent_bytes += len(data)
         writer.write(data)
 
     async def _serve(self, reader, writer):
@@ -101,7 +103,7 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-                self.heard += len(head)
+                self.received_bytes += len(head)
                 target = head.split(" ", 2)[1] if head.count(" ") > 1 else ""
                 path, _, query = target.partition("?")
                 while self.is_silent:
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -15,11 +15,11 @@
     Kind,
     NotNegative,
     Overdrive,
+    PlanTable,
     Positive,
     RequestClassPlan,
     Share,
-    Struct,
-    tables,
+    read_tables,
 )
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
@@ -56,7 +56,7 @@
 UNTIL_END = float("inf")  # the duration of a fault that lasts until the fleet stops
 
 
-class Place(Struct):
+class Place(PlanTable):
     """A group of backends of one kind in one zone and one cell."""
 
     kind: str = ""  # name of the kind; empty: the first kind of the plan
@@ -72,7 +72,7 @@
     name: str = "std"
 
 
-class Report(Struct):
+class Report(PlanTable):
     """How backends report their load."""
 
     how: Literal["answers", "probes", "none"] = "none"
@@ -80,7 +80,7 @@
     period_ms: Positive = 100.0  # between updates of a report, its greatest age
 
 
-class Discovery(Struct):
+class Discovery(PlanTable):
     """The discovery agent that serves the endpoint list to nodes."""
 
     port: Port = 0
@@ -88,14 +88,14 @@
     heartbeat_s: Positive = 2.0
 
 
-class Ledger(Struct):
+class Ledger(PlanTable):
     """The file that records what arrived and what was executed; an empty path: none."""
 
     path: str = ""
     most_mb: Positive = 64.0  # beyond it nothing is written, and the ledger reports a gap
 
 
-class Fault(Struct):
+class Fault(PlanTable):
     """A fault: what happens, when, for how long and to which backends."""
 
     at_s: NotNegative
@@ -115,12 +115,12 @@
         """Whether the fault affects discovery instead of backends."""
         return self.what in DISCOVERY_FAULTS
 
-    def until(self):
+    def ends_at_s(self):
         """Returns the moment in seconds at which the fault ends."""
         return self.at_s + (self.for_s if self.what in LASTING_FAULTS else 0.0)
 
 
-class Plan(Struct):
+class Plan(PlanTable):
     """The whole plan of a fleet."""
 
     kind: Annotated[list[NamedKind], Meta(min_length=1)]
@@ -167,10 +167,10 @@
 
 def read(path):
     """Reads the plan in the TOML file at `path`; raises InvalidPlanError with a one-line message."""
-    return made(tables(path), path)
+    return plan_from(read_tables(path), path)
 
 
-def made(raw, path="plan"):
+def plan_from(raw, path="plan"):
     """Builds a plan from a mapping; raises InvalidPlanError, whose message begins with `path`."""
     try:
         plan = msgspec.convert(raw, Plan)
@@ -246,9 +246,9 @@
             yield f"{here}.for_s: `{fault.what}` has no duration"
         for name in affected:
             for start, end, place, kind in spans.get(name, ()):
-                if fault.at_s < end and fault.until() > start or fault.at_s == start:
+                if fault.at_s < end and fault.ends_at_s() > start or fault.at_s == start:
                     yield (
                         f"{here}: `{fault.what}` affects {name} while {place}, `{kind}`, "
                         f"still does; faults must not overlap"
                     )
-            spans.setdefault(name, []).append((fault.at_s, fault.until(), here, fault.what))
+            spans.setdefault(name, []).append((fault.at_s, fault.ends_at_s(), here, fault.what))
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -14,7 +14,7 @@
 from pierglade.simulation.distributions import WorkDistribution
 from pierglade.testbed.backend import StandInBackend
 from pierglade.testbed.clock import RealClock
-from pierglade.testbed.discovery import Agent
+from pierglade.testbed.discovery import DiscoveryServer
 from pierglade.testbed.script import FaultInjector
 
 LEDGER_FLUSH_INTERVAL_TICKS = 1000.0  # 100 ms
@@ -23,7 +23,7 @@
 MAX_IDEMPOTENCY_KEYS = 100000  # remembered keys of all deduplication groups together
 
 
-class CannotListen(Exception):
+class ListenError(Exception):
     """An address could not be bound; the message is one line that names it."""
 
 
@@ -60,11 +60,11 @@
             plan.ledger.path, plan.ledger.most_mb, lambda: self.unix_ms + self.clock.now / 10
         )
         self.backends, self.started_ms = {}, {}
-        self.agent = Agent(self)
+        self.agent = DiscoveryServer(self)
         self.fault_injector = FaultInjector(self)
 
     async def start(self):
-        """Opens all listening sockets; raises CannotListen if an address can't be bound."""
+        """Opens all listening sockets; raises ListenError if an address can't be bound."""
         ports = {}
         for name, place in self.plan.names():
             port = place.port + ports.get(id(place), 0) if place.port else 0
@@ -74,19 +74,19 @@
                 self.backends[name].listen()
             except OSError as error:
                 self.close_backends()
-                raise CannotListen(
+                raise ListenError(
                     f"cannot listen on 127.0.0.1:{port} ({name}): {error.strerror}"
                 ) from None
         try:
             await self.agent.start(self.plan.discovery.port)
         except OSError as error:
             self.close_backends()
-            raise CannotListen(
+            raise ListenError(
                 f"cannot listen on 127.0.0.1:{self.plan.discovery.port} (discovery): "
                 f"{error.strerror}"
             ) from None
         self.started_ms = dict.fromkeys(self.backends, 0)
-        self.agent.first([self.entry(backend) for backend in self.backends.values()])
+        self.agent.set_initial_entries([self.entry(backend) for backend in self.backends.values()])
         self.fault_injector.start()
         self.clock.after(LEDGER_FLUSH_INTERVAL_TICKS, self._flush_ledger)
         self.clock.after(IDLE_CHECK_INTERVAL_TICKS, self._close_idle_connections)
@@ -242,7 +242,7 @@
     """Runs a fleet until SIGTERM, SIGINT or the end of the plan; returns its summary.
 
     With `with_parent` it also ends when standard input is closed, as happens when the parent
-    process dies. Raises CannotListen, and OSError if the ledger can't be opened.
+    process dies. Raises ListenError, and OSError if the ledger can't be opened.
     """
     fleet = StandInFleet(plan, log_event)
     stop_requested = asyncio.Event()
--- a/pierglade/testbed/script.py
+++ b/pierglade/testbed/script.py
@@ -43,8 +43,8 @@
         """Schedules the start and the end of each fault on the fleet's clock."""
         for fault in self.fleet.plan.befall:
             self.clock.at(fault.at_s * 10000, self._apply, fault, True)
-            if fault.until() != fault.at_s and fault.for_s != float("inf"):
-                self.clock.at(fault.until() * 10000, self._apply, fault, False)
+            if fault.ends_at_s() != fault.at_s and fault.for_s != float("inf"):
+                self.clock.at(fault.ends_at_s() * 10000, self._apply, fault, False)
 
     def _apply(self, fault, is_start):
         names = [] if fault.is_discovery_fault() else self.fleet.plan.affected_backends(fault)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -15,7 +15,7 @@
 from pierglade.admission import connection_admission, fair_queue, load_shedder
 from pierglade.proxy.http import reader
 from tests.proxy.test_sockets import Peer, answer
-from tests.support.scene import Desk, TraceTest
+from tests.support.scene import StateMachineHarness, TraceTest
 
 TICKS_PER_S = 10000
 GET = b"GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Trace-Id: f%d\r\n\r\n"
@@ -39,7 +39,7 @@
         admission, lines = connection_admission.ConnectionAdmission(limits), []
 
         def connect(now, address, times, budget=16):
-            results = [admission.opened(now, address, budget) or "admitted" for _ in range(times)]
+            results = [admission.admit(now, address, budget) or "admitted" for _ in range(times)]
             lines.append(f"{now / TICKS_PER_S:g} s {address}: {' '.join(results)}")
 
         connect(0, "192.0.2.1", 4)
@@ -51,18 +51,18 @@
         connect(0, "10.1.1.1", 6)
         connect(0, "2001:db8::1", 2)
         for _ in range(3):
-            admission.closed(TICKS_PER_S, "198.51.100.1")
+            admission.connection_closed(TICKS_PER_S, "198.51.100.1")
         # Its burst is eight, and four more tokens were refilled since.
         connect(TICKS_PER_S, "198.51.100.1", 4)
         for _ in range(10):
-            admission.faulted(2 * TICKS_PER_S, "10.1.1.1")
+            admission.record_fault(2 * TICKS_PER_S, "10.1.1.1")
         # Blocked, so it counts as unknown and is over the limit per address.
         connect(2 * TICKS_PER_S, "10.1.1.1", 1)
         connect(8 * TICKS_PER_S, "10.1.1.1", 1)
         lines += [
-            f"open of unknown addresses {admission.strangers}",
+            f"open of unknown addresses {admission.unknown_open}",
             str(admission.take_rejections()),
-            str(admission.top(8 * TICKS_PER_S, 3)),
+            str(admission.most_rejected(8 * TICKS_PER_S, 3)),
         ]
         admission.set_limits(
             connection_admission.ConnectionLimits(per_address=9, known=["192.0.2.0/24"])
@@ -70,11 +70,13 @@
         connect(
             9 * TICKS_PER_S, "192.0.2.1", 9
         )  # a NAT gateway, for which the operator raises the limit
-        lines.append(f"open of unknown addresses {admission.strangers}")
+        lines.append(f"open of unknown addresses {admission.unknown_open}")
         for key, state in list(admission.active.items()):
             for _ in range(0 if key.endswith(connection_admission.PREFIX_SUFFIXES) else state.open):
-                admission.closed(9 * TICKS_PER_S, key.partition("/")[0])
-        lines.append(f"all closed: active {len(admission.active)}, unknown {admission.strangers}")
+                admission.connection_closed(9 * TICKS_PER_S, key.partition("/")[0])
+        lines.append(
+            f"all closed: active {len(admission.active)}, unknown {admission.unknown_open}"
+        )
         self.check("admission_gate", lines)
 
     def test_penalties_double_decay_and_are_not_evicted(self):
@@ -89,16 +91,16 @@
         for delay in (0, 6 * TICKS_PER_S, 12 * TICKS_PER_S, 1000 * TICKS_PER_S):
             now += delay
             for _ in range(11):
-                admission.faulted(now, "192.0.2.1")
+                admission.record_fault(now, "192.0.2.1")
             lines.append(
-                f"{now / TICKS_PER_S:g} s: blocked for {admission.top(now)[0]['shut_out_s']:g} s"
+                f"{now / TICKS_PER_S:g} s: blocked for {admission.most_rejected(now)[0]['shut_out_s']:g} s"
             )
         for number in range(60000):
             address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
-            admission.opened(now, address, 100)
-            admission.closed(now, address)
+            admission.admit(now, address, 100)
+            admission.connection_closed(now, address)
         lines.append(
-            f"after 60000 others: {admission.opened(now, '192.0.2.1', 100)}; active {len(admission.active)}, "
+            f"after 60000 others: {admission.admit(now, '192.0.2.1', 100)}; active {len(admission.active)}, "
             f"idle {len(admission.idle)}, penalised {len(admission.penalised)}"
         )
         self.check("admission_penalty", lines)
@@ -159,7 +161,7 @@
             if self.shedder:
                 rejected = self.shedder.rejects(int(is_important), retries > 0)
                 if not rejected:
-                    self.shedder.note_wait(self.now, waited / 2500)
+                    self.shedder.record_wait(self.now, waited / 2500)
             else:
                 rejected = waited > 2500
             if rejected:
@@ -199,20 +201,20 @@
         """32 clients in a closed loop keep the CPU busy; each waits for 16 ms of an objective of 250 ms."""
         shedder = load_shedder.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 50000, 5):
-            shedder.note_wait(now, 0.064 + 0.02 * (now % 3))
+            shedder.record_wait(now, 0.064 + 0.02 * (now % 3))
         self.check("admission_busy", [f"threshold {shedder.threshold}"])
 
     def test_a_pause_of_the_process_is_no_overload(self):
         """The process is paused for 0.5 s and then finds a backlog: the threshold drops to 0 at once."""
         shedder = load_shedder.LoadShedder([1.0], random.Random(1).random)
         for now in range(0, 5000, 10):
-            shedder.note_wait(now, 0.001)
+            shedder.record_wait(now, 0.001)
         highest = 0.0
         for number in range(100):
-            shedder.note_wait(10000 + 4 * number, (5000 - 50 * number) / 2500)
+            shedder.record_wait(10000 + 4 * number, (5000 - 50 * number) / 2500)
             highest = max(highest, shedder.threshold)
         for now in range(10400, 14400, 10):
-            shedder.note_wait(now, 0.001)
+            shedder.record_wait(now, 0.001)
         self.check("admission_pause", [f"at most {highest:.2f}, then {shedder.threshold:.2f}"])
 
 
@@ -224,9 +226,9 @@
 
         Guards against a rejection that skips a rule, as for a duplicate id or an incomplete message.
         """
-        desk, lines = Desk(["b0"]), []
-        desk.ask("busy", trace="out")
-        shedder = desk.reducer.balancers.load_shedder
+        harness, lines = StateMachineHarness(["b0"]), []
+        harness.send_request("busy", trace="out")
+        shedder = harness.state_machine.balancers.load_shedder
         shedder.threshold = 0.99
         shedder.rejects = lambda *arguments: True
         get, post = self.HEAD, self.HEAD.replace("GET /look", "POST /pay")
@@ -256,15 +258,15 @@
             incoming = reader.RequestReader()
             incoming.writable()[: len(data)] = data
             incoming.filled(len(data))
-            desk.open(name)
-            refusal = desk.reducer.requests.preview(
-                desk.now, desk.clients[name], incoming, desk.now, desk.now
+            harness.open(name)
+            refusal = harness.state_machine.requests.preview(
+                harness.now, harness.clients[name], incoming, harness.now, harness.now
             )
             lines.append(f"{case}: {'rejected unparsed' if refusal else 'parsed'}")
-        lines.append(refusal.decode() if refusal else str(desk.reducer.balancers.refusals))
-        busy = desk.clients["busy"]
+        lines.append(refusal.decode() if refusal else str(harness.state_machine.balancers.refusals))
+        busy = harness.clients["busy"]
         lines.append(
-            f"client with a pending request: {desk.reducer.requests.preview(desk.now, busy, incoming, desk.now, desk.now)}"
+            f"client with a pending request: {harness.state_machine.requests.preview(harness.now, busy, incoming, harness.now, harness.now)}"
         )
         self.check("admission_glance", lines)
 
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -82,7 +82,7 @@
                 os.path.join(folder, "clients"),
                 os.path.join(folder, "backends"),
             )
-            plan = plans.made(
+            plan = plans.plan_from(
                 {
                     **BASE,
                     **changes,
@@ -121,9 +121,10 @@
             try:
                 address = json.loads(node.stdout.readline())["listen"]
                 moments = (
-                    loads.moments([loads.ArrivalPattern(rate=60, seconds=1.5)], "even", 1) + 0.3
+                    loads.arrival_times([loads.ArrivalPattern(rate=60, seconds=1.5)], "even", 1)
+                    + 0.3
                 )
-                run.play(
+                run.run_load(
                     run.Load(
                         address,
                         path,
--- a/tests/balancer/test_untrue_reports.py
+++ b/tests/balancer/test_untrue_reports.py
@@ -8,7 +8,7 @@
 from pierglade.model.request import Idempotency
 from pierglade.proxy.state.events import EndpointsUpdated
 from pierglade.tenants.registry import TenantRegistry
-from tests.support.scene import MS, Desk, Scene, TraceTest, entry, listed
+from tests.support.scene import MS, BalancerHarness, StateMachineHarness, TraceTest, entry, listed
 
 # The order of outcomes in the traces.
 OUTCOMES = [
@@ -29,7 +29,7 @@
     return OUTCOMES.index(item[0]) if item[0] in OUTCOMES else item[0]
 
 
-class LoadScenario(Scene):
+class LoadScenario(BalancerHarness):
     """Requests at an even pace with scripted outcomes.
 
     `outcome_of(backend, time in ms, number of attempts at it)` returns latency in ms and outcome of an
@@ -48,7 +48,7 @@
                 for name, request in list(self.requests.items()):
                     for attempt in request.attempts:
                         if (
-                            not hasattr(request.host_context, "seen")
+                            not hasattr(request.caller_context, "seen")
                             and (name, attempt.number) not in sent_attempts
                         ):
                             backend = self.node.endpoints.names[attempt.backend]
@@ -91,7 +91,7 @@
         sent, trials, checks, outcomes = (
             dict(sorted((+count).items(), key=sort_key)) for count in counts
         )
-        self.say(
+        self.record(
             f"{label}: sent {sent}, trials {trials}, health checks {checks}; outcomes {outcomes}; rejected or failed {final_answers}, "
             f"unsafe requests retried {resent_unsafe}"
         )
@@ -103,7 +103,7 @@
 
         The limit does not rise because one slow backend reports that it is idle.
         """
-        scene = LoadScenario(
+        balancer_harness = LoadScenario(
             [f"b{n}" for n in range(6)],
             tenants=TenantRegistry(),
             node_count=2,
@@ -115,27 +115,27 @@
             "b1": LoadReport(throughput=8.0, utilization=1.0),
         }
         honest = LoadReport(throughput=8.0, utilization=0.6)
-        scene.drive(
+        balancer_harness.drive(
             "all reports are true",
             8,
             lambda backend, moment_ms, count: (40, Outcome.SUCCESS),
             report=lambda backend: honest,
         )
-        scene.drive(
+        balancer_harness.drive(
             "b0 is slow and reports idle, b1 reports full and is fast",
             8,
             lambda backend, moment_ms, count: (250 if backend == "b0" else 40, Outcome.SUCCESS),
             report=lambda backend: reports.get(backend, honest),
         )
-        self.check("untrue_reports", scene.lines)
+        self.check("untrue_reports", balancer_harness.lines)
 
     def test_backend_fails_every_other_second(self):
         """A backend fails half of the time.
 
         Trial requests find that it has recovered, and few requests are lost.
         """
-        scene = LoadScenario([f"b{n}" for n in range(4)])
-        scene.drive(
+        balancer_harness = LoadScenario([f"b{n}" for n in range(4)])
+        balancer_harness.drive(
             "b2 answers with errors every other second",
             12,
             lambda backend, moment_ms, count: (
@@ -145,15 +145,15 @@
             ),
             is_mixed=True,
         )
-        self.check("untrue_flapping", scene.lines)
+        self.check("untrue_flapping", balancer_harness.lines)
 
     def test_backend_unreachable_from_this_node_alone(self):
         """Health checks of a backend succeed, but its attempts get no answer.
 
         Each check admits one safe trial request, at growing intervals.
         """
-        scene = LoadScenario([f"b{n}" for n in range(4)])
-        scene.drive(
+        balancer_harness = LoadScenario([f"b{n}" for n in range(4)])
+        balancer_harness.drive(
             "b3 never answers this node",
             12,
             lambda backend, moment_ms, count: (
@@ -161,15 +161,17 @@
             ),
             is_mixed=True,
         )
-        self.check("untrue_hole", scene.lines)
+        self.check("untrue_hole", balancer_harness.lines)
 
     def test_network_path_that_loses_a_third(self):
         """Two of four backends are behind a path that loses a third of the attempts.
 
         They stay in use as far as they work, and no unsafe request is sent twice.
         """
-        scene = LoadScenario([listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(4)])
-        scene.drive(
+        balancer_harness = LoadScenario(
+            [listed(f"b{n}", zone="east" if n < 2 else "west") for n in range(4)]
+        )
+        balancer_harness.drive(
             "a third of the attempts at zone west is lost",
             12,
             lambda backend, moment_ms, n: (
@@ -179,7 +181,7 @@
             ),
             is_mixed=True,
         )
-        self.check("untrue_way", scene.lines)
+        self.check("untrue_way", balancer_harness.lines)
 
 
 class ListedAsRemoved(TraceTest):
@@ -190,50 +192,52 @@
         """
         lines = []
         for is_binding in (True, False):
-            scene = LoadScenario(["b0", "b1"], removal_binds=is_binding)
-            scene.drive(
+            balancer_harness = LoadScenario(["b0", "b1"], removal_binds=is_binding)
+            balancer_harness.drive(
                 f"removal is binding: {is_binding}",
                 1,
                 lambda backend, moment_ms, count: (20, Outcome.SUCCESS),
             )
-            scene.list([listed("b1", EndpointState.REMOVED)])
-            scene.drive(
+            balancer_harness.list([listed("b1", EndpointState.REMOVED)])
+            balancer_harness.drive(
                 "b1 is listed as removed and answers",
                 3,
                 lambda backend, moment_ms, count: (20, Outcome.SUCCESS),
             )
-            scene.drive(
+            balancer_harness.drive(
                 "b1 is down",
                 12,
                 lambda backend, moment_ms, count: (
                     (5, Outcome.CONNECT_FAILED) if backend == "b1" else (20, Outcome.SUCCESS)
                 ),
             )
-            scene.say(f"b1 is {scene.node.endpoints.state[scene.node.endpoints.index['b1']]}")
-            scene.list([listed("b0", EndpointState.DRAINING)])
-            scene.list([listed("b0", EndpointState.REMOVED)])
-            scene.say(
-                f"b0 draining, then removed: it is {scene.node.endpoints.state[scene.node.endpoints.index['b0']]}"
+            balancer_harness.record(
+                f"b1 is {balancer_harness.node.endpoints.state[balancer_harness.node.endpoints.index['b1']]}"
+            )
+            balancer_harness.list([listed("b0", EndpointState.DRAINING)])
+            balancer_harness.list([listed("b0", EndpointState.REMOVED)])
+            balancer_harness.record(
+                f"b0 draining, then removed: it is {balancer_harness.node.endpoints.state[balancer_harness.node.endpoints.index['b0']]}"
             )
-            lines += scene.lines
+            lines += balancer_harness.lines
         self.check("untrue_gone", lines)
 
     def test_connection_to_a_backend_listed_as_removed(self):
         """The proxy connects to backends listed as removed where only draining is binding."""
         lines = []
         for is_binding in (True, False):
-            desk = Desk(["b0"], removal_binds=is_binding)
+            harness = StateMachineHarness(["b0"], removal_binds=is_binding)
             for status in ("DELETED", "DRAINING", "DELETED"):
-                desk.tell(
+                harness.handle_event(
                     EndpointsUpdated(
                         {"index": 2, "snapshot": False, "endpoints": [entry("b0", status)]}
                     )
                 )
-                desk.after(200)
-                backend = desk.reducer.endpoints.records["b0"]
-                is_draining = desk.reducer.endpoints.is_draining(backend)
+                harness.after(200)
+                backend = harness.state_machine.endpoints.records["b0"]
+                is_draining = harness.state_machine.endpoints.is_draining(backend)
                 lines.append(f"removal is binding: {is_binding}, {status}: draining {is_draining}")
-            desk.after(60000)
-            desk.tell(EndpointsUpdated({"index": 3, "snapshot": False, "endpoints": []}))
-            lines.append(f"known after a minute: {list(desk.reducer.endpoints.records)}")
+            harness.after(60000)
+            harness.handle_event(EndpointsUpdated({"index": 3, "snapshot": False, "endpoints": []}))
+            lines.append(f"known after a minute: {list(harness.state_machine.endpoints.records)}")
         self.check("untrue_link", lines)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -21,7 +21,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def started(*args, **options):
+def start_command(*args, **options):
     return subprocess.Popen(
         [sys.executable, "-m", "pierglade.cli", *args],
         text=True,
@@ -42,7 +42,7 @@
             ["serve", "nothing.toml"],
             ["check"],
         ):
-            child = started(*args)
+            child = start_command(*args)
             errors = child.communicate(timeout=60)[1]
             lines.append(f"{' '.join(args)}: {child.returncode} {errors.strip().splitlines()[-1]}")
         # The start on the platform must not import the packages of the tools.
@@ -139,7 +139,7 @@
         with tempfile.NamedTemporaryFile("w+", suffix=".toml") as file:
             file.write(text)
             file.flush()
-            node = started("serve", file.name)
+            node = start_command("serve", file.name)
             try:
                 address = ""
                 while not address:
@@ -214,7 +214,7 @@
         with tempfile.NamedTemporaryFile("w+", suffix=".toml") as file:
             file.write(text + "".join(rows).replace("{}", "3"))
             file.flush()
-            node = started("serve", file.name)
+            node = start_command("serve", file.name)
             try:
                 while (line := json.loads(node.stdout.readline()))["event"] != "started":
                     pass
@@ -268,7 +268,7 @@
     def run_demo(self, ending):
         """Runs the demo until this ending; returns lines that describe what it left behind."""
         with tempfile.TemporaryDirectory() as folder:
-            demo = started(
+            demo = start_command(
                 "demo",
                 "--seconds",
                 "3" if ending == "by itself" else "60",
--- a/tests/concurrency/test_limiter.py
+++ b/tests/concurrency/test_limiter.py
@@ -165,7 +165,7 @@
         limiter.change_in_flight(0, 16)
         for latency in (100 * MS, 95 * MS, *[300 * MS] * 20):
             if latency < 300 * MS:
-                search.previous_limit, search.previous_in_flight = limiter.each, 4.0
+                search.previous_limit, search.previous_in_flight = limiter.per_backend, 4.0
                 search.begin_rest(self.now, DRAINED, 0.0)
             while search.round.unsent > 0:
                 limiter.attempt_sent(self.now, 0)
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -8,11 +8,11 @@
 
 from hypothesis import given, settings, strategies
 
-from pierglade.cli.check import lines_of
+from pierglade.cli.check import config_errors
 from pierglade.config import logged, page, platform, read
 from pierglade.model.outcome import Outcome
 from pierglade.settings.platform import settings_from
-from tests.support.scene import Scene, TraceTest
+from tests.support.scene import BalancerHarness, TraceTest
 
 ROOT = pathlib.Path(__file__).parents[2]
 EXAMPLE = (ROOT / "deploy" / "pierglade.toml").read_text()
@@ -40,7 +40,7 @@
     ) as file:
         file.write(text)
         file.flush()
-        return [line.replace(file.name, "FILE") for line in lines_of(file.name)]
+        return [line.replace(file.name, "FILE") for line in config_errors(file.name)]
 
 
 class FileErrorsTest(TraceTest):
@@ -134,17 +134,21 @@
         converted = platform.to_platform(platform.from_platform(document))
         traces = []
         for source in (document, converted):
-            scene = Scene([])
-            scene.settings = settings_from(source["settings"])
-            scene.node = type(scene.node)(4, scene.settings, scene.now)
-            scene.list(["b0", "b1", "b2"], whole=True)
+            balancer_harness = BalancerHarness([])
+            balancer_harness.settings = settings_from(source["settings"])
+            balancer_harness.node = type(balancer_harness.node)(
+                4, balancer_harness.settings, balancer_harness.now
+            )
+            balancer_harness.list(["b0", "b1", "b2"], whole=True)
             for n in range(30):
-                scene.take(n, request_class=n % 3, tenant=scene.settings.tenants[0])
-                scene.after(15)
+                balancer_harness.take(
+                    n, request_class=n % 3, tenant=balancer_harness.settings.tenants[0]
+                )
+                balancer_harness.after(15)
                 if n % 4:
-                    scene.end(n, Outcome.SUCCESS if n % 5 else Outcome.SERVER_ERROR)
-            scene.after(900)
-            traces.append(scene.lines)
+                    balancer_harness.end(n, Outcome.SUCCESS if n % 5 else Outcome.SERVER_ERROR)
+            balancer_harness.after(900)
+            traces.append(balancer_harness.lines)
         self.assertEqual(*traces)
         self.check("config_alike", traces[0][:12] + [f"and {len(traces[0]) - 12} more lines"])
         file = read.read(str(ROOT / "deploy" / "pierglade.toml"))
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -65,7 +65,7 @@
             plan_with(fleet={**fleet, "befall": [{"at_s": 1, "what": "hang", "backends": ["b7"]}]}),
         ):
             try:
-                plan.made(raw, "FILE")
+                plan.plan_from(raw, "FILE")
                 lines.append("valid")
             except InvalidPlanError as error:
                 lines.append(str(error))
@@ -166,7 +166,7 @@
         )
         samples = [(0.0, 0, 1.0, 10**7), (0.5, 0, 1.2, 2 * 10**7), (1.0, 0, 1.3, 10**7)]
         figures = sums.figures(
-            plan.made(raw), rows, [{"event": "arrived", "t_ms": 1}], samples, 1000.0
+            plan.plan_from(raw), rows, [{"event": "arrived", "t_ms": 1}], samples, 1000.0
         )
         self.check("experiment_sums", [f"{name}: {value}" for name, value in figures.items()])
 
@@ -193,7 +193,7 @@
             ((0.9, 0.7), (0.8, 0.85)),
             ((0.9,), (0.7,)),
         ):
-            rows = compare.rows({"a": summaries(*first), "b": summaries(*second)})
+            rows = compare.compare_figures({"a": summaries(*first), "b": summaries(*second)})
             lines += [
                 f"{name} {spread}: {verdict}"
                 for name, spread, verdict in rows
@@ -283,7 +283,7 @@
     def check_completed(self, folder):
         """Returns lines about the report and the comparison of the completed run."""
         out = pathlib.Path(folder, "to-its-end", "pierglade-0")
-        page = pathlib.Path(report.page(str(out))).read_text()
+        page = pathlib.Path(report.write_report(str(out))).read_text()
         lines = [f"page: charts {page.count('data:image/png')}, rules {page.count('held')}"]
         (out / "summary.json").write_text("{")
         for first, second in ((str(out), folder), (folder, folder), (f"{folder}/none", str(out))):
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -80,9 +80,9 @@
         load = run.Load(
             target.address,
             "/look/x",
-            plan.moments([plan.ArrivalPattern(rate=200, seconds=2)], "even", 1),
+            plan.arrival_times([plan.ArrivalPattern(rate=200, seconds=2)], "even", 1),
         )
-        result = run.play(load).summary()
+        result = run.run_load(load).summary()
         target.end()
         latency_ms = result["latency_ms"]
         self.check(
@@ -111,7 +111,7 @@
             ([plan.ArrivalPattern(rate=1000, seconds=10)], "poisson"),
             ([plan.ArrivalPattern(rate=0, seconds=1)], "even"),
         ):
-            times = plan.moments(patterns, spacing, 3)
+            times = plan.arrival_times(patterns, spacing, 3)
             counts = np.histogram(
                 times, bins=4, range=(0, sum(pattern.seconds for pattern in patterns))
             )[0]
@@ -159,7 +159,9 @@
         """A partial result must not pass for a whole one when a worker is killed."""
         target = Target()
         load = run.Load(
-            target.address, "/", plan.moments([plan.ArrivalPattern(rate=50, seconds=30)], "even", 1)
+            target.address,
+            "/",
+            plan.arrival_times([plan.ArrivalPattern(rate=50, seconds=30)], "even", 1),
         )
         run_worker = run._run_worker
 
@@ -173,7 +175,7 @@
             mock.patch.object(run, "_run_worker", kill_second_worker),
             self.assertRaises(run.InvalidRunError) as raised,
         ):
-            run.play(load, 2)
+            run.run_load(load, 2)
         target.end()
         self.check("load_void", [str(raised.exception)])
 
--- a/tests/proxy/state/test_random_changes.py
+++ b/tests/proxy/state/test_random_changes.py
@@ -174,12 +174,12 @@
                     self.case.assertIs(attempt.request.owner, balancer)
                     self.case.assertLess(self.now, attempt.request.deadline)
                 case RejectRequest(request) | FailRequest(request):
-                    self.case.assertNotIn(request.host_context, self.final_decisions)
-                    self.final_decisions[request.host_context] = type(decision)
+                    self.case.assertNotIn(request.caller_context, self.final_decisions)
+                    self.final_decisions[request.caller_context] = type(decision)
 
     def check(self, balancer):
         assert_equal, backends = self.case.assertEqual, range(len(balancer.endpoints.names))
-        assert_equal(len(balancer.selection.turn_share), len(balancer.endpoints.names))
+        assert_equal(len(balancer.selection.accumulated_weight), len(balancer.endpoints.names))
         for component, names in (
             (balancer.pause_forecast, pause_forecast.INITIAL),
             (balancer.slow_start, slow_start.INITIAL),
--- a/tests/proxy/test_acceptance.py
+++ b/tests/proxy/test_acceptance.py
@@ -23,12 +23,18 @@
 from pierglade.proxy import discovery, socket_io
 from pierglade.proxy.state import downstream
 from pierglade.proxy.state.connections import CloseCause, ConnectionState
-from pierglade.proxy.state.constants import SPARE
+from pierglade.proxy.state.constants import RESERVED_DESCRIPTORS
 from pierglade.proxy.state.effects import PollDiscovery, ResyncEndpoints
 from pierglade.proxy.state.events import EndpointsUpdated, TimerFired, UpstreamClosed
-from tests.proxy.test_crossing_events import OFFERINGS, House, http_request, leave, until
+from tests.proxy.test_crossing_events import (
+    OFFERINGS,
+    ProxyHarness,
+    disconnect_client,
+    http_request,
+    run_until,
+)
 from tests.proxy.test_sockets import CHUNKED, SETTINGS, Peer, answer
-from tests.support.scene import MS, Desk, balancer_settings, entry
+from tests.support.scene import MS, StateMachineHarness, balancer_settings, entry
 
 MAX_DELAY_S = 6.0  # from when discovery had a change and was reachable until the node received it
 MAX_START_S = 10.0  # from the start of a process until it is ready
@@ -103,13 +109,13 @@
         self.queue_time_s = QUEUE_TIME_S if is_polled else 0.001
         self.request_count = 0
         self.fault_times = []  # when each request began, and when its last piece was received
-        self.desk = Desk(("b0", "b1"), polls_endpoints=is_polled)
-        node = self.desk.reducer.balancers.current
+        self.harness = StateMachineHarness(("b0", "b1"), polls_endpoints=is_polled)
+        node = self.harness.state_machine.balancers.current
         node.pick = node.polling.pick = node.rotation.pick = mock.Mock(
             side_effect=lambda limit: limit - 1 if seed is None else seed * limit // 4
         )
-        self.desk.reducer.endpoints.version = 7
-        self.started_at = self.desk.now
+        self.harness.state_machine.endpoints.version = 7
+        self.started_at = self.harness.now
         self.client = discovery.DiscoveryClient("127.0.0.1:1", self, index)
         self.client.is_polled = lambda: is_polled
         self.client.poll_requested = self
@@ -131,9 +137,9 @@
     def sleep(self, seconds):
         """Advances the clock; the node's own timer fires meanwhile."""
         end = self.now + seconds
-        reducer = self.desk.reducer
+        state_machine = self.harness.state_machine
         while not self.poll_requested:
-            wake = reducer.next_wakeup(self.now_ticks())
+            wake = state_machine.next_wakeup(self.now_ticks())
             if wake is None or wake > self.started_at + end * 1000 * MS:
                 self.now = end
                 break
@@ -147,7 +153,7 @@
 
     # The server to which the discovery client reports.
 
-    def tell(self, event):
+    def handle_event(self, event):
         if (
             isinstance(event, EndpointsUpdated)
             and isinstance(event.document, dict)
@@ -157,9 +163,9 @@
         self.apply(event)
 
     def apply(self, event):
-        for effect in self.desk.reducer.apply(self.now_ticks(), event):
+        for effect in self.harness.state_machine.apply(self.now_ticks(), event):
             if isinstance(effect, PollDiscovery):
-                self.client.ask()
+                self.client.poll_now()
             elif isinstance(effect, ResyncEndpoints):
                 self.client.resync()
 
@@ -331,7 +337,7 @@
 class DisconnectedClients(unittest.TestCase):
     """Guards against attempts that begin after their client has disconnected.
 
-    The class `Left` of `test_crossing_events` has further cases: there a first attempt waits for its connection,
+    The class `ClientDisconnects` of `test_crossing_events` has further cases: there a first attempt waits for its connection,
     in the admission queue, behind a pipelined request, behind a body, for its decision or in the kernel, and a
     further attempt waits for its decision.
     """
@@ -344,7 +350,7 @@
                 "handle_error",
                 lambda hub, *error: self.greenlet_errors.append(error),
             ),
-            mock.patch.object(downstream, "SLOW_READER", 10**9),
+            mock.patch.object(downstream, "CLIENT_READ_TIMEOUT", 10**9),
         ):
             patch.start()
             self.addCleanup(patch.stop)
@@ -355,39 +361,39 @@
         for backend in proxy.backends:
             backend.reply = lambda message: release
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: f"/{request_class}/1" in proxy.seen())
-        proxy.first = next(
+        run_until(lambda: f"/{request_class}/1" in proxy.seen())
+        proxy.pending_connection = next(
             link
-            for link in proxy.host.reducer.upstream.by_state[ConnectionState.BUSY]
+            for link in proxy.host.state_machine.upstream.by_state[ConnectionState.BUSY]
             if link.attempt
         )
         for backend in proxy.backends:
             backend.seen.clear()
-        return proxy.first
+        return proxy.pending_connection
 
     def next_attempt_connecting(self, proxy, sock, request_class):
         """The next attempt waits for a connection; the client's end of stream is read first."""
         link = self.hold_first_attempt(proxy, sock, request_class)
         proxy.gate.clear()
-        proxy.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
-        until(proxy.connecting)
+        proxy.host.handle_event(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
+        run_until(proxy.connecting)
         yield
-        until(lambda: not any(proxy.host.reducer.downstream.by_state.values()))
+        run_until(lambda: not any(proxy.host.state_machine.downstream.by_state.values()))
         proxy.gate.set()
 
     def next_attempt_connecting_unread(self, proxy, sock, request_class):
         """The same; the end of stream is unread as the connection is established."""
         link = self.hold_first_attempt(proxy, sock, request_class)
         proxy.gate.clear()
-        proxy.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
-        until(proxy.connecting)
+        proxy.host.handle_event(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
+        run_until(proxy.connecting)
         yield
         proxy.gate.set()
 
     def next_attempt_delayed(self, proxy, sock, request_class):
         """The next attempt waits until the end of the one before is known."""
         link = self.hold_first_attempt(proxy, sock, request_class)
-        proxy.host.tell(
+        proxy.host.handle_event(
             UpstreamClosed(link, CloseCause.MALFORMED_RESPONSE, True, "as the test says")
         )
         yield
@@ -396,9 +402,9 @@
         """Request and end of stream arrive on an idle connection within one turn of the loop."""
         sock.sendall(http_request("look", "warm"))
         sock.setblocking(False)
-        until(lambda: socket_io.is_readable(mock.Mock(_sock=sock)))
+        run_until(lambda: socket_io.is_readable(mock.Mock(_sock=sock)))
         sock.recv(1000)
-        until(lambda: proxy.host.reducer.downstream.by_state[ConnectionState.IDLE])
+        run_until(lambda: proxy.host.state_machine.downstream.by_state[ConnectionState.IDLE])
         sock.setblocking(True)
         sock.sendall(http_request(request_class, "1"))
         yield
@@ -415,19 +421,19 @@
         ):
             for request_class, cancel in (("look", True), ("pay", False)):
                 for manner in ("close", "half", "reset"):
-                    proxy = House(2, cancel)
+                    proxy = ProxyHarness(2, cancel)
                     try:
                         if scenario in (
                             self.next_attempt_delayed,
                             self.request_and_end_on_idle_connection,
                         ):
-                            proxy.warm()
+                            proxy.open_connections()
                         sock = proxy.client()
                         steps = scenario(proxy, sock, request_class)
                         next(steps)
-                        leave(sock, manner)
+                        disconnect_client(sock, manner)
                         next(steps, None)
-                        if seen := proxy.rest():
+                        if seen := proxy.forwarded_requests():
                             sent_after_end.append(
                                 f"{scenario.__name__} {request_class} {manner}: {seen}"
                             )
@@ -443,42 +449,45 @@
         Then the requests in flight are answered, which would let queued ones begin.
         """
         for manner in ("close", "half", "reset"):
-            proxy, release = House(1), Event()
+            proxy, release = ProxyHarness(1), Event()
             proxy.backends[0].reply = lambda message, release=release: release
             try:
                 socks = [proxy.client() for _ in range(60)]
                 for n, sock in enumerate(socks):
                     sock.sendall(http_request("look", str(n)))
-                reducer = proxy.host.reducer
-                until(
-                    lambda reducer=reducer: (
-                        len(reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]) == 60
+                state_machine = proxy.host.state_machine
+                run_until(
+                    lambda state_machine=state_machine: (
+                        len(state_machine.downstream.by_state[ConnectionState.AWAITING_RESPONSE])
+                        == 60
                     )
                 )
-                until(lambda proxy=proxy: not proxy.connecting())
-                until(
+                run_until(lambda proxy=proxy: not proxy.connecting())
+                run_until(
                     lambda proxy=proxy: (
-                        len(proxy.seen()) == len(proxy.host.reducer.attempts.connections)
+                        len(proxy.seen()) == len(proxy.host.state_machine.attempts.connections)
                     )
                 )
                 waiting = {
                     client.id.decode()
-                    for client in reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
+                    for client in state_machine.downstream.by_state[
+                        ConnectionState.AWAITING_RESPONSE
+                    ]
                     if not client.request.attempts
                 }
                 self.assertGreater(len(waiting), 10)
                 for number in waiting:
-                    leave(socks[int(number)], manner)
+                    disconnect_client(socks[int(number)], manner)
                 release.set()
-                until(
-                    lambda reducer=reducer: (
-                        not reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
+                run_until(
+                    lambda state_machine=state_machine: (
+                        not state_machine.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
                     )
                 )
                 for sock in socks:
                     sock.close()
                 del socks, sock
-                seen = {url.rpartition("/")[2] for url in proxy.rest()}
+                seen = {url.rpartition("/")[2] for url in proxy.forwarded_requests()}
                 self.assertEqual((len(seen) + len(waiting), seen & waiting), (60, set()))
                 self.assertEqual(proxy.host.faults, 0)
             finally:
@@ -571,12 +580,12 @@
     """Guards against failures while idle clients use up the descriptors and discovery is down."""
 
     def test_upstream_connection_takes_precedence_over_idle_clients(self):
-        desk = Desk(["b0"], sockets=SPARE + 3)
+        harness = StateMachineHarness(["b0"], sockets=RESERVED_DESCRIPTORS + 3)
         for name in ("c0", "c1", "c2"):
-            desk.open(name)
-        desk.lines = []
-        desk.ask("c3")
-        effects = [text.split()[1:] for text in desk.lines]
+            harness.open(name)
+        harness.lines = []
+        harness.send_request("c3")
+        effects = [text.split()[1:] for text in harness.lines]
         self.assertEqual(
             [
                 effect
--- a/tests/proxy/test_crossing_events.py
+++ b/tests/proxy/test_crossing_events.py
@@ -22,13 +22,13 @@
 
 from pierglade.__main__ import config_from_document
 from pierglade.balancer.balancer import Balancer
-from pierglade.balancer.polling import INTERVAL, INTERVAL_LEAST
+from pierglade.balancer.polling import INTERVAL, MIN_INTERVAL
 from pierglade.model.request import Idempotency, RequestClass
 from pierglade.proxy import discovery
 from pierglade.proxy import socket_io as sending
 from pierglade.proxy.http import reader
 from pierglade.proxy.server import ProxyServer
-from pierglade.proxy.state import downstream as state_clients
+from pierglade.proxy.state import downstream as downstream_state
 from pierglade.proxy.state.connections import CloseCause, ConnectionState
 from pierglade.proxy.state.constants import REUSE_DELAY
 from pierglade.proxy.state.events import (
@@ -45,7 +45,14 @@
 from pierglade.proxy.upstream import UpstreamHandler
 from tests.proxy.state.test_machine import desk_with_idle_connections
 from tests.proxy.test_sockets import CHUNKED, HOST, SETTINGS, Peer, answer
-from tests.support.scene import MS, Desk, TraceTest, balancer_settings, entry, message
+from tests.support.scene import (
+    MS,
+    StateMachineHarness,
+    TraceTest,
+    balancer_settings,
+    entry,
+    message,
+)
 
 LONG = {"expectedTimeUs": 9000000, "hardLimitUs": 9000000}
 OFFERINGS = [
@@ -54,7 +61,7 @@
 ]
 
 
-def until(condition):
+def run_until(condition):
     """Runs the event loop until `condition()` holds; fails after 20 s, as the machine may stall."""
     end = time.monotonic() + 20
     while not condition():
@@ -101,7 +108,7 @@
             sock.close()
 
 
-class House:
+class ProxyHarness:
     """A listening ProxyServer, its backends, and a gate that delays connections to them."""
 
     def __init__(self, count=1, cancel=True, listed=True, attempts=3, **settings):
@@ -133,7 +140,7 @@
             config.log = log
             self.host = ProxyServer(config)
         self.host.spawn(self.host.listener.run)
-        self.first = None
+        self.pending_connection = None
         self.gate = Event()
         self.gate.set()
         connect = gevent.socket.socket.connect
@@ -148,7 +155,7 @@
             self.list()
 
     def list(self):
-        self.host.tell(EndpointsUpdated(self.known))
+        self.host.handle_event(EndpointsUpdated(self.known))
 
     def client(self):
         return socket.create_connection(self.host.listener.sock.getsockname())
@@ -159,40 +166,42 @@
     def connecting(self):
         return [
             link
-            for link in self.host.reducer.upstream.by_state[ConnectionState.CONNECTING]
+            for link in self.host.state_machine.upstream.by_state[ConnectionState.CONNECTING]
             if link.attempt is not None
         ]
 
-    def warm(self):
+    def open_connections(self):
         """Opens a reusable connection to each backend."""
-        reducer = self.host.reducer
+        state_machine = self.host.state_machine
         for n in range(len(self.backends)):
             with self.client() as sock:
                 sock.sendall(http_request("look", f"warm{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
-        until(lambda: not any(reducer.downstream.by_state.values()))
-        until(
+                run_until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
+        run_until(lambda: not any(state_machine.downstream.by_state.values()))
+        run_until(
             lambda: (
                 all(
-                    reducer.step.now - link.since >= REUSE_DELAY
+                    state_machine.step.now - link.since >= REUSE_DELAY
                     and self.host.clock.now() - link.since >= REUSE_DELAY
-                    for link in reducer.upstream.by_state[ConnectionState.IDLE]
+                    for link in state_machine.upstream.by_state[ConnectionState.IDLE]
                 )
-                or self.host.tell(TimerFired())
+                or self.host.handle_event(TimerFired())
             )
         )
 
-    def rest(self):
+    def forwarded_requests(self):
         """Returns the requests that backends saw.
 
         Waits until all clients are gone and later requests have come through every backend.
         """
-        reducer = self.host.reducer
+        state_machine = self.host.state_machine
         self.gate.set()
-        until(lambda: not any(reducer.downstream.by_state.values()))
-        if self.first is not None:  # its backend has not answered the first request
-            self.host.tell(UpstreamClosed(self.first, CloseCause.RESET, True, "as the test says"))
+        run_until(lambda: not any(state_machine.downstream.by_state.values()))
+        if self.pending_connection is not None:  # its backend has not answered the first request
+            self.host.handle_event(
+                UpstreamClosed(self.pending_connection, CloseCause.RESET, True, "as the test says")
+            )
         for backend in self.backends:
             backend.reply = lambda message: answer(200, b"ok")
         before = len(self.seen())
@@ -201,8 +210,10 @@
             with self.client() as sock:
                 sock.sendall(http_request("look", f"after{n}"))
                 sock.setblocking(False)
-                until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
-        until(lambda: len(self.seen()) >= before + later and not reducer.attempts.connections)
+                run_until(lambda sock=sock: sending.is_readable(mock.Mock(_sock=sock)))
+        run_until(
+            lambda: len(self.seen()) >= before + later and not state_machine.attempts.connections
+        )
         return [url for url in self.seen() if "after" not in url and "warm" not in url]
 
     def close(self):
@@ -213,8 +224,8 @@
             backend.running.kill()
             backend.sock.close()
         for connections in (
-            *self.host.reducer.upstream.by_state.values(),
-            *self.host.reducer.downstream.by_state.values(),
+            *self.host.state_machine.upstream.by_state.values(),
+            *self.host.state_machine.downstream.by_state.values(),
         ):
             for connection in list(connections):
                 if connection.io is not None:
@@ -234,7 +245,7 @@
     return head + (b"Content-Length: %d\r\n" % len(body) if body else b"") + b"\r\n" + body
 
 
-def leave(sock, how):
+def disconnect_client(sock, how):
     """Ends the client's connection; the proxy's side has received the end on return."""
     if how == "half":
         return sock.shutdown(socket.SHUT_WR)
@@ -246,94 +257,100 @@
 class ClientDisconnects(TraceTest):
     """A client disconnects while its request waits at any point: no backend receives it."""
 
-    def connecting(self, house, sock, request_class, body=b""):
+    def connecting(self, proxy, sock, request_class, body=b""):
         """Waits for a connection to a backend; the end is read first."""
-        house.gate.clear()
+        proxy.gate.clear()
         sock.sendall(http_request(request_class, "1", body))
-        until(house.connecting)
+        run_until(proxy.connecting)
         yield
         if not body:
-            until(lambda: not any(house.host.reducer.downstream.by_state.values()))
-        house.gate.set()
+            run_until(lambda: not any(proxy.host.state_machine.downstream.by_state.values()))
+        proxy.gate.set()
 
-    def connecting_at_once(self, house, sock, request_class):
+    def connecting_at_once(self, proxy, sock, request_class):
         """Waits for a connection; the end and the connection are there in the same iteration."""
-        house.gate.clear()
+        proxy.gate.clear()
         sock.sendall(http_request(request_class, "1"))
-        until(house.connecting)
+        run_until(proxy.connecting)
         yield
-        house.gate.set()
+        proxy.gate.set()
 
-    def full_body(self, house, sock, request_class):
+    def full_body(self, proxy, sock, request_class):
         """As `connecting`, but its body fills the buffer: the end is not read until the response."""
-        yield from self.connecting(house, sock, request_class, b"x" * 9000)
+        yield from self.connecting(proxy, sock, request_class, b"x" * 9000)
 
-    def in_admission_queue(self, house, sock, request_class):
+    def in_admission_queue(self, proxy, sock, request_class):
         """Waits in the admission queue."""
-        go, queue = Event(), house.host.admission_queue
+        go, queue = Event(), proxy.host.admission_queue
         queue.full, queue.wait = lambda: True, lambda *arguments: go.wait()
         sock.sendall(http_request(request_class, "1"))
-        until(
+        run_until(
             lambda: any(
                 client.io.received
-                for client in house.host.reducer.downstream.by_state[ConnectionState.NEW]
+                for client in proxy.host.state_machine.downstream.by_state[ConnectionState.NEW]
             )
         )
         yield
         go.set()
 
-    def pending_request(self, house, sock, request_class, more=b""):
+    def pending_request(self, proxy, sock, request_class, more=b""):
         """Returns the connection of a request that its backend has received and not answered."""
         release = Event()
-        for backend in house.backends:
+        for backend in proxy.backends:
             backend.reply = lambda message: release
         sock.sendall(http_request(request_class, "first") + more)
-        until(lambda: any("first" in url for url in house.seen()))
-        house.first = next(
+        run_until(lambda: any("first" in url for url in proxy.seen()))
+        proxy.pending_connection = next(
             link
-            for link in house.host.reducer.upstream.by_state[ConnectionState.BUSY]
+            for link in proxy.host.state_machine.upstream.by_state[ConnectionState.BUSY]
             if link.attempt
         )
-        return house.first
+        return proxy.pending_connection
 
-    def pipelined(self, house, sock, request_class):
+    def pipelined(self, proxy, sock, request_class):
         """Pipelined behind a pending request, which is answered as the client disconnects."""
-        link = self.pending_request(house, sock, request_class, http_request(request_class, "1"))
+        link = self.pending_request(proxy, sock, request_class, http_request(request_class, "1"))
         yield
-        house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader)))
+        proxy.host.handle_event(
+            ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader))
+        )
 
-    def pipelined_beyond_buffer(self, house, sock, request_class):
+    def pipelined_beyond_buffer(self, proxy, sock, request_class):
         """Pipelined behind a pending request, before more requests than the buffer holds."""
         link = self.pending_request(
-            house,
+            proxy,
             sock,
             request_class,
             b"".join(http_request(request_class, str(n)) for n in range(1, 90)),
         )
         yield
-        house.host.tell(ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader)))
+        proxy.host.handle_event(
+            ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader))
+        )
 
-    def before_decision(self, house, sock, request_class):
+    def before_decision(self, proxy, sock, request_class):
         """Waits for the balancer's decision, which is made as the client disconnects."""
-        next_decision, house.host.reducer.balancers.current.next_decision = (
-            house.host.reducer.balancers.current.next_decision,
+        next_decision, proxy.host.state_machine.balancers.current.next_decision = (
+            proxy.host.state_machine.balancers.current.next_decision,
             lambda now: None,
         )
         sock.sendall(http_request(request_class, "1"))
-        until(lambda: house.host.reducer.downstream.by_state[ConnectionState.AWAITING_RESPONSE])
+        run_until(
+            lambda: proxy.host.state_machine.downstream.by_state[ConnectionState.AWAITING_RESPONSE]
+        )
         yield
-        house.host.reducer.balancers.current.next_decision = next_decision
-        house.host.tell(TimerFired())
+        proxy.host.state_machine.balancers.current.next_decision = next_decision
+        proxy.host.handle_event(TimerFired())
 
-    def before_retry(self, house, sock, request_class):
+    def before_retry(self, proxy, sock, request_class):
         """Before its retry; the failure is reported before the end is read."""
-        link = self.pending_request(house, sock, request_class)
+        link = self.pending_request(proxy, sock, request_class)
         yield
-        for backend in house.backends:
+        for backend in proxy.backends:
             backend.seen.clear()
-        house.host.tell(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
+        proxy.host.handle_event(UpstreamClosed(link, CloseCause.RESET, False, "as the test says"))
 
-    def in_kernel_queue(self, house, sock, request_class):
+    def in_kernel_queue(self, proxy, sock, request_class):
         """In the kernel's queue, before it is accepted."""
         sock.sendall(http_request(request_class, "1"))
         yield
@@ -347,7 +364,7 @@
                 "handle_error",
                 lambda hub, *arguments: self.raised.append(arguments),
             ),
-            mock.patch.object(state_clients, "SLOW_READER", 10**9),
+            mock.patch.object(downstream_state, "CLIENT_READ_TIMEOUT", 10**9),
         ):
             patch.start()
             self.addCleanup(patch.stop)
@@ -372,7 +389,7 @@
                 for cancel in (True, False):
                     counts, faults = [], 0
                     for how in ("close", "half", "reset"):
-                        house = House(
+                        proxy = ProxyHarness(
                             1
                             + (
                                 wait
@@ -386,25 +403,25 @@
                                 self.connecting_at_once,
                                 self.full_body,
                             ):
-                                house.warm()
-                            sock = house.client()
-                            steps = wait(house, sock, request_class)
+                                proxy.open_connections()
+                            sock = proxy.client()
+                            steps = wait(proxy, sock, request_class)
                             next(steps)
-                            leave(sock, how)
+                            disconnect_client(sock, how)
                             next(steps, None)
                             counts.append(
                                 len(
                                     [
                                         url
-                                        for url in house.rest()
+                                        for url in proxy.forwarded_requests()
                                         if "first" not in url or wait == self.before_retry
                                     ]
                                 )
                             )
-                            faults += house.host.faults + len(self.raised)
+                            faults += proxy.host.faults + len(self.raised)
                         finally:
                             sock.close()
-                            house.close()
+                            proxy.close()
                     lines.append(
                         f"{wait.__name__} {request_class} may_cancel={cancel}: forwarded after close, "
                         f"half, reset {counts}, faults {faults}"
@@ -415,21 +432,21 @@
         """The response frees the message reader, and the reading greenlet drops it in the same
         iteration: the next pipelined request must not be read from it.
         """
-        house = House()
+        proxy = ProxyHarness()
         try:
-            sock = house.client()
-            link = self.pending_request(house, sock, "look", http_request("look", "1"))
-            client = link.attempt.request.host_context
-            house.host.tell(
+            sock = proxy.client()
+            link = self.pending_request(proxy, sock, "look", http_request("look", "1"))
+            client = link.attempt.request.caller_context
+            proxy.host.handle_event(
                 ResponseReceived(link, message(answer(200, b"ok"), reader.ResponseReader))
             )
             client.io.requests.drop()
             gevent.sleep(0)
             gevent.sleep(0)
             sock.close()
-            self.assertEqual((house.rest(), self.raised), (["/look/first"], []))
+            self.assertEqual((proxy.forwarded_requests(), self.raised), (["/look/first"], []))
         finally:
-            house.close()
+            proxy.close()
 
     def test_connection_closed_while_its_request_is_half_written(self):
         """The proxy closes it before or while the rest of the request waits to be written: the
@@ -453,9 +470,11 @@
             for _ in range(iterations):
                 gevent.sleep(0)
             handler.end()
-            until(lambda greenlets=greenlets: all(each.dead for each in greenlets))
+            run_until(lambda greenlets=greenlets: all(each.dead for each in greenlets))
             theirs.close()
-            self.assertEqual((len(greenlets), self.raised, handler.whole), (1, [], False))
+            self.assertEqual(
+                (len(greenlets), self.raised, handler.is_request_written), (1, [], False)
+            )
 
     def test_client_disconnects_while_its_request_is_half_written(self):
         """The backend reads nothing for a while: the rest of the request is not sent after its
@@ -463,8 +482,8 @@
         """
         lines = []
         for cancel in (True, False):
-            house, go = House(cancel=cancel), Event()
-            backend, set_up = house.backends[0], sending.set_up
+            proxy, go = ProxyHarness(cancel=cancel), Event()
+            backend, set_up = proxy.backends[0], sending.set_up
 
             def set_up_small_buffer(sock):
                 set_up(sock)
@@ -478,28 +497,30 @@
             backend.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             try:
                 with mock.patch.object(sending, "set_up", set_up_small_buffer):
-                    sock = house.client()
+                    sock = proxy.client()
                     sock.sendall(http_request("pay", "1", b"x" * 60000))
-                    until(
-                        lambda house=house: any(
-                            link.io.whole is False and link.attempt
-                            for link in house.host.reducer.upstream.by_state[ConnectionState.BUSY]
+                    run_until(
+                        lambda proxy=proxy: any(
+                            link.io.is_request_written is False and link.attempt
+                            for link in proxy.host.state_machine.upstream.by_state[
+                                ConnectionState.BUSY
+                            ]
                         )
                     )
                     gevent.sleep(0)
                     sock.close()
-                    until(
-                        lambda house=house: (
-                            not house.host.reducer.downstream.by_state[ConnectionState.NEW]
+                    run_until(
+                        lambda proxy=proxy: (
+                            not proxy.host.state_machine.downstream.by_state[ConnectionState.NEW]
                         )
                     )
                     go.set()
-                    seen = house.rest()
+                    seen = proxy.forwarded_requests()
                 lines.append(
-                    f"may_cancel={cancel}: received by the backend {seen}, faults {house.host.faults}"
+                    f"may_cancel={cancel}: received by the backend {seen}, faults {proxy.host.faults}"
                 )
             finally:
-                house.close()
+                proxy.close()
         self.check("crossings_half_written", lines)
 
 
@@ -508,59 +529,61 @@
         """The connection has carried nothing yet: written without a check, its end would count as
         that of an unsafe request that may have been executed.
         """
-        house = House()
-        backend, reducer = house.backends[0], house.host.reducer
+        proxy = ProxyHarness()
+        backend, state_machine = proxy.backends[0], proxy.host.state_machine
         try:
-            house.warm()
+            proxy.open_connections()
             release = Event()
             backend.reply = lambda message: (
                 release if b"first" in message.url else answer(200, b"ok")
             )
-            one, two, three = (house.client() for _ in range(3))
+            one, two, three = (proxy.client() for _ in range(3))
             one.sendall(http_request("look", "first"))
-            until(lambda: "/look/first" in backend.seen)
-            house.gate.clear()
+            run_until(lambda: "/look/first" in backend.seen)
+            proxy.gate.clear()
             two.sendall(http_request("look", "second"))
-            until(house.connecting)
+            run_until(proxy.connecting)
             release.set()
-            until(lambda: "/look/second" in backend.seen)
-            house.gate.set()
-            until(
+            run_until(lambda: "/look/second" in backend.seen)
+            proxy.gate.set()
+            run_until(
                 lambda: (
-                    len(reducer.upstream.by_state[ConnectionState.IDLE]) == 2 == len(backend.socks)
+                    len(state_machine.upstream.by_state[ConnectionState.IDLE])
+                    == 2
+                    == len(backend.socks)
                 )
             )
-            until(
+            run_until(
                 lambda: all(
-                    house.host.clock.now() - link.since > REUSE_DELAY
-                    for link in reducer.upstream.by_state[ConnectionState.IDLE]
+                    proxy.host.clock.now() - link.since > REUSE_DELAY
+                    for link in state_machine.upstream.by_state[ConnectionState.IDLE]
                 )
             )
             fresh = next(
                 link
-                for link in reducer.upstream.by_state[ConnectionState.IDLE]
-                if not link.io.answers.end
+                for link in state_machine.upstream.by_state[ConnectionState.IDLE]
+                if not link.io.responses.end
             )
             fresh.backend.idle.sort(key=lambda link: link is fresh)
-            until(
+            run_until(
                 lambda: (
-                    len(reducer.downstream.by_state[ConnectionState.NEW])
-                    + len(reducer.downstream.by_state[ConnectionState.IDLE])
+                    len(state_machine.downstream.by_state[ConnectionState.NEW])
+                    + len(state_machine.downstream.by_state[ConnectionState.IDLE])
                     == 3
                 )
             )
-            client = next(iter(reducer.downstream.by_state[ConnectionState.NEW]))
+            client = next(iter(state_machine.downstream.by_state[ConnectionState.NEW]))
             # The event loop does not run before the request is written.
             backend.socks[1]._sock.shutdown(socket.SHUT_RDWR)
-            house.host.tell(RequestReceived(client, message(http_request("pay", "once"))))
+            proxy.host.handle_event(RequestReceived(client, message(http_request("pay", "once"))))
             three.setblocking(False)
-            until(lambda: sending.is_readable(mock.Mock(_sock=three)))
+            run_until(lambda: sending.is_readable(mock.Mock(_sock=three)))
             status, times = three.recv(100).split()[1].decode(), backend.seen.count("/pay/once")
             lines = [f"answered {status}, seen {times} times"]
             for sock in (one, two, three):
                 sock.close()
         finally:
-            house.close()
+            proxy.close()
         self.check("crossings_passed_over", lines)
 
     def test_endpoint_changes_while_a_connection_is_established(self):
@@ -569,27 +592,31 @@
         """
         lines = []
         for change in ("moved", "drained", "late", "probe drained"):
-            desk = Desk(["b0", "b1"] if change == "probe drained" else ["b0"], may_cancel=False)
+            harness = StateMachineHarness(
+                ["b0", "b1"] if change == "probe drained" else ["b0"], may_cancel=False
+            )
             if change == "probe drained":
                 for name in ("c0", "c1"):
-                    desk.ask(name)
-                    desk.lose(
+                    harness.send_request(name)
+                    harness.lose(
                         CloseCause.CONNECT_FAILED, whole=False, link=0
                     ) if name == "c0" else None
-                desk.after(200)
-                link = next(n for n, link in enumerate(desk.links) if link.probing)
+                harness.after(200)
+                link = next(n for n, link in enumerate(harness.links) if link.is_health_check)
             else:
-                desk.ask("c0", "/pay")
+                harness.send_request("c0", "/pay")
                 link = 0
-            desk.lines = [f"{change}:"]
+            harness.lines = [f"{change}:"]
             if change == "moved":
-                desk.hear([entry("b0", address="127.0.0.1:8999")], 2, whole=False)
+                harness.update_endpoints([entry("b0", address="127.0.0.1:8999")], 2, whole=False)
             elif change == "late":
-                desk.now += 9960  # the timeout is due in the same step and not handled yet
+                harness.now += 9960  # the timeout is due in the same step and not handled yet
             else:
-                desk.hear([entry(desk.links[link].backend.name, "DRAINING")], 2, whole=False)
-            desk.up(link)
-            lines += [line for line in desk.lines if " log " not in line]
+                harness.update_endpoints(
+                    [entry(harness.links[link].backend.name, "DRAINING")], 2, whole=False
+                )
+            harness.connect_upstream(link)
+            lines += [line for line in harness.lines if " log " not in line]
         self.check("crossings_coming_up", lines)
 
     def test_settings_change_while_a_connection_is_established(self):
@@ -597,54 +624,56 @@
         nothing is sent to the removed backend. Requests that wait for a poll of the endpoint list
         under the earlier settings get one at once.
         """
-        desk = Desk(["b0"], may_cancel=False, polls_endpoints=True)
-        desk.ask("c0", "/pay")
-        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(removal_binds=False)))
-        desk.hear([entry("b0", "DELETED")], 2, whole=False)
-        desk.up()
-        self.check("crossings_settings", desk.lines)
+        harness = StateMachineHarness(["b0"], may_cancel=False, polls_endpoints=True)
+        harness.send_request("c0", "/pay")
+        harness.handle_event(
+            ConfigurationLoaded("", {"settings": 1}, balancer_settings(removal_binds=False))
+        )
+        harness.update_endpoints([entry("b0", "DELETED")], 2, whole=False)
+        harness.connect_upstream()
+        self.check("crossings_settings", harness.lines)
 
     def test_endpoint_removed_and_added_within_one_message(self):
         """Idle connections to the removed process are closed, and an attempt on its way goes to the
         new one.
         """
-        desk = Desk(["b0"])
+        harness = StateMachineHarness(["b0"])
         for name in ("c0", "c1"):
-            desk.ask(name)
-        desk.up(0)
-        desk.reply(link=0)
+            harness.send_request(name)
+        harness.connect_upstream(0)
+        harness.reply(link=0)
         back = [entry("b0", "DELETED"), entry("b0", address="127.0.0.1:8999", since_ms=2000)]
-        desk.hear(back, 2, whole=False)
-        desk.up(1)
-        desk.up(2)
-        self.check("crossings_one_message", desk.lines)
+        harness.update_endpoints(back, 2, whole=False)
+        harness.connect_upstream(1)
+        harness.connect_upstream(2)
+        self.check("crossings_one_message", harness.lines)
 
     def test_response_that_the_proxy_aborts(self):
         """For a malformed or endless response: the backend counts the attempt as in flight until
         the close arrives, which must be before the next attempt.
         """
-        desk = desk_with_idle_connections()
-        desk.ask("c0")
-        link = next(n for n, link in enumerate(desk.links) if link.attempt)
-        desk.tell(ResponsePartReceived(desk.links[link]))
-        desk.after(102)
-        self.check("crossings_garbled", [line for line in desk.lines if " log " not in line])
+        harness = desk_with_idle_connections()
+        harness.send_request("c0")
+        link = next(n for n, link in enumerate(harness.links) if link.attempt)
+        harness.handle_event(ResponsePartReceived(harness.links[link]))
+        harness.after(102)
+        self.check("crossings_garbled", [line for line in harness.lines if " log " not in line])
 
     def test_duplicate_response_some_ms_late(self):
         """A duplicate 4 ms after the first response answers no client, and the next attempt uses
         another connection.
         """
-        desk = Desk(["b0"])
-        desk.ask("c0")
-        desk.up()
-        desk.reply()
-        desk.taken("c0")
-        desk.after(3.9)
-        desk.ask("c0", "/pay")
-        desk.reply(link=0)
-        desk.up()
-        desk.reply()
-        self.check("crossings_second", desk.lines)
+        harness = StateMachineHarness(["b0"])
+        harness.send_request("c0")
+        harness.connect_upstream()
+        harness.reply()
+        harness.response_sent("c0")
+        harness.after(3.9)
+        harness.send_request("c0", "/pay")
+        harness.reply(link=0)
+        harness.connect_upstream()
+        harness.reply()
+        self.check("crossings_second", harness.lines)
 
 
 class Shutdown(TraceTest):
@@ -657,13 +686,17 @@
             RequestClass(0, "look", Idempotency.SAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
             RequestClass(1, "pay", Idempotency.UNSAFE, "all", 0, 300 * MS, 600 * MS, 1.0),
         ]
-        desk = Desk(["b0"], request_classes=rows, may_cancel=False, connect_timeout=5000 * MS)
+        harness = StateMachineHarness(
+            ["b0"], request_classes=rows, may_cancel=False, connect_timeout=5000 * MS
+        )
         for name in ("half", "late"):
-            desk.open(name)
-        desk.tell(RequestStarted(desk.clients["half"], None))
-        desk.tell(StopRequested())
-        desk.tell(StopRequested())  # neither a second one nor new settings postpone the end
-        desk.tell(
+            harness.open(name)
+        harness.handle_event(RequestStarted(harness.clients["half"], None))
+        harness.handle_event(StopRequested())
+        harness.handle_event(
+            StopRequested()
+        )  # neither a second one nor new settings postpone the end
+        harness.handle_event(
             ConfigurationLoaded(
                 "",
                 {"settings": 1},
@@ -675,18 +708,18 @@
                 ),
             ),
         )
-        desk.after(600)
-        desk.ask("body", "/pay", left=600)
-        request = desk.clients["body"].request
+        harness.after(600)
+        harness.send_request("body", "/pay", left=600)
+        request = harness.clients["body"].request
         request.deadline += 90000  # as while a body is being received
         request.attempts[0].timeout_at += 90000
-        desk.reducer.upstream.restart_timeout(desk.links[0])
-        desk.reducer.downstream.await_response(desk.clients["body"])
-        desk.after(480)
-        desk.ask("late", "/pay")
-        desk.up(0)
-        desk.after(100)
-        self.check("crossings_stop", [line for line in desk.lines if " log " not in line])
+        harness.state_machine.upstream.restart_timeout(harness.links[0])
+        harness.state_machine.downstream.await_response(harness.clients["body"])
+        harness.after(480)
+        harness.send_request("late", "/pay")
+        harness.connect_upstream(0)
+        harness.after(100)
+        self.check("crossings_stop", [line for line in harness.lines if " log " not in line])
 
 
 class Startup(TraceTest):
@@ -745,16 +778,18 @@
                 gate.wait()
                 return connect(sock, address)
 
-            def tell(event, events=events):
+            def handle_event(event, events=events):
                 events.append(type(event).__name__)
 
             with mock.patch.object(gevent.socket.socket, "connect", delayed_connect):
-                client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+                client = discovery.DiscoveryClient(
+                    peer.address, mock.Mock(handle_event=handle_event)
+                )
                 running = gevent.spawn(client.run)
-                until(lambda sockets=sockets: sockets)
+                run_until(lambda sockets=sockets: sockets)
                 getattr(client, change)()
                 gate.set()
-                until(
+                run_until(
                     lambda client=client, running=running, events=events: (
                         running.dead if client.stopped else "EndpointsUpdated" in events
                     )
@@ -769,7 +804,7 @@
         """
         events, received = [], Event()
 
-        def tell(event):
+        def handle_event(event):
             events.append(type(event).__name__)
             received.set()
 
@@ -781,9 +816,9 @@
 
         peer = Peer(serve)
         with mock.patch.object(discovery, "RESPONSE_TIMEOUT", 0.5):
-            client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            client = discovery.DiscoveryClient(peer.address, mock.Mock(handle_event=handle_event))
             running = gevent.spawn(client.run)
-            until(lambda: peer.seen)
+            run_until(lambda: peer.seen)
             ready.set()
             # The event loop does not run: response and timeout are both due in the next iteration.
             time.sleep(0.6)
@@ -797,17 +832,19 @@
         """
         events, lost = [], Event()
 
-        def tell(event):
+        def handle_event(event):
             name, reason = type(event).__name__, event.reason.partition(":")[0]
             # Both count from the last message of the stream, also that of the poll behind it.
             events.append(f"{name} {reason}, since the last message {event.waited >= 490}")
             if len(events) > 1:
                 lost.set()
-            client.ask()
+            client.poll_now()
 
         peer = Peer(lambda message: CHUNKED + b"1\r\n\n\r\n" if len(peer.seen) == 1 else None)
         with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
-            client = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell), 7)
+            client = discovery.DiscoveryClient(
+                peer.address, mock.Mock(handle_event=handle_event), 7
+            )
             client.is_polled = lambda: True
             running = gevent.spawn(client.run)
             lost.wait(20)
@@ -816,8 +853,8 @@
         for waited, gap in (
             (0, INTERVAL),
             (20000, 16000),
-            (35000, INTERVAL_LEAST),
-            (90000, INTERVAL_LEAST),
+            (35000, MIN_INTERVAL),
+            (90000, MIN_INTERVAL),
         ):
             waits = []
             for seed in range(200):
--- a/tests/proxy/test_large_bodies.py
+++ b/tests/proxy/test_large_bodies.py
@@ -21,30 +21,30 @@
 )
 from pierglade.proxy.upstream import UpstreamHandler
 from tests.proxy import test_sockets as test_net
-from tests.support.scene import Desk, TraceTest, message
+from tests.support.scene import StateMachineHarness, TraceTest, message
 
 
-def upload(desk, name, size=None, path="/pay", left=1000):
+def upload(harness, name, size=None, path="/pay", left=1000):
     """Sends a request whose body is still being received; returns its BodyStream."""
-    desk.open(name)
+    harness.open(name)
     received = message(
         f"POST {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {name}\r\n"
         f"X-Expires-In-Ms: {left}\r\n\r\n".encode()
     )
-    received.flow = body_stream.BodyStream(size)
-    received.flow.add(b"x" * 100)
-    desk.tell(RequestReceived(desk.clients[name], received))
-    return received.flow
+    received.body_stream = body_stream.BodyStream(size)
+    received.body_stream.add(b"x" * 100)
+    harness.handle_event(RequestReceived(harness.clients[name], received))
+    return received.body_stream
 
 
-def download(desk, status=200, size=None):
+def download(harness, status=200, size=None):
     """Sends a response whose body is still being received; returns its BodyStream."""
     received = message(
         f"HTTP/1.1 {status} .\r\nContent-Length: 0\r\n\r\n".encode(), reader.ResponseReader
     )
-    received.flow = body_stream.BodyStream(size)
-    desk.tell(ResponseReceived(desk.links[-1], received))
-    return received.flow
+    received.body_stream = body_stream.BodyStream(size)
+    harness.handle_event(ResponseReceived(harness.links[-1], received))
+    return received.body_stream
 
 
 class BodyWindow(unittest.TestCase):
@@ -53,15 +53,17 @@
         body = body_stream.BodyStream(None, lambda: wake_ups.append(1))
         body.add(b"x" * body_stream.WINDOW)
         self.assertTrue(body.full())
-        self.assertFalse(body.spent())
+        self.assertFalse(body.is_not_repeatable())
         self.assertEqual(len(body.take()), body_stream.WINDOW)
-        self.assertEqual((body.full(), body.spent(), body.take()), (False, True, b""))
+        self.assertEqual((body.full(), body.is_not_repeatable(), body.take()), (False, True, b""))
         body.finish()
         self.assertIsNone(body.take())
         other_body = body_stream.BodyStream(9)
         other_body.add(b"four")
-        other_body.break_off()
-        self.assertEqual((other_body.take(), other_body.spent(), len(wake_ups)), (None, True, 3))
+        other_body.abort_body()
+        self.assertEqual(
+            (other_body.take(), other_body.is_not_repeatable(), len(wake_ups)), (None, True, 3)
+        )
 
     def test_buffer_budget_is_shared(self):
         budget = body_stream.BufferBudget(10)
@@ -75,19 +77,21 @@
 class Uploads(TraceTest):
     def test_request_time_begins_with_the_last_byte(self):
         """However long the upload takes, the backend is not late; then the whole timeout is left."""
-        desk = Desk(["b0"])
-        body = upload(desk, "c0", 500)
-        desk.up()
+        harness = StateMachineHarness(["b0"])
+        body = upload(harness, "c0", 500)
+        harness.connect_upstream()
         for _ in range(6):
-            desk.after(900)
+            harness.after(900)
             body.add(b"x" * 70000)
             body.take()
-            desk.tell(BodyReceived(desk.clients["c0"]))
+            harness.handle_event(BodyReceived(harness.clients["c0"]))
         body.finish()
-        desk.tell(BodyReceived(desk.clients["c0"]))
-        desk.say("whole")
-        desk.after(1500)
-        self.check("large_upload", [line for line in desk.lines if "endpoints_updated" not in line])
+        harness.handle_event(BodyReceived(harness.clients["c0"]))
+        harness.record("whole")
+        harness.after(1500)
+        self.check(
+            "large_upload", [line for line in harness.lines if "endpoints_updated" not in line]
+        )
 
     def test_partly_sent_body_is_not_sent_again(self):
         """If the backend did not execute it, the request is rejected; after its last byte, an
@@ -96,29 +100,31 @@
         lines = []
         for whole in (False, True):
             for failure in ("lose", "reply"):
-                desk = Desk(["b0", "b1"])
-                body = upload(desk, "c0")
-                desk.up()
+                harness = StateMachineHarness(["b0", "b1"])
+                body = upload(harness, "c0")
+                harness.connect_upstream()
                 body.take()
                 if whole:
                     body.finish()
-                    desk.tell(BodyReceived(desk.clients["c0"]))
-                desk.lines = [f"whole {whole}, {failure}"]
-                desk.lose(whole=whole) if failure == "lose" else desk.reply(
+                    harness.handle_event(BodyReceived(harness.clients["c0"]))
+                harness.lines = [f"whole {whole}, {failure}"]
+                harness.lose(whole=whole) if failure == "lose" else harness.reply(
                     503, "X-Never-Ran: 1\r\n"
                 )
-                lines += desk.lines
+                lines += harness.lines
         self.check("large_lost", lines)
 
     def test_body_buffered_whole_is_sent_again(self):
-        desk = Desk(["b0", "b1"])
-        body = upload(desk, "c0")
+        harness = StateMachineHarness(["b0", "b1"])
+        body = upload(harness, "c0")
         body.finish()
-        desk.tell(BodyReceived(desk.clients["c0"]))
-        desk.up()
-        desk.lose(whole=False)
-        desk.up()
-        self.check("large_again", [line for line in desk.lines if "endpoints_updated" not in line])
+        harness.handle_event(BodyReceived(harness.clients["c0"]))
+        harness.connect_upstream()
+        harness.lose(whole=False)
+        harness.connect_upstream()
+        self.check(
+            "large_again", [line for line in harness.lines if "endpoints_updated" not in line]
+        )
 
     def test_client_disconnects_where_attempts_may_not_be_cancelled(self):
         """Its connection would wait an hour for the rest of the body; the backend is not to blame."""
@@ -132,39 +138,39 @@
             handler.sock = gevent.socket.socket(fileno=ours.detach())
             body = body_stream.BodyStream(500)
             body.add(b"x")
-            writing = gevent.spawn(handler._write_flow, b"", body)
+            writing = gevent.spawn(handler._write_body_stream, b"", body)
             gevent.sleep(0)
-            body.break_off()
+            body.abort_body()
             writing.join()
-            lines.append(f"whole {handler.whole}")
+            lines.append(f"whole {handler.is_request_written}")
             handler.sock.close()
             theirs.close()
-        desk = Desk(["b0"], may_cancel=False)
-        upload(desk, "c0")
-        desk.up()
-        desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
-        desk.lose(CloseCause.CLIENT_GONE, whole=False)
-        desk.say(
-            f"open connections {desk.reducer.descriptors.open_count}, attempts in flight {len(desk.reducer.attempts.connections)}, {desk.reducer.balancers.current.ejections.reason}, "
-            f"errors {desk.reducer.balancers.current.outliers.error_rate}"
+        harness = StateMachineHarness(["b0"], may_cancel=False)
+        upload(harness, "c0")
+        harness.connect_upstream()
+        harness.handle_event(ClientDisconnected(harness.clients["c0"], "client closed"))
+        harness.lose(CloseCause.CLIENT_GONE, whole=False)
+        harness.record(
+            f"open connections {harness.state_machine.descriptors.open_count}, attempts in flight {len(harness.state_machine.attempts.connections)}, {harness.state_machine.balancers.current.ejections.reason}, "
+            f"errors {harness.state_machine.balancers.current.outliers.error_rate}"
         )
-        self.check("large_left", lines + desk.lines)
+        self.check("large_left", lines + harness.lines)
 
     def test_stalled_client_and_stalled_backend(self):
         lines = []
         for reads in (True, False):
-            desk = Desk(["b0"])
-            body = upload(desk, "c0")
-            desk.up()
+            harness = StateMachineHarness(["b0"])
+            body = upload(harness, "c0")
+            harness.connect_upstream()
             if reads:
                 body.take()
             else:
                 body.add(b"x" * body_stream.WINDOW)
-            desk.lines = [f"backend reads the body {reads}"]
-            desk.after(5000)
+            harness.lines = [f"backend reads the body {reads}"]
+            harness.after(5000)
             lines += [
                 line
-                for line in desk.lines
+                for line in harness.lines
                 if "connect " not in line.lower()
                 and "health_checks=" not in line
                 and "probe" not in line
@@ -173,37 +179,37 @@
 
     def test_slow_client_at_a_sufficient_rate(self):
         """A flood of half requests differs from slow clients by its rate."""
-        desk = Desk(["b0"])
+        harness = StateMachineHarness(["b0"])
         for name, size in (("slow", 16000), ("half", 10)):
-            desk.open(name)
+            harness.open(name)
             received = 0
             for _ in range(16):
                 received += size
-                desk.tell(RequestStarted(desk.clients[name], received))
-                desk.after(250)
-            desk.say(f"{name}: {desk.clients[name].state}")
-        self.check("large_slow", desk.lines)
+                harness.handle_event(RequestStarted(harness.clients[name], received))
+                harness.after(250)
+            harness.record(f"{name}: {harness.clients[name].state}")
+        self.check("large_slow", harness.lines)
 
 
 class Downloads(TraceTest):
     def test_response_is_streamed(self):
         lines = []
         for size in (None, 9):
-            desk = Desk(["b0"])
-            desk.ask("c0")
-            desk.up()
-            body = download(desk, size=size)
+            harness = StateMachineHarness(["b0"])
+            harness.send_request("c0")
+            harness.connect_upstream()
+            body = download(harness, size=size)
             for _ in range(3):
-                desk.after(4900)
+                harness.after(4900)
                 body.add(b"x")
-                desk.tell(ResponsePartReceived(desk.links[-1]))
+                harness.handle_event(ResponsePartReceived(harness.links[-1]))
                 body.take()
-                desk.tell(ResponseProgressed(desk.clients["c0"]))
+                harness.handle_event(ResponseProgressed(harness.clients["c0"]))
             body.finish()
-            desk.tell(ResponseCompleted(desk.links[-1], True))
-            desk.taken("c0")
-            desk.say(f"link {desk.links[-1].state}, client {desk.clients['c0'].state}")
-            lines += desk.lines
+            harness.handle_event(ResponseCompleted(harness.links[-1], True))
+            harness.response_sent("c0")
+            harness.record(f"link {harness.links[-1].state}, client {harness.clients['c0'].state}")
+            lines += harness.lines
         self.check("large_answer", lines)
 
     def test_stalled_response(self):
@@ -216,28 +222,28 @@
             "backend disconnects",
             "server error",
         ):
-            desk = Desk(["b0"])
-            desk.ask("c0")
-            desk.up()
-            body = download(desk, 500 if case == "server error" else 200)
+            harness = StateMachineHarness(["b0"])
+            harness.send_request("c0")
+            harness.connect_upstream()
+            body = download(harness, 500 if case == "server error" else 200)
             if case == "client reads nothing":
                 body.add(b"x" * body_stream.WINDOW)
-            desk.lines = [case]
+            harness.lines = [case]
             if case == "client disconnects":
-                desk.tell(ClientDisconnected(desk.clients["c0"], "client closed"))
+                harness.handle_event(ClientDisconnected(harness.clients["c0"], "client closed"))
             elif case == "backend disconnects":
-                desk.lose()
-            desk.after(6000)
-            lines += [line for line in desk.lines if "counters" not in line]
+                harness.lose()
+            harness.after(6000)
+            lines += [line for line in harness.lines if "counters" not in line]
         self.check("large_stalled", lines)
 
 
 class LargeBodiesOnSockets(test_net.Sockets):
     """32 MB bodies both ways through a node that may buffer a few, read slowly; one ends early."""
 
-    test_serves_and_stops = test_a_new_configuration_moves_discovery = None
-    test_new_settings_are_loaded_and_taken_back_while_clients_ask = None
-    test_a_one_shot_that_is_out_keeps_its_rules_and_both_limits_are_in_use = None
+    test_serves_and_stops = test_reload_moves_discovery = None
+    test_settings_reload_while_clients_send_requests = None
+    test_unsafe_request_in_flight_keeps_its_settings = None
     SIZE = 32_000_000
     HEAD = b"%s HTTP/1.1\r\n" + test_net.HOST + b"X-Trace-Id: %s\r\n"
 
@@ -251,7 +257,7 @@
             )
         if b"short" in message.url:
             return test_net.answer(200, bytes(self.SIZE))[: self.SIZE // 2]
-        return test_net.answer(200, b"%d" % message.flow)
+        return test_net.answer(200, b"%d" % message.body_stream)
 
     def fetch(self, path, body=(), headers=b""):
         """Returns status, body size and body in chunks of the response, or "reset"."""
--- a/tests/proxy/test_large_endpoint_lists.py
+++ b/tests/proxy/test_large_endpoint_lists.py
@@ -6,17 +6,24 @@
 from functools import partial
 
 from pierglade.balancer.balancer import Balancer
-from pierglade.balancer.endpoint_stats import REUSE_AFTER
+from pierglade.balancer.endpoint_stats import INDEX_REUSE_RATIO
 from pierglade.model.endpoint import EndpointState
 from pierglade.proxy.state.effects import LogEvent
-from pierglade.proxy.state.endpoints import NAMED
+from pierglade.proxy.state.endpoints import MAX_LOGGED_NAMES
 from pierglade.proxy.state.events import ConfigurationLoaded, EndpointsUpdated
 from pierglade.tenants.registry import TenantRegistry
-from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
+from tests.support.scene import (
+    MS,
+    BalancerHarness,
+    StateMachineHarness,
+    balancer_settings,
+    entry,
+    listed,
+)
 
 HARD_LIMIT = 1000  # ms; the longest of the request classes in `Scene`
 # Time after which the index of a removed backend is reused.
-REUSE_DELAY_MS = REUSE_AFTER * HARD_LIMIT + 1
+REUSE_DELAY_MS = INDEX_REUSE_RATIO * HARD_LIMIT + 1
 
 
 def fleet(first, count):
@@ -38,7 +45,7 @@
         gc.enable()
 
 
-def least(one, other, is_sufficient):
+def min_cpu_seconds(one, other, is_sufficient):
     """Returns the minimum CPU time of each, measured alternately until `is_sufficient` holds for both.
 
     A busy machine may lengthen single measurements, but not all of them.
@@ -56,7 +63,7 @@
     """
 
     def check(self, call):
-        small_s, large_s = least(
+        small_s, large_s = min_cpu_seconds(
             lambda: call(1000), lambda: call(4000), lambda small_s, large_s: large_s < 8 * small_s
         )
         self.assertLess(
@@ -112,19 +119,19 @@
 
 
 class IndexReuse(unittest.TestCase):
-    def scene(self, count=3, **changed):
-        scene = Scene([f"b{n}" for n in range(count)], **changed)
-        return scene, scene.node
+    def balancer_harness(self, count=3, **changed):
+        balancer_harness = BalancerHarness([f"b{n}" for n in range(count)], **changed)
+        return balancer_harness, balancer_harness.node
 
     def test_index_is_reused_after_the_delay_and_not_before(self):
-        scene, node = self.scene()
+        balancer_harness, node = self.balancer_harness()
         old = node.endpoints.index["b1"]
-        scene.list([listed("b1", EndpointState.REMOVED)])
-        scene.after(REUSE_DELAY_MS - 1)
-        scene.list(["c0"])
+        balancer_harness.list([listed("b1", EndpointState.REMOVED)])
+        balancer_harness.after(REUSE_DELAY_MS - 1)
+        balancer_harness.list(["c0"])
         self.assertEqual((node.endpoints.index["c0"], len(node.endpoints.names)), (3, 4))
-        scene.after(1)
-        scene.list(["c1"])
+        balancer_harness.after(1)
+        balancer_harness.list(["c1"])
         self.assertEqual(
             (node.endpoints.index["c1"], node.endpoints.names[old], len(node.endpoints.names)),
             (old, "c1", 4),
@@ -136,7 +143,7 @@
         )
 
     def test_returned_backend_keeps_its_index(self):
-        scene, node = self.scene()
+        balancer_harness, node = self.balancer_harness()
         old = node.endpoints.index["b1"]
         for state in (
             EndpointState.REMOVED,
@@ -145,29 +152,29 @@
             EndpointState.REMOVED,
             EndpointState.READY,
         ):
-            scene.list([listed("b1", state)])
-        scene.after(REUSE_DELAY_MS)
-        scene.list(["c0"])
+            balancer_harness.list([listed("b1", state)])
+        balancer_harness.after(REUSE_DELAY_MS)
+        balancer_harness.list(["c0"])
         self.assertEqual(
             (node.endpoints.index["b1"], node.endpoints.index["c0"], len(node.endpoints.removed)),
             (old, 3, 0),
         )
 
     def test_draining_backend_keeps_its_index(self):
-        scene, node = self.scene()
-        scene.list([listed("b1", EndpointState.DRAINING)])
-        scene.after(REUSE_DELAY_MS)
-        scene.list(["c0"])
+        balancer_harness, node = self.balancer_harness()
+        balancer_harness.list([listed("b1", EndpointState.DRAINING)])
+        balancer_harness.after(REUSE_DELAY_MS)
+        balancer_harness.list(["c0"])
         self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_each_removal_restarts_the_delay(self):
-        scene, node = self.scene()
-        scene.list([listed("b1", EndpointState.REMOVED)])
-        scene.after(REUSE_DELAY_MS - 1)
-        scene.list(["b1"])
-        scene.list([listed("b1", EndpointState.REMOVED)])
-        scene.after(1)
-        scene.list(["c0"])
+        balancer_harness, node = self.balancer_harness()
+        balancer_harness.list([listed("b1", EndpointState.REMOVED)])
+        balancer_harness.after(REUSE_DELAY_MS - 1)
+        balancer_harness.list(["b1"])
+        balancer_harness.list([listed("b1", EndpointState.REMOVED)])
+        balancer_harness.after(1)
+        balancer_harness.list(["c0"])
         self.assertEqual(node.endpoints.index["c0"], 3)
 
     def test_index_with_an_attempt_in_flight_is_not_reused(self):
@@ -175,23 +182,23 @@
 
         The index of a backend that was removed later is reused nevertheless.
         """
-        scene, node = self.scene(2)
-        request = scene.take("i0", request_class=2, left=100000)
+        balancer_harness, node = self.balancer_harness(2)
+        request = balancer_harness.take("i0", request_class=2, left=100000)
         backend = request.attempts[0].backend
-        scene.list([listed(node.endpoints.names[backend], EndpointState.REMOVED)])
-        scene.list([listed(node.endpoints.names[1 - backend], EndpointState.REMOVED)])
-        scene.after(REUSE_DELAY_MS)
-        scene.list(["c0", "c1"])
+        balancer_harness.list([listed(node.endpoints.names[backend], EndpointState.REMOVED)])
+        balancer_harness.list([listed(node.endpoints.names[1 - backend], EndpointState.REMOVED)])
+        balancer_harness.after(REUSE_DELAY_MS)
+        balancer_harness.list(["c0", "c1"])
         self.assertEqual((node.endpoints.index["c0"], node.endpoints.index["c1"]), (1 - backend, 2))
-        scene.end("i0")
-        scene.list(["c2"])
+        balancer_harness.end("i0")
+        balancer_harness.list(["c2"])
         self.assertEqual(node.endpoints.index["c2"], backend)
 
     def test_many_new_backends_reuse_indices(self):
-        scene, node = self.scene(300)
-        scene.list([], whole=True)
-        scene.after(REUSE_DELAY_MS)
-        scene.list([f"c{n}" for n in range(400)], whole=True)
+        balancer_harness, node = self.balancer_harness(300)
+        balancer_harness.list([], whole=True)
+        balancer_harness.after(REUSE_DELAY_MS)
+        balancer_harness.list([f"c{n}" for n in range(400)], whole=True)
         self.assertEqual(
             (len(node.endpoints.names), len(node.rotation.by_rank), len(node.endpoints.index)),
             (400, 400, 400),
@@ -204,8 +211,8 @@
         )
 
     def test_rotation_keeps_its_order_when_half_is_replaced(self):
-        scene, node = self.scene(300)
-        scene.list([f"b{n}" for n in range(150, 450)], whole=True)
+        balancer_harness, node = self.balancer_harness(300)
+        balancer_harness.list([f"b{n}" for n in range(150, 450)], whole=True)
         self.assertEqual(
             sorted(node.endpoints.names[index] for index in node.rotation.by_rank),
             sorted(f"b{n}" for n in range(150, 450)),
@@ -224,15 +231,15 @@
             )
 
     def test_backends_with_requests_have_their_own_histories(self):
-        scene = Scene(["b0", "b1", "b2"])
-        scene.flow(60)
-        node = scene.node
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"])
+        balancer_harness.flow(60)
+        node = balancer_harness.node
         self.assertEqual(sum(map(len, node.pause_forecast.samples)), 60)
         self.assertEqual(
             [sums[1] for sums in node.pause_forecast.sums],
             [sum(times) for times in node.pause_forecast.samples],
         )
-        scene.list([listed("b0", started=scene.now)])
+        balancer_harness.list([listed("b0", started=balancer_harness.now)])
         self.assertEqual(
             (
                 len(node.pause_forecast.samples[node.endpoints.index["b0"]]),
@@ -262,17 +269,19 @@
     """
 
     def setUp(self):
-        self.desk = Desk([f"b{n}" for n in range(5)])
-        self.recorder = EndpointRecorder(self.desk.reducer.balancers.current)
+        self.harness = StateMachineHarness([f"b{n}" for n in range(5)])
+        self.recorder = EndpointRecorder(self.harness.state_machine.balancers.current)
 
     def update(self, names, *more):
-        self.desk.hear([*map(entry, names), *more], index=2)
+        self.harness.update_endpoints([*map(entry, names), *more], index=2)
         return self.recorder.entries[-1]
 
     def test_unchanged_list(self):
-        lines = len(self.desk.lines)
+        lines = len(self.harness.lines)
         self.assertEqual(self.update(["b0", "b1", "b2", "b3", "b4"]), [])
-        self.assertEqual((len(self.desk.lines), self.desk.reducer.endpoints.version), (lines, 2))
+        self.assertEqual(
+            (len(self.harness.lines), self.harness.state_machine.endpoints.version), (lines, 2)
+        )
 
     def test_each_difference_is_applied(self):
         for overrides in (
@@ -297,7 +306,7 @@
                         )
                     ],
                 )
-                backend = self.desk.reducer.endpoints.records["b4"]
+                backend = self.harness.state_machine.endpoints.records["b4"]
                 self.assertEqual(
                     (
                         backend.entry.zone,
@@ -320,8 +329,8 @@
     def test_backend_is_missing_and_returns(self):
         self.assertEqual(self.update(["b0", "b1", "b2", "b3"]), [("b4", EndpointState.REMOVED)])
         self.assertEqual(self.update(["b0", "b1", "b2", "b3", "b4"]), [("b4", EndpointState.READY)])
-        self.assertEqual(len(self.desk.reducer.balancers.current.rotation.by_rank), 5)
-        self.assertEqual(len(self.desk.reducer.endpoints.removed), 0)
+        self.assertEqual(len(self.harness.state_machine.balancers.current.rotation.by_rank), 5)
+        self.assertEqual(len(self.harness.state_machine.endpoints.removed), 0)
 
     def test_last_of_two_entries_with_a_name_is_applied(self):
         for entries in (
@@ -330,13 +339,14 @@
         ):
             self.setUp()
             self.update(["b0", "b1", "b2", "b3"], *entries)
-            backend = self.desk.reducer.endpoints.records["b4"]
+            backend = self.harness.state_machine.endpoints.records["b4"]
             ready = entries[1]["status"] == "SERVING"
             self.assertEqual(
                 backend.state, EndpointState.READY if ready else EndpointState.DRAINING
             )
             self.assertEqual(
-                len(self.desk.reducer.balancers.current.rotation.by_rank), 5 if ready else 4
+                len(self.harness.state_machine.balancers.current.rotation.by_rank),
+                5 if ready else 4,
             )
 
     def test_nothing_of_an_invalid_list_is_applied(self):
@@ -351,22 +361,27 @@
         ):
             with self.subTest(invalid):
                 self.setUp()
-                self.desk.hear([entry("b0", "DRAINING"), entry("b1"), invalid], index=2)
+                self.harness.update_endpoints(
+                    [entry("b0", "DRAINING"), entry("b1"), invalid], index=2
+                )
                 self.assertEqual(self.recorder.entries, [])
                 self.assertEqual(
-                    {record.state for record in self.desk.reducer.endpoints.records.values()},
+                    {
+                        record.state
+                        for record in self.harness.state_machine.endpoints.records.values()
+                    },
                     {EndpointState.READY},
                 )
-                self.assertIsNone(self.desk.reducer.endpoints.version)
+                self.assertIsNone(self.harness.state_machine.endpoints.version)
 
     def test_earlier_balancer_receives_updates_too(self):
-        self.desk.ask("c0")
-        older = self.desk.reducer.balancers.current
-        self.desk.tell(
+        self.harness.send_request("c0")
+        older = self.harness.state_machine.balancers.current
+        self.harness.handle_event(
             ConfigurationLoaded("", {"settings": "others"}, balancer_settings(max_retry_after=7))
         )
-        self.assertEqual(self.desk.reducer.balancers.earlier, [older])
-        self.recorder = EndpointRecorder(self.desk.reducer.balancers.current)
+        self.assertEqual(self.harness.state_machine.balancers.earlier, [older])
+        self.recorder = EndpointRecorder(self.harness.state_machine.balancers.current)
         self.update(["b0", "b1", "b2", "b3"])
         self.assertEqual(
             [older.endpoints.state[older.endpoints.index["b4"]], len(older.rotation.by_rank)],
@@ -376,39 +391,43 @@
         self.assertEqual(len(older.rotation.by_rank), 5)
 
     def test_removed_backend_is_dropped_after_the_delay_unless_connected(self):
-        reducer = self.desk.reducer
+        state_machine = self.harness.state_machine
         names = ["b0", "b1", "b2", "b3"]
-        self.desk.hear([entry(name, "DRAINING") for name in names], index=2, whole=False)
-        self.desk.hear([entry(name, "DELETED") for name in names[1:]], index=3, whole=False)
-        reducer.endpoints.records["b1"].links = 1
-        self.desk.now += (REUSE_DELAY_MS - 1) * MS
-        self.desk.hear(["c1"], index=4, whole=False)
-        self.assertEqual(set(reducer.endpoints.records), {"b0", "b1", "b2", "b3", "b4", "c1"})
-        self.desk.now += 1
-        self.desk.hear(["c2"], index=5, whole=False)
-        self.assertEqual(set(reducer.endpoints.records), {"b0", "b1", "b4", "c1", "c2"})
-        self.assertEqual(list(reducer.endpoints.removed), ["b1"])
-        reducer.endpoints.records["b1"].links = 0
-        self.desk.hear(["c3"], index=6, whole=False)
-        self.assertEqual(set(reducer.endpoints.records), {"b0", "b4", "c1", "c2", "c3"})
+        self.harness.update_endpoints(
+            [entry(name, "DRAINING") for name in names], index=2, whole=False
+        )
+        self.harness.update_endpoints(
+            [entry(name, "DELETED") for name in names[1:]], index=3, whole=False
+        )
+        state_machine.endpoints.records["b1"].open_connections = 1
+        self.harness.now += (REUSE_DELAY_MS - 1) * MS
+        self.harness.update_endpoints(["c1"], index=4, whole=False)
+        self.assertEqual(set(state_machine.endpoints.records), {"b0", "b1", "b2", "b3", "b4", "c1"})
+        self.harness.now += 1
+        self.harness.update_endpoints(["c2"], index=5, whole=False)
+        self.assertEqual(set(state_machine.endpoints.records), {"b0", "b1", "b4", "c1", "c2"})
+        self.assertEqual(list(state_machine.endpoints.removed), ["b1"])
+        state_machine.endpoints.records["b1"].open_connections = 0
+        self.harness.update_endpoints(["c3"], index=6, whole=False)
+        self.assertEqual(set(state_machine.endpoints.records), {"b0", "b4", "c1", "c2", "c3"})
 
     def test_returned_backend_is_not_dropped(self):
         for state in ("DELETED", "SERVING"):
-            self.desk.hear([entry("b1", state)], index=2, whole=False)
-        self.desk.now += REUSE_DELAY_MS * MS
-        self.desk.hear(["c1"], index=3, whole=False)
-        self.assertIn("b1", self.desk.reducer.endpoints.records)
+            self.harness.update_endpoints([entry("b1", state)], index=2, whole=False)
+        self.harness.now += REUSE_DELAY_MS * MS
+        self.harness.update_endpoints(["c1"], index=3, whole=False)
+        self.assertIn("b1", self.harness.state_machine.endpoints.records)
 
     def test_log_line_names_first_changes_and_counts_the_rest(self):
-        desk = Desk([])
-        desk.now += 1
-        effects = desk.reducer.apply(
-            desk.now,
+        harness = StateMachineHarness([])
+        harness.now += 1
+        effects = harness.state_machine.apply(
+            harness.now,
             EndpointsUpdated(
                 {
                     "index": 1,
                     "snapshot": True,
-                    "endpoints": [entry(f"b{n}") for n in range(NAMED + 5)],
+                    "endpoints": [entry(f"b{n}") for n in range(MAX_LOGGED_NAMES + 5)],
                 }
             ),
         )
@@ -417,7 +436,7 @@
             for effect in effects
             if isinstance(effect, LogEvent) and effect.event == "endpoints_updated"
         )
-        self.assertEqual((len(fields["changed"]), fields["more"]), (NAMED, 5))
+        self.assertEqual((len(fields["changed"]), fields["more"]), (MAX_LOGGED_NAMES, 5))
 
 
 class NoIteration(dict):
@@ -432,14 +451,14 @@
 class UpdateCost(unittest.TestCase):
     """Guards against updates whose CPU time grows with the size of the list, in the state machine."""
 
-    def desk(self, count):
-        desk = Desk([], node_count=720)
-        self.tell(desk, [entry(f"b{n}") for n in range(count)])
-        return desk
+    def harness(self, count):
+        harness = StateMachineHarness([], node_count=720)
+        self.handle_event(harness, [entry(f"b{n}") for n in range(count)])
+        return harness
 
-    def tell(self, desk, endpoints, whole=True):
-        desk.reducer.apply(
-            desk.reducer.step.now + 1,
+    def handle_event(self, harness, endpoints, whole=True):
+        harness.state_machine.apply(
+            harness.state_machine.step.now + 1,
             EndpointsUpdated({"index": 1, "snapshot": whole, "endpoints": endpoints}),
         )
 
@@ -448,18 +467,20 @@
 
         The search would take more CPU time than the change itself.
         """
-        desk = self.desk(30)
-        desk.reducer.endpoints.records = NoIteration(desk.reducer.endpoints.records)
+        harness = self.harness(30)
+        harness.state_machine.endpoints.records = NoIteration(
+            harness.state_machine.endpoints.records
+        )
         for state in ("DRAINING", "DELETED", "SERVING"):
-            self.tell(desk, [entry("b7", state)], False)
-        self.assertEqual(len(desk.reducer.balancers.current.rotation.by_rank), 30)
+            self.handle_event(harness, [entry("b7", state)], False)
+        self.assertEqual(len(harness.state_machine.balancers.current.rotation.by_rank), 30)
 
     def test_unchanged_list_is_cheaper_than_the_first(self):
         endpoints = [entry(f"b{n}") for n in range(4000)]
-        desk = self.desk(4000)
-        first_s, second_s = least(
-            lambda: partial(self.tell, Desk([], node_count=720), endpoints),
-            lambda: lambda: self.tell(desk, endpoints),
+        harness = self.harness(4000)
+        first_s, second_s = min_cpu_seconds(
+            lambda: partial(self.handle_event, StateMachineHarness([], node_count=720), endpoints),
+            lambda: lambda: self.handle_event(harness, endpoints),
             lambda first_s, second_s: 3 * second_s < first_s,
         )
         self.assertLess(
--- a/tests/proxy/test_operations.py
+++ b/tests/proxy/test_operations.py
@@ -24,7 +24,7 @@
 )
 from pierglade.proxy.state.machine import ProxyStateMachine
 from tests.proxy import test_sockets
-from tests.support.scene import Desk, TraceTest, balancer_settings, message
+from tests.support.scene import StateMachineHarness, TraceTest, balancer_settings, message
 
 
 class ManagementCallStub:
@@ -34,24 +34,24 @@
         self.io = self  # the desk prints the name of the object that an effect concerns
 
 
-def send_calls(desk, *lines):
+def send_calls(harness, *lines):
     for line in lines:
-        desk.tell(ManagementCall(ManagementCallStub(line)))
+        harness.handle_event(ManagementCall(ManagementCallStub(line)))
 
 
 READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\n%s\r\n" % test_sockets.HOST
 
 
-def send_readiness_check(desk, name):
-    desk.open(name)
-    desk.tell(RequestReceived(desk.clients[name], message(READINESS_REQUEST)))
+def send_readiness_check(harness, name):
+    harness.open(name)
+    harness.handle_event(RequestReceived(harness.clients[name], message(READINESS_REQUEST)))
 
 
 class Standby(TraceTest):
-    def desk(self, **overrides):
-        desk = Desk(["b0"], **overrides)
-        desk.lines = []
-        return desk
+    def harness(self, **overrides):
+        harness = StateMachineHarness(["b0"], **overrides)
+        harness.lines = []
+        return harness
 
     def test_standby_closes_connections_and_active_keeps_them(self):
         """Guards against standby that drops requests or leaves connections open.
@@ -59,72 +59,74 @@
         Standby closes idle connections at once, and others with their response. Requests that
         arrive nevertheless are served.
         """
-        desk = self.desk()
-        desk.open("c0")
-        desk.ask("c1")
-        desk.up()
-        send_calls(desk, "PUT /standby", "PUT /standby", "GET /status")
-        desk.reply()
-        desk.taken("c1")
-        send_readiness_check(desk, "c2")
-        desk.after(10)
-        desk.ask("c3")
-        desk.reply(link=0)
-        desk.after(2500)
-        desk.say("the idle connections are closed")
-        send_calls(desk, "PUT /active", "PUT /active", "GET /status")
-        send_readiness_check(desk, "c4")
-        desk.taken("c4")
-        desk.ask("c5")
-        desk.reply(link=0)
-        desk.taken("c5")
-        desk.say(f"c3 closes with its response: {desk.clients['c3'].state}")
-        desk.say(f"c5 stays: {desk.clients['c5'].state}")
-        self.check("day_standby", desk.lines)
+        harness = self.harness()
+        harness.open("c0")
+        harness.send_request("c1")
+        harness.connect_upstream()
+        send_calls(harness, "PUT /standby", "PUT /standby", "GET /status")
+        harness.reply()
+        harness.response_sent("c1")
+        send_readiness_check(harness, "c2")
+        harness.after(10)
+        harness.send_request("c3")
+        harness.reply(link=0)
+        harness.after(2500)
+        harness.record("the idle connections are closed")
+        send_calls(harness, "PUT /active", "PUT /active", "GET /status")
+        send_readiness_check(harness, "c4")
+        harness.response_sent("c4")
+        harness.send_request("c5")
+        harness.reply(link=0)
+        harness.response_sent("c5")
+        harness.record(f"c3 closes with its response: {harness.clients['c3'].state}")
+        harness.record(f"c5 stays: {harness.clients['c5'].state}")
+        self.check("day_standby", harness.lines)
 
     def test_standby_and_active_within_a_second(self):
-        desk = self.desk()
-        desk.ask("c0")
-        desk.up()
-        send_calls(desk, "PUT /standby", "PUT /active")
-        desk.reply()
-        desk.taken("c0")
-        desk.say(f"c0 stays: {desk.clients['c0'].state}")
-        self.check("day_back", desk.lines)
+        harness = self.harness()
+        harness.send_request("c0")
+        harness.connect_upstream()
+        send_calls(harness, "PUT /standby", "PUT /active")
+        harness.reply()
+        harness.response_sent("c0")
+        harness.record(f"c0 stays: {harness.clients['c0'].state}")
+        self.check("day_back", harness.lines)
 
     def test_stop_during_standby_and_calls_after_it(self):
-        desk = self.desk()
-        send_calls(desk, "PUT /standby")
-        desk.tell(StopRequested())
-        send_calls(desk, "PUT /active", "GET /status", "PUT /standby")
-        desk.after(800)
-        self.check("day_standby_stop", desk.lines)
+        harness = self.harness()
+        send_calls(harness, "PUT /standby")
+        harness.handle_event(StopRequested())
+        send_calls(harness, "PUT /active", "GET /status", "PUT /standby")
+        harness.after(800)
+        self.check("day_standby_stop", harness.lines)
 
     def test_new_settings_and_request_during_standby(self):
         """A client sends a request just as standby closes its idle connection: it is served."""
-        desk = self.desk()
-        desk.open("c0")
-        send_calls(desk, "PUT /standby")
-        desk.ask("c0")
-        desk.up()
-        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
-        desk.reply()
-        send_calls(desk, "GET /status")
-        self.check("day_standby_crossed", desk.lines)
+        harness = self.harness()
+        harness.open("c0")
+        send_calls(harness, "PUT /standby")
+        harness.send_request("c0")
+        harness.connect_upstream()
+        harness.handle_event(
+            ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1))
+        )
+        harness.reply()
+        send_calls(harness, "GET /status")
+        self.check("day_standby_crossed", harness.lines)
 
     def test_calls_before_the_first_endpoint_list(self):
-        desk = Desk([])
-        send_calls(desk, "GET /status", "PUT /standby")
-        desk.hear(["b0"])
-        send_readiness_check(desk, "c0")
-        send_calls(desk, "PUT /active", "GET /status")
-        send_readiness_check(desk, "c1")
-        self.check("day_standby_early", desk.lines)
+        harness = StateMachineHarness([])
+        send_calls(harness, "GET /status", "PUT /standby")
+        harness.update_endpoints(["b0"])
+        send_readiness_check(harness, "c0")
+        send_calls(harness, "PUT /active", "GET /status")
+        send_readiness_check(harness, "c1")
+        self.check("day_standby_early", harness.lines)
 
     def test_unknown_calls(self):
-        desk = self.desk()
-        send_calls(desk, "PUT /status", "GET /standby", "POST /active", "GET /", "GET /look")
-        self.check("day_no_call", desk.lines)
+        harness = self.harness()
+        send_calls(harness, "PUT /status", "GET /standby", "POST /active", "GET /", "GET /look")
+        self.check("day_no_call", harness.lines)
 
 
 class SettingsChange(TraceTest):
@@ -134,49 +136,49 @@
         Request classes are removed, added and changed, and fewer attempts are allowed. A second
         change follows while requests under the first settings are pending.
         """
-        desk = Desk(["b0", "b1"])
-        desk.ask("c0")
-        desk.up()
+        harness = StateMachineHarness(["b0", "b1"])
+        harness.send_request("c0")
+        harness.connect_upstream()
         request_classes = [
             RequestClass(0, "pay", Idempotency.SAFE, "all", 0, 4000, 10000, 1.0),
             RequestClass(1, "top", Idempotency.UNSAFE, "all", 0, 4000, 10000, 1.0),
         ]
-        desk.tell(
+        harness.handle_event(
             ConfigurationLoaded(
                 "",
                 {"settings": 1},
                 balancer_settings(request_classes=request_classes, max_attempts=1),
             ),
         )
-        desk.ask("c1", "/look")
-        desk.ask("c2", "/pay")
-        desk.ask("c3", "/pay", "GET")
-        desk.up()
-        desk.tell(ConfigurationLoaded("", {"settings": 2}, balancer_settings()))
-        desk.say("the first request may have three attempts, and its second one begins")
-        desk.lose(link=0)
-        desk.up(-1)
-        desk.say("the last request may have one attempt")
-        desk.lose(link=1)
-        desk.reply()
-        desk.ask("c4", "/look")
-        desk.say(f"{len(desk.reducer.balancers.earlier)} earlier")
-        self.check("day_retuned", desk.lines)
+        harness.send_request("c1", "/look")
+        harness.send_request("c2", "/pay")
+        harness.send_request("c3", "/pay", "GET")
+        harness.connect_upstream()
+        harness.handle_event(ConfigurationLoaded("", {"settings": 2}, balancer_settings()))
+        harness.record("the first request may have three attempts, and its second one begins")
+        harness.lose(link=0)
+        harness.connect_upstream(-1)
+        harness.record("the last request may have one attempt")
+        harness.lose(link=1)
+        harness.reply()
+        harness.send_request("c4", "/look")
+        harness.record(f"{len(harness.state_machine.balancers.earlier)} earlier")
+        self.check("day_retuned", harness.lines)
 
     def test_alternating_settings(self):
-        desk = Desk(["b0"])
+        harness = StateMachineHarness(["b0"])
         for n in range(6):
-            desk.tell(
+            harness.handle_event(
                 ConfigurationLoaded(
                     "", {"settings": n % 2}, balancer_settings(max_attempts=1 + n % 2)
                 )
             )
-            desk.after(1)
-        desk.ask("c0")
-        desk.up()
-        desk.lose()
-        desk.say(f"{len(desk.reducer.balancers.earlier)} earlier")
-        self.check("day_alternate", desk.lines)
+            harness.after(1)
+        harness.send_request("c0")
+        harness.connect_upstream()
+        harness.lose()
+        harness.record(f"{len(harness.state_machine.balancers.earlier)} earlier")
+        self.check("day_alternate", harness.lines)
 
 
 class TakeoverDescriptors(TraceTest):
@@ -186,28 +188,28 @@
         The new process starts listening with its first endpoint list, and may use half of the
         descriptors until it is the sole process.
         """
-        desk = Desk([], sockets=100)
-        new = Desk([], sockets=100)
-        new.reducer = ProxyStateMachine(
-            4, new.reducer.balancers.settings, new.now, 100, sole_process=False
+        harness = StateMachineHarness([], sockets=100)
+        new = StateMachineHarness([], sockets=100)
+        new.state_machine = ProxyStateMachine(
+            4, new.state_machine.balancers.settings, new.now, 100, sole_process=False
         )
         lines = []
-        for name, one in (("old", desk), ("new", new)):
-            one.hear(["b0"])
-            one.say(f"{name}: budget {one.reducer.descriptors.limit}")
-        new.tell(SoleProcess())
-        new.say(f"new: budget {new.reducer.descriptors.limit}")
-        desk.tell(StopRequested(True))
-        desk.say(f"old: budget {desk.reducer.descriptors.limit}")
-        self.check("day_followed", lines + new.lines + desk.lines)
+        for name, one in (("old", harness), ("new", new)):
+            one.update_endpoints(["b0"])
+            one.record(f"{name}: budget {one.state_machine.descriptors.limit}")
+        new.handle_event(SoleProcess())
+        new.record(f"new: budget {new.state_machine.descriptors.limit}")
+        harness.handle_event(StopRequested(True))
+        harness.record(f"old: budget {harness.state_machine.descriptors.limit}")
+        self.check("day_followed", lines + new.lines + harness.lines)
 
 
 class ManagementCalls(test_sockets.Sockets):
     """Tests with a management address; the tests of `Sockets` itself are left to that class."""
 
-    test_serves_and_stops = test_a_new_configuration_moves_discovery = None
-    test_new_settings_are_loaded_and_taken_back_while_clients_ask = None
-    test_a_one_shot_that_is_out_keeps_its_rules_and_both_limits_are_in_use = None
+    test_serves_and_stops = test_reload_moves_discovery = None
+    test_settings_reload_while_clients_send_requests = None
+    test_unsafe_request_in_flight_keeps_its_settings = None
 
     def setUp(self):
         self.management_address, self.request_held, self.release = (
@@ -292,7 +294,7 @@
         The old process answers the request before it ends. A new process that is stopped before it
         is ready changes nothing.
         """
-        self.configure(json.dumps({**self.told, "known": {}}))
+        self.configure(json.dumps({**self.config, "known": {}}))
         address = free_port()
         unready = self.start_second_process(
             BALANCER_MANAGEMENT=address, BALANCER_DISCOVERY=free_port()
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -67,7 +67,7 @@
         body = body or message.body
         lines.append(
             f"{message.method.decode()}{message.status or ''} {message.url.decode()} "
-            f"body {len(body)} {bytes(body[:8])} keep {message.keep}{' streamed' * message_reader.is_streamed}"
+            f"body {len(body)} {bytes(body[:8])} keep {message.is_reusable}{' streamed' * message_reader.is_streamed}"
         )
         message_reader.release()
         return True
@@ -193,7 +193,7 @@
             b"X-But: 5\r\n\r\n"
         )
         self.assertEqual(
-            http.passed_on(request, http.HOP_BY_HOP | {b"x-but"}),
+            http.forwarded_headers(request, http.HOP_BY_HOP | {b"x-but"}),
             [(b"Host", b"h"), (b"x-kept", b"2")],
         )
 
@@ -361,12 +361,14 @@
                 message_reader.filled(count)
                 while (message := message_reader.next()) is not None:
                     if message_reader.is_streamed:
-                        message.flow = len(message_reader.piece())  # only the size is recorded
+                        message.body_stream = len(
+                            message_reader.piece()
+                        )  # only the size is recorded
                         while not message_reader.body_complete and (
                             count := sock.recv_into(message_reader.writable())
                         ):
                             message_reader.filled(count)
-                            message.flow += len(message_reader.piece())
+                            message.body_stream += len(message_reader.piece())
                     self.seen.append(message.url.decode())
                     reply = self.answer(message)
                     if reply is None:
@@ -392,7 +394,7 @@
                 return answer(200, b'{"index":%d}' % len(events))
             return CHUNKED + (b'c\r\n{"index":9}\n\r\n' if len(events) > 2 else b"")
 
-        def tell(event):
+        def handle_event(event):
             events.append(f"{type(event).__name__} {event[0]}")
             if event[0] == {"index": 9}:
                 watch.resync()
@@ -401,7 +403,7 @@
 
         peer = Peer(serve)
         with mock.patch.multiple(discovery, SILENCE_TIMEOUT=0.05, RETRY_INTERVAL=0):
-            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(handle_event=handle_event))
             running = gevent.spawn(watch.run)
             reported.wait()
             running.kill()
@@ -416,13 +418,13 @@
         """
         events, lost = [], Event()
 
-        def tell(event):
+        def handle_event(event):
             events.append(type(event).__name__)
             lost.set()
 
         peer = Peer(lambda message: None)
         with mock.patch.object(discovery, "RETRY_INTERVAL", 0):
-            watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+            watch = discovery.DiscoveryClient(peer.address, mock.Mock(handle_event=handle_event))
             watch.is_polled = lambda: True
             running = gevent.spawn(watch.run)
             for _ in range(3):
@@ -430,7 +432,7 @@
                 lost.clear()
                 gevent.sleep(0)
                 events.append(f"requests sent {len(peer.seen)}")
-                watch.ask()
+                watch.poll_now()
             running.kill()
         self.check("net_asked", events)
 
@@ -462,25 +464,25 @@
         """
         events = []
 
-        def tell(event):
+        def handle_event(event):
             events.append(f"{type(event).__name__} {event.document}")
             watch.stop()
 
         peer = Peer(lambda message: CHUNKED + b'c\r\n{"index":9}\n\r\n' * 2)
-        watch = discovery.DiscoveryClient(peer.address, mock.Mock(tell=tell))
+        watch = discovery.DiscoveryClient(peer.address, mock.Mock(handle_event=handle_event))
         watch.index = 1
         watch.run()
         self.assertEqual(events, ["EndpointsUpdated {'index': 9}"])
 
 
-def server_stub(tell, arrived_at):
+def server_stub(handle_event, arrived_at):
     """Returns a stub of the server for a DownstreamHandler; its event loop is never too busy."""
     return mock.Mock(
-        tell=tell,
+        handle_event=handle_event,
         arrival_time=arrived_at,
         budget=BufferBudget(1 << 20),
         prepared_rejection=lambda *arguments: None,
-        reducer=mock.Mock(
+        state_machine=mock.Mock(
             descriptors=mock.Mock(admission=None),
             balancers=mock.Mock(load_shedder=mock.Mock(threshold=0.0)),
         ),
@@ -536,7 +538,7 @@
             theirs = socket.create_connection(server.getsockname())
             ours, _ = server.accept()
 
-        def tell(event, arrived_at=NEVER):
+        def handle_event(event, arrived_at=NEVER):
             if isinstance(event, RequestReceived):
                 since = "-" if arrived_at == NEVER else arrived_at
                 lines.append(
@@ -548,7 +550,9 @@
 
         received = Event()
         handler = DownstreamHandler(
-            gevent.socket.socket(fileno=ours.detach()), server_stub(tell, lambda: next(times)), ""
+            gevent.socket.socket(fileno=ours.detach()),
+            server_stub(handle_event, lambda: next(times)),
+            "",
         )
         reading = gevent.spawn(handler.run)
         post = b"POST /%d HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
@@ -583,11 +587,14 @@
                 mock.Mock(state=ConnectionState.BUSY),
                 lambda event: lines.append(
                     f"{type(event).__name__} "
-                    f"{[f'keep {field.keep}' if isinstance(field, http.Message) else field for field in event[1:]]}"
+                    f"{[f'keep {field.is_reusable}' if isinstance(field, http.Message) else field for field in event[1:]]}"
                 ),
             )
             handler.sock.close()
-            handler.sock, handler.whole = gevent.socket.socket(fileno=ours.detach()), True
+            handler.sock, handler.is_request_written = (
+                gevent.socket.socket(fileno=ours.detach()),
+                True,
+            )
             theirs.sendall(answer(200, b"good") + extra)
             theirs.close()
             handler.read()
@@ -613,7 +620,7 @@
         )
         self.folder = tempfile.TemporaryDirectory()
         self.path = path = os.path.join(self.folder.name, "config.json")
-        self.told = {
+        self.config = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "discovery": agent.address,
@@ -621,7 +628,7 @@
             "settings": SETTINGS,
             "known": known,
         }
-        self.configure(json.dumps(self.told))
+        self.configure(json.dumps(self.config))
         self.node = subprocess.Popen(
             [sys.executable, "-m", "pierglade"],
             stdout=subprocess.PIPE,
@@ -671,16 +678,16 @@
                     message_reader.filled(count)
                 lines.append(
                     f"{data[:20]} {message.status} {len(message.body)} {bytes(message.body[:10])}"
-                    + ("" if message.keep else " close")
+                    + ("" if message.is_reusable else " close")
                 )
                 message_reader.release()
         return lines
 
-    def test_a_new_configuration_moves_discovery(self):
+    def test_reload_moves_discovery(self):
         self.configure("{")
         self.node.send_signal(signal.SIGHUP)
         lines = [line["event"] for line in self.events("config_rejected")[-1:]]
-        self.configure(json.dumps({**self.told, "discovery": self.agent.address}))
+        self.configure(json.dumps({**self.config, "discovery": self.agent.address}))
         self.node.send_signal(signal.SIGHUP)
         lines += [
             f"moved {line['discovery_moved']}" for line in self.events("config_reloaded")[-1:]
@@ -690,7 +697,7 @@
         lines += self.agent.seen + self.ask(b"GET /health/ready HTTP/1.1\r\n%s\r\n" % HOST)
         self.check("net_configured", lines)
 
-    def test_new_settings_are_loaded_and_taken_back_while_clients_ask(self):
+    def test_settings_reload_while_clients_send_requests(self):
         """Guards against requests that are lost or sent twice while settings are reloaded.
 
         Requests are in flight during each reload. Settings that cannot be used change nothing.
@@ -722,7 +729,7 @@
             seen = len(self.backend.seen)
             while len(self.backend.seen) < seen + 3:
                 time.sleep(0.001)
-            self.configure(json.dumps({**self.told, "settings": settings}))
+            self.configure(json.dumps({**self.config, "settings": settings}))
             self.node.send_signal(signal.SIGHUP)
             events = self.events(until)
             lines += [
@@ -740,7 +747,7 @@
         lines.append(f"all answered {good}, each sent once {once}")
         self.check("net_settings", lines)
 
-    def test_a_one_shot_that_is_out_keeps_its_rules_and_both_limits_are_in_use(self):
+    def test_unsafe_request_in_flight_keeps_its_settings(self):
         """Guards against repeating an unsafe request under settings that allow retries.
 
         The settings change while the request is in flight; then its connection is lost. It keeps
@@ -768,7 +775,7 @@
         )
         responses, lines = [], []
         for settings in (before, after):
-            self.configure(json.dumps({**self.told, "settings": settings}))
+            self.configure(json.dumps({**self.config, "settings": settings}))
             self.node.send_signal(signal.SIGHUP)
             lines += [
                 f"{line['event']} {line.get('pending', '')}".strip()
--- a/tests/reconfiguration/test_quota_changes.py
+++ b/tests/reconfiguration/test_quota_changes.py
@@ -24,7 +24,7 @@
     VersionConflictError,
 )
 from tests.proxy import test_sockets as test_net
-from tests.support.scene import Desk, TraceTest, balancer_settings
+from tests.support.scene import StateMachineHarness, TraceTest, balancer_settings
 
 TEXTS = ("a", "}", '{"', "},{", '\\"}', "]", '"},{"name":"x"', "é\u2028", "\\", ",")
 
@@ -66,7 +66,7 @@
 
 
 def quota_delta(before, after):
-    return start.through(quota_changes.steps(before, after))
+    return start.run_to_end(quota_changes.compare_quotas(before, after))
 
 
 class DocumentSteps(unittest.TestCase):
@@ -96,7 +96,7 @@
                 mock.patch.object(document_reader, "CHUNK_BYTES", rng.choice((16, 50, 300))),
                 mock.patch.object(document_reader, "MAX_UNSPLIT_BYTES", 40),
             ):
-                steps, step_count = document_reader.steps(text), 0
+                steps, step_count = document_reader.read_document(text), 0
                 while True:
                     try:
                         next(steps)
@@ -124,7 +124,7 @@
         ):
             for at in range(len(text)):
                 with self.assertRaises(ValueError, msg=text[:at]):
-                    start.through(document_reader.steps(text[:at]))
+                    start.run_to_end(document_reader.read_document(text[:at]))
             for malformed in (
                 text.replace(b"}, {", b"} {", 1),
                 text.replace(b"}, {", b"},, {", 1),
@@ -132,7 +132,7 @@
                 text.replace(b'"name"', b'"n\xff"', 1),
             ):
                 with self.assertRaises(ValueError, msg=malformed):
-                    start.through(document_reader.steps(malformed))
+                    start.run_to_end(document_reader.read_document(malformed))
 
     def test_rows_under_the_same_key_elsewhere_are_not_customers(self):
         """Guards against other rows being taken for customers.
@@ -171,8 +171,8 @@
                     mock.patch.object(document_reader, "CHUNK_BYTES", chunk_bytes),
                     mock.patch.object(document_reader, "MAX_UNSPLIT_BYTES", max_unsplit_bytes),
                 ):
-                    parsed, parsed_quotas = start.through(
-                        document_reader.steps(json.dumps(document, indent=1).encode())
+                    parsed, parsed_quotas = start.run_to_end(
+                        document_reader.read_document(json.dumps(document, indent=1).encode())
                     )
                 remaining = (
                     {**document, "settings": {**document["settings"], "customers": []}}
@@ -187,7 +187,7 @@
             {"known": {"endpoints": [{"name": f"b{n}"} for n in range(5000)]}, "a": 1}
         ).encode()
         self.assertEqual(
-            start.through(document_reader.steps(text, with_known_endpoints=False)),
+            start.run_to_end(document_reader.read_document(text, with_known_endpoints=False)),
             ({"known": {}, "a": 1}, {}),
         )
 
@@ -203,8 +203,10 @@
             ("t", "customers "),
         ):
             with self.assertRaisesRegex(InvalidSettingsError, f"settings.{path}"):
-                start.through(
-                    document_reader.steps(json.dumps({"settings": {"customers": rows}}).encode())
+                start.run_to_end(
+                    document_reader.read_document(
+                        json.dumps({"settings": {"customers": rows}}).encode()
+                    )
                 )
 
 
@@ -227,7 +229,7 @@
                 )
                 table.apply(delta)
                 self.assertEqual(
-                    (table.shares, table.total, len(table)),
+                    (table.quotas, table.total, len(table)),
                     (other, sum(other.values()), len(other)),
                 )
 
@@ -242,43 +244,46 @@
         for delta in (later, QuotaDelta(7, 8, {"a": 9.0})):
             with self.assertRaises(VersionConflictError):
                 table.apply(delta)  # the first delta is lost or delayed
-        self.assertEqual((table.shares, table.version), ({"a": 1.0, "b": 2.0}, 0))
+        self.assertEqual((table.quotas, table.version), ({"a": 1.0, "b": 2.0}, 0))
         table.apply(first)
         with self.assertRaises(VersionConflictError):
             table.apply(first)  # duplicate
         table.apply(later)
-        self.assertEqual((table.shares, table.total, table.version), ({"a": 5.0, "c": 1.0}, 6.0, 2))
+        self.assertEqual((table.quotas, table.total, table.version), ({"a": 5.0, "c": 1.0}, 6.0, 2))
 
     def test_only_tenants_with_traffic_have_state(self):
         """Guards against memory growing with the number of tenants that ever sent a request."""
         table = TenantRegistry({f"t{n}": 1.0 for n in range(50000)})
         for n in range(300):
-            self.assertIs(table.of(f"t{n}", n), table.of(f"t{n}", n))
-        self.assertIsNone(table.of("nobody", 300))
-        one = table.of("t7", 300)
+            self.assertIs(table.tenant(f"t{n}", n), table.tenant(f"t{n}", n))
+        self.assertIsNone(table.tenant("nobody", 300))
+        one = table.tenant("t7", 300)
         one.rate = 5.0
         for now in range(GENERATION_SPAN // 2, 5 * GENERATION_SPAN, GENERATION_SPAN // 2):
-            self.assertIs(table.of("t7", now), one)  # it keeps sending requests
+            self.assertIs(table.tenant("t7", now), one)  # it keeps sending requests
         self.assertEqual([*table.current_generation, *table.previous_generation], ["t7"])
-        self.assertEqual(table.of("t8", now).rate, 0.0)
+        self.assertEqual(table.tenant("t8", now).rate, 0.0)
 
     def test_tenant_state_is_kept_when_quotas_change(self):
         """Guards against rate or slowness being reset, and against changes to accepted requests."""
         table = TenantRegistry({"a": 1.0, "b": 2.0})
-        tenants = [table.of(name, 0) for name in "ab"]
+        tenants = [table.tenant(name, 0) for name in "ab"]
         tenants[0].rate, tenants[1].slowness = 7.0, 3.0
         table.apply(quota_delta(table, {"a": 4.0}))
         self.assertEqual(
-            [(tenant.quota_per_second, tenant.rate) for tenant in (tenants[0], table.of("a", 1))],
+            [
+                (tenant.quota_per_second, tenant.rate)
+                for tenant in (tenants[0], table.tenant("a", 1))
+            ],
             [(1.0, 7.0), (4.0, 7.0)],
         )
-        self.assertIsNone(table.of("b", 1))
+        self.assertIsNone(table.tenant("b", 1))
         later = TenantRegistry({"a": 9.0, "c": 1.0})
-        later.follow(table)
+        later.take_over_state(table)
         self.assertEqual(
             [
                 (tenant.quota_per_second, tenant.rate)
-                for tenant in (table.of("a", 1), later.of("a", 1))
+                for tenant in (table.tenant("a", 1), later.tenant("a", 1))
             ],
             [(4.0, 7.0), (9.0, 7.0)],
         )
@@ -287,16 +292,16 @@
         """Compares the median with one computed from all values within the span."""
         rng = random.Random(5)
         median, recorded, now = RunningMedian(50), {}, 0
-        self.assertIsNone(median.figure(0))
+        self.assertIsNone(median.median(0))
         for _ in range(3000):
             now += rng.randrange(4) if rng.random() < 0.99 else 60
             name, value = rng.randrange(40), rng.choice((1.0, 2.0, rng.random()))
-            median.see(now, name, value)
+            median.add(now, name, value)
             recorded[name] = now, value
             later = now + rng.randrange(3)
             values = sorted(value for at, value in recorded.values() if later - at < 50)
             self.assertEqual(
-                median.figure(later), values[(len(values) - 1) // 2] if values else None
+                median.median(later), values[(len(values) - 1) // 2] if values else None
             )
             now = later
 
@@ -305,14 +310,14 @@
     """The state machine of a node, and requests pending from before a change."""
 
     def setUp(self):
-        self.desk = Desk(tenants=TenantRegistry({"north": 20.0, "south": 500.0}))
-        self.reducer = self.desk.reducer
-        self.reducer.reconfiguration.raw_settings = {"customers": []}
-        self.first = self.reducer.balancers.current
+        self.harness = StateMachineHarness(tenants=TenantRegistry({"north": 20.0, "south": 500.0}))
+        self.state_machine = self.harness.state_machine
+        self.state_machine.reconfiguration.raw_settings = {"customers": []}
+        self.first = self.state_machine.balancers.current
 
     def configure(self, quotas, settings=None, delta=None, **changed):
-        table = self.reducer.balancers.settings.tenants
-        self.desk.tell(
+        table = self.state_machine.balancers.settings.tenants
+        self.harness.handle_event(
             ConfigurationLoaded(
                 "",
                 {"settings": settings or {"customers": []}},
@@ -322,8 +327,8 @@
         )
 
     def send_request(self, name, tenant, path="/look"):
-        self.desk.ask(name, path, headers=f"X-Customer: {tenant}\r\n")
-        return self.desk.clients[name].request
+        self.harness.send_request(name, path, headers=f"X-Customer: {tenant}\r\n")
+        return self.harness.clients[name].request
 
     def test_one_quota_changes(self):
         """Guards against a changed quota resetting the balancer.
@@ -338,7 +343,7 @@
             [before.tenant.quota_per_second, after.tenant.quota_per_second], [20.0, 5.0]
         )
         self.assertEqual(
-            [before.owner, after.owner, self.reducer.balancers.earlier],
+            [before.owner, after.owner, self.state_machine.balancers.earlier],
             [self.first, self.first, []],
         )
         self.assertEqual(
@@ -360,7 +365,7 @@
             {each.tenant and each.tenant.quota_per_second for each in earlier}, {500.0}
         )
         self.assertEqual({each.tenant for each in later}, {None})
-        self.desk.after(2000)
+        self.harness.after(2000)
         self.assertEqual({each.completed for each in earlier + later}, {True})
 
     def test_successive_changes_back_to_the_first_quotas(self):
@@ -371,38 +376,46 @@
             {"north": 20.0, "south": 500.0},
         ):
             self.configure(quotas)
-            self.assertEqual(self.reducer.balancers.settings.tenants.shares, quotas)
+            self.assertEqual(self.state_machine.balancers.settings.tenants.quotas, quotas)
         self.assertEqual(
-            (self.reducer.balancers.settings.tenants.version, self.reducer.balancers.current),
+            (
+                self.state_machine.balancers.settings.tenants.version,
+                self.state_machine.balancers.current,
+            ),
             (3, self.first),
         )
         self.configure({"north": 20.0, "south": 500.0})  # duplicate: nothing changes
         self.assertEqual(
-            (self.reducer.balancers.settings.tenants.version, self.reducer.balancers.current),
+            (
+                self.state_machine.balancers.settings.tenants.version,
+                self.state_machine.balancers.current,
+            ),
             (3, self.first),
         )
 
     def test_stale_delta_is_replaced_by_all_settings(self):
         """Guards against a delta for another version being partly applied, or lost."""
-        stale = quota_delta(self.reducer.balancers.settings.tenants, {"north": 5.0, "south": 500.0})
+        stale = quota_delta(
+            self.state_machine.balancers.settings.tenants, {"north": 5.0, "south": 500.0}
+        )
         self.configure({"north": 6.0, "south": 500.0})
         self.configure({"north": 5.0, "south": 7.0, "west": 1.0}, delta=stale)
         self.assertEqual(
-            self.reducer.balancers.settings.tenants.shares,
+            self.state_machine.balancers.settings.tenants.quotas,
             {"north": 5.0, "south": 7.0, "west": 1.0},
         )
-        self.assertIsNot(self.reducer.balancers.current, self.first)
+        self.assertIsNot(self.state_machine.balancers.current, self.first)
 
     def test_first_and_last_quota_replace_the_balancer(self):
         """Guards against a limit that was learned with quotas being used without, or vice versa."""
         self.configure({})
-        self.assertIsNot(self.reducer.balancers.current, self.first)
-        self.assertFalse(self.reducer.balancers.current.rotation.has_quotas)
-        second = self.reducer.balancers.current
+        self.assertIsNot(self.state_machine.balancers.current, self.first)
+        self.assertFalse(self.state_machine.balancers.current.rotation.has_quotas)
+        second = self.state_machine.balancers.current
         self.configure({"north": 0.0})  # a tenant without a quota changes nothing
-        self.assertIs(self.reducer.balancers.current, second)
+        self.assertIs(self.state_machine.balancers.current, second)
         self.configure({"north": 3.0})
-        self.assertTrue(self.reducer.balancers.current.rotation.has_quotas)
+        self.assertTrue(self.state_machine.balancers.current.rotation.has_quotas)
 
     def test_settings_and_quotas_change_together(self):
         """Guards against rates of tenants being lost when a change replaces the balancer.
@@ -412,8 +425,10 @@
         before = self.send_request("c0", "north", "/pay")
         self.configure({"north": 5.0}, {"customers": [], "more": 1}, max_attempts=1)
         after = self.send_request("c1", "north")
-        self.assertEqual([before.owner, after.owner], [self.first, self.reducer.balancers.current])
-        self.assertIsNot(self.first, self.reducer.balancers.current)
+        self.assertEqual(
+            [before.owner, after.owner], [self.first, self.state_machine.balancers.current]
+        )
+        self.assertIsNot(self.first, self.state_machine.balancers.current)
         self.assertEqual([after.tenant.quota_per_second, after.tenant.rate], [5.0, 2.0])
 
 
@@ -429,7 +444,7 @@
         rows = [
             {"name": f"tenant-{n}", "quotaPerS": quotas.get(f"t{n}", 3)} for n in range(self.COUNT)
         ]
-        text = json.dumps({**self.told, "settings": {**test_net.SETTINGS, "customers": rows}})
+        text = json.dumps({**self.config, "settings": {**test_net.SETTINGS, "customers": rows}})
         with tempfile.NamedTemporaryFile("w", dir=self.folder.name, delete=False) as file:
             file.write(text)
         os.replace(file.name, self.path)
@@ -515,7 +530,7 @@
         with mock.patch.dict(os.environ, {"BALANCER_CONFIG": self.path}):
             config = start.config_from_environ(os.environ)
         self.assertEqual(
-            (config.settings.tenants.shares["tenant-7"], len(config.settings.tenants)),
+            (config.settings.tenants.quotas["tenant-7"], len(config.settings.tenants)),
             (4.0, self.COUNT),
         )
         self.assertEqual(config.document["settings"]["customers"], [])
@@ -536,11 +551,11 @@
         }
         received = []
         client = DiscoveryClient(
-            "127.0.0.1:1", mock.Mock(tell=lambda event: received.append(event.document))
+            "127.0.0.1:1", mock.Mock(handle_event=lambda event: received.append(event.document))
         )
-        client._tell(json.dumps(document).encode())
+        client._report(json.dumps(document).encode())
         self.assertEqual(received, [document])
         gevent.spawn(client.stop)  # runs after the current step
         with self.assertRaises(DiscoveryUnavailableError):
-            client._tell(json.dumps(document).encode())
+            client._report(json.dumps(document).encode())
         self.assertEqual(received, [document])
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -25,7 +25,7 @@
 from pierglade.scale.fit import fit
 from pierglade.scale.hollow import WatchOnlyNode
 from pierglade.scale.report import fits
-from tests.cli.test_cli import started
+from tests.cli.test_cli import start_command
 from tests.support.scene import TraceTest
 
 ROOT = pathlib.Path(__file__).parents[2]
@@ -176,7 +176,7 @@
         endpoints = [
             {"name": name, "status": status, "since_ms": 0} for name, status in statuses.items()
         ]
-        self.node.tell(
+        self.node.handle_event(
             EndpointsUpdated({"index": index, "snapshot": is_snapshot, "endpoints": endpoints})
         )
 
@@ -278,18 +278,21 @@
         self.assertEqual(resource_guard.take_peaks(), {"a": 30.0, "b": 40.0})
         processes.append(("c", 3))
         with self.assertRaisesRegex(
-            guard.Over, "the run used 120 MB, at most 100 MB are allowed; it was stopped"
+            guard.ResourceLimitError,
+            "the run used 120 MB, at most 100 MB are allowed; it was stopped",
         ):
             resource_guard.check()
         used_mb[3] = 1.0
-        with self.assertRaisesRegex(guard.Over, "the run had 3 processes, at most 2 are allowed"):
+        with self.assertRaisesRegex(
+            guard.ResourceLimitError, "the run had 3 processes, at most 2 are allowed"
+        ):
             resource_guard.check()
 
     def test_processes_of_one_name_count_separately(self):
         """Guards against a process limit that counts names, as a restarted process keeps its name."""
         processes = [("node 0", 1), ("node 0", 2), ("node 0", 3)]
         resource_guard = guard.ResourceGuard(100.0, 2, lambda: processes, lambda pid: 10.0)
-        with self.assertRaises(guard.Over):
+        with self.assertRaises(guard.ResourceLimitError):
             resource_guard.check()
 
     def test_cpu_time_and_wait_of_a_process(self):
@@ -355,7 +358,7 @@
             env = {**os.environ, "PIERGLADE_TEST": mark, "TMPDIR": os.path.join(folder, "tmp")}
             if case == "it takes more than it may":
                 env["PYTHONPATH"] = self.underestimating_path(folder)
-            run = started("scale", path, env=env, cwd=ROOT)
+            run = start_command("scale", path, env=env, cwd=ROOT)
             try:
                 if case == "a hollow process dies":
                     self.hollow_process_of(run).kill()
