--- a/tests/snapshot/test_handover.py
+++ b/tests/snapshot/test_handover.py
@@ -47,8 +47,15 @@
 from pierglade.proxy.state.events import ConfigurationLoaded
 from pierglade.snapshot.handover import take_over
 from pierglade.tenants.registry import RunningMedian, TenantRegistry
-from tests.proxy.test_large_endpoint_lists import fleet, least
-from tests.support.scene import MS, Desk, Scene, balancer_settings, entry, listed
+from tests.proxy.test_large_endpoint_lists import fleet, min_cpu_seconds
+from tests.support.scene import (
+    MS,
+    BalancerHarness,
+    StateMachineHarness,
+    balancer_settings,
+    entry,
+    listed,
+)
 
 PARTS = (
     Dispatch,
@@ -76,20 +83,20 @@
 )
 
 
-def replace_balancer(scene, **settings):
+def replace_balancer(balancer_harness, **settings):
     """Replaces the scene's balancer by one with other settings; returns the earlier one."""
-    before, scene.settings = scene.node, balancer_settings(**settings)
-    scene.node = Balancer(4, scene.settings, scene.now, before)
-    take_over(scene.node, before, scene.now)
+    before, balancer_harness.settings = balancer_harness.node, balancer_settings(**settings)
+    balancer_harness.node = Balancer(4, balancer_harness.settings, balancer_harness.now, before)
+    take_over(balancer_harness.node, before, balancer_harness.now)
     return before
 
 
-def learn_pauses(scene):
+def learn_pauses(balancer_harness):
     for _ in range(4):
-        scene.flow(60)
-        scene.flow(6, slow=("b1",))
-        scene.after(200)
-    scene.flow(20)
+        balancer_harness.flow(60)
+        balancer_harness.flow(6, slow=("b1",))
+        balancer_harness.after(200)
+    balancer_harness.flow(20)
 
 
 def unshared_fields(part):
@@ -137,33 +144,33 @@
         for dead, slow in (((), ()), (("b3",), ("b2",))):
             lines = []
             for is_replaced in (False, True):
-                scene = Scene(["b0", "b1", "b2", "b3"], dead=dead)
-                learn_pauses(scene)
-                scene.lines = []
+                balancer_harness = BalancerHarness(["b0", "b1", "b2", "b3"], dead=dead)
+                learn_pauses(balancer_harness)
+                balancer_harness.lines = []
                 for n in range(3):
                     if is_replaced:
-                        replace_balancer(scene, max_retry_after=n * MS)
-                    scene.flow(25, slow=slow, slow_took=70)
-                    scene.after(300)
-                    node = scene.node
+                        replace_balancer(balancer_harness, max_retry_after=n * MS)
+                    balancer_harness.flow(25, slow=slow, slow_took=70)
+                    balancer_harness.after(300)
+                    node = balancer_harness.node
                     for name, backend in node.endpoints.index.items():
-                        scene.say(
+                        balancer_harness.record(
                             f"{name} {node.outliers.latency_level[backend]:.6f} {node.pause_forecast.next_pause_at[backend]} {node.ejections.reason[backend]}"
                         )
-                lines.append(scene.lines)
+                lines.append(balancer_harness.lines)
             self.assertEqual(*lines)
 
     def test_all_state_is_copied(self):
         """Guards against a field that the successor leaves at its initial value."""
-        scene = Scene(["b0", "b1", "b2"])
-        learn_pauses(scene)
-        before = replace_balancer(scene, worst_class_weight=0.5)
-        node = scene.node
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"])
+        learn_pauses(balancer_harness)
+        before = replace_balancer(balancer_harness, worst_class_weight=0.5)
+        node = balancer_harness.node
         for name in ejections.INITIAL:
             self.assertEqual(getattr(node.ejections, name), getattr(before.ejections, name), name)
         for name in outlier_detection.INITIAL:
             self.assertEqual(getattr(node.outliers, name), getattr(before.outliers, name), name)
-        self.assertEqual(node.selection.turn_share, before.selection.turn_share)
+        self.assertEqual(node.selection.accumulated_weight, before.selection.accumulated_weight)
         for name in pause_forecast.INITIAL:
             self.assertEqual(
                 getattr(node.pause_forecast, name), getattr(before.pause_forecast, name), name
@@ -190,8 +197,8 @@
             [vars(row) for row in before.request_stats.classes],
         )
         self.assertEqual(
-            (node.limit.each, node.limit.base, node.limit.answers, node.limit.in_flight),
-            (before.limit.each, before.limit.base, before.limit.answers, 0),
+            (node.limit.per_backend, node.limit.base, node.limit.answers, node.limit.in_flight),
+            (before.limit.per_backend, before.limit.base, before.limit.answers, 0),
         )
         self.assertEqual(
             (node.rotation.subset, node.rotation.by_rank, node.rotation.anchor),
@@ -216,36 +223,42 @@
 
     def test_no_mutable_state_is_shared(self):
         """Both balancers run side by side; only the times of retries are shared, on purpose."""
-        scene = Scene(["b0", "b1", "b2"], tenants=TenantRegistry({"north": 20.0}))
-        learn_pauses(scene)
-        tenant = scene.settings.tenants.of("north")
+        balancer_harness = BalancerHarness(
+            ["b0", "b1", "b2"], tenants=TenantRegistry({"north": 20.0})
+        )
+        learn_pauses(balancer_harness)
+        tenant = balancer_harness.settings.tenants.tenant("north")
         for n in range(6):
-            scene.take(f"i{n}", tenant=tenant)
-            scene.after(20)
-            scene.end(f"i{n}")
-        scene.take("out")
-        scene.list([listed("b2", EndpointState.REMOVED)])
-        before = replace_balancer(scene, max_retry_after=1)
-        shared = mutable_state(before).keys() & mutable_state(scene.node).keys()
+            balancer_harness.take(f"i{n}", tenant=tenant)
+            balancer_harness.after(20)
+            balancer_harness.end(f"i{n}")
+        balancer_harness.take("out")
+        balancer_harness.list([listed("b2", EndpointState.REMOVED)])
+        before = replace_balancer(balancer_harness, max_retry_after=1)
+        shared = mutable_state(before).keys() & mutable_state(balancer_harness.node).keys()
         self.assertEqual([mutable_state(before)[key] for key in shared], [])
-        self.assertIs(before.retry_budget.sent_at, scene.node.retry_budget.sent_at)
+        self.assertIs(before.retry_budget.sent_at, balancer_harness.node.retry_budget.sent_at)
 
     def test_the_earlier_balancer_learns_separately(self):
         """Responses to attempts of the earlier balancer change only its own statistics, and vice versa."""
-        scene = Scene(["b0", "b1"])
-        scene.flow(40)
-        pending = [scene.take(f"i{n}") for n in range(2)]
-        before = replace_balancer(scene, max_retry_after=1)
+        balancer_harness = BalancerHarness(["b0", "b1"])
+        balancer_harness.flow(40)
+        pending = [balancer_harness.take(f"i{n}") for n in range(2)]
+        before = replace_balancer(balancer_harness, max_retry_after=1)
         node, statistics = (
-            scene.node,
+            balancer_harness.node,
             [
-                list(map(len, scene.node.pause_forecast.samples)),
-                list(scene.node.outliers.latency_level),
+                list(map(len, balancer_harness.node.pause_forecast.samples)),
+                list(balancer_harness.node.outliers.latency_level),
             ],
         )
         for request in pending:
             before.attempt_ended(
-                scene.now + 300 * MS, request.attempts[0], Outcome.SUCCESS, 300 * MS, True
+                balancer_harness.now + 300 * MS,
+                request.attempts[0],
+                Outcome.SUCCESS,
+                300 * MS,
+                True,
             )
         self.assertEqual(
             [list(map(len, node.pause_forecast.samples)), list(node.outliers.latency_level)],
@@ -256,7 +269,7 @@
             list(map(len, before.pause_forecast.samples)),
         )
         learned = list(before.outliers.latency_level)
-        scene.flow(10)
+        balancer_harness.flow(10)
         self.assertEqual(list(before.outliers.latency_level), learned)
         self.assertEqual(
             (before.limit.in_flight, before.ejections.in_flight, node.limit.in_flight), (0, {}, 0)
@@ -266,105 +279,117 @@
         """The successor sends no requests to an ejected backend before a trial request succeeds."""
         for reason in (FAILING, UNRESPONSIVE):
             with self.subTest(reason):
-                scene = Scene(["b0", "b1", "b2"], dead=("b1",))
-                scene.flow(30)
-                backend = scene.node.endpoints.index["b1"]
+                balancer_harness = BalancerHarness(["b0", "b1", "b2"], dead=("b1",))
+                balancer_harness.flow(30)
+                backend = balancer_harness.node.endpoints.index["b1"]
                 if reason is FAILING:
-                    while scene.node.ejections.reason[backend] is None:
-                        request = scene.take("i")
+                    while balancer_harness.node.ejections.reason[backend] is None:
+                        request = balancer_harness.take("i")
                         at_b1 = request.attempts and request.attempts[-1].backend == backend
-                        scene.after(5)
-                        scene.end("i", Outcome.SERVER_ERROR if at_b1 else Outcome.SUCCESS)
+                        balancer_harness.after(5)
+                        balancer_harness.end(
+                            "i", Outcome.SERVER_ERROR if at_b1 else Outcome.SUCCESS
+                        )
                 else:
                     while not [
                         attempt
-                        for attempt in scene.take("i").attempts
+                        for attempt in balancer_harness.take("i").attempts
                         if attempt.backend == backend
                     ]:
-                        scene.after(5)
-                        scene.end("i")
-                    scene.after(950)
-                self.assertIs(scene.node.ejections.reason[backend], reason)
-                before = replace_balancer(scene, max_retry_after=1)
-                self.assertIs(scene.node.ejections.reason[backend], reason)
-                scene.lines = []
-                scene.flow(20)
-                self.assertNotIn(" b1", scene.lines[-1])
-                scene.dead = ()
-                scene.lines = []
+                        balancer_harness.after(5)
+                        balancer_harness.end("i")
+                    balancer_harness.after(950)
+                self.assertIs(balancer_harness.node.ejections.reason[backend], reason)
+                before = replace_balancer(balancer_harness, max_retry_after=1)
+                self.assertIs(balancer_harness.node.ejections.reason[backend], reason)
+                balancer_harness.lines = []
+                balancer_harness.flow(20)
+                self.assertNotIn(" b1", balancer_harness.lines[-1])
+                balancer_harness.dead = ()
+                balancer_harness.lines = []
                 for _ in range(30):
-                    if not scene.node.ejections.reason[backend]:
+                    if not balancer_harness.node.ejections.reason[backend]:
                         break
-                    scene.take("t")
-                    scene.after(150)
-                    if scene.requests["t"].attempts[-1].outcome is None:
-                        scene.end("t")
-                self.assertIsNone(scene.node.ejections.reason[backend])
-                self.assertTrue(any("as a trial" in line for line in scene.lines))
-                self.assertEqual(scene.node.ejections.trials_in_flight[backend], 0)
+                    balancer_harness.take("t")
+                    balancer_harness.after(150)
+                    if balancer_harness.requests["t"].attempts[-1].outcome is None:
+                        balancer_harness.end("t")
+                self.assertIsNone(balancer_harness.node.ejections.reason[backend])
+                self.assertTrue(any("as a trial" in line for line in balancer_harness.lines))
+                self.assertEqual(balancer_harness.node.ejections.trials_in_flight[backend], 0)
                 self.assertIs(before.ejections.reason[backend], reason)
 
     def test_a_trial_in_flight_at_the_earlier_balancer(self):
         """The successor does not wait for it; its own trial is sent when it is due."""
-        scene = Scene(["b0", "b1"], may_check_health=False)
-        scene.flow(30)
-        node, backend = scene.node, scene.node.endpoints.index["b1"]
-        node.outliers.eject(backend, FAILING, scene.now)
-        scene.after(160)
-        while not (trial := scene.take("t")).attempts[-1].is_trial:
-            scene.after(5)
-            scene.end("t")
+        balancer_harness = BalancerHarness(["b0", "b1"], may_check_health=False)
+        balancer_harness.flow(30)
+        node, backend = balancer_harness.node, balancer_harness.node.endpoints.index["b1"]
+        node.outliers.eject(backend, FAILING, balancer_harness.now)
+        balancer_harness.after(160)
+        while not (trial := balancer_harness.take("t")).attempts[-1].is_trial:
+            balancer_harness.after(5)
+            balancer_harness.end("t")
         self.assertEqual(node.ejections.trials_in_flight[backend], 1)
-        before = replace_balancer(scene, max_retry_after=1)
+        before = replace_balancer(balancer_harness, max_retry_after=1)
         self.assertEqual(
             (
-                scene.node.ejections.trials_in_flight[backend],
-                scene.node.ejections.trial_due[backend],
+                balancer_harness.node.ejections.trials_in_flight[backend],
+                balancer_harness.node.ejections.trial_due[backend],
             ),
             (0, False),
         )
-        scene.after(1000)
-        self.assertTrue(scene.node.ejections.trial_due[backend])
-        before.attempt_ended(scene.now, trial.attempts[0], Outcome.SUCCESS, 20 * MS, True)
+        balancer_harness.after(1000)
+        self.assertTrue(balancer_harness.node.ejections.trial_due[backend])
+        before.attempt_ended(
+            balancer_harness.now, trial.attempts[0], Outcome.SUCCESS, 20 * MS, True
+        )
         self.assertEqual(
             (
                 before.ejections.trials_in_flight[backend],
-                scene.node.ejections.trials_in_flight[backend],
+                balancer_harness.node.ejections.trials_in_flight[backend],
             ),
             (0, 0),
         )
 
     def test_ejections_of_slow_backends_expire(self):
         """A copied ejection for slowness is counted, and ends at its time."""
-        scene = Scene(["b0", "b1", "b2"])
-        scene.flow(60)
-        backend = scene.node.endpoints.index["b1"]
-        scene.node.outliers.eject(backend, SLOW, scene.now)
-        replace_balancer(scene, max_retry_after=1)
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"])
+        balancer_harness.flow(60)
+        backend = balancer_harness.node.endpoints.index["b1"]
+        balancer_harness.node.outliers.eject(backend, SLOW, balancer_harness.now)
+        replace_balancer(balancer_harness, max_retry_after=1)
         self.assertEqual(
-            (scene.node.ejections.slow_count, list(scene.node.ejections.ejected)), (1, [backend])
+            (
+                balancer_harness.node.ejections.slow_count,
+                list(balancer_harness.node.ejections.ejected),
+            ),
+            (1, [backend]),
         )
-        scene.after(6000)
+        balancer_harness.after(6000)
         self.assertEqual(
             (
-                scene.node.ejections.slow_count,
-                scene.node.ejections.ejected,
-                scene.node.ejections.reason[backend],
+                balancer_harness.node.ejections.slow_count,
+                balancer_harness.node.ejections.ejected,
+                balancer_harness.node.ejections.reason[backend],
             ),
             (0, {}, None),
         )
 
     def test_returning_to_earlier_settings(self):
         """The state comes from the last balancer, not from the one that had these settings before."""
-        scene = Scene(["b0", "b1", "b2"])
-        learn_pauses(scene)
-        first = scene.node
-        replace_balancer(scene, max_attempts=1)
-        scene.flow(20, slow=("b2",), slow_took=30)
-        second = replace_balancer(scene)
-        self.assertEqual(scene.node.outliers.latency_level, second.outliers.latency_level)
-        self.assertNotEqual(scene.node.outliers.latency_level, first.outliers.latency_level)
-        self.assertEqual(scene.node.pause_forecast.pauses, second.pause_forecast.pauses)
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"])
+        learn_pauses(balancer_harness)
+        first = balancer_harness.node
+        replace_balancer(balancer_harness, max_attempts=1)
+        balancer_harness.flow(20, slow=("b2",), slow_took=30)
+        second = replace_balancer(balancer_harness)
+        self.assertEqual(
+            balancer_harness.node.outliers.latency_level, second.outliers.latency_level
+        )
+        self.assertNotEqual(
+            balancer_harness.node.outliers.latency_level, first.outliers.latency_level
+        )
+        self.assertEqual(balancer_harness.node.pause_forecast.pauses, second.pause_forecast.pauses)
         self.assertGreaterEqual(
             min(map(len, filter(None, second.pause_forecast.pauses))),
             min(map(len, filter(None, first.pause_forecast.pauses))),
@@ -373,24 +398,24 @@
 
 class RequestClassesTest(unittest.TestCase):
     def learned_scene(self):
-        scene = Scene(["b0", "b1", "b2"])
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"])
         for n in range(60):
-            scene.take(f"i{n}", request_class=n % 3)
-            scene.after((20, 30, 60)[n % 3])
-            scene.end(f"i{n}")
-        return scene
+            balancer_harness.take(f"i{n}", request_class=n % 3)
+            balancer_harness.after((20, 30, 60)[n % 3])
+            balancer_harness.end(f"i{n}")
+        return balancer_harness
 
     def test_classes_are_matched_by_name(self):
         """Classes are reordered, added and removed: each keeps its own statistics; a new one starts fresh."""
-        scene = self.learned_scene()
-        look, _, pay = scene.settings.request_classes
+        balancer_harness = self.learned_scene()
+        look, _, pay = balancer_harness.settings.request_classes
         request_classes = [
             replace(pay, index=0),
             RequestClass(1, "new", Idempotency.SAFE, "all", 0, 800 * MS, 1000 * MS, 1.0),
             replace(look, index=2),
         ]
-        before = replace_balancer(scene, request_classes=request_classes)
-        node = scene.node
+        before = replace_balancer(balancer_harness, request_classes=request_classes)
+        node = balancer_harness.node
         self.assertEqual(
             [row.typical for row in node.request_stats.classes],
             [
@@ -417,21 +442,21 @@
             [58, 60],
         )
         for n in range(30):
-            scene.take(f"j{n}", request_class=n % 3)
-            scene.after(20)
-            scene.end(f"j{n}")
+            balancer_harness.take(f"j{n}", request_class=n % 3)
+            balancer_harness.after(20)
+            balancer_harness.end(f"j{n}")
         self.assertGreater(node.limit.answers[1], 5)
 
     def test_a_new_idempotency_counts_as_received(self):
         """An idempotency that returns to the settings counts as just received, so that it is not ignored."""
-        scene = self.learned_scene()
-        request_classes = scene.settings.request_classes
-        replace_balancer(scene, request_classes=request_classes[:1])
-        scene.flow(150)
-        replace_balancer(scene, request_classes=request_classes)
+        balancer_harness = self.learned_scene()
+        request_classes = balancer_harness.settings.request_classes
+        replace_balancer(balancer_harness, request_classes=request_classes[:1])
+        balancer_harness.flow(150)
+        replace_balancer(balancer_harness, request_classes=request_classes)
         self.assertEqual(
             [
-                scene.node.request_stats.last_received[kind]
+                balancer_harness.node.request_stats.last_received[kind]
                 for kind in (Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)
             ],
             [210] * 3,
@@ -439,28 +464,36 @@
 
     def test_fewer_classes_during_a_probing_round(self):
         """Attempts in flight of a removed class end at the earlier balancer; the successor goes on."""
-        scene = self.learned_scene()
+        balancer_harness = self.learned_scene()
         for n in range(3):
-            scene.take(f"out{n}", request_class=2)
-        before = replace_balancer(scene, request_classes=scene.settings.request_classes[:1])
-        self.assertEqual((scene.node.limit.missing, scene.node.limit.in_flight), ([0], 0))
+            balancer_harness.take(f"out{n}", request_class=2)
+        before = replace_balancer(
+            balancer_harness, request_classes=balancer_harness.settings.request_classes[:1]
+        )
+        self.assertEqual(
+            (balancer_harness.node.limit.missing, balancer_harness.node.limit.in_flight), ([0], 0)
+        )
         for n in range(3):
             before.attempt_ended(
-                scene.now, scene.requests[f"out{n}"].attempts[0], Outcome.SUCCESS, 10, True
+                balancer_harness.now,
+                balancer_harness.requests[f"out{n}"].attempts[0],
+                Outcome.SUCCESS,
+                10,
+                True,
             )
         self.assertEqual(before.limit.in_flight, 0)
-        scene.flow(30)
+        balancer_harness.flow(30)
 
     def test_no_class_remains(self):
         """Without a common class the concurrency limit starts anew."""
-        scene = self.learned_scene()
+        balancer_harness = self.learned_scene()
         replace_balancer(
-            scene,
+            balancer_harness,
             request_classes=[
                 RequestClass(0, "new", Idempotency.KEYED, "all", 0, 400 * MS, 1000 * MS, 1.0)
             ],
         )
-        node = scene.node
+        node = balancer_harness.node
         self.assertEqual(
             (node.limit.base, node.limit.answers, node.request_stats.classes[0].answers),
             ([0.0], [0], 2),
@@ -468,30 +501,32 @@
         self.assertGreater(
             node.request_stats.last_received[Idempotency.KEYED], node.request_stats.received - 100
         )
-        scene.flow(10)
+        balancer_harness.flow(10)
 
     def test_another_request_timeout_resets_the_usual_time(self):
         """The usual time budget of first attempts depends on the request timeout of their class."""
-        scene = self.learned_scene()
+        balancer_harness = self.learned_scene()
         request_classes = [
             replace(row, request_timeout=2000 * MS if row.index == 0 else row.request_timeout)
-            for row in scene.settings.request_classes
+            for row in balancer_harness.settings.request_classes
         ]
-        before = replace_balancer(scene, request_classes=request_classes)
+        before = replace_balancer(balancer_harness, request_classes=request_classes)
         self.assertEqual(
-            [row.usual_left for row in scene.node.request_stats.classes],
+            [row.usual_left for row in balancer_harness.node.request_stats.classes],
             [0, *(row.usual_left for row in before.request_stats.classes[1:])],
         )
 
     def test_a_class_without_responses_follows_its_objective(self):
         """Without responses the typical latency is the assumption for the new latency objective."""
-        scene = Scene(["b0"])
+        balancer_harness = BalancerHarness(["b0"])
         request_classes = [
-            replace(row, latency_objective=800 * MS) for row in scene.settings.request_classes
+            replace(row, latency_objective=800 * MS)
+            for row in balancer_harness.settings.request_classes
         ]
-        replace_balancer(scene, request_classes=request_classes)
+        replace_balancer(balancer_harness, request_classes=request_classes)
         self.assertEqual(
-            {row.typical for row in scene.node.request_stats.classes}, {INITIAL_LATENCY * 800 * MS}
+            {row.typical for row in balancer_harness.node.request_stats.classes},
+            {INITIAL_LATENCY * 800 * MS},
         )
 
 
@@ -502,55 +537,69 @@
         """With another node number or count, the subset and the concurrency limit start anew."""
         names = [f"b{n}" for n in range(100)]
         tenants = TenantRegistry({"north": 200.0})
-        scene = Scene(names, node_count=10, node_number=0, tenants=tenants)
-        scene.flow(60)
+        balancer_harness = BalancerHarness(names, node_count=10, node_number=0, tenants=tenants)
+        balancer_harness.flow(60)
         for settings in (dict(node_count=10, node_number=5), dict(node_count=20, node_number=5)):
-            before = replace_balancer(scene, tenants=tenants, **settings)
-            fresh = Scene(names, tenants=tenants, **settings).node
+            before = replace_balancer(balancer_harness, tenants=tenants, **settings)
+            fresh = BalancerHarness(names, tenants=tenants, **settings).node
             # The subset is even at once; changing one backend at a time would take minutes.
             self.assertEqual(
-                set(scene.node.endpoints.names[backend] for backend in scene.node.rotation.subset),
+                set(
+                    balancer_harness.node.endpoints.names[backend]
+                    for backend in balancer_harness.node.rotation.subset
+                ),
                 set(fresh.endpoints.names[backend] for backend in fresh.rotation.subset),
             )
-            self.assertEqual(scene.node.limit.nodes, settings["node_count"])
+            self.assertEqual(balancer_harness.node.limit.nodes, settings["node_count"])
             self.assertEqual(
-                scene.node.limit.answers == before.limit.answers,
+                balancer_harness.node.limit.answers == before.limit.answers,
                 settings["node_count"] == before.settings.node_count,
             )
-            self.assertEqual(scene.node.outliers.latency_level, before.outliers.latency_level)
+            self.assertEqual(
+                balancer_harness.node.outliers.latency_level, before.outliers.latency_level
+            )
 
     def test_an_uneven_subset_is_copied_as_it_is(self):
         """In the same position the successor continues the gradual change of the subset."""
         tenants = TenantRegistry({"north": 200.0})
-        scene = Scene([f"b{n}" for n in range(100)], node_count=10, node_number=5, tenants=tenants)
-        scene.after(100)
-        scene.list([listed(f"b{n}", EndpointState.REMOVED) for n in range(30)])
-        subset = list(scene.node.rotation.subset)
-        replace_balancer(scene, node_count=10, node_number=5, tenants=tenants, max_retry_after=1)
-        self.assertEqual(scene.node.rotation.subset, subset)
-        scene.after(30000)
-        fresh = Scene(
+        balancer_harness = BalancerHarness(
+            [f"b{n}" for n in range(100)], node_count=10, node_number=5, tenants=tenants
+        )
+        balancer_harness.after(100)
+        balancer_harness.list([listed(f"b{n}", EndpointState.REMOVED) for n in range(30)])
+        subset = list(balancer_harness.node.rotation.subset)
+        replace_balancer(
+            balancer_harness, node_count=10, node_number=5, tenants=tenants, max_retry_after=1
+        )
+        self.assertEqual(balancer_harness.node.rotation.subset, subset)
+        balancer_harness.after(30000)
+        fresh = BalancerHarness(
             [f"b{n}" for n in range(30, 100)], node_count=10, node_number=5, tenants=tenants
         ).node
         self.assertNotEqual(
-            [scene.node.endpoints.names[backend] for backend in subset],
+            [balancer_harness.node.endpoints.names[backend] for backend in subset],
             [fresh.endpoints.names[backend] for backend in fresh.rotation.subset],
         )
 
     def test_other_quotas_only_resize_the_subset(self):
         """Doubled quotas double the subset and the demand; the concurrency limit keeps its responses."""
         names = [f"b{n}" for n in range(100)]
-        scene = Scene(names, node_count=10, node_number=3, tenants=TenantRegistry({"north": 200.0}))
-        scene.flow(60)
+        balancer_harness = BalancerHarness(
+            names, node_count=10, node_number=3, tenants=TenantRegistry({"north": 200.0})
+        )
+        balancer_harness.flow(60)
         before = replace_balancer(
-            scene, node_count=10, node_number=3, tenants=TenantRegistry({"north": 400.0})
+            balancer_harness, node_count=10, node_number=3, tenants=TenantRegistry({"north": 400.0})
         )
         self.assertEqual(
-            scene.node.rotation.subset[: len(before.rotation.subset)], before.rotation.subset
+            balancer_harness.node.rotation.subset[: len(before.rotation.subset)],
+            before.rotation.subset,
         )
-        self.assertEqual(len(scene.node.rotation.subset), 2 * len(before.rotation.subset))
         self.assertEqual(
-            (scene.node.limit.demand, scene.node.limit.answers),
+            len(balancer_harness.node.rotation.subset), 2 * len(before.rotation.subset)
+        )
+        self.assertEqual(
+            (balancer_harness.node.limit.demand, balancer_harness.node.limit.answers),
             (2 * before.limit.demand, before.limit.answers),
         )
 
@@ -561,34 +610,44 @@
             node_count=70, tenants=TenantRegistry(), load_report_source=LoadReportSource.RESPONSES
         )
         quotas = dict(node_count=70, tenants=TenantRegistry({"north": 500.0}))
-        scene = Scene(names, **quotas)
-        scene.flow(60)
-        level = list(scene.node.outliers.latency_level)
-        before = replace_balancer(scene, **learned_share)
-        fresh = Scene(names, **learned_share).node
+        balancer_harness = BalancerHarness(names, **quotas)
+        balancer_harness.flow(60)
+        level = list(balancer_harness.node.outliers.latency_level)
+        before = replace_balancer(balancer_harness, **learned_share)
+        fresh = BalancerHarness(names, **learned_share).node
         self.assertEqual(
-            (scene.node.outliers.latency_level, scene.node.limit.answers), (level, [0, 0, 0])
+            (balancer_harness.node.outliers.latency_level, balancer_harness.node.limit.answers),
+            (level, [0, 0, 0]),
         )
         self.assertEqual(
-            (scene.node.rotation.subset_size, scene.node.rotation.request_rate),
+            (
+                balancer_harness.node.rotation.subset_size,
+                balancer_harness.node.rotation.request_rate,
+            ),
             (fresh.rotation.subset_size, fresh.rotation.request_rate),
         )
-        scene.node.load_reports.traffic_share = 3.0
-        scene.flow(60)
-        before = replace_balancer(scene, max_retry_after=1, **learned_share)
+        balancer_harness.node.load_reports.traffic_share = 3.0
+        balancer_harness.flow(60)
+        before = replace_balancer(balancer_harness, max_retry_after=1, **learned_share)
         self.assertEqual(
             (
-                scene.node.load_reports.traffic_share,
-                scene.node.rotation.subset_size,
-                scene.node.rotation.request_rate,
-                scene.node.limit.each,
+                balancer_harness.node.load_reports.traffic_share,
+                balancer_harness.node.rotation.subset_size,
+                balancer_harness.node.rotation.request_rate,
+                balancer_harness.node.limit.per_backend,
+            ),
+            (
+                3.0,
+                before.rotation.subset_size,
+                before.rotation.request_rate,
+                before.limit.per_backend,
             ),
-            (3.0, before.rotation.subset_size, before.rotation.request_rate, before.limit.each),
         )
-        self.assertGreater(sum(scene.node.limit.answers), 0)
-        replace_balancer(scene, **quotas)
+        self.assertGreater(sum(balancer_harness.node.limit.answers), 0)
+        replace_balancer(balancer_harness, **quotas)
         self.assertEqual(
-            (scene.node.load_reports.traffic_share, scene.node.limit.answers), (1.0, [0, 0, 0])
+            (balancer_harness.node.load_reports.traffic_share, balancer_harness.node.limit.answers),
+            (1.0, [0, 0, 0]),
         )
 
     def test_another_source_of_load_reports(self):
@@ -598,33 +657,46 @@
             tenants=TenantRegistry(),
             load_report_fields=("throughput", "utilization"),
         )
-        scene = Scene(["b0", "b1"], load_report_source=LoadReportSource.RESPONSES, **settings)
+        balancer_harness = BalancerHarness(
+            ["b0", "b1"], load_report_source=LoadReportSource.RESPONSES, **settings
+        )
         for name in ("b0", "b1"):
-            scene.node.load_reported(scene.now, name, LoadReport(throughput=30.0, utilization=0.6))
+            balancer_harness.node.load_reported(
+                balancer_harness.now, name, LoadReport(throughput=30.0, utilization=0.6)
+            )
         before = replace_balancer(
-            scene, max_retry_after=1, load_report_source=LoadReportSource.RESPONSES, **settings
+            balancer_harness,
+            max_retry_after=1,
+            load_report_source=LoadReportSource.RESPONSES,
+            **settings,
         )
         for name in load_reports.INITIAL:
             self.assertEqual(
-                getattr(scene.node.load_reports, name), getattr(before.load_reports, name)
+                getattr(balancer_harness.node.load_reports, name),
+                getattr(before.load_reports, name),
             )
-        replace_balancer(scene, load_report_source=LoadReportSource.HEALTH_CHECKS, **settings)
+        replace_balancer(
+            balancer_harness, load_report_source=LoadReportSource.HEALTH_CHECKS, **settings
+        )
         for name, initial in load_reports.INITIAL.items():
-            self.assertEqual(getattr(scene.node.load_reports, name), [initial] * 2)
+            self.assertEqual(getattr(balancer_harness.node.load_reports, name), [initial] * 2)
 
     def test_slow_start_duration_and_allowance(self):
         """Slow start ends by the new duration; the allowance moves to the successor, not to both."""
-        scene = Scene(["b0", "b1", listed("b2", started=9000 * MS)], slow_start_duration=8000 * MS)
-        backend = scene.node.endpoints.index["b2"]
-        allowance = list(scene.node.slow_start.allowance)
-        before = replace_balancer(scene, slow_start_duration=3000 * MS)
+        balancer_harness = BalancerHarness(
+            ["b0", "b1", listed("b2", started=9000 * MS)], slow_start_duration=8000 * MS
+        )
+        backend = balancer_harness.node.endpoints.index["b2"]
+        allowance = list(balancer_harness.node.slow_start.allowance)
+        before = replace_balancer(balancer_harness, slow_start_duration=3000 * MS)
         self.assertEqual(
-            (scene.node.slow_start.until[backend], before.slow_start.until[backend]),
+            (balancer_harness.node.slow_start.until[backend], before.slow_start.until[backend]),
             (12000 * MS, 17000 * MS),
         )
-        self.assertEqual(scene.node.slow_start.until.count(0), 2)
+        self.assertEqual(balancer_harness.node.slow_start.until.count(0), 2)
         self.assertEqual(
-            (scene.node.slow_start.allowance, before.slow_start.allowance), (allowance, [0.0] * 3)
+            (balancer_harness.node.slow_start.allowance, before.slow_start.allowance),
+            (allowance, [0.0] * 3),
         )
 
     def sent_to_cold_backend(self, every_ms):
@@ -633,38 +705,46 @@
         Settings change every `every_ms`; the pending attempt of the earlier balancer fails then, so
         that it sends another one.
         """
-        scene = Scene(
+        balancer_harness = BalancerHarness(
             ["b0", "b1", "b2", listed("b3", started=10000 * MS)],
             tenants=TenantRegistry({"north": 100.0}),
             slow_start_capacity=0.1,
             slow_start_overload=2.0,
         )
-        cold, sent, next_change_ms = scene.node.endpoints.index["b3"], 0, every_ms
+        cold, sent, next_change_ms = balancer_harness.node.endpoints.index["b3"], 0, every_ms
         for n in range(800):
             # At each change the earlier balancer has one pending request, which it may send to the cold backend.
-            requests = [scene.take(f"i{n}")]
-            scene.after(5)
+            requests = [balancer_harness.take(f"i{n}")]
+            balancer_harness.after(5)
             if next_change_ms is not None and n * 10 >= next_change_ms:
                 next_change_ms += every_ms
-                before, scene.settings = (
-                    scene.node,
+                before, balancer_harness.settings = (
+                    balancer_harness.node,
                     balancer_settings(
                         tenants=TenantRegistry({"north": 100.0}),
                         slow_start_capacity=0.1,
                         slow_start_overload=2.0,
                     ),
                 )
-                scene.node = Balancer(n, scene.settings, scene.now, before)
-                take_over(scene.node, before, scene.now)
+                balancer_harness.node = Balancer(
+                    n, balancer_harness.settings, balancer_harness.now, before
+                )
+                take_over(balancer_harness.node, before, balancer_harness.now)
                 before.attempt_ended(
-                    scene.now, requests[0].attempts[-1], Outcome.CONNECT_FAILED, 10, False
+                    balancer_harness.now,
+                    requests[0].attempts[-1],
+                    Outcome.CONNECT_FAILED,
+                    10,
+                    False,
                 )
-                while (decision := before.next_decision(scene.now)) is not None:
+                while (decision := before.next_decision(balancer_harness.now)) is not None:
                     if type(decision) is SendAttempt:
-                        before.attempt_ended(scene.now, decision.attempt, Outcome.SUCCESS, 10, True)
+                        before.attempt_ended(
+                            balancer_harness.now, decision.attempt, Outcome.SUCCESS, 10, True
+                        )
             else:
-                scene.end(f"i{n}")
-            scene.after(5)
+                balancer_harness.end(f"i{n}")
+            balancer_harness.after(5)
             sent += sum(attempt.backend == cold for attempt in requests[0].attempts)
         return sent
 
@@ -676,49 +756,52 @@
 
     def test_removal_binds_after_a_change(self):
         """A removed backend that was still used is removed once the settings say that removal binds."""
-        scene = Scene(["b0", "b1", "b2"], removal_binds=False)
-        scene.flow(30)
-        scene.list([listed("b1", EndpointState.REMOVED)])
-        self.assertEqual(len(scene.node.rotation.by_rank), 3)
-        replace_balancer(scene, removal_binds=False, max_retry_after=1)
-        self.assertEqual(len(scene.node.rotation.by_rank), 3)
-        before = replace_balancer(scene, removal_binds=True)
-        self.assertEqual((len(scene.node.rotation.by_rank), len(before.rotation.by_rank)), (2, 3))
+        balancer_harness = BalancerHarness(["b0", "b1", "b2"], removal_binds=False)
+        balancer_harness.flow(30)
+        balancer_harness.list([listed("b1", EndpointState.REMOVED)])
+        self.assertEqual(len(balancer_harness.node.rotation.by_rank), 3)
+        replace_balancer(balancer_harness, removal_binds=False, max_retry_after=1)
+        self.assertEqual(len(balancer_harness.node.rotation.by_rank), 3)
+        before = replace_balancer(balancer_harness, removal_binds=True)
+        self.assertEqual(
+            (len(balancer_harness.node.rotation.by_rank), len(before.rotation.by_rank)), (2, 3)
+        )
         self.assertEqual(
-            scene.node.endpoints.state[scene.node.endpoints.index["b1"]], EndpointState.REMOVED
+            balancer_harness.node.endpoints.state[balancer_harness.node.endpoints.index["b1"]],
+            EndpointState.REMOVED,
         )
-        scene.lines = []
-        scene.after(5000)
-        scene.flow(20)
-        self.assertNotIn(" b1", scene.lines[-1])
+        balancer_harness.lines = []
+        balancer_harness.after(5000)
+        balancer_harness.flow(20)
+        self.assertNotIn(" b1", balancer_harness.lines[-1])
 
 
 class ProxyStateMachineTest(unittest.TestCase):
     """Handover in the proxy: both balancers get the endpoint list; the earlier one ends with its requests."""
 
     def setUp(self):
-        self.desk = Desk(["b0", "b1"])
-        self.machine = self.desk.reducer
+        self.harness = StateMachineHarness(["b0", "b1"])
+        self.machine = self.harness.state_machine
         self.version = 0
 
     def configure(self, **changes):
         self.version += 1
-        self.desk.tell(
+        self.harness.handle_event(
             ConfigurationLoaded("", {"settings": self.version}, balancer_settings(**changes))
         )
         return self.machine.balancers.current
 
     def run_request(self, name):
-        self.desk.ask(name)
-        if self.desk.links[-1].state == "connecting":
-            self.desk.up()
-        self.desk.after(15)
-        self.desk.reply(
+        self.harness.send_request(name)
+        if self.harness.links[-1].state == "connecting":
+            self.harness.connect_upstream()
+        self.harness.after(15)
+        self.harness.reply(
             link=next(
-                index for index, link in enumerate(self.desk.links) if link.attempt is not None
+                index for index, link in enumerate(self.harness.links) if link.attempt is not None
             )
         )
-        self.desk.after(15)
+        self.harness.after(15)
 
     def test_two_changes_at_once_keep_what_was_learned(self):
         """A second change before any request is received copies from the successor of the first."""
@@ -754,8 +837,8 @@
         """Fewer attempts and a shorter timeout: a pending request keeps those under which it was received."""
         for n in range(4):
             self.run_request(f"c{n}")
-        self.desk.ask("pending", "/look")
-        pending = self.desk.clients["pending"].request
+        self.harness.send_request("pending", "/look")
+        pending = self.harness.clients["pending"].request
         request_classes = [
             replace(row, latency_objective=50 * MS, request_timeout=100 * MS)
             for row in balancer_settings().request_classes
@@ -763,20 +846,20 @@
         first = self.machine.balancers.current
         node = self.configure(request_classes=request_classes, max_attempts=1)
         self.assertEqual(self.machine.balancers.earlier, [first])
-        self.desk.lose(
+        self.harness.lose(
             link=next(
-                index for index, link in enumerate(self.desk.links) if link.attempt is not None
+                index for index, link in enumerate(self.harness.links) if link.attempt is not None
             )
         )
         self.assertEqual((len(pending.attempts), pending.completed), (2, False))
-        self.desk.up()
-        self.desk.after(250)
+        self.harness.connect_upstream()
+        self.harness.after(250)
         self.assertFalse(pending.completed)
-        self.desk.lines = []
-        self.desk.reply()
+        self.harness.lines = []
+        self.harness.reply()
         self.assertTrue(
-            any("SendResponse pending HTTP/1.1 200" in line for line in self.desk.lines),
-            self.desk.lines,
+            any("SendResponse pending HTTP/1.1 200" in line for line in self.harness.lines),
+            self.harness.lines,
         )
         self.assertEqual(
             (self.machine.balancers.earlier, self.machine.balancers.current), ([], node)
@@ -785,7 +868,7 @@
 
     def test_the_earlier_balancer_is_released_after_its_last_response(self):
         """It is not referenced any more once it has no pending request; one without any is released at once."""
-        self.desk.ask("pending")
+        self.harness.send_request("pending")
         first = weakref.ref(self.machine.balancers.current)
         self.configure(max_attempts=1)
         second = weakref.ref(self.machine.balancers.current)
@@ -793,20 +876,20 @@
         gc.collect()
         self.assertIsNotNone(first())
         self.assertIsNone(second())
-        self.desk.up()
-        self.desk.reply()
-        self.desk.taken("pending")
-        self.desk.lines, self.desk.links = [], self.desk.links
-        self.desk.after(20)
+        self.harness.connect_upstream()
+        self.harness.reply()
+        self.harness.response_sent("pending")
+        self.harness.lines, self.harness.links = [], self.harness.links
+        self.harness.after(20)
         gc.collect()
         self.assertIsNone(first())
 
     def test_both_balancers_get_endpoint_updates(self):
         """An update of the endpoint list also reaches the earlier balancer while it has a pending request."""
-        self.desk.ask("pending")
+        self.harness.send_request("pending")
         first = self.machine.balancers.current
         node = self.configure(max_attempts=1)
-        self.desk.hear([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
+        self.harness.update_endpoints([entry("b0", "DRAINING"), entry("b2")], 2, whole=False)
         for balancer in (first, node):
             self.assertEqual(
                 [balancer.endpoints.names[backend] for backend in balancer.rotation.by_rank],
@@ -820,22 +903,24 @@
 
     def test_endpoint_update_and_settings_at_once(self):
         """The successor has the last list, and follows the next one."""
-        self.desk.hear(["b0", "b2"], 2)
+        self.harness.update_endpoints(["b0", "b2"], 2)
         node = self.configure(max_attempts=1)
         self.assertEqual(
             sorted(node.endpoints.names[backend] for backend in node.rotation.subset), ["b0", "b2"]
         )
-        self.desk.hear(["b0", "b1"], 3)
+        self.harness.update_endpoints(["b0", "b1"], 3)
         self.assertEqual(
             sorted(node.endpoints.names[backend] for backend in node.rotation.subset), ["b0", "b1"]
         )
 
     def test_settings_before_the_first_endpoint_list(self):
         """A change of settings without any backend does not prevent the first list from being used."""
-        desk = Desk([])
-        desk.tell(ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1)))
-        desk.hear(["b0"], 1)
-        self.assertEqual(len(desk.reducer.balancers.current.rotation.subset), 1)
+        harness = StateMachineHarness([])
+        harness.handle_event(
+            ConfigurationLoaded("", {"settings": 1}, balancer_settings(max_attempts=1))
+        )
+        harness.update_endpoints(["b0"], 1)
+        self.assertEqual(len(harness.state_machine.balancers.current.rotation.subset), 1)
 
 
 class TakeOverCostTest(unittest.TestCase):
@@ -852,7 +937,7 @@
             node = Balancer(4, balancer_settings(node_count=720), 1, current)
             return lambda: take_over(node, current, 1)
 
-        start_s, handover_s = least(
+        start_s, handover_s = min_cpu_seconds(
             start, hand_over, lambda start_s, handover_s: 8 * handover_s < start_s
         )
         self.assertLess(
--- a/tests/snapshot/test_snapshot.py
+++ b/tests/snapshot/test_snapshot.py
@@ -20,7 +20,7 @@
 
 from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 from pierglade.snapshot import aging, schema, store
-from tests.support.scene import Desk, TraceTest, entry
+from tests.support.scene import StateMachineHarness, TraceTest, entry
 
 TICKS_PER_S = 10000
 STATISTICS = {
@@ -140,10 +140,10 @@
         snapshot = store.load(path)
         self.assertEqual(schema.decode(schema.encode(snapshot)), snapshot)
         self.assertEqual(schema.encode(snapshot), path.read_bytes())
-        desk = Desk(["b0", "b1"])
-        desk.reducer.step.now = snapshot.written_at
-        summary = desk.reducer.snapshot.restore(snapshot, 60 * TICKS_PER_S)
-        node = desk.reducer.balancers.current
+        harness = StateMachineHarness(["b0", "b1"])
+        harness.state_machine.step.now = snapshot.written_at
+        summary = harness.state_machine.snapshot.restore(snapshot, 60 * TICKS_PER_S)
+        node = harness.state_machine.balancers.current
         lines = [
             summary,
             f"written {snapshot.written_at} by {snapshot.node}, endpoints version {snapshot.endpoints_version}, "
@@ -153,7 +153,7 @@
             f"{request_class.name}: typical {row.typical:.6f} of {row.answers}, skew {row.skew:.6f}, "
             f"usual time {row.usual_left}, votes {row.usual_votes}"
             for request_class, row in zip(
-                desk.reducer.balancers.settings.request_classes, node.request_stats.classes
+                harness.state_machine.balancers.settings.request_classes, node.request_stats.classes
             )
         ]
         for name in ("b0", "b1"):
@@ -170,13 +170,13 @@
 class AgingTest(TraceTest):
     def restored(self, snapshot, at_s=100, entries=("b0",), half_life_s=60):
         """Returns what a new node that starts at `at_s` restores."""
-        desk = Desk(entries)
-        desk.reducer.step.now = at_s * TICKS_PER_S
+        harness = StateMachineHarness(entries)
+        harness.state_machine.step.now = at_s * TICKS_PER_S
         try:
-            summary = desk.reducer.snapshot.restore(snapshot, half_life_s * TICKS_PER_S)
+            summary = harness.state_machine.snapshot.restore(snapshot, half_life_s * TICKS_PER_S)
         except schema.UntrustedSnapshotError as error:
             return str(error)
-        node = desk.reducer.balancers.current
+        node = harness.state_machine.balancers.current
         backend, row = node.endpoints.index["b0"], node.request_stats.classes[0]
         return (
             f"{summary}; typical {row.typical:.0f} of {row.answers}, usual time {row.usual_left}; level "
@@ -187,8 +187,8 @@
 
     def test_restored_by_age_and_by_identity(self):
         """Statistics decay with age; nothing is restored of a backend or request class that has changed."""
-        desk = Desk(["b0"])
-        request_class = desk.reducer.balancers.settings.request_classes[0]
+        harness = StateMachineHarness(["b0"])
+        request_class = harness.state_machine.balancers.settings.request_classes[0]
         row = {
             "expected": request_class.latency_objective,
             "hard_limit": request_class.request_timeout,
@@ -200,7 +200,7 @@
             "usual_left": 10000,
             "usual_votes": 9,
         }
-        address = desk.reducer.endpoints.records["b0"].address
+        address = harness.state_machine.endpoints.records["b0"].address
         original = make_snapshot(
             request_classes={request_class.name: row},
             backends={"b0": schema.StoredBackend(address, 0, STATISTICS)},
@@ -278,11 +278,13 @@
             {"index": None, "endpoints": [entry("b3")]},
             {"index": 9, "endpoints": []},
         ):
-            newer = aging.newer_list(snapshot, known)
+            newer = aging.newer_endpoint_list(snapshot, known)
             lines.append(
                 f"{known and known['index']}: {[entry['name'] for entry in newer['endpoints']]}"
             )
-        lines.append(f"neither has a list: {aging.newer_list(make_snapshot(endpoints=[]), None)}")
+        lines.append(
+            f"neither has a list: {aging.newer_endpoint_list(make_snapshot(endpoints=[]), None)}"
+        )
         self.check("learned_lists", lines)
 
 
@@ -423,7 +425,7 @@
         with tempfile.TemporaryDirectory() as path:
             snapshots, other = store.SnapshotStore(path, "n1"), store.SnapshotStore(path, "n1")
             lines.append(
-                f"locks: {snapshots.lock_files()} {other.lock_files()}, in use {store.in_use(path, 'n1')}"
+                f"locks: {snapshots.lock_files()} {other.lock_files()}, in use {store.is_in_use(path, 'n1')}"
             )
             for written in (1, 2, 3):
                 snapshots.write(schema.encode(make_snapshot(written_at=written)))
@@ -455,7 +457,7 @@
             server = SimpleNamespace(
                 clock=SimpleNamespace(now=lambda: 100 * TICKS_PER_S),
                 faults=0,
-                reducer=Desk(["b0"]).reducer,
+                state_machine=StateMachineHarness(["b0"]).state_machine,
                 note=lambda event, **fields: lines.append(
                     f"{event} {fields['error'].replace(path, 'FOLDER')}"
                 ),
--- a/tests/support/scene.py
+++ b/tests/support/scene.py
@@ -67,7 +67,7 @@
     return Endpoint(name, state, zone, 0, started, weight)
 
 
-class Scene:
+class BalancerHarness:
     def __init__(self, backends, seed=4, dead=(), **changed):
         self.dead = dead
         self.settings = balancer_settings(**changed)
@@ -76,7 +76,7 @@
         self.node = Balancer(seed, self.settings, self.now)
         self.list(backends, whole=True)
 
-    def say(self, text):
+    def record(self, text):
         self.lines.append(f"{self.now / MS - 10000:8.1f}  {text}")
 
     def list(self, backends, whole=False):
@@ -111,7 +111,7 @@
     def end(self, name, outcome=Outcome.SUCCESS, note=True):
         attempt = self.requests[name].attempts[-1]
         if note:
-            self.say(f"{name} at {self.node.endpoint_name(attempt.backend)}: {outcome}")
+            self.record(f"{name} at {self.node.endpoint_name(attempt.backend)}: {outcome}")
         self.node.attempt_ended(
             self.now, attempt, outcome, self.now - attempt.sent_at, outcome == Outcome.SUCCESS
         )
@@ -132,7 +132,7 @@
             else:
                 receivers.append("-")
         self.lines = lines
-        self.say(f"{count} went to {' '.join(receivers)}")
+        self.record(f"{count} went to {' '.join(receivers)}")
 
     def pull(self):
         while (decision := self.node.next_decision(self.now)) is not None:
@@ -140,20 +140,20 @@
                 case SendAttempt(attempt):
                     trial = " as a trial" if attempt.is_trial else ""
                     name = self.node.endpoint_name(attempt.backend)
-                    self.say(f"send {attempt.request.host_context} to {name}{trial}")
+                    self.record(f"send {attempt.request.caller_context} to {name}{trial}")
                 case CancelAttempt(attempt):
                     name = self.node.endpoint_name(attempt.backend)
-                    self.say(f"cancel {attempt.request.host_context} at {name}")
+                    self.record(f"cancel {attempt.request.caller_context} at {name}")
                 case PollEndpoints():
-                    self.say("poll the endpoint list")
+                    self.record("poll the endpoint list")
                 case CheckHealth(backend):
                     name = self.node.endpoint_name(backend)
-                    self.say(f"check health of {name}")
+                    self.record(f"check health of {name}")
                     self.node.health_checked(self.now, name, name not in self.dead, 5)
                 case RejectRequest(request):
-                    self.say(f"reject {request.host_context}")
+                    self.record(f"reject {request.caller_context}")
                 case FailRequest(request):
-                    self.say(f"fail {request.host_context}")
+                    self.record(f"fail {request.caller_context}")
 
     def out(self):
         return [name for name, request in self.requests.items() if request.in_flight]
@@ -185,35 +185,37 @@
         self.name, self.client = name, None
 
 
-class Desk:
+class StateMachineHarness:
     """Drives a `ProxyStateMachine`; its effects are recorded and carried out only by the test."""
 
     def __init__(self, backends=("b0", "b1"), sockets=200, known=None, **changed):
         self.now = 10000 * MS
         self.lines, self.clients, self.links, self.request_count = [], {}, [], 0
-        self.reducer = ProxyStateMachine(4, balancer_settings(**changed), self.now, sockets)
-        self.reducer.endpoints.restore(known)
+        self.state_machine = ProxyStateMachine(4, balancer_settings(**changed), self.now, sockets)
+        self.state_machine.endpoints.restore(known)
         if backends:
-            self.hear(backends)
+            self.update_endpoints(backends)
 
-    def say(self, text):
+    def record(self, text):
         self.lines.append(f"{self.now / MS - 10000:8.1f}  {text}")
 
-    def hear(self, backends, index=1, whole=True):
+    def update_endpoints(self, backends, index=1, whole=True):
         endpoints = [
             entry(backend) if isinstance(backend, str) else backend for backend in backends
         ]
-        self.tell(EndpointsUpdated({"index": index, "snapshot": whole, "endpoints": endpoints}))
+        self.handle_event(
+            EndpointsUpdated({"index": index, "snapshot": whole, "endpoints": endpoints})
+        )
 
-    def tell(self, event, **timing):
-        for effect in self.reducer.apply(self.now, event, **timing):
+    def handle_event(self, event, **timing):
+        for effect in self.state_machine.apply(self.now, event, **timing):
             if isinstance(effect, LogEvent):
                 fields = (
                     f"{key}={value}"
                     for key, value in effect.fields.items()
                     if not key.endswith("ms")
                 )
-                self.say(" ".join(["log", effect.event, *fields]))
+                self.record(" ".join(["log", effect.event, *fields]))
                 continue
             arguments = list(effect)
             subject = arguments.pop(0) if arguments and not isinstance(arguments[0], str) else None
@@ -235,22 +237,24 @@
             line = " ".join(
                 [type(effect).__name__, *([subject.io.name] if subject else []), *texts]
             )
-            self.say(line.replace("\n", " ").rstrip())
+            self.record(line.replace("\n", " ").rstrip())
 
     def after(self, ms):
         """Advances the clock, with each wakeup on the way."""
         end = self.now + int(ms * MS)
-        while (wakeup := self.reducer.next_wakeup(self.now)) is not None and wakeup <= end:
+        while (wakeup := self.state_machine.next_wakeup(self.now)) is not None and wakeup <= end:
             self.now = max(wakeup, self.now)
-            self.tell(TimerFired())
+            self.handle_event(TimerFired())
         self.now = end
 
     def open(self, name):
         socket = FakeSocket(name)
-        self.tell(ConnectionOpened(socket))
+        self.handle_event(ConnectionOpened(socket))
         self.clients[name] = socket.client
 
-    def ask(self, name, path="/look", method=None, left=1000, headers="", body="", trace=None):
+    def send_request(
+        self, name, path="/look", method=None, left=1000, headers="", body="", trace=None
+    ):
         if name not in self.clients:
             self.open(name)
         method = method or ("GET" if path == "/look" else "POST")
@@ -261,24 +265,24 @@
             f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace or self.request_count}\r\n"
         )
         head += f"X-Expires-In-Ms: {left}\r\n"
-        self.tell(
+        self.handle_event(
             RequestReceived(self.clients[name], message((head + headers + "\r\n" + body).encode()))
         )
 
-    def up(self, link=-1):
-        self.tell(UpstreamConnected(self.links[link]))
+    def connect_upstream(self, link=-1):
+        self.handle_event(UpstreamConnected(self.links[link]))
 
     def reply(self, status=200, headers="", link=-1):
         answer = f"HTTP/1.1 {status} .\r\nContent-Length: 2\r\n{headers}\r\nok"
-        self.tell(
+        self.handle_event(
             ResponseReceived(self.links[link], message(answer.encode(), reader.ResponseReader))
         )
 
     def lose(self, cause=CloseCause.RESET, whole=True, link=-1):
-        self.tell(UpstreamClosed(self.links[link], cause, whole, "as the test says"))
+        self.handle_event(UpstreamClosed(self.links[link], cause, whole, "as the test says"))
 
-    def taken(self, name):
-        self.tell(ResponseSent(self.clients[name]))
+    def response_sent(self, name):
+        self.handle_event(ResponseSent(self.clients[name]))
 
 
 class TraceTest(unittest.TestCase):
--- a/tests/testbed/test_stand_in_backend.py
+++ b/tests/testbed/test_stand_in_backend.py
@@ -43,7 +43,7 @@
 
 
 def plan_with(**changes):
-    return plans.made({**BASE, **changes}, "FILE")
+    return plans.plan_from({**BASE, **changes}, "FILE")
 
 
 def request(address, path="/look/1", headers=(("X-Trace-Id", "t1"),), method="GET", timeout=2):
@@ -232,7 +232,7 @@
             port = int(first.backends["b0"].address.split(":")[1])
             try:
                 await run.StandInFleet(plan_with(place=[{"port": port}])).start()
-            except run.CannotListen as error:
+            except run.ListenError as error:
                 return str(error).replace(str(port), "PORT")
             finally:
                 await first.stop()
