--- a/pierglade/balancer/balancer.py
+++ b/pierglade/balancer/balancer.py
@@ -5,7 +5,7 @@
 state. It then calls `next_decision(now)` until that returns None, carries out each decision, and
 calls again no later than `next_wakeup(now)`. The types of decisions are in
 `pierglade/model/decision.py`; docs/design.md gives the reasons. Times and durations are in ticks
-(tenths of a millisecond). No I/O, no clock.
+(tenths of a millisecond). The module does no I/O and reads no clock.
 """
 
 import random
@@ -45,11 +45,11 @@
 from pierglade.model.request import Attempt, Request, RequestClass
 from pierglade.settings.balancer import BalancerSettings
 
-# Multiple of the typical latency. An abandoned attempt counts as in flight for this long.
+# Multiple of the typical latency for which an abandoned attempt counts as in flight.
 ABANDONED_LATENCY_RATIO = 1.5
-# Ticks (0.1 s). Retry advice to a rejected client without overload, when capacity may soon be free.
+# Ticks (0.1 s). Retry advice to a client rejected without overload, as capacity may soon be free.
 RETRY_SOON = 1000
-# Ticks (0.5 s). Retry advice under overload, the time that a burst takes to pass.
+# Ticks (0.5 s). Retry advice to a client rejected under overload; a burst ends within this time.
 RETRY_LATER = 5000
 
 
@@ -238,7 +238,7 @@
         """Restores exported statistics; see `stored_figures.restore_statistics`."""
         restore_statistics(self, rows, backends)
 
-    # Inputs: they update the state.
+    # Inputs, which update the state.
 
     def quotas_updated(self, now: int) -> None:
         """Applies changed quotas of tenants that had quotas before."""
@@ -295,7 +295,8 @@
         stats = self.request_stats.classes[request.request_class.index]
         attempt.outcome = outcome
         request.in_flight -= 1
-        # An abandoned attempt may still be running; filling its place at once causes overload.
+        # The backend may still be processing an abandoned attempt; replacing it at once by another
+        # attempt would overload the backend.
         if outcome == Outcome.TIMEOUT or outcome == Outcome.CANCELLED:
             attempt.timeout_at = now + int(ABANDONED_LATENCY_RATIO * stats.typical)
             self.wakeup.request(attempt.timeout_at)
@@ -328,7 +329,8 @@
     def health_checked(self, now: int, name: str, is_healthy: bool, latency: int) -> None:
         """Applies the result of a health check.
 
-        It proves only that the process is running, so it admits no more than a trial request.
+        A successful check proves only that the process is running, so the backend receives no more
+        than a trial request.
         """
         backend = self.endpoints.index.get(name)
         if backend is None or self.ejections.reason[backend] is None:
@@ -340,8 +342,8 @@
 
     def next_wakeup(self, now: int) -> int | None:
         """Returns when to request decisions again if nothing happens before; None for never."""
-        # A client's repeat may have so little time left that the next sweep would be past its
-        # limit.
+        # A request repeated by a client may have so little time left that the next sweep would be
+        # too late for it.
         earliest = min([self.wakeup.at, *map(self.deadlines.latest_send_time, self.queue.heads())])
         return max(now + 1, earliest) if earliest < NEVER else None
 
--- a/pierglade/balancer/dispatch.py
+++ b/pierglade/balancer/dispatch.py
@@ -104,8 +104,8 @@
                 or now - request.queued_since
                 > MAX_QUEUED_RATIO * request.request_class.latency_objective
             ):
-                # After so long in the queue it would be answered late: an early rejection leaves
-                # the capacity to others.
+                # After such a long wait the answer would be late. An early rejection leaves the
+                # capacity to others.
                 heappop(heap)
                 return self.final_answer(request)
             is_full = limit.is_full(now, heap is queue.light_heap)
@@ -123,7 +123,7 @@
 
         Otherwise a node that wrongly ejected most backends as unresponsive would queue everything
         for the remaining one and could not correct the mistake. A node that can add other backends
-        to its subset keeps to the limit: hundreds of nodes beyond it overload the fleet.
+        to its subset never exceeds the limit: hundreds of nodes that did would overload the fleet.
         """
         rotation, ejections = self._rotation, self._ejections
         if not self.limit.healthy_backends * 2 <= len(rotation.subset) == len(rotation.by_rank):
@@ -177,8 +177,8 @@
 
     def attempt_lost(self, now: int, request: Request, outcome: Outcome) -> None:
         """Queues a retry of a request whose attempt was lost, or decides its final answer."""
-        # A request that was lost at every ready backend has nowhere to go: in the queue it would
-        # wait in vain.
+        # A request that was lost at every ready backend has no backend left and is not queued
+        # again.
         may_retry = (
             self._retry_budget.remaining(now) >= 1
             and not self._deadlines.is_too_late(request, now)
--- a/pierglade/balancer/ejections.py
+++ b/pierglade/balancer/ejections.py
@@ -11,7 +11,8 @@
 # Ticks (150 ms, 4 s). Initial and longest interval between trial requests, doubled after each
 # failure.
 TRIAL_INTERVAL, MAX_TRIAL_INTERVAL = 1500, 40000
-# Attempts at backends ejected for another reason are lost and must not use up the limit.
+# Values of `reason` with which a backend counts toward the capacity. Attempts at backends ejected
+# for another reason are lost and must not use up the limit.
 COUNTS_TOWARD_CAPACITY = (None, EjectionReason.SLOW)
 
 # Arrays of `Ejections`, with the values for a new backend.
@@ -52,8 +53,8 @@
     def add(self, backend: int) -> None:
         """Adds a backend that is not ejected.
 
-        The ejection of the backend that had the index before must not cost the new one its health
-        checks.
+        An ejection of the backend that had the index before is removed; otherwise the new one would
+        get no health checks.
         """
         for name, initial in INITIAL.items():
             getattr(self, name)[backend : backend + 1] = [initial]
--- a/pierglade/balancer/endpoint_list.py
+++ b/pierglade/balancer/endpoint_list.py
@@ -58,8 +58,8 @@
     def _update(self, backend, entry, now):
         endpoints, slow_start = self._endpoints, self._slow_start
         endpoints.zone[backend], endpoints.cell[backend] = entry.zone, entry.cell
-        # Current weights arrive late and would make all nodes swing together; the largest one
-        # received is the size.
+        # The largest weight received is used as the size. Current weights arrive late, and all
+        # nodes would oscillate together if they followed them.
         endpoints.size[backend] = max(endpoints.size[backend], entry.weight)
         if entry.state != EndpointState.READY:
             self._outliers.take_out_of_rotation(backend, entry.state, now)
--- a/pierglade/balancer/endpoint_stats.py
+++ b/pierglade/balancer/endpoint_stats.py
@@ -10,13 +10,14 @@
 from pierglade.model.endpoint import EndpointState
 from pierglade.model.request import Idempotency, Request, RequestClass
 
-# Multiple of the longest request timeout. A removed backend's index is reused after that.
+# Multiple of the longest request timeout after which the index of a removed backend is reused.
 INDEX_REUSE_RATIO = 2
-# Fraction of the latency objective assumed as typical latency; leaves enough time for a retry.
+# Fraction of the latency objective that is the initial typical latency; leaves time for a retry.
 INITIAL_LATENCY = 0.25
-# Requests. A kind of idempotency that none of the last ones had no longer occurs, or too rarely.
+# Number of recent requests. A kind of idempotency that none of them had is no longer sent, or too
+# rarely.
 IDEMPOTENCY_WINDOW = 100
-# Ticks (0.5 s). A rate over a shorter span is random.
+# Ticks (0.5 s). Minimum span of a rate; over a shorter one it is random.
 MIN_RATE_SPAN = 5000
 # Factor applied to the recent counts per DECAY_INTERVAL (50 ms), so that they cover about 50 s.
 DECAY_FACTOR, DECAY_INTERVAL = 0.999, 500
@@ -54,7 +55,7 @@
         self.size: list[float] = []
         """The largest weight received."""
         self.unready_since: list[int] = []
-        """When it started draining or was removed; 0 while it is listed as ready."""
+        """When the backend started draining or was removed; 0 while it is listed as ready."""
 
     def add(self, name: str, now: int, in_flight: Container[int]) -> int:
         """Returns an index for a new backend, reusing one of a removed backend without attempts."""
@@ -98,8 +99,8 @@
 
     def __init__(self, request_class: RequestClass) -> None:
         self.priority_weight = request_class.priority_weight
-        # The first answer alone is a poor estimate: after a very fast one, all backends would look
-        # unresponsive.
+        # An initial estimate is needed because the first answer alone is a poor one: if it is very
+        # fast, all backends would look unresponsive.
         self.typical = INITIAL_LATENCY * request_class.latency_objective
         """Smoothed latency."""
         self.skew = 0.0
@@ -115,7 +116,7 @@
         self.usual_left = 0
         """The time left with which first attempts of clients usually arrive."""
         self.usual_votes = 0
-        """Votes for `usual_left`, its confidence."""
+        """Votes for `usual_left`; more votes mean higher confidence."""
 
 
 class RequestStats:
@@ -175,6 +176,9 @@
             each.asked, each.got = each.asked * factor, each.got * factor
 
     def copy_from(self, previous: "RequestStats") -> None:
-        """Copies the counts across classes; those of each class are copied by class name."""
+        """Copies the counts over all classes.
+
+        The caller copies the counts of each class by the name of the class.
+        """
         self.received, self.succeeded = previous.received, previous.succeeded
         self.span, self.decayed_at = previous.span, previous.decayed_at
--- a/pierglade/balancer/endpoint_status.py
+++ b/pierglade/balancer/endpoint_status.py
@@ -10,8 +10,8 @@
 from pierglade.balancer.slow_start import SlowStart
 from pierglade.model.endpoint import EjectionReason
 
-# Ticks (10 ms). About the latency of an attempt; a backend is skipped this long before its forecast
-# pause.
+# Ticks (10 ms). A backend counts as pausing this long before its forecast pause; about the latency
+# of an attempt.
 PAUSE_LEAD_TIME = 100
 
 
--- a/pierglade/balancer/health_checks.py
+++ b/pierglade/balancer/health_checks.py
@@ -2,7 +2,8 @@
 
 from collections import deque
 
-# Health checks per attempt where only they report the load; more where they report no throughput.
+# Health checks per attempt if only health checks report the load; the second value applies if these
+# reports contain no throughput.
 CHECKS_PER_ATTEMPT, CHECKS_PER_ATTEMPT_RARE = 0.05, 0.15
 # Health checks due at the start; without them, a node with few attempts would wait seconds for the
 # first load report.
@@ -13,14 +14,19 @@
     """Health checks to make: of ejected backends, and for load reports that only checks provide."""
 
     def __init__(self, provides_load: bool, reports_are_rare: bool) -> None:
-        """`provides_load`: only checks report the load; `reports_are_rare`: without throughput."""
+        """Starts with no requested checks.
+
+        Args:
+            provides_load: whether the load is reported only by health checks.
+            reports_are_rare: whether these reports contain no throughput.
+        """
         self._pending: deque[int] = deque()
         self._provides_load = provides_load
         self._per_attempt = CHECKS_PER_ATTEMPT_RARE if reports_are_rare else CHECKS_PER_ATTEMPT
         self._due = INITIAL_CHECKS_DUE
 
     def copy_checks_due(self, previous: "HealthChecks") -> None:
-        """Copies how soon the next check for a load report is due."""
+        """Copies the number of checks due for load reports."""
         self._due = previous._due
 
     def request(self, backend: int) -> None:
--- a/pierglade/balancer/load_reports.py
+++ b/pierglade/balancer/load_reports.py
@@ -10,7 +10,8 @@
 from pierglade.model.endpoint import LoadReport, LoadReportSource
 from pierglade.settings.balancer import BalancerSettings
 
-# Weight of a new report in the smoothed figures; one report covers few answers.
+# Weight of a new report in the smoothed figures. They are smoothed because one report covers few
+# answers.
 SMOOTHING = 1 / 3
 # Ticks (3 s). An older report does not describe the present.
 MAX_REPORT_AGE = 30000
@@ -22,25 +23,26 @@
 MIN_BASELINE_REPORTS = 4
 # Fraction of the baseline throughput from which the backends have recovered and a back-off ends.
 RECOVERED_THROUGHPUT_RATIO = 0.9
-# Utilization and queue length from which a backend is full; below, more may be sent.
+# Utilization and queue length from which a backend counts as full; below them, more may be sent.
 FULL_UTILIZATION, FULL_QUEUE = 0.9, 1.0
 # Multiples of the limit: its growth and shrinkage per evaluation of the reports, and the maximum.
 GROWTH, SHRINKAGE, MAX_GROWTH = 1.1, 0.95, 4.0
-# Multiple of the limit. Where reports are rare and have no throughput, growth from 1 would be too
-# slow.
+# Initial multiple of the limit if reports are rare and have no throughput; growth from 1 would be
+# too slow.
 INITIAL_GROWTH_RARE = 2.0
 # Ticks (0.2 s). Interval between evaluations of the reports.
 EVALUATION_INTERVAL = 2000
-# Multiples of the mean. Bounds of a node's share of the traffic of all nodes.
+# Bounds of a node's share of the traffic, as multiples of the mean of all nodes.
 MIN_TRAFFIC_SHARE, MAX_TRAFFIC_SHARE = 0.2, 20.0
-# Attempts answered; fewer do not determine a traffic share.
+# Number of answered attempts needed to determine a traffic share.
 MIN_SHARE_ATTEMPTS = 8
 # Fraction of the unanswered rate that counts toward the traffic share, so that a node with too low
 # a limit can raise it.
 UNMET_DEMAND_WEIGHT = 1 / 8
-# Fraction of the baseline throughput. A lower throughput of all backends together is not random.
+# Fraction of the baseline throughput. A lower throughput of all backends together is a common
+# slowdown, not random variation.
 SLOWDOWN_THROUGHPUT_RATIO = 0.65
-# Utilization. Below it, the backends have spare capacity without a back-off.
+# Mean utilization below which there is no back-off, as the backends have spare capacity.
 MIN_BACKOFF_UTILIZATION = 0.6
 # Ticks (2 s). Duration of a common slowdown before a back-off; many end by themselves within
 # seconds.
@@ -51,7 +53,7 @@
 BACKOFF_DURATION, BACKOFF_INTERVAL = 50000, 110000
 # Fraction of the limit used during a back-off; less than half of the cores are then in use.
 BACKOFF_LIMIT_RATIO = 0.2
-# A time that never comes.
+# A time that is never reached.
 NEVER = 1 << 62
 
 # Arrays of `LoadReports`, with the values for a new backend.
@@ -95,7 +97,7 @@
         """Number of reports behind the baseline."""
         self.traffic_share = 1.0
         """Rate at this node as a multiple of the mean of all nodes."""
-        # Where reports have a throughput, the limit grows fast enough from it.
+        # If reports have a throughput, the limit grows fast enough from 1.0.
         self._growth = INITIAL_GROWTH_RARE if reports_are_rare else 1.0
         self._grown_at = self._evaluated_at = self._next_evaluation_at = now
         self._slowdown_since, self._backoff_until, self._next_backoff_at = NEVER, 0, 0
@@ -201,8 +203,8 @@
         )
         fleet_rate = sum(self.throughput[backend] for backend in with_throughput) * scale / 10000
         if self._request_stats.succeeded >= MIN_SHARE_ATTEMPTS:
-            # Both rates count answers: by all requests received, each node of an overloaded fleet
-            # would take its own traffic share for a large one.
+            # Both rates count answers. If the own rate counted all requests received, each node of
+            # an overloaded fleet would overestimate its traffic share.
             own_rate = self._request_stats.success_rate(now)
             own_rate += max(0.0, rate - own_rate) * UNMET_DEMAND_WEIGHT
             self.traffic_share = max(
@@ -213,9 +215,10 @@
     def _update_growth(self, now: int, reported: list[int], limit: ConcurrencyLimiter) -> None:
         """Raises the limit by the spare capacity that the reports show.
 
-        Backends without spare capacity are left to the probing rounds of the limiter.
+        Without spare capacity, the limit is determined by the probing rounds of the limiter.
         """
-        # Health checks are rare: a report vouches only for the load in flight when it was made.
+        # Reports by health checks are rare and describe only the load in flight when they were
+        # made, so reports older than the last evaluation are not used.
         fresh = [
             backend
             for backend in reported
@@ -239,7 +242,7 @@
         self._grown_at = now
 
     def _detect_common_slowdown(self, now: int, reported: list[int]) -> None:
-        """Starts a back-off where all backends are slower alike; some such slowdowns end by it."""
+        """Starts a back-off if all backends are similarly slow; it ends some of these slowdowns."""
         with_baseline = [
             backend
             for backend in reported
@@ -267,8 +270,8 @@
             and now >= self._next_backoff_at
             and now % BACKOFF_ALIGNMENT < BACKOFF_START_SPAN
         ):
-            # Only all nodes together can relieve the backends, and the clock is all that they
-            # share.
+            # The backends recover only if all nodes back off together. The nodes share nothing but
+            # the clock, so the start is aligned to it.
             self._backoff_until, self._next_backoff_at = (
                 now - now % BACKOFF_ALIGNMENT + BACKOFF_DURATION,
                 now + BACKOFF_INTERVAL,
--- a/pierglade/balancer/outlier_detection.py
+++ b/pierglade/balancer/outlier_detection.py
@@ -29,8 +29,8 @@
 # Multiple of the smoothed latency level. An answer within it ends a pause; it is below SLOW_RATIO
 # to prevent flapping.
 RECOVERED_RATIO = 2.0
-# Multiple of the typical latency. One answer counts as no slower, so that a single heavy request
-# does not look like a pause.
+# Multiple of the typical latency at which a single answer is capped, so that one heavy request does
+# not look like a pause.
 MAX_RATIO = 6.0
 # Weights of a new answer in the recent and in the smoothed latency level.
 RECENT_SMOOTHING, LEVEL_SMOOTHING = 1 / 4, 1 / 32
@@ -40,12 +40,13 @@
 LATENCY_SMOOTHING = 1 / 24
 # Weight of a new outcome in the error rate.
 ERROR_SMOOTHING = 0.3
-# Error rate. After two consecutive errors, three successful answers end an outage.
+# Highest error rate of a recovered backend. After two consecutive errors, three successful answers
+# end an outage.
 RECOVERED_ERROR_RATE = 0.2
 # Weight of a failure to establish a connection in the error rate; it counts as two errors.
 CONNECT_ERROR_SMOOTHING = 0.51
-# Consecutive errors. An error rate that corresponds to this many, one and nearly half of a second,
-# ejects a backend where few attempts are lost.
+# Number of consecutive errors. Where few attempts are lost, a backend is ejected if its error rate
+# corresponds to this many, that is, one error and nearly half of a second one.
 MIN_CONSECUTIVE_ERRORS = 1.43
 # Probability. Where losses are common, only a run of errors less likely than this to be random
 # ejects a backend.
@@ -55,14 +56,14 @@
 MIN_LOSS_RATE, MAX_LOSS_RATE = 0.001, 0.5
 # Weight of a new outcome in the loss rate of healthy backends; averages over half a second.
 LOSS_SMOOTHING = 1 / 64
-# Multiple of the typical latency, summed over the attempts in flight: the silence that makes a
-# backend unresponsive where requests take similar times. Random silence is rarer there.
+# Multiple of the typical latency, divided by the attempts in flight: the silence after which a
+# backend counts as unresponsive if requests take similar times. Random silences are rarely longer.
 UNRESPONSIVE_LATENCY_SUM = 6.0
-# Standard deviations of the request latency, divided by the attempts in flight: the same bound
-# where latencies vary.
+# Standard deviations of the request latency, divided by the attempts in flight: the bound for
+# silence if latencies vary widely.
 UNRESPONSIVE_STANDARD_DEVIATIONS = 3.3
-# Multiple of the typical latency. A single slow class must not look unresponsive, however many
-# requests wait behind it.
+# Multiple of the typical latency. Minimum silence of an unresponsive backend: a slow request class
+# must not make a backend look unresponsive, however many requests wait behind it.
 MIN_UNRESPONSIVE_RATIO = 2.5
 
 # Arrays of `OutlierDetection` that describe a process, with the values for a new one.
@@ -125,9 +126,9 @@
         self.loss_rate = previous.loss_rate
 
     def process_started(self, backend: int, now: int) -> None:
-        """Resets what was learned about the previous process of the backend.
+        """Resets the figures of the previous process of the backend.
 
-        A new process has its own pauses, and the ejection of the previous one is not its own.
+        A new process pauses at other times, and the ejection of the previous one does not apply.
         """
         if self._ejections.reason[backend] is not None:
             self._set_reason(backend, None, now)
@@ -148,14 +149,15 @@
                 and not self._settings.removal_binds
                 and ejections.trial_interval[backend] < MAX_TRIAL_INTERVAL
             ):
-                # The process may still be running: trial requests find out, and the backend is
-                # removed after they have failed for long.
+                # The process may still be running. Trial requests test this, and the backend is
+                # removed after they have failed for a long time.
                 if ejections.reason[backend] in COUNTS_TOWARD_CAPACITY:
                     self.eject(backend, FAILING, now)
                 return
             self._rotation.remove(backend)
             if ejections.reason[backend] is SLOW:
-                # A removed backend must not count as slow, or shared slowness would seem to last.
+                # A removed backend must not count as slow; otherwise slowness shared by most
+                # backends would seem to last.
                 self._set_reason(backend, None, now)
         endpoints.became_unready(backend, state)
 
@@ -195,7 +197,7 @@
             if self.recent_level[backend] > SLOW_RATIO * level:
                 self.eject(backend, SLOW, now)
         elif attempt.sent_at < self._ejections.since[backend] and reason is not UNRESPONSIVE:
-            pass  # An attempt sent before the ejection is no evidence of recovery.
+            pass  # An attempt sent before the ejection does not indicate recovery.
         elif ratio <= RECOVERED_RATIO * level and self.error_rate[backend] <= RECOVERED_ERROR_RATE:
             self._end_ejection(backend, now)
         else:
@@ -226,7 +228,7 @@
         if outcome in (Outcome.REJECTED_UNPROCESSED, Outcome.CLIENT_ERROR):
             self.last_answer_at[backend] = now
         if outcome == Outcome.CLIENT_ERROR:
-            return  # A client's error is no evidence against the backend.
+            return  # An error of the client does not indicate a fault of the backend.
         # A rejection counts too: a backend that rejects at once has nothing in flight and would
         # attract more requests.
         self.error_rate[backend] += (1 - self.error_rate[backend]) * (
@@ -239,8 +241,8 @@
                 and self._endpoints.state[backend] == EndpointState.READY
             ):
                 self.limit.attempt_rejected(now, attempt.sent_at)
-        # Losses that all backends share are no outage of one of them; ejecting backends for these
-        # would leave no capacity.
+        # Losses that all backends share do not indicate an outage of one backend; ejecting backends
+        # because of them would leave no capacity.
         run = MIN_CONSECUTIVE_ERRORS
         if self._rotation.uses_all_backends():
             run = max(run, log(RUN_PROBABILITY) / log(min(MAX_LOSS_RATE, self.loss_rate)) - 0.5)
@@ -255,8 +257,8 @@
         If it is already ejected, only the reason changes.
         """
         if self._ejections.reason[backend] is None:
-            # A backend that was ejected again before it recovered needed a longer ejection: each
-            # further one lasts twice as long.
+            # A backend that is ejected again before it has recovered was ejected for too short a
+            # time: each further ejection lasts twice as long.
             duration = min(
                 MAX_SLOW_EJECTION,
                 self._pause_forecast.mean_pause[backend] << self.repeated_slow_ejections[backend],
@@ -340,7 +342,7 @@
             return NEVER
         oldest = next(iter(attempts))
         silence = now - max(self.last_answer_at[backend], oldest.sent_at)
-        # A light request may wait behind heavy ones and does not shorten the permitted silence.
+        # A light request may wait behind heavy ones, so it does not shorten the permitted silence.
         cost = max(1.0, *(attempt.request.relative_cost for attempt in attempts))
         stats = self._request_stats.classes[oldest.request.request_class.index]
         typical = max(MIN_LATENCY, cost * stats.typical * max(self.latency_level[backend], 1.0))
--- a/pierglade/balancer/pause_forecast.py
+++ b/pierglade/balancer/pause_forecast.py
@@ -7,13 +7,14 @@
 
 from collections import deque
 
-# Answers used by the regression from work to time, by how regularly a backend pauses.
+# Number of answers used by the regression from work to time, by how regularly a backend pauses.
 REGULAR_WINDOW, MEDIUM_WINDOW, IRREGULAR_WINDOW = 3000, 300, 30
 # Coefficients of variation of the work between pauses that separate these three windows.
 MAX_REGULAR_VARIATION, MIN_IRREGULAR_VARIATION = 0.1, 1.0
-# Enough pauses to determine the variation, few enough to follow a change within a minute.
+# Maximum number of stored pauses: enough to determine the variation, few enough to adapt to a
+# change within a minute.
 MAX_STORED_PAUSES = 30
-# Two pauses define a line; the third can contradict it.
+# Number of pauses needed for a forecast. Two define a line; the third can contradict it.
 MIN_PAUSES = 3
 # Ticks (1.5 s). A longer silence is an outage and is not used for the forecast.
 MAX_PAUSE = 15000
@@ -76,7 +77,7 @@
         self.answered[backend] += 1
         if not self.samples[
             backend
-        ]:  # Allocated on demand: in a large fleet most backends receive no attempts.
+        ]:  # Allocated on first use: in a large fleet most backends receive no attempts.
             self.samples[backend], self.sums[backend] = deque(), [0, 0, 0, 0]
         answered, samples, sums = self.answered[backend], self.samples[backend], self.sums[backend]
         samples.append(now)  # Each answer is one unit of work after the previous one.
--- a/pierglade/balancer/request_cost.py
+++ b/pierglade/balancer/request_cost.py
@@ -12,18 +12,19 @@
 MIN_COST, MAX_COST = 0.25, 4.0
 # Weight of a new hint in the smoothed hint of a class.
 HINT_SMOOTHING = 1 / 24
-# Multiple of the latency of other tenants. Work this slow is slow at every backend.
+# Multiple of the latency of other tenants. The requests of a tenant above it are slow at every
+# backend.
 SLOW_TENANT_RATIO = 2.5
 # Weight of a new latency in a tenant's slowness.
 SLOWNESS_SMOOTHING = 1 / 8
-# Multiple of the typical latency. One answer counts as no slower.
+# Multiple of the typical latency at which a single answer is capped.
 MAX_SLOWNESS = 20.0
-# One in this many requests of a slow tenant is sent although it would be answered late.
+# Number of requests of a slow tenant of which one is sent although its answer would be late.
 REQUESTS_PER_SLOW_TENANT_TRIAL = 16
 # Ticks (5 s). A slow tenant counts as normal again after this time without further slow requests.
 SLOWNESS_DECAY_SPAN = 50000
-# Ticks (5 ms). The process is delayed this long now and then, so lower latencies are not
-# distinguished.
+# Ticks (5 ms). The process itself is occasionally delayed this long, so lower latencies are treated
+# as equal.
 MIN_LATENCY = 50
 
 
@@ -46,8 +47,8 @@
         """Sets the relative cost of a request that has just arrived."""
         tenant = request.tenant
         if request.cost_hint:
-            # Few requests cost the mean of their class: without weights, heavy ones would look
-            # queued.
+            # Most requests cost more or less than the mean of their class. Without relative costs,
+            # heavy requests would look as if they had waited in a queue.
             stats.hinted += (request.cost_hint - stats.hinted) * (
                 HINT_SMOOTHING if stats.hinted else 1
             )
@@ -56,8 +57,8 @@
             tenant is not None
             and (slowness := self._slowness(tenant, now) / self.median_slowness) > SLOW_TENANT_RATIO
         ):
-            # Some are sent all the same; otherwise it would never be observed that the tenant has
-            # recovered.
+            # Some requests of a slow tenant are sent with a capped cost; otherwise its recovery
+            # would never be observed.
             tenant.slow_requests += 1
             request.relative_cost = (
                 slowness
@@ -68,8 +69,8 @@
     def record_latency(self, now: int, request: Request, latency: int, is_complete: bool) -> None:
         """Updates the slowness of a tenant whose work may be slow at every backend.
 
-        Backends do not count as slow for it. `is_complete`: the attempt took exactly `latency`;
-        otherwise it was abandoned then and would have taken at least as long.
+        Such work does not make backends count as slow. If `is_complete`, the attempt took exactly
+        `latency`; otherwise it was abandoned after `latency` and would have taken at least as long.
         """
         tenant = request.tenant
         if tenant is None or request.cost_hint:
@@ -93,7 +94,7 @@
     def _slowness(self, tenant: Tenant, now: int) -> float:
         """Returns the tenant's slowness, which decays over time.
 
-        Thus requests rejected for it are gradually tried again.
+        Because of the decay, requests of a tenant that was too slow are gradually sent again.
         """
         return 1 + (tenant.slowness - 1) * max(
             0.0, 1 - (now - tenant.slowness_seen_at) / SLOWNESS_DECAY_SPAN
--- a/pierglade/balancer/request_queue.py
+++ b/pierglade/balancer/request_queue.py
@@ -17,17 +17,18 @@
 # Fraction of the latency objective. If the oldest request has waited longer, queued requests are
 # ordered by their gain.
 OVERLOAD_WAIT_RATIO = 0.1
-# Fraction of the work of all requests received; a class with no more need not wait for capacity.
+# Fraction of the work of all requests received. A class with at most this much work need not wait
+# for capacity.
 MAX_LIGHT_WORK_RATIO = 0.1
-# Multiple of the quota. Nodes receive uneven traffic of a tenant, and two seconds of a small
-# tenant's are few requests.
+# Multiple of the quota that a tenant may use. Its traffic is distributed unevenly over the nodes,
+# and a small tenant sends few requests within two seconds.
 MAX_QUOTA_RATIO = 1.3
 # Ticks (2 s). Time span of a tenant's request rate.
 TENANT_RATE_SPAN = 20000
 
 Heap = list[tuple[int, int, Request]]
 
-# Ticks (100 ms). A process that has not been idle for so long is short of CPU time, not merely
+# Ticks (100 ms). A process that has not been idle for longer is short of CPU time, not merely
 # delayed once.
 MIN_BUSY_SPAN = 1000
 
@@ -35,8 +36,8 @@
 def is_cpu_short(now: int, last_idle_at: int, request_class: RequestClass, arrived_at: int) -> bool:
     """Returns whether a request is rejected unread because the process is short of CPU time.
 
-    If all were accepted, all would be processed late, and the remaining CPU time would go into
-    rejections. `last_idle_at` is when the process was last idle.
+    If all requests were accepted, all would be processed late, and the remaining CPU time would be
+    spent on rejections. `last_idle_at` is when the process was last idle.
     """
     waited = now - arrived_at
     return (
@@ -117,8 +118,8 @@
             else 0.0
         )
         self.overloaded = waited > OVERLOAD_WAIT_RATIO
-        # A node with capacity for two attempts waits long for one to end, so the class with the
-        # highest gain skips that wait if it is little work.
+        # A node with capacity for two attempts waits a long time for one to end, so the class with
+        # the highest gain does not wait if it causes little work.
         classes = self._request_stats.classes
         work = [max(each.asked, 1.0) * each.typical for each in classes]
         most_valuable = max(range(len(work)), key=lambda index: self._gain(classes[index]))
@@ -139,7 +140,7 @@
         ]
 
     def _gain(self, stats: RequestClassStats) -> float:
-        """Returns the gain of the service by one more answer to this class, per unit of time."""
+        """Returns how much one more answer to this class gains, per unit of time it takes."""
         classes, weight = self._request_stats.classes, self._settings.worst_class_weight
         gain = (
             (1 - weight)
--- a/pierglade/balancer/retry.py
+++ b/pierglade/balancer/retry.py
@@ -12,7 +12,7 @@
 from pierglade.model.request import Idempotency, Request, RequestClass
 from pierglade.settings.balancer import BalancerSettings
 
-# Retries earned by each request where no budget is configured; few enough not to amplify an
+# Retries that each request adds to the budget if none is configured; few enough not to amplify an
 # overload.
 RETRIES_PER_REQUEST = 0.2
 # Maximum number of saved retries, for a burst of losses when a backend fails.
@@ -20,8 +20,8 @@
 # Multiple of the typical latency. With less time left than this, too many attempts would be
 # answered late.
 TIME_NEEDED_RATIO = 1.5
-# The same while there is spare capacity: latencies vary, and half of all attempts take less than
-# this.
+# Multiple of the typical latency that is needed while there is spare capacity. Latencies vary, and
+# half of all attempts take less than this.
 TIME_NEEDED_RATIO_WITH_CAPACITY = 0.4
 # Fraction of the latency objective. Upper bound of the time needed: a request that has just arrived
 # is always worth an attempt.
@@ -29,20 +29,20 @@
 # Ticks (10 ms). Lower bound of the time needed: the caller acts every few milliseconds, and the
 # answer must be out before the deadline.
 MIN_TIME_NEEDED = 100
-# Fraction. A request whose time left is shorter by more than this than that of first attempts had
-# some of it used up by an earlier attempt of its client.
+# Fraction of the time left that first attempts usually have. If a request has less by more than
+# this, an earlier attempt of its client has used up the difference.
 TIME_LEFT_TOLERANCE = 0.02
-# Requests. Number of votes needed to change the usual time left, about a second's worth.
+# Maximum number of votes for the usual time left, one per request; about a second of requests.
 MAX_VOTES = 50
 # Ticks (2 s). A client without an answer retries within this time or not at all.
 CLIENT_RETRY_SPAN = 20000
 
 
 class RetryBudget:
-    """Budget of retries: a number per configured window, else a saved-up fraction of requests.
+    """Budget of retries: a number per window, or a fraction of requests if none is configured.
 
-    It covers every further attempt, whatever ended the previous one. No retry is withheld while the
-    window has capacity, so no request fails for lack of a budget that is available.
+    The budget covers every further attempt, however the previous one ended. No retry is withheld
+    while the window has capacity, so no request fails while budget is available.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
     def allows_granted(self, now: int) -> bool:
         """Returns whether a retry granted earlier may be sent now.
 
-        If others have used up the window since, it may have capacity again in time.
+        If other retries have used up the window since, it may have capacity again in time.
         """
         return not self.window or self.remaining(now) >= 1
 
@@ -107,8 +107,8 @@
         window, sent_at, received_at = self.window, self.sent_at, self.received_at
         if not window:
             return self.saved_retries
-        # One tick of tolerance on either side: the caller's clock is finer, and it counts both ends
-        # of a window.
+        # One tick of tolerance is added on either side, because the caller's clock is finer and the
+        # caller counts both ends of a window.
         while sent_at and sent_at[0] < now - window - 1:
             sent_at.popleft()
         while received_at and received_at[0] <= now - window + 1:
@@ -141,21 +141,21 @@
         self.unanswered = max(0.0, self.unanswered) * max(0.0, 1 - elapsed / CLIENT_RETRY_SPAN)
 
     def time_left(self, request: Request) -> int:
-        """Returns what is left of the latency objective since the client's first attempt."""
+        """Returns how much of the latency objective is left since the client's first attempt."""
         request_class, time_left = request.request_class, request.deadline - request.arrived_at
         stats = self._request_stats.classes[request_class.index]
         usual = stats.usual_left
-        # A majority vote, not the maximum: after repeats that carry more time, every first attempt
-        # would look like a late repeat.
+        # The usual time left is found by a majority vote. With the maximum, repeats that carry more
+        # time would make every first attempt look like a late repeat.
         stats.usual_votes += 1 if abs(time_left - usual) <= TIME_LEFT_TOLERANCE * usual else -1
         stats.usual_left, stats.usual_votes = (
             (time_left, 1) if stats.usual_votes < 0 else (usual, min(stats.usual_votes, MAX_VOTES))
         )
-        # Less time than first attempts carry indicates a late repeat. Beyond the number of
-        # unanswered requests it indicates a client with a shorter time-out.
+        # Less time than first attempts carry indicates a late repeat. If there are more such
+        # requests than unanswered ones, it indicates a client with a shorter time-out.
         elapsed = 0
-        # One of hundreds of nodes receives repeats of requests that other nodes left unanswered,
-        # and cannot count those.
+        # A node that uses only some backends is one of hundreds. It receives repeats of requests
+        # that other nodes left unanswered, and cannot count those.
         if self.is_repeat(request_class, time_left) and (
             self.unanswered >= 1 or not self._rotation.uses_all_backends()
         ):
@@ -211,7 +211,7 @@
 
 
 class RetryRules:
-    """Rule 2: what may still be done with a request after its earlier attempts."""
+    """Rule 2: whether a request may be sent or rejected after its earlier attempts."""
 
     def __init__(self, max_attempts: int, endpoints: EndpointStats) -> None:
         self._max_attempts, self._endpoints = max_attempts, endpoints
--- a/pierglade/balancer/rotation.py
+++ b/pierglade/balancer/rotation.py
@@ -14,11 +14,12 @@
 from pierglade.concurrency.limiter import ConcurrencyLimiter
 from pierglade.settings.balancer import BalancerSettings
 
-# Ticks (0.25 s). The load of a backend that receives requests less often is not known.
+# Ticks (0.25 s). Maximum interval between requests to a backend; with rarer ones, its load is not
+# known.
 MAX_REQUEST_INTERVAL = 2500
-# Backends in a subset; with fewer, one outage could cost a node all of them.
+# Minimum number of backends in a subset; with fewer, a single outage could affect all of them.
 MIN_SUBSET_SIZE = 2
-# Requests per tick (0.1 a second). Rate assumed for a node that has received nothing yet.
+# Requests per tick (0.1 a second). Rate assumed for a node that has not received requests yet.
 MIN_REQUEST_RATE = 1e-5
 # Ticks (5 s). Interval between moves by one backend toward an even place on the ring.
 MOVE_INTERVAL = 50000
@@ -27,7 +28,7 @@
 class Rotation:
     """The rotation over as many backends as this node sends to often enough.
 
-    Other modules read its fields; `position` is set by the one that selects a backend.
+    Other modules read its fields; `position` is set by `Selection`.
     """
 
     def __init__(
@@ -134,8 +135,8 @@
         target_size = self.subset_size and self.subset_size * self.total_size
         self.rebuild_at = NEVER
         subset, healthy = self._select_subset(self._start_place(now), target_size, now)
-        # At least one: a node that was cut off sees all backends fail, and must still send trial
-        # requests to find that they are healthy.
+        # At least one backend counts as healthy. A node that was disconnected sees all backends
+        # fail, and must still send trial requests to detect that they are healthy.
         healthy = max(1, healthy)
         ready_count = len(self.by_rank)
         factor = self._load_reports.capacity_factor(now)
@@ -166,8 +167,8 @@
         """Returns the index on the ring at which the subset begins.
 
         The subsets of all nodes are spaced evenly on the ring; with random places, some backends
-        were in two thirds more subsets. Each move opens connections, so the subset moves by one
-        backend at a time.
+        would be in two thirds more subsets than others. Each move opens connections, so the subset
+        moves by one backend at a time.
         """
         rank, settings, count = self._endpoints.rank, self._settings, len(self.by_rank)
         start = bisect_left(self.by_rank, self.anchor, key=rank.__getitem__) % max(1, count)
@@ -204,9 +205,10 @@
     def _update_warm_rate(self, now: int, subset_count: int) -> None:
         """Updates the rate at a warm backend, from which the rate at cold ones is derived.
 
-        Without quotas it follows from the requests answered recently, as those received may be an
-        overload. One attempt at a time from all nodes together is no overload and is the minimum:
-        with all backends cold and nothing answered, nothing at all would be sent.
+        Without quotas, the rate is that of the requests answered recently, as those received may be
+        an overload. The minimum is one attempt at a time from all nodes together, which is no
+        overload; without it, no requests would be sent while all backends are cold and none are
+        answered.
         """
         settings, ready_count = self._settings, len(self.by_rank)
         min_rate = (
--- a/pierglade/balancer/selection.py
+++ b/pierglade/balancer/selection.py
@@ -14,16 +14,16 @@
 from pierglade.model.request import Request
 from pierglade.settings.balancer import BalancerSettings
 
-# Fraction of a request's value lost by sending it to another zone; below this, preferring the own
-# zone is not worth the load that it concentrates there.
+# Fraction of a request's value that is lost by sending it to another zone. Below this, preferring
+# the node's own zone is not worth the load that it concentrates there.
 MIN_CROSS_ZONE_PENALTY = 0.05
 # Multiple of the mean number of attempts in flight that one backend may have; random variation
 # rarely puts more on one.
 OVER_MEAN_RATIO = 1.0
 # Attempts that one backend may have beyond that multiple, at any load.
 OVER_MEAN_MARGIN = 0.5
-# Exponent of the latency level in the rotation weights where the limit is learned; nothing else
-# evens out the random load of backends with few connections.
+# Exponent of the latency level in the rotation weights if the limit is learned. Nothing else then
+# balances the random load of backends with few connections.
 LATENCY_LEVEL_EXPONENT = 4
 
 
@@ -33,7 +33,7 @@
     RETRY_NOT_ALLOWED = auto()
     """Rule 2: the earlier attempts of the request rule this backend out."""
     ALREADY_TRIED = auto()
-    """The request has had an attempt at this backend."""
+    """An earlier attempt of the request was sent to this backend."""
     SLOW_START = auto()
     """The backend is in slow start and has used up its allowance."""
     EJECTED = auto()
@@ -102,7 +102,7 @@
         rotation, sizes, accumulated = self._rotation, self._endpoints.size, self.accumulated_weight
         subset, position, fallback = rotation.subset, rotation.position, None
         count = len(subset)
-        # Where crossing zones is expensive, a first lap covers only the backends of the own zone.
+        # If crossing zones is expensive, a first pass covers only the backends of this node's zone.
         for step in range(0 if self._preferred_zone is None else -count, count):
             place = (position + step) % count
             backend = subset[place]
@@ -110,8 +110,8 @@
                 continue
             skip = self.skip_reason(request, backend, now)
             if skip is None:
-                # With equal weights, small machines would be overloaded at a load that the fleet
-                # can carry.
+                # The weight depends on size and latency. With equal weights, small machines would
+                # be overloaded at a load that the whole fleet can handle.
                 level = self._outliers.latency_level[backend]
                 accumulated[backend] += min(
                     1.0,
@@ -145,7 +145,7 @@
         if reason is not None and not self.is_trial(request, backend):
             if reason is not EjectionReason.SLOW:
                 return SkipReason.EJECTED
-            # Shared slowness: when most backends are slow at once, skipping all of them is no help.
+            # If most backends are slow at the same time, skipping all of them does not help.
             if ejections.slow_count * 2 <= len(rotation.subset):
                 return SkipReason.SLOW
         level = self._outliers.latency_level[backend]
@@ -165,7 +165,7 @@
                 if now <= forecast + self._pause_forecast.mean_pause[backend]:
                     return SkipReason.PAUSE_FORECAST
                 # The forecast pause did not occur. The forecast is discarded until the next pause,
-                # as it would starve the backend.
+                # as the backend would otherwise receive no requests.
                 self._pause_forecast.discard_forecast(backend)
         return None
 
--- a/pierglade/balancer/slow_start.py
+++ b/pierglade/balancer/slow_start.py
@@ -5,12 +5,12 @@
 
 from pierglade.settings.balancer import BalancerSettings
 
-# Minimum fraction of the slow start budget that is used steadily; the rest absorbs uneven traffic
-# of nodes and uneven work.
+# Minimum fraction of the slow start budget that is used at a steady rate; the rest absorbs uneven
+# traffic of nodes and uneven work of requests.
 MARGIN = 0.5
-# Maximum numbers of saved attempts, of one node and of all nodes together.
+# Maximum number of attempts saved up by one node, and by all nodes together.
 MAX_SAVED_ATTEMPTS, MAX_SAVED_BY_ALL_NODES = 1.5, 2.0
-# Ticks (1 s). Capacity of a cold backend beyond the steady rate may be saved up for this long.
+# Ticks (1 s). Span for which unused capacity of a cold backend may be saved up.
 MAX_SAVED_SPAN = 10000
 
 # Arrays of `SlowStart`, with the values for a new backend.
@@ -29,7 +29,7 @@
         Args:
             duration: how long a process takes to become warm.
             capacity: fraction of its warm capacity that it has at its start.
-            overload: multiple of this capacity that it can bear.
+            overload: multiple of this capacity that it can sustain.
             node_count: number of nodes that send to it.
         """
         self.duration, self._node_count = duration, node_count
--- a/pierglade/balancer/wakeup.py
+++ b/pierglade/balancer/wakeup.py
@@ -3,10 +3,10 @@
 Times are in ticks (tenths of a millisecond).
 """
 
-# A time that never comes.
+# A time that is never reached.
 NEVER = 1 << 62
-# Ticks (50 ms). Checking for unresponsive backends is cheap at this interval and detects them
-# within one answer.
+# Ticks (50 ms). At this interval, checks for unresponsive backends are cheap and detect them within
+# the time of one answer.
 SWEEP_INTERVAL = 500
 
 
--- a/pierglade/concurrency/capacity_estimate.py
+++ b/pierglade/concurrency/capacity_estimate.py
@@ -13,32 +13,38 @@
 from pierglade.concurrency.probing_round import MAX_SIZE, ProbingRound
 from pierglade.model.ticks import Ticks
 
-# Fraction of the latency objective. Slower answers are strained: the fleet is filling up.
+# Fraction of the latency objective. Slower answers count as strained, a sign that the fleet is
+# close to its capacity.
 STRAIN_RATIO = 0.75
 # Spread of shifts above which answers count as noisy.
 NOISY_SPREAD = 0.3
-# Standard errors. One wrong increment in fifteen passes, and is reverted a round later.
+# Standard errors that a difference must exceed to count as significant. One wrong increment in
+# fifteen is accepted, and is reverted a round later.
 SIGNIFICANCE_ERRORS = 1.5
 # Standard error of a median, as a multiple of that of a mean.
 MEDIAN_ERROR_RATIO = 1.25
-# Fraction of a round's answers. From this quantile to the median is one standard deviation.
+# Fraction of a round's answers. The distance from this quantile to the median is one standard
+# deviation.
 LOW_QUANTILE = 0.16
-# Largest shift that does not count as a queue, whatever its cause.
+# Largest shift that is never attributed to a queue.
 MAX_CLEAR_SHIFT = 0.25
-# Multiple of the square root of the attempts in service. More waiting attempts are a queue, and
-# the limit stops growing; random arrivals alone make this many wait.
+# Multiple of the square root of the attempts in service. Random arrivals alone make this many
+# attempts wait. More waiting attempts count as a queue, and the limit stops growing.
 QUEUE_RATIO = 1.0
-# The same unit. With more waiting attempts the limit is halved, to check whether they are a queue.
+# Multiple of the square root of the attempts in service. With more waiting attempts the limit is
+# halved, to check whether they are a queue.
 DEEP_QUEUE_RATIO = 3.0
-# Attempts in service per backend. With fewer, strained answers show a short queue soon enough.
+# Attempts in service per backend. With fewer, strained answers reveal a short queue early enough.
 MIN_IN_SERVICE_FOR_QUEUE = 6.0
-# Multiple of the unloaded latency. Strain that begins beyond it comes too late to show a queue.
+# Multiple of the unloaded latency. If answers count as strained only above it, they reveal a queue
+# too late.
 LATE_STRAIN_RATIO = 25.0
-# Ticks (10 s). The unloaded latency follows slower answers within this span.
+# Ticks (10 s). Span within which the unloaded latency is adjusted to slower answers.
 BASE_LATENCY_SPAN: Ticks = 100000
 # Answers after which the unloaded latency of a request class is known.
 MIN_CLASS_ANSWERS = 32
-# Answers in whole rounds before an increment; the spread of one round of four is random.
+# Answers in whole rounds before an increment; the spread of a single round of four answers is
+# random.
 MIN_STEP_ANSWERS = 16
 # Answers in whole rounds after which the unloaded latency is known.
 MIN_BASE_ANSWERS = 64
@@ -60,7 +66,7 @@
 
 @dataclass(slots=True)
 class Assessment:
-    """A steady round compared with the estimate."""
+    """The result of comparing a steady round with the estimate."""
 
     shift: float
     """The median shift over the current unloaded latency."""
@@ -70,10 +76,10 @@
     span: Ticks
     mean_in_flight: float
     in_service: float
-    """The part of `mean_in_flight` that backends work on; the others wait."""
+    """The part of `mean_in_flight` that backends are processing; the other attempts wait."""
 
     def is_queue_deep(self) -> bool:
-        """Whether so many attempts wait that the limit is to be halved."""
+        """Returns whether so many attempts wait that the limit is to be halved."""
         return self.mean_in_flight - self.in_service > DEEP_QUEUE_RATIO * sqrt(self.in_service)
 
 
@@ -83,7 +89,7 @@
     def __init__(self, request_classes: int, now: Ticks, is_uncertain: bool) -> None:
         # Natural logarithm of the unloaded latency of each request class.
         self.log_base_latencies = [0.0] * request_classes
-        # Answers that each of them is based on, up to MIN_CLASS_ANSWERS.
+        # Answers that the unloaded latency of each class is based on, up to MIN_CLASS_ANSWERS.
         self.class_answers = [0] * request_classes
         # Answers in whole rounds that the unloaded latencies are based on.
         self.round_answers = 0
@@ -121,7 +127,8 @@
             self.log_base_latencies[request_class] += (
                 log_latency - self.log_base_latencies[request_class]
             ) / (count + 1)
-        # Weighted by time, not by count: the request classes that fill the backends show queues.
+        # Answers are weighted by time, not by count: queues show in the request classes that occupy
+        # the backends longest.
         weight = exp(self.log_base_latencies[request_class])
         self.mean_base_latency += (weight - self.mean_base_latency) / MIN_CLASS_ANSWERS
         self.mean_strain_latency += (
@@ -132,10 +139,11 @@
     def evaluate(
         self, now: Ticks, probing_round: ProbingRound, is_overdue: bool, needs_all: bool
     ) -> RoundResult | None:
-        """Returns the result of a round, or None where too few attempts are answered.
+        """Returns the result of a round, or None if too few attempts have been answered.
 
-        A round that is not overdue may be evaluated again later. With `needs_all`, the attempts
-        answered in time are not enough: they are the quick ones.
+        A round that is not overdue may be evaluated again later. With `needs_all`, an overdue round
+        has no result either while pending attempts could change it, as the attempts answered in
+        time are the quick ones.
         """
         total_weight = probing_round.total_weight(self.log_base_latencies)
         if 2 * probing_round.answered_weight < total_weight or not probing_round.shifts:
@@ -162,13 +170,13 @@
         return SIGNIFICANCE_ERRORS * MEDIAN_ERROR_RATIO * self.spread / sqrt(answers)
 
     def attempts_needed(self, step: float) -> float:
-        """Returns how many attempts distinguish a step, as a logarithm, from no step."""
+        """Returns how many attempts are needed to detect a step, given as a logarithm."""
         return 1 + (2 * SIGNIFICANCE_ERRORS * MEDIAN_ERROR_RATIO * self.spread / step) ** 2
 
     def base_answers_needed(self, has_demand: bool) -> float:
-        """Returns after how many answers the unloaded latency is known.
+        """Returns the number of answers after which the unloaded latency is known.
 
-        Without quotas this depends on the spread.
+        Without quotas, the number depends on the spread.
         """
         if has_demand:
             return MIN_BASE_ANSWERS
@@ -181,8 +189,8 @@
     def assess(self, result: RoundResult, usage: RoundUsage, has_demand: bool) -> Assessment:
         """Records a steady round: adjusts the unloaded latency and detects a queue."""
         shift, answers, mean_in_flight = result.shift, result.answers, usage.mean_in_flight
-        # Of a negative shift only the significant part counts: all of it would let the unloaded
-        # latency drift down at random.
+        # Only the significant part of a negative shift is applied; otherwise random variation would
+        # make the unloaded latency drift down.
         correction = min(0.0, shift + result.error)
         if self.round_answers < self.base_answers_needed(has_demand):
             correction = shift * answers / (self.round_answers + answers)
@@ -191,7 +199,8 @@
             correction = shift * min(1.0, usage.span / BASE_LATENCY_SPAN)
         self.shift_base(correction)
         shift -= correction
-        # One round shows a sudden queue; many show one that the noise of a single round hides.
+        # A sudden queue shows in one round. A small one is hidden by the noise of a single round
+        # and shows only in the mean of many.
         self.mean_shift -= correction
         self.mean_shift += (shift - self.mean_shift) * answers / (self.mean_shift_answers + answers)
         self.mean_shift_answers = min(MAX_SIZE, self.mean_shift_answers + answers)
@@ -214,7 +223,10 @@
         return Assessment(shift, significant_shift, answers, usage.span, mean_in_flight, in_service)
 
     def is_doubtful(self, now: Ticks, is_deep: bool, is_stuck: bool) -> bool:
-        """Whether the unloaded latencies probably include a queue, if the limit always bound."""
+        """Returns whether the unloaded latencies probably include time in a queue.
+
+        This is possible if requests have been waiting because of the limit from the start.
+        """
         return (
             self.is_uncertain
             and self.first_in_flight is not None
--- a/pierglade/concurrency/capacity_search.py
+++ b/pierglade/concurrency/capacity_search.py
@@ -1,10 +1,11 @@
 """Searches, in probing rounds, for the number of attempts that the fleet can work on.
 
-A steady round that shows no queue is followed by an increment of the limit, which is reverted where
-it made answers slower. A deep queue halves the limit, to verify that the slow answers are due to a
-queue. Where half as many attempts are no quicker, the backends rest for some seconds: overloaded
-ones recover and are not sent as many attempts again. A node whose limit bound from the start drains
-once, to measure answers that did not wait in a queue.
+A steady round that shows no queue is followed by an increment of the limit, which is reverted if it
+made answers slower. If a deep queue is suspected, the limit is halved to verify that the slow
+answers are due to a queue. If half as many attempts are no quicker, the backends rest for some
+seconds: overloaded ones recover, and the limit is then bounded below the one that overloaded them.
+A node whose limit made requests wait from the start lowers it to let queues drain, in order to
+measure answers that did not wait in a queue.
 """
 
 from copy import copy
@@ -42,23 +43,29 @@
 STEP_SPAN: Ticks = 8000
 # Ticks (1 s). Within it the other nodes detect the same queue and halve their limits as well.
 SETTLE_SPAN: Ticks = 10000
-# Multiple of the unloaded attempts in flight that quotas allow. No more capacity is searched for.
+# Multiple of the unloaded attempts in flight that quotas allow. The search stops at this limit.
 MAX_DEMAND_RATIO = 1.5
-# Fraction of the attempts in flight before the halving. Mostly idle, overloaded backends recover.
+# Fraction of the attempts in flight before the halving. It leaves overloaded backends mostly idle,
+# so that they recover.
 REST_RATIO = 0.15
 # Shift from which a rest is tried at once where a halving could not be evaluated.
 DOUBLING_SHIFT = log(2)
-# Ticks (2 s). A longer time at half the limit loses more than it shows.
+# Ticks (2 s). Maximum time at half the limit; a longer one costs more throughput than the result
+# is worth.
 HALVED_SPAN: Ticks = 20000
-# Fraction of the attempts in flight. Few enough for no queue, enough to be evaluated.
+# Fraction of the attempts in flight that remain while queues drain: few enough to leave no queue,
+# enough to be evaluated.
 DRAIN_RATIO = 0.3
-# Fraction of the attempts in service, as latencies show them. Bounds a rest like REST_RATIO.
+# Fraction of the attempts in service, as derived from latencies. Bounds the limit during a rest,
+# as REST_RATIO does.
 REST_IN_SERVICE_RATIO = 0.5
-# Ticks (4.5 s). Overloaded backends recover after some three seconds of it.
+# Ticks (4.5 s). Duration of a rest; overloaded backends recover after some three seconds.
 REST_SPAN: Ticks = 45000
-# Ticks (1.5 s). Added with several nodes, which may begin their rest that much later.
+# Ticks (1.5 s). Extension of a rest if there are several nodes: the others may begin theirs that
+# much later.
 REST_EXTRA_SPAN: Ticks = 15000
-# Ticks (2 s). A rest that helps sooner has ended a mere queue, even where other nodes halve later.
+# Ticks (2 s). If a rest makes answers quicker sooner than this, the cause was a queue and not an
+# overload, even if other nodes halve their limits later.
 MIN_OVERLOAD_SPAN: Ticks = 20000
 
 
@@ -124,7 +131,7 @@
         self.round = ProbingRound(self.round.number + 1, now, attempts, len(self.round.pending))
 
     def evaluate_round(self, now: Ticks) -> None:
-        """Ends the round if enough of it is answered, or its time is over."""
+        """Ends the round if enough of its attempts are answered, or its time is over."""
         probing_round = self.round
         is_overdue = self._is_overdue(now)
         if probing_round.unsent > 0 and not is_overdue:
@@ -167,7 +174,7 @@
             self.estimate.attempts_needed(DOUBLING_SHIFT if mode is DRAINED else shift / 2),
         )
 
-    # The end of a round, by search mode.
+    # Methods that end a round, by search mode.
 
     def _end_round(self, now: Ticks, result: RoundResult) -> None:
         increase = result.shift - self.previous_shift
@@ -192,14 +199,14 @@
         elif now < self.overload.next_rest_at:
             self._accept_slower(now, shift)
         else:
-            # Half as many, no quicker: the backends are overloaded or permanently slower, or the
-            # other nodes have not halved.
+            # With half as many attempts, answers are no quicker: the backends are overloaded or
+            # permanently slower, or the other nodes have not halved their limits.
             self.begin_rest(now, RESTED, shift)
 
     def _end_drained(self, now: Ticks, result: RoundResult, increase: float) -> None:
         estimate, shift = self.estimate, result.shift
-        # A deep queue remains at a fraction of the attempts: drains are repeated until one shows
-        # little change.
+        # A deep queue may remain even with a fraction of the attempts, so drains are repeated until
+        # one shows little change.
         estimate.is_uncertain, estimate.doubtful_from = (
             shift <= -2 * MAX_CLEAR_SHIFT,
             now + UNCERTAINTY_SPAN,
@@ -238,7 +245,8 @@
         self.increment.record_success()
         self.mode = STEADY
         if budget.last_limited_at < self.round.began_at and self.demand is None:
-            # Unused capacity is unproven, and all of it would be used when backends are removed.
+            # It is not proven that the backends have the capacity that was left unused, but all of
+            # it would be used when backends are removed.
             budget.spend(now)
             mean_in_flight = budget.used / max(1, now - self.round.began_at) / budget.fleet_size
             budget.per_backend = max(
@@ -247,7 +255,7 @@
         self._end_steady(now, result)
 
     def _abandon_round(self, now: Ticks) -> None:
-        """Ends a round most of which was not answered in time."""
+        """Ends a round in which most attempts were not answered in time."""
         if self.mode is STEPPED:
             self.revert_step(now)
         elif self.mode is RESTED:
@@ -266,7 +274,11 @@
         self._become_steady(now, 0.0)
 
     def _limit_to_in_service(self, shift: float) -> None:
-        """Limits to the attempts in service and a random queue; answers took `shift` longer."""
+        """Sets the limit to the attempts in service plus a random queue.
+
+        The limit never exceeds the previous one. `shift` is that of the answers that waited in the
+        queue.
+        """
         limit = self.budget.limit_for_in_service(self.previous_in_flight * exp(-shift))
         self.budget.per_backend = min(self.previous_limit, limit)
 
@@ -280,7 +292,7 @@
         needed = estimate.attempts_needed(min(MAX_NOISY_STEP, self.increment.step))
         self.begin_round(now, min(needed, self.rate * MAX_ROUND_SPAN))
 
-    # What follows a steady round.
+    # Methods that decide on the next round after a steady one.
 
     def _end_steady(self, now: Ticks, result: RoundResult) -> None:
         """Updates the estimate, and begins a rest, a halving or an increment where needed."""
@@ -291,7 +303,7 @@
                 assessment.mean_in_flight, assessment.in_service, self.demand is not None
             )
         max_step = self.increment.max_step(estimate.spread)
-        # Answers that an increment has time for.
+        # Number of answers that arrive within the time for an increment.
         max_answers = min(MAX_SIZE, self._step_span() * assessment.answers / assessment.span)
         estimate.check_certainty(now, assessment, self.demand is not None)
         can_step = estimate.attempts_needed(max_step) <= max_answers
@@ -338,7 +350,7 @@
             if is_doubtful
             else (assessment.significant_shift / 2, REST_RATIO)
         )
-        # Answers that a rest has time for.
+        # Number of answers that arrive within the time for a rest.
         max_answers = (
             self._rest_span() * ratio * exp(expected_shift) * assessment.answers / assessment.span
         )
@@ -374,7 +386,7 @@
             now >= self.increment.hold_until
             and self.budget.has_bound_since(self.round.began_at)
             and assessment.shift <= MAX_CLEAR_SHIFT
-            # Tenants may send more than the limit, within their quotas.
+            # With quotas, the limit need not grow far beyond what tenants may send.
             and (
                 self.demand is None
                 or self.budget.limit() < MAX_DEMAND_RATIO * self.demand * estimate.mean_base_latency
@@ -394,8 +406,8 @@
         if log(limit / budget.per_backend) <= MIN_STEP / 2:
             return False
         self._change_limit(STEPPED, limit, assessment.shift, assessment.mean_in_flight)
-        # The attempts sent first are first in any queue: all that an increment adds must be
-        # evaluated.
+        # The attempts sent first wait the least in any queue, so the round must cover all attempts
+        # that the increment adds.
         added = min((limit - self.previous_limit) * budget.fleet_size, self.rate * STEP_SPAN / 2)
         self.begin_round(now, max(estimate.attempts_needed(step), added))
         return True
@@ -414,7 +426,7 @@
     # Spans.
 
     def _is_overdue(self, now: Ticks) -> bool:
-        """Whether the time for the round is over."""
+        """Returns whether the time for the round is over."""
         if self.mode is STEPPED:
             return now - self.round.began_at > self._step_span()
         if self.mode is HALVED:
--- a/pierglade/concurrency/in_flight_budget.py
+++ b/pierglade/concurrency/in_flight_budget.py
@@ -10,11 +10,13 @@
 
 # Attempts per backend, of all nodes together, before anything is learned.
 INITIAL_LIMIT = 4.0
-# Attempts per backend, of all nodes together. A backend works on some while others wait or travel.
+# Attempts per backend, of all nodes together. A backend processes some while others wait or are in
+# transit.
 MIN_LIMIT = 2.0
-# Attempts per backend on top of MIN_LIMIT, in full where there are two backends for each node.
+# Attempts per backend added to MIN_LIMIT; all of it applies if there are two backends per node.
 MIN_LIMIT_EXTRA = 1.0
-# Ticks (0.5 s). The limit applies to the mean over about this span, as a node's may be under one.
+# Ticks (0.5 s). The limit applies to the mean over about this span, as the limit of a node may be
+# less than one attempt.
 AVERAGING_SPAN: Ticks = 5000
 # Multiple of a limit of one or two attempts, plus one attempt: the most in flight at once while
 # the mean is within the limit.
@@ -24,12 +26,13 @@
 LARGE_PEAK_RATIO, LARGE_PEAK_EXTRA = 0.8, 3
 # Fraction of the limit in use up to which answers are unloaded.
 MAX_UNLOADED_RATIO = 0.5
-# Multiple of the square root of the attempts in service. The queue that is tolerated; the excess
-# is halved round by round.
+# Multiple of the square root of the attempts in service. Length of the queue that is tolerated; the
+# excess is halved in each round.
 TOLERATED_QUEUE_RATIO = 2.0
-# Multiple of the attempts in flight. Bounds the limit while there is a queue.
+# Multiple of the attempts in flight. Upper bound of the limit while there is a queue.
 MAX_UNUSED_RATIO = 1.25
-# Multiple of the peak. Few requests may borrow; more than this is not a burst of them.
+# Multiple of the peak that borrowing may reach. Requests that may borrow are few, so more attempts
+# than this are not a burst of them.
 BORROWING_PEAK_RATIO = 2.0
 
 
@@ -45,7 +48,7 @@
 
 
 class InFlightBudget:
-    """Attempts in flight against the limit, as a budget of attempts times ticks."""
+    """Compares the attempts in flight with the limit, as a budget of attempts times ticks."""
 
     __slots__ = (
         "fleet_size",
@@ -75,8 +78,8 @@
     def min_per_backend(self) -> float:
         """Returns the lowest limit for each backend.
 
-        A node with many attempts of its own evens them out, and may load backends more than one of
-        many nodes.
+        A node with many attempts distributes them evenly, so it may load each backend more than one
+        of many nodes may.
         """
         return (
             MIN_LIMIT + MIN_LIMIT_EXTRA * min(1.0, self.fleet_size / self.nodes / 2)
@@ -94,7 +97,7 @@
         span = max(1, now - began_at)
         self.spend(now)
         # A node with a limit of half an attempt has one in flight for all of a short round, but
-        # keeps to its limit on average.
+        # stays within its limit on average.
         mean_in_flight = min(self.used / span / self.fleet_size, self.per_backend) * self.nodes
         return RoundUsage(
             span,
@@ -103,7 +106,7 @@
         )
 
     def limit_for_in_service(self, in_service: float) -> float:
-        """Returns a limit per backend for the attempts in service and a random queue."""
+        """Returns the limit per backend for the attempts in service plus a random queue."""
         return max(MIN_LIMIT / self.nodes, (in_service + sqrt(in_service)) / self.nodes)
 
     def lower_while_queued(
@@ -111,8 +114,8 @@
     ) -> None:
         """Lowers the limit towards the attempts in service per backend, of all nodes together."""
         minimum, nodes = self.min_per_backend(), self.nodes
-        # What other nodes fill must not be open to this one as well: it gives up what it left
-        # unused.
+        # Other nodes may be using the capacity that this node left unused, so its limit is lowered
+        # to little more than the attempts in flight.
         limit = min(self.per_backend, max(minimum, MAX_UNUSED_RATIO * mean_in_flight / nodes))
         tolerated = (in_service + TOLERATED_QUEUE_RATIO * sqrt(in_service)) / nodes
         if not has_demand and tolerated < limit:
@@ -120,11 +123,14 @@
         self.per_backend = limit
 
     def has_bound_since(self, moment: Ticks) -> bool:
-        """Whether a request had to wait for the limit at or after that moment."""
+        """Returns whether a request had to wait because of the limit at or after that moment."""
         return moment <= self.last_limited_at
 
     def is_full(self, now: Ticks, may_borrow: bool) -> bool:
-        """Whether a queued request has to wait; `may_borrow` uses budget of those behind it."""
+        """Returns whether a queued request has to wait.
+
+        With `may_borrow`, it may use the budget of the requests queued behind it.
+        """
         self.spend(now)
         limit = self.per_backend * self.fleet_size
         peak = min(
@@ -138,7 +144,8 @@
             return False
         if self.spare >= 0 and self.in_flight < peak:
             return False
-        # A burst that reaches the peak while the mean is within the limit is not due to the limit.
+        # While the mean is within the limit, a burst that reaches the peak does not show that the
+        # limit is too low.
         if self.spare <= 0 or peak <= limit:
             self.last_limited_at = now
         return True
--- a/pierglade/concurrency/increment.py
+++ b/pierglade/concurrency/increment.py
@@ -6,13 +6,14 @@
 from pierglade.model.ticks import Ticks
 
 # Steps are natural logarithms of the factor by which the limit grows.
-# Where the spread is low, an increment is judged by its first answers.
+# Largest step if the spread is low; the first answers then show whether an increment was too large.
 MAX_STEP = log(3)
-# Where the spread is high. Exceeding the capacity by half for a round leaves no lasting queue.
+# Largest step if the spread is high. Exceeding the capacity by half for a round leaves no lasting
+# queue.
 MAX_NOISY_STEP = log(1.5)
-# A smaller step gains little.
+# Smallest step; a smaller one gains little.
 MIN_STEP = log(1.15)
-# Ticks (1 s, 8 s). Between failed increments; doubled after each.
+# Ticks (1 s, 8 s). Initial and longest delay after a failed increment; doubled by each failure.
 MIN_HOLD_SPAN, MAX_HOLD_SPAN = 10000, 80000
 
 
@@ -41,7 +42,8 @@
 
     def choose(self, estimate: CapacityEstimate, max_answers: float, max_step: float) -> float:
         """Returns the step to take in a round that has time for `max_answers` answers."""
-        # As small as the last failure requires, but large enough to be distinguished from noise.
+        # The step is as small as the last failure requires, but large enough to be distinguished
+        # from noise.
         step = self.step
         while estimate.attempts_needed(step) > max_answers:
             step *= 1.25
--- a/pierglade/concurrency/limiter.py
+++ b/pierglade/concurrency/limiter.py
@@ -16,11 +16,12 @@
 
 # Fraction of the answers that may be strained before the limit is lowered.
 MAX_STRAINED_RATIO = 0.05
-# The same where rounds show that there is no queue: a lower limit would not make answers quicker.
+# Fraction of the answers that may be strained if rounds show that there is no queue; a lower limit
+# would then not make answers quicker.
 MAX_STRAINED_RATIO_WITHOUT_QUEUE = 0.15
-# Attempts. By how much one answer can change the limit.
+# Attempts. Maximum change of the limit by one answer.
 ADJUSTMENT_ATTEMPTS = 0.5
-# Fraction of the limit. Bounds that change where the limit is one or two attempts.
+# Fraction of the limit. Bounds the change by one answer if the limit is one or two attempts.
 MAX_ADJUSTMENT_RATIO = 0.2
 
 
@@ -152,9 +153,10 @@
         search.evaluate_round(now)
 
     def attempt_rejected(self, now: Ticks, sent_at: Ticks) -> None:
-        """Records that a healthy backend rejected an attempt unprocessed: it is full."""
+        """Records that a healthy backend rejected an attempt unprocessed because it is full."""
         budget = self._budget
-        # Up to the initial limit one slow machine is more likely; the others have capacity.
+        # Up to the initial limit, the likelier cause is one slow machine while the others have
+        # capacity.
         if budget.per_backend * budget.nodes > INITIAL_LIMIT:
             self._adjust_limit(sent_at, True, MAX_STRAINED_RATIO)
         if self._search.mode is STEPPED:
@@ -167,7 +169,10 @@
         return self._budget.limit()
 
     def is_full(self, now: Ticks, may_borrow: bool = False) -> bool:
-        """Whether a queued request has to wait; `may_borrow` uses budget of those behind it."""
+        """Returns whether a queued request has to wait.
+
+        With `may_borrow`, it may use the budget of the requests queued behind it.
+        """
         return self._budget.is_full(now, may_borrow)
 
     def opens_at(self, now: Ticks) -> Ticks | None:
@@ -186,8 +191,8 @@
             and search.mode is STEADY
             and not search.estimate.is_queued
         ):
-            # A single attempt uses up a limit under one. That does not prove demand, but it proves
-            # capacity.
+            # A single attempt uses up a limit of less than one. This does not prove demand for a
+            # higher limit, but the answer proves that there is capacity.
             budget.per_backend = search.overload.bounded(
                 budget.per_backend * (1 + adjustment * max_ratio), budget.spare_at
             )
--- a/pierglade/concurrency/overload_history.py
+++ b/pierglade/concurrency/overload_history.py
@@ -1,4 +1,4 @@
-"""Records what rests showed: the limit that overloaded the backends, and rests that failed."""
+"""Records the results of rests: the limit that overloaded the backends, and failed rests."""
 
 from math import exp, log
 
@@ -6,9 +6,9 @@
 
 # Fraction of the limit before the overload, with which a node resumes after a rest that helped.
 RECOVERY_RATIO = 0.5
-# Fraction of the limit before the overload, which is not exceeded for long afterwards.
+# Fraction of the limit before the overload that bounds the limit for a long time afterwards.
 OVERLOAD_BOUND_RATIO = 0.85
-# Logarithm per tick. That bound grows by 7% a minute.
+# Logarithm per tick. Growth of the bound after an overload, 7% a minute.
 OVERLOAD_BOUND_GROWTH = log(1.07) / 600000
 # Ticks (1 min, 10 min). Delay of the next rest after one that did not help; doubled each time.
 MIN_REST_DELAY, MAX_REST_DELAY = 600000, 6000000
@@ -26,7 +26,7 @@
         self.rest_delay, self.next_rest_at = MIN_REST_DELAY, now
 
     def bounded(self, limit: float, now: Ticks) -> float:
-        """Returns a limit per backend, for some time bounded by what overloaded the backends."""
+        """Returns `limit` (per backend), bounded for some time after an overload."""
         if self.overload_limit is None:
             return limit
         return min(
@@ -36,9 +36,9 @@
     def record_overload(self, now: Ticks, previous_limit: float) -> float:
         """Records that a rest ended an overload; returns the limit to resume with.
 
-        The limit that was too high is never restored: this node would cause a second overload. The
-        bound is derived from the limit of the last healthy round, as the limit may have fallen to
-        its minimum since.
+        The limit that was too high is never restored, as it would cause a second overload. The
+        bound is derived from the limit of the last healthy round, because the limit may have fallen
+        to its minimum since then.
         """
         overload = max(previous_limit, self.healthy_limit)
         self.overload_limit, self.overloaded_at = OVERLOAD_BOUND_RATIO * overload, now
@@ -46,7 +46,7 @@
         return self.healthy_limit
 
     def record_failed_rest(self, now: Ticks) -> None:
-        """Delays the next rest, twice as long each time."""
+        """Delays the next rest; the delay doubles with each failed one."""
         self.next_rest_at = now + self.rest_delay
         self.rest_delay = min(MAX_REST_DELAY, 2 * self.rest_delay)
 
--- a/pierglade/concurrency/probing_round.py
+++ b/pierglade/concurrency/probing_round.py
@@ -1,9 +1,9 @@
 """A probing round: successive attempts, evaluated by the median of their latencies.
 
-A round is evaluated once half of it is answered, by weight: the attempts answered first are the
-quick ones, and by them alone every increment would look good. A shift is the natural logarithm of
-a latency over the unloaded latency of its request class. The weight of an answer is the unloaded
-latency of its class.
+A round is evaluated once half of it, by weight, is answered. The attempts answered first are the
+quick ones, and every increment would look good if only they counted. A shift is the natural
+logarithm of a latency over the unloaded latency of its request class. The weight of an answer is
+the unloaded latency of its class.
 """
 
 from bisect import insort
@@ -11,7 +11,8 @@
 
 from pierglade.model.ticks import Ticks
 
-# Attempts in a round. Fewer do not show their spread; more add little.
+# Minimum and maximum number of attempts in a round. With fewer, the spread of their latencies is
+# unknown; more add little accuracy.
 MIN_SIZE, MAX_SIZE = 4, 400
 
 
@@ -72,7 +73,7 @@
     def slow_until(self, log_base_latencies: list[float], shift: float) -> float | None:
         """Returns when all pending attempts are known to be slower than `shift`; None without any.
 
-        Pending attempts count as slower, so the last of them must have been in flight that long.
+        Pending attempts count as slower once the last of them has been in flight for that long.
         """
         longest = max(
             (
--- a/pierglade/model/decision.py
+++ b/pierglade/model/decision.py
@@ -1,4 +1,4 @@
-"""The decisions of the balancer: one type for each kind, pulled by the caller one by one."""
+"""The decisions of the balancer, one type for each kind. The caller takes them one by one."""
 
 from dataclasses import dataclass
 from typing import TypeAlias
--- a/pierglade/model/endpoint.py
+++ b/pierglade/model/endpoint.py
@@ -31,7 +31,7 @@
     zone: str | None
     cell: object
     started_at: Ticks
-    """Start time of its process; 0 if long ago."""
+    """Start time of its process; 0 if it started long ago."""
     weight: float = 1.0
     """Capacity relative to other backends, according to the list."""
 
--- a/pierglade/settings/balancer.py
+++ b/pierglade/settings/balancer.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from pierglade.tenants.registry import TenantRegistry
 
-# Ticks (1 s). A connection on a local network is established within it.
+# Ticks (1 s). A connection on a local network is established within this time.
 DEFAULT_CONNECT_TIMEOUT: Ticks = 10000
 # Ticks (10 s). Common servers keep an idle connection open for longer.
 DEFAULT_IDLE_TIMEOUT: Ticks = 100000
@@ -50,7 +50,7 @@
     polls_endpoints: bool = False
     """Whether the endpoint list has to be polled."""
     load_report_source: LoadReportSource | None = None
-    """None where backends report nothing that the decisions use."""
+    """How load reports arrive; None if backends report nothing that the decisions use."""
     load_report_fields: tuple[str | None, ...] = ()
     """Fields of `LoadReport` in the order of a report; None for an unused one."""
     retry_budget_window: Ticks = 0
--- a/pierglade/settings/platform.py
+++ b/pierglade/settings/platform.py
@@ -19,7 +19,7 @@
 from pierglade.settings.validation import InvalidSettingsError
 from pierglade.tenants.registry import TenantRegistry
 
-# Names of load values in settings and in the reports of backends, to fields of LoadReport.
+# Maps names of load values in settings and in the reports of backends to fields of LoadReport.
 LOAD_FIELDS = {
     "throughput": "throughput",
     "qps": "throughput",
@@ -39,7 +39,8 @@
     "single_shot": Idempotency.UNSAFE,
 }
 RETRY_BUDGET_KEYS = ("lookBackUs", "extraFloor", "resendRatio")
-# Interned quotas, in requests a second: most of many thousand tenants have one of a few values.
+# Interned quotas, in requests a second. Of many thousand tenants, most have one of a few values, so
+# sharing the objects saves memory.
 _COMMON_QUOTAS: dict[float, float] = {}
 _MAX_COMMON_QUOTAS = 1000
 
@@ -197,7 +198,8 @@
         settings, "loadInfo.fields", validation.is_list_of_strings, "a list of strings", []
     )
     fields = tuple(LOAD_FIELDS.get(name) for name in names)
-    # Without throughput and utilization no decision uses reports, and reading them is wasted.
+    # If reports contain neither throughput nor utilization, no decision uses them and they need not
+    # be read.
     is_used = {"throughput", "utilization"} & set(fields)
     return {
         "load_report_source": LOAD_REPORT_SOURCES[source] if is_used else None,
--- a/pierglade/settings/validation.py
+++ b/pierglade/settings/validation.py
@@ -5,8 +5,8 @@
 
 from pierglade.errors import PiergladeError
 
-# Exclusive bound of numbers; in microseconds over a week, longer than any client waits. Infinite
-# numbers, such as 1e400 in JSON, are rejected by it.
+# Exclusive upper bound of numbers. In microseconds it is over a week, longer than any client waits.
+# It also rejects infinite numbers, such as 1e400 in JSON.
 NUMBER_BOUND = 10**12
 
 
@@ -87,17 +87,17 @@
 
 
 def is_non_negative(value: object) -> bool:
-    """Whether a value is a finite number of 0 or more."""
+    """Returns whether a value is a finite number of 0 or more."""
     return type(value) in (int, float) and 0 <= value < NUMBER_BOUND
 
 
 def is_positive(value: object) -> bool:
-    """Whether a value is a finite number above 0."""
+    """Returns whether a value is a finite number above 0."""
     return type(value) in (int, float) and 0 < value < NUMBER_BOUND
 
 
 def is_list_of_strings(value: object) -> bool:
-    """Whether a value is a list of strings."""
+    """Returns whether a value is a list of strings."""
     return isinstance(value, list) and all(isinstance(name, str) for name in value)
 
 
--- a/pierglade/tenants/__init__.py
+++ b/pierglade/tenants/__init__.py
@@ -1,4 +1,5 @@
 """Tenants, their quotas, and the state of those with traffic.
 
-The decision which request is rejected is made elsewhere. Start with `pierglade.tenants.registry`.
+Requests over a quota are rejected elsewhere (`pierglade/balancer/`). Start with
+`pierglade.tenants.registry`.
 """
--- a/pierglade/tenants/registry.py
+++ b/pierglade/tenants/registry.py
@@ -1,8 +1,9 @@
 """The tenants that share the fleet: their quotas, and the state of those with traffic.
 
 The module does no I/O and reads no clock: `now` is passed in, in ticks (tenths of a millisecond).
-Tens of thousands of tenants take a name and a quota each; a Tenant, with its rate and slowness,
-exists only while it sends requests. Start with `TenantRegistry`.
+To save memory with tens of thousands of tenants, only a name and a quota are stored for each. A
+Tenant object, with its rate and slowness, exists only while the tenant sends requests. Start with
+`TenantRegistry`.
 """
 
 from bisect import bisect_left, insort
@@ -46,7 +47,8 @@
     def __init__(self, quotas: dict[str, float] | None = None, version: int = 0) -> None:
         self.quotas, self.version = {} if quotas is None else quotas, version
         self.total = sum(self.quotas.values())
-        # Tenants with traffic, in two generations: one without requests in a whole one is dropped.
+        # Tenants with traffic, in two generations. A tenant that sends no requests during a whole
+        # generation is dropped.
         self.current_generation: dict[str, Tenant] = {}
         self.previous_generation: dict[str, Tenant] = {}
         self.next_generation_at: Ticks | None = None
@@ -64,7 +66,7 @@
     def tenant(self, name: str, now: Ticks | None = None) -> Tenant | None:
         """Returns the tenant of that name, or None if there is none.
 
-        Its state is new if it has sent no requests for long.
+        Its state is new if it has sent no requests for a long time.
         """
         if now is not None and (self.next_generation_at is None or now >= self.next_generation_at):
             self.next_generation_at = now + GENERATION_SPAN
@@ -102,8 +104,8 @@
             for generation in (self.current_generation, self.previous_generation):
                 if name in generation:
                     generation[name] = replace(generation[name], quota_per_second=quota)
-        # Summed again: additions and subtractions would leave a rounding error when all quotas are
-        # removed.
+        # The total is summed again: additions and subtractions would leave a rounding error when
+        # all quotas are removed.
         self.total, self.version, self.names = sum(self.quotas.values()), delta.version, None
 
     def take_over_state(self, previous: "TenantRegistry") -> None:
@@ -119,7 +121,7 @@
 
 
 class RunningMedian:
-    """The median of the newest value of each name, of those recorded within `span`.
+    """The median of the newest values of all names that were recorded within `span`.
 
     Recording a value takes the same time for a hundred names as for tens of thousands.
     """
