--- a/pierglade/admission/connection_admission.py
+++ b/pierglade/admission/connection_admission.py
@@ -1,13 +1,13 @@
 """Connection admission: limits per address and prefix, a reserve for known clients, penalties.
 
 An address is an IPv4 address or the /64 of an IPv6 one; a prefix is its /24 or /48. A known address
-(in one of the operator's prefixes) has no limits and may use the reserve, until its own faults make
-it count as unknown for a while. Times are ticks (tenths of a millisecond).
+(in one of the operator's prefixes) has no limits and may use the reserve. After too many faults of
+its own, it is treated as unknown for a while. Times are ticks (tenths of a millisecond).
 
 Memory is bounded: addresses without open connections are evicted beyond MAX_IDLE_ADDRESSES, least
-recently used first. Penalised ones are stored separately, at most MAX_PENALISED_ADDRESSES, so that
-a stream of new addresses evicts no penalty. The drawback: an address that was evicted early may use
-its full burst again.
+recently used first. At most MAX_PENALISED_ADDRESSES penalised addresses are stored separately, so
+that a stream of new addresses does not evict them. An address that was evicted early may use its
+full burst again.
 """
 
 import ipaddress
@@ -15,15 +15,15 @@
 from collections.abc import Iterable
 from enum import StrEnum
 
-# Addresses and prefixes without open connections; at 300 bytes each they take 5 MB.
+# Maximum number of addresses and prefixes without open connections; 5 MB at 300 bytes each.
 MAX_IDLE_ADDRESSES = 16384
-# Penalised addresses without open connections.
+# Maximum number of penalised addresses without open connections.
 MAX_PENALISED_ADDRESSES = 4096
-# An address may use the connections of so many seconds at once, as opening a page does.
+# An address may open the connections of this many seconds at once, as a browser does for a page.
 BURST_S = 2.0
-# For a malformed or incomplete request.
+# Penalty points for a malformed or incomplete request.
 FAULT_POINTS = 1.0
-# For a connection over a limit; a well-behaved client stops trying when it is rejected.
+# Penalty points for a connection over a limit; a well-behaved client stops when it is rejected.
 REJECTION_POINTS = 0.1
 # An address with this many points is blocked.
 BLOCKING_POINTS = 10.0
@@ -31,10 +31,10 @@
 # 5 s. The first block of an address; each further block is twice as long.
 FIRST_BLOCK_TICKS = 50000
 MAX_BLOCK_TICKS = 3000000  # 5 min
-# 10 min. After so long without a further block, the next one is as short as the first.
+# 10 min. After this time without another block, the next one is as short as the first.
 BLOCK_HISTORY_TICKS = 6000000
 PREFIX_SUFFIXES = ("/24", "/48")
-# Addresses in a log line.
+# Maximum number of addresses in a log line.
 MAX_LOGGED_ADDRESSES = 5
 
 
@@ -52,9 +52,9 @@
     """Limits on connections; 0 means no limit.
 
     Args:
-        per_address: Open connections of an address.
-        per_prefix: Open connections of a prefix.
-        rate_per_address: New connections a second of an address.
+        per_address: Maximum number of open connections per address.
+        per_prefix: Maximum number of open connections per prefix.
+        rate_per_address: Maximum number of new connections per second and address.
         known: Prefixes of known clients, as text.
         reserve: Fraction of the file descriptors that only known addresses may use.
 
@@ -101,7 +101,7 @@
 
     def __init__(self, now):
         self.open = self.blocks = self.rejected = 0
-        self.tokens, self.tokens_at = None, now  # of the token bucket, at tokens_at
+        self.tokens, self.tokens_at = None, now  # tokens in the token bucket at tokens_at
         self.points, self.points_at, self.blocked_until = 0.0, now, 0
         self.known = self.prefix = None
 
@@ -111,12 +111,12 @@
 
     def __init__(self, limits: ConnectionLimits):
         self.limits = limits
-        self.active = {}  # states with open connections
+        self.active = {}  # AddressState by address or prefix, with open connections
         self.idle = OrderedDict()  # without open connections, not penalised
         self.penalised = OrderedDict()  # without open connections, with points or a block
         self.unknown_open = 0  # open connections of unknown addresses
         self.by_reason = Counter()  # rejections since the last `take_rejections`
-        self.by_address = Counter()  # the same, for at most MAX_IDLE_ADDRESSES addresses
+        self.by_address = Counter()  # the same by address, at most MAX_IDLE_ADDRESSES of them
 
     def set_limits(self, limits: ConnectionLimits):
         """Replaces the limits; connections that are already open stay open."""
@@ -287,7 +287,7 @@
 
 
 def _address_key(text):
-    """Returns the key of an address: IPv4 unchanged, for IPv6 the /64, which one host has."""
+    """Returns the key of an address: an IPv4 address, or the /64 of IPv6 that one host uses."""
     if ":" not in text:
         return text
     address = ipaddress.ip_address(text.partition("%")[0])
--- a/pierglade/admission/fair_queue.py
+++ b/pierglade/admission/fair_queue.py
@@ -1,35 +1,35 @@
 """Deficit round robin between client addresses (Shreedhar and Varghese, 1995).
 
-Each address has a queue. In its turn an address may spend QUANTUM_BYTES and its saved deficit, so
+Each address has a queue. In each round an address may use QUANTUM_BYTES and its unused deficit, so
 an address that sends a thousand requests, or large ones, delays only its own requests. Within an
-address the order is first in, first out, until the first has waited for more than LATE_TICKS: then
-the newest goes first, as its client is the most likely one to be waiting still (adaptive LIFO,
-Maurer, 2015).
+address the order is first in, first out, until the oldest item has waited for more than LATE_TICKS.
+Then the newest item is taken first, as its client is the most likely to be still waiting (adaptive
+LIFO, Maurer, 2015).
 """
 
 from collections import deque
 
-# Added to the deficit of an address per turn; one request of usual size, with its overhead.
+# Added to the deficit of an address per round; the cost of a typical request with its overhead.
 QUANTUM_BYTES = 2048
-# The cost of a request besides its size, as most of its cost does not depend on its size.
+# Added to the size of a request as its cost, since most of the work does not depend on the size.
 OVERHEAD_BYTES = 1024
 LATE_TICKS = 600  # 60 ms; as long as the event loop may run without becoming idle
 
 
 class FairQueue:
-    """A queue of items by address; has at most as many keys as items."""
+    """A fair queue of items by address; an address without items takes no memory."""
 
     def __init__(self):
         self.queues = {}  # by address: deque of (time of `put`, cost, item)
         self.deficits = {}  # by address, in bytes
-        self.turns = deque()  # addresses in the order of their turns
+        self.turns = deque()  # addresses in round-robin order
         self.count = 0
 
     def __len__(self):
         return self.count
 
     def put(self, now: int, address: str, size: int, item: object):
-        """Adds an item; `size` is the number of bytes that were read of it."""
+        """Adds an item; `size` is the number of its bytes that were read."""
         queue = self.queues.get(address)
         if queue is None:
             queue = self.queues[address] = deque()
--- a/pierglade/admission/load_shedder.py
+++ b/pierglade/admission/load_shedder.py
@@ -1,31 +1,31 @@
 """Load shedding: rejects requests unparsed while the node is short of CPU.
 
-The threshold follows the queueing delay by AIMD, as in TCP's congestion control and Netflix's
-concurrency limits. Its signal is that of CoDel: not how much is queued, nor how busy the CPU is,
-but the minimum wait within the last interval. A burst, or clients that keep the CPU just busy,
-leave that small; a standing queue does not. While the minimum is over HIGH_WAIT_RATIO of the
-latency objective, the admitted fraction decreases by a factor per step; under LOW_WAIT_RATIO it
-increases by one. Both are factors: at ten times the load a tenth is right, and a step must be small
-beside it. Times are ticks (tenths of a millisecond); the threshold is the rejected fraction of
-arrivals.
+The threshold is the rejected fraction of arrivals. It follows the queueing delay much like AIMD in
+TCP's congestion control and Netflix's concurrency limits. The input is that of CoDel: neither the
+queue length nor the CPU load, but the minimum wait within the last interval. It stays small during
+a burst or while clients just saturate the CPU, but not with a standing queue. While the minimum is
+over HIGH_WAIT_RATIO of the latency objective, the admitted fraction is multiplied by
+DECREASE_FACTOR per step; under LOW_WAIT_RATIO it is multiplied by INCREASE_FACTOR. Unlike in AIMD,
+both changes are multiplicative: at ten times the load the right fraction is a tenth, and a step
+must be small compared with that. Times are ticks (tenths of a millisecond).
 """
 
 from collections.abc import Callable, Sequence
 
 STEP_TICKS = 100  # 10 ms; the threshold changes at most once per step
-# Fraction of the latency objective spent waiting before any work; with the network round trip the
-# response is late beyond it.
+# Fraction of the latency objective that a request may wait before it is processed; beyond it, the
+# response is late, given the network round trip.
 HIGH_WAIT_RATIO = 0.15
 # Fraction of the latency objective. Below it there is spare capacity; between the two ratios the
 # threshold is not changed.
 LOW_WAIT_RATIO = 0.06
 # Factors of the admitted fraction per step.
-DECREASE_FACTOR = 0.92  # a half in 80 ms, a tenth in 0.3 s, as fast as clients retry
-INCREASE_FACTOR = 1.035  # from 1/20 to all within 0.9 s of a surge's end
-# Fraction that is always admitted; without any, nothing tells whether requests would be late.
+DECREASE_FACTOR = 0.92  # reaches a half in 80 ms and a tenth in 0.3 s, as fast as clients retry
+INCREASE_FACTOR = 1.035  # from 1/20 to all within 0.9 s after a surge
+# Fraction that is always admitted; with no admitted requests, their delay could not be measured.
 MIN_ADMITTED_RATIO = 0.005
-MAX_STEPS = 200  # steps that are caught up at once
-# Factor of each class's arrivals per step, so that the fractions follow within 0.1 s.
+MAX_STEPS = 200  # maximum number of missed steps that are applied at once
+# Factor per step for the recent arrivals of each class, so that the fractions adapt within 0.1 s.
 ARRIVAL_DECAY = 0.9
 NEVER = float("inf")
 
@@ -35,7 +35,7 @@
 
     Each arrival has a shedding class: unknown clients before known ones, retries before first
     attempts, then by priority weight, lowest first. A threshold of 0.3 rejects the first 30% in
-    that order; within the class in which it falls, at random.
+    that order; within the class that contains the limit, arrivals are rejected at random.
 
     Args:
         priority_weights: The priority weight of each request class, by its index.
@@ -88,7 +88,7 @@
         min_wait_ratio, admitted = self.min_wait_ratio, 1.0 - self.threshold
         self.stepped_at, self.min_wait_ratio = now, NEVER
         if min_wait_ratio > HIGH_WAIT_RATIO:
-            # One step, however much time has passed: a pause of this process looks the same.
+            # Only one step, however much time has passed: a pause of this process causes waits too.
             admitted = max(MIN_ADMITTED_RATIO, admitted * DECREASE_FACTOR)
         elif min_wait_ratio < LOW_WAIT_RATIO:
             admitted = min(1.0, admitted * INCREASE_FACTOR**steps)
--- a/pierglade/proxy/state/attempts.py
+++ b/pierglade/proxy/state/attempts.py
@@ -25,10 +25,11 @@
 )
 
 # Times are tenths of a millisecond.
-RESEND_DELAY = 10  # 1 ms; from an abort to the first byte of the next attempt, sent elsewhere
-# 1 h; longer than any upload. Until its body is whole, an attempt must not time out.
+RESEND_DELAY = 10  # 1 ms; minimum time from an abort to the first byte of the next attempt
+# 1 h, which is longer than any upload: an attempt must not time out while its request body is
+# incomplete.
 MAX_BODY_DURATION = 36000000
-# Request headers that are not forwarded but written anew.
+# Request headers that are not forwarded; the proxy writes its own instead.
 REPLACED_HEADERS = http.HOP_BY_HOP | {b"x-expires-in-ms"}
 
 
@@ -50,7 +51,7 @@
         self.health_checks = health_checks
 
     def execute_decisions(self):
-        """Executes the pending decisions of all balancers; drops earlier ones without requests."""
+        """Executes pending decisions of all balancers; drops earlier balancers without requests."""
         for balancer in list(self.balancers.earlier):
             self._execute_decisions_of(balancer)
             if not (
@@ -72,7 +73,8 @@
                     self.counters.count("trials" if attempt.is_trial else "attempts")
                     flow = attempt.request.caller_context.message.body_stream
                     if flow is not None and not flow.is_complete:
-                        # The backend executes it only once whole: until then it is not late.
+                        # The backend executes the request only after its last byte, so the timeout
+                        # does not run until then.
                         attempt.sent_at = attempt.timeout_at = now + MAX_BODY_DURATION
                     self.send(attempt)
                 case CancelAttempt(attempt):
@@ -94,7 +96,7 @@
                         )
 
     def report_outcome(self, attempt, outcome, answered=False):
-        """Reports the outcome of an attempt to its balancer; `answered`: by the backend."""
+        """Reports an attempt's outcome to its balancer; `answered`: if the backend responded."""
         self.connections.pop(attempt, None)
         attempt.sent_at = min(attempt.sent_at, self.step.now)
         # The lag of the proxy's own event loop does not count as latency of the backend.
@@ -123,8 +125,8 @@
             return self.report_outcome(attempt, Outcome.NOT_SENT)
         if backend is None or self.endpoints.is_draining(backend):
             return self.report_outcome(attempt, Outcome.REJECTED_UNPROCESSED)
-        # The most recently used connection is used next, so that surplus ones reach the idle
-        # timeout; but none is reused within REUSE_DELAY.
+        # The most recently used connection is preferred, so that surplus connections reach the idle
+        # timeout. No connection is reused within REUSE_DELAY.
         connection = next(
             (
                 connection
@@ -157,18 +159,19 @@
         # Time has passed since the decision, while the connection was being established or an
         # aborted attempt was being closed.
         if attempt.request.completed or self.step.now >= attempt.timeout_at - DEADLINE_MARGIN:
-            # The client has disconnected or has its response, also where cancelling is off.
+            # The client has disconnected or was already answered. This is checked here as well,
+            # because the balancer does not cancel attempts if cancelling is disabled.
             return self.withdraw(connection, Outcome.NOT_SENT)
         if self.endpoints.is_draining(backend):
             # The drain grace period is not used: discovery may have notified the backend well
             # before it notified this process.
             return self.withdraw(connection, Outcome.REJECTED_UNPROCESSED)
         if connection.address != backend.address:
-            # Another process may have the old address by now, in a state that is not known here.
+            # Another process, whose state is unknown, may be using the old address by now.
             return self.withdraw(connection, None)
         if self.step.now < attempt.request.caller_context.last_abort_at + RESEND_DELAY:
-            # Two connections are not ordered: the end of the aborted attempt must arrive before the
-            # first byte of the next one, or the backends see two attempts in flight at once.
+            # There is no order between two connections. The close of the aborted one must arrive
+            # before the first byte of the next attempt, or two attempts are in flight at once.
             return self.timers.schedule(
                 attempt.request.caller_context.last_abort_at + RESEND_DELAY,
                 self._write_delayed,
@@ -189,7 +192,7 @@
         self.step.emit(SendRequest(connection, head, body))
 
     def withdraw(self, connection, outcome):
-        """Takes an unwritten attempt off its connection; without `outcome`, sends it elsewhere."""
+        """Detaches an unwritten attempt from its connection; resends it if `outcome` is None."""
         attempt, connection.attempt = connection.attempt, None
         self.upstream.release(connection, True)
         if outcome is None:
--- a/pierglade/proxy/state/balancers.py
+++ b/pierglade/proxy/state/balancers.py
@@ -9,7 +9,8 @@
 
 # Times are tenths of a millisecond.
 
-# Multiple of the longest request timeout; after it nothing in flight refers to a removed backend.
+# Multiple of the longest request timeout for which removed backends are stored; no attempt in
+# flight refers to one after that.
 RETENTION_FACTOR = 2
 
 
@@ -26,7 +27,7 @@
         """Creates a balancer for new settings; it takes all requests from now on."""
         self.settings, self.current = settings, Balancer(self.seed, settings, now, self.current)
         self.request_classes = {each.name.encode(): each for each in settings.request_classes}
-        # For keyed requests without an id of their own: these must not be executed twice.
+        # For keyed requests to which the proxy assigned an id: they must not be executed twice.
         self.unkeyed_classes = {
             each.name.encode(): replace(each, idempotency=Idempotency.UNSAFE)
             for each in settings.request_classes
--- a/pierglade/proxy/state/connections.py
+++ b/pierglade/proxy/state/connections.py
@@ -6,8 +6,8 @@
 class ConnectionState(StrEnum):
     """The state of a connection.
 
-    A StrEnum, as members are dictionary keys in every request: its hash is that of a string,
-    where a plain Enum computes one in Python.
+    This is a StrEnum because members are dictionary keys in every request: a StrEnum uses the hash
+    of its string, whereas a plain Enum computes its hash in Python.
     """
 
     # Downstream.
@@ -30,11 +30,11 @@
     RESET = "reset"
     STALE = "stale"  # an idle connection was found closed before a byte was written
     MALFORMED_RESPONSE = "malformed_response"
-    CLIENT_GONE = "client_gone"  # the client disconnected before its request body was whole
+    CLIENT_GONE = "client_gone"  # the client disconnected before its request body was complete
 
 
-# Also as module names: in CPython 3.11, reading a member from its class runs Python code that takes
-# 0.2 us, about twenty times in a request.
+# The members are also module-level names: in CPython 3.11, reading a member from its class runs
+# Python code that takes 0.2 us, and a request does so about twenty times.
 (
     NEW,
     IDLE,
@@ -76,14 +76,14 @@
         self.since = 0  # when it was opened or became idle
         self.timer = self.timer_queued_at = None
         self.message = self.request = self.id = None
-        self.last = False  # it is closed after its next response
-        self.is_closing = False  # a close was requested; it is served if it has unread bytes
-        self.head_received_at = 0  # when the head of the current request was whole
+        self.last = False  # whether it is closed after its next response
+        self.is_closing = False  # whether a close was requested; unread bytes are still handled
+        self.head_received_at = 0  # when the head of the current request was complete
         self.body_size_at_last_check = -1  # bytes
         self.source = None  # the upstream connection whose response is being streamed to it
         self.last_abort_at = 0  # when the proxy last aborted an attempt of its request
-        self.passed_shedding = False  # the current request was checked unparsed and not shed
-        self.known = False  # its address has priority over unknown ones
+        self.passed_shedding = False  # whether its request was admitted before it was parsed
+        self.known = False  # whether its address has priority over unknown ones
 
 
 class UpstreamConnection:
@@ -112,7 +112,7 @@
         self.timer = self.timer_queued_at = None
         self.attempt = None
         self.is_health_check = False
-        self.response_piece_due_at = 0  # when the next piece of a response is due; 0: none is
+        self.response_piece_due_at = 0  # when the next piece of a response is due; 0: no piece is
         self.closed_while_busy = False
         self.body_stream = self.receiver = (
             None  # the response being streamed, and its client's connection
@@ -140,17 +140,17 @@
     def __init__(self, name, address, started):
         self.name, self.address, self.started = name, address, started
         self.state = None  # the last EndpointState that discovery reported
-        self.draining_since = None  # since when it is draining or removed
-        self.was_draining = False  # it was listed as draining since it was last ready
+        self.draining_since = None  # when it was first reported as draining or removed
+        self.was_draining = False  # whether it was listed as draining since it was last ready
         self.idle = []  # idle connections, the most recently used last
         self.open_connections = 0  # open connections, including idle ones
-        self.connecting_count = 0  # of these, those that are not established yet
+        self.connecting_count = 0  # those of the open connections that are not established yet
         self.health_check_connection = None  # the connection of a pending health check
         self.entry = None  # the last Endpoint that discovery reported
 
 
 def set_state(connection, state, by_state):
-    """Moves a connection to a state, behind the others in that state."""
+    """Changes the state of a connection and appends it to the connections in that state."""
     by_state[connection.state].pop(connection, None)
     connection.state = state
     by_state[state][connection] = None
--- a/pierglade/proxy/state/constants.py
+++ b/pierglade/proxy/state/constants.py
@@ -2,10 +2,11 @@
 
 NEVER = 1 << 62  # a time that is never reached
 DEADLINE_MARGIN = 50  # 5 ms; attempts time out this much before the deadline, to answer in time
-# File descriptors beside connections: discovery's, and those that close in the next iteration.
+# File descriptors that are not counted as connections: the one to discovery, and those that are
+# closed in the next iteration of the event loop.
 RESERVED_DESCRIPTORS = 16
-REUSE_DELAY = 100  # 10 ms; a backend's duplicate response came up to 4 ms after the first one
-LOG_INTERVAL = 10000  # 1 s; frequent events are counted and logged once in this time
+REUSE_DELAY = 100  # 10 ms; backends sent duplicate responses up to 4 ms after the first
+LOG_INTERVAL = 10000  # 1 s; frequent events are counted and logged once per interval
 
 READY_PATH, LIVE_PATH, STATS_PATH = b"/health/ready", b"/health/live", b"/stats"
 
--- a/pierglade/proxy/state/counters.py
+++ b/pierglade/proxy/state/counters.py
@@ -36,8 +36,8 @@
         self.pending[name] += 1
 
     def _log_pending(self, _):
-        # Rates that are harmless from one process do harm from forty: only the sum of the counts
-        # over all nodes shows it.
+        # A rate that is harmless from one process may be harmful from forty. The counts of all
+        # nodes are logged so that they can be added up.
         self.step.log(
             "counters", **{name: self.pending[name] for name in COUNTERS if name in self.pending}
         )
--- a/pierglade/proxy/state/descriptors.py
+++ b/pierglade/proxy/state/descriptors.py
@@ -11,10 +11,11 @@
 
 # Times are tenths of a millisecond.
 
-# Fraction of the descriptors; beyond it idle clients are closed, the longest idle first.
+# Fraction of the descriptor limit that clients may use; beyond it, idle clients are closed, the
+# longest idle first.
 MAX_CLIENT_RATIO = 0.25
 MIN_IDLE_BEFORE_CLOSE = 1000  # 100 ms; a connection idle for less is likely to be used soon
-MIN_SILENCE_BEFORE_CLOSE = 200  # 20 ms; a regular client sends its request at once
+MIN_SILENCE_BEFORE_CLOSE = 200  # 20 ms; a normal client sends its first request earlier
 
 
 class DescriptorBudget:
@@ -24,7 +25,7 @@
         self.step = step
         self.timers = timers
         self.full_limit = limit - RESERVED_DESCRIPTORS
-        # During a takeover two processes share the node's limit, and each keeps to half of it.
+        # During a takeover two processes share the node's limit, and each uses at most half.
         self.limit = self.full_limit // (1 if sole_process else 2)
         self.open_count = 0  # downstream and upstream connections
         self.closing_count = 0  # clients whose close was requested
@@ -81,8 +82,8 @@
     def free_descriptors(self, newcomer):
         """Closes the least needed connections; returns whether there is a free descriptor."""
         while self.open_count - self.closing_count > self.limit:
-            # First clients with their last response, then clients that connected but sent nothing:
-            # there may be hundreds of these.
+            # Closed first are clients that got their last response, then clients that connected but
+            # sent nothing, of which there may be hundreds.
             if (client := self._longest_waiting(LINGERING, newcomer)) is not None:
                 self.downstream.close(client, "yielded")
             elif (
@@ -98,11 +99,12 @@
             elif newcomer is None and (
                 client := self._longest_waiting(NEW, None) or self._longest_waiting(IDLE, None)
             ):
-                # For an upstream connection: without it a request would be rejected in favour of
-                # clients that have none.
+                # The descriptor is for an upstream connection. Without it, a request would be
+                # rejected while clients without a request stay connected.
                 self._request_close(client)
             else:
-                # Slow senders must not block other clients: the one sending longest gets a 503.
+                # Slow senders must not block other clients: the request that has been arriving for
+                # the longest time gets a 503.
                 slow = next(iter(self.downstream.by_state[READING_REQUEST]), None)
                 if slow is not None:
                     self.downstream.refuse(slow, 503, last=True)
@@ -110,7 +112,7 @@
         return self.open_count <= self.limit + RESERVED_DESCRIPTORS // 2
 
     def limit_idle_clients(self, newcomer):
-        """Closes clients that hold many descriptors without using them, so that others connect."""
+        """Closes idle clients if clients use too many descriptors, so that others can connect."""
         max_clients = MAX_CLIENT_RATIO * self.limit
         while sum(map(len, self.downstream.by_state.values())) - self.closing_count > max_clients:
             client = self._longest_waiting(
@@ -121,11 +123,11 @@
             self._request_close(client)
 
     def _longest_waiting(self, state, newcomer, after=0):
-        """Returns the client that has been in a state longest, if that was at least `after`."""
+        """Returns the client that has been in a state longest, if that is `after` ticks or more."""
         if self.open_count > self.limit + RESERVED_DESCRIPTORS // 2:
-            # A client that was just opened or answered may send a request while it is closed, and
-            # that request would be lost: it stays open for a while, unless the descriptors beyond
-            # the budget are in use as well.
+            # The reserved descriptors are in use as well, so there is no minimum time. Usually
+            # there is one: a client that just connected or got a response may send a request while
+            # its connection is being closed, and that request would be lost.
             after = 0
         for client in self.downstream.by_state[state]:
             if client is not newcomer and not client.is_closing:
@@ -133,13 +135,17 @@
         return None
 
     def _request_close(self, client):
-        # Closed only when nothing is unread: a request in the kernel's buffer would be lost.
+        # The connection is closed only if it has no unread bytes: a request in the kernel's buffer
+        # would be lost.
         client.is_closing, self.closing_count = True, self.closing_count + 1
         self.step.emit(CloseWhenRead(client, "yielded"))
 
     def cancel_close(self, client):
-        """Keeps a client with unread bytes; without free descriptors, until its response."""
+        """Cancels the close of a client with unread bytes.
+
+        Over the limit, the client is closed after its next response instead.
+        """
         if client.is_closing:
             client.is_closing, self.closing_count = False, self.closing_count - 1
-            # With free descriptors it was in use, and only the event loop noticed that late.
+            # Within the limit it stays open: it was in use, which the event loop noticed late.
             client.last = client.last or self.open_count > self.limit
--- a/pierglade/proxy/state/downstream.py
+++ b/pierglade/proxy/state/downstream.py
@@ -26,12 +26,14 @@
 
 # Times are tenths of a millisecond.
 FIRST_BYTE_TIMEOUT = 20000  # 2 s; from connecting to the first byte of a request
-# 2.5 s; from the first byte, or from connecting, to the end of the head: slow clients take 2 s.
+# 2.5 s; from connecting, or from the first byte of a later request, to the end of the head. Slow
+# clients take 2 s.
 HEAD_TIMEOUT = 25000
-BODY_TIMEOUT = 20000  # 2 s; how far a client may fall behind MIN_BODY_RATE
+BODY_TIMEOUT = 20000  # 2 s; how late a body sent at MIN_BODY_RATE may be
 MIN_BODY_RATE = 3.2  # bytes per tick, which is 32 kB/s; half the rate of slow clients
 CLIENT_READ_TIMEOUT = 50000  # 5 s; a client must read part of a response within this time
-# 2.5 s; one-time clients that stay connected would use up descriptors of upstream connections.
+# 2.5 s. Clients that stay connected after a single request would use up the descriptors that are
+# needed for upstream connections.
 CLIENT_IDLE_TIMEOUT = 25000
 LINGER_TIMEOUT = 10000  # 1 s; for a client to close after its last response
 
@@ -73,7 +75,7 @@
         client.since = self.step.now
         self.timers.set_timer(client, self.step.now + FIRST_BYTE_TIMEOUT, self.idle_timed_out)
         if not self.descriptors.free_descriptors(client):
-            # No idle connection is left to close: it is served, and closed after its response.
+            # No idle connection is left to close: the client is closed after its first response.
             client.last = True
             self.descriptors.count_exhausted()
         self.descriptors.limit_idle_clients(client)
@@ -88,17 +90,17 @@
         self.step.emit(CloseWhenRead(client, "silent" if client.state is NEW else "idle"))
 
     def request_started(self, client, body_size=None):
-        """Notes a partial request; `body_size`: bytes behind its head, None until that is whole."""
+        """Sets the timeout of a partial request; `body_size`: bytes after its head, or None."""
         if client.state in (NEW, IDLE):
-            # The first request's timeout runs from connecting, or silence and a slow head would add
-            # up.
+            # The timeout of the first request starts at connecting; otherwise a silent client with
+            # a slow head would get both timeouts in a row.
             client.head_received_at = 0
             timeout_at = (client.since if client.state is NEW else self.step.now) + HEAD_TIMEOUT
             set_state(client, READING_REQUEST, self.by_state)
             self.timers.set_timer(client, timeout_at, self._sends_too_slowly)
             self.descriptors.cancel_close(client)
         if body_size is not None and client.state is READING_REQUEST:
-            # A flood of half requests differs from slow clients by its rate, not by the time.
+            # A flood of incomplete requests differs from slow clients by its rate, not by the time.
             client.head_received_at = client.head_received_at or self.step.now
             self.timers.set_timer(
                 client,
@@ -115,7 +117,7 @@
         self.timers.set_timer(client, self.step.now + timeout, self._body_stalled)
 
     def _body_stalled(self, client):
-        """Ends a stalled upload: the client stalls it if all received bytes are forwarded."""
+        """Ends a stalled upload; the client is at fault unless the buffer of the body is full."""
         flow, request = client.message.body_stream, client.request
         if (
             not flow.full()
@@ -127,14 +129,14 @@
             for attempt in request.attempts:
                 if attempt in self.attempts.connections:
                     self.attempts.abort(attempt, "takes no body")
-                    # Its last byte was never written, so the backend has not executed it.
+                    # The request's last byte was not written, so the backend has not executed it.
                     self.attempts.report_outcome(attempt, Outcome.CONNECT_FAILED)
             if client.request is not request:
                 return
         self.await_body(client, BODY_TIMEOUT)
 
     def body_received(self, client):
-        """Starts the request's time with the last byte of its body."""
+        """Restarts the deadlines of a request when the last byte of its body has arrived."""
         request = client.request
         if (
             request is None
@@ -194,9 +196,9 @@
         message = client.message
         chunked = source is not None and body.length is None and message.version == "1.1"
         length = len(body) if source is None else body.length
-        # Without a length or chunks, the end of the connection ends the response. Behind a response
-        # that comes before its request is whole, the rest of the request would be parsed as the
-        # next request.
+        # Without a length or chunks, the end of the connection ends the response. If a response is
+        # sent before its request is complete, the rest of the request would be parsed as the next
+        # request.
         client.last = (
             client.last
             or self.lifecycle.is_draining()
@@ -219,7 +221,7 @@
 
     def _reads_too_slowly(self, client):
         if client.source is not None and not client.source.body_stream.buffered_bytes:
-            # It has read all that was received; the upstream connection has its own timeout.
+            # The client has read everything; the upstream connection has a timeout of its own.
             return self.response_progressed(client)
         self.close(client, "slow reader")
 
@@ -231,7 +233,7 @@
             )
 
     def response_sent(self, client):
-        """Handles the end of a response: the client becomes idle, or is to close."""
+        """Handles the end of a response: the client becomes idle, or is expected to disconnect."""
         if client.state is not WRITING_RESPONSE:
             return
         if client.last:
@@ -281,6 +283,6 @@
             self.respond(request.caller_context, 504)
 
     def reject(self, client, balancer):
-        """Rejects a request that may be retried: 503, with Retry-After where that is set."""
+        """Rejects a request that may be retried: 503, with Retry-After if that is enabled."""
         wait = balancer.retry_after(self.step.now)
         self.respond(client, 503, [(b"Retry-After", b"%g" % (wait / 10000))] if wait else [])
--- a/pierglade/proxy/state/effects.py
+++ b/pierglade/proxy/state/effects.py
@@ -1,6 +1,6 @@
 """Effects: what the proxy's state machine requests from its caller, one type per kind.
 
-Each is a NamedTuple, as the events are. The caller carries them out in their order, by type.
+Each is a NamedTuple, like the events. The caller executes them in order, by type.
 """
 
 from typing import Any, NamedTuple
@@ -82,7 +82,7 @@
 
 
 class Exit(NamedTuple):
-    """End the process: no client is connected any more."""
+    """Exit the process, as no client is connected any more."""
 
 
 class LogEvent(NamedTuple):
--- a/pierglade/proxy/state/endpoints.py
+++ b/pierglade/proxy/state/endpoints.py
@@ -14,7 +14,7 @@
 
 # Times are tenths of a millisecond.
 
-# 0.3 s; with the list restored at the start, a process waits this long for a newer one.
+# 0.3 s; how long a process that starts with a restored list waits for a newer one.
 INITIAL_LIST_TIMEOUT = 3000
 MAX_LOGGED_NAMES = 40  # names per log line; a longer line would be truncated and lose all of them
 STATE_BY_STATUS = {
@@ -35,15 +35,15 @@
         self.lifecycle = lifecycle
         self.records = {}  # EndpointRecord by name
         self.removed = OrderedDict()  # names of removed endpoints, the longest removed first
-        self.version = None  # of the last list from discovery
-        self.lost_reason = None  # why discovery is lost, as last logged
+        self.version = None  # version of the last list from discovery
+        self.lost_reason = None  # reason of the current loss of discovery, as logged
 
     def set_dependencies(self, upstream):
         """Sets the components that are created after this one."""
         self.upstream = upstream
 
     def restore(self, document):
-        """Applies the endpoint list of the start, which may be old."""
+        """Applies the endpoint list that the process starts with, which may be outdated."""
         if document and document.get("endpoints"):
             self._apply(document, whole=True)
             if type(document.get("index")) is int:
@@ -77,7 +77,7 @@
         self.lifecycle.become_ready()
 
     def discovery_lost(self, reason, waited=0):
-        """Records the loss; `waited`: ticks since the last message, or since the call began."""
+        """Handles a loss of discovery; `waited`: ticks since its last message or the call."""
         self.counters.count("discovery_losses")
         if reason != self.lost_reason:
             self.lost_reason = reason
@@ -98,7 +98,7 @@
             elif address is not None and (
                 address != backend.address or entry.started_at > backend.started
             ):
-                # Another process has taken the name: connections to the old one are of no use.
+                # Another process uses this name now; connections to the earlier one are useless.
                 backend.address, backend.started = address, entry.started_at
                 self._close_idle(backend, "restarted")
                 changed.append((entry.name, "restarted"))
@@ -141,7 +141,10 @@
         return entries, names
 
     def _drop_removed(self):
-        """Drops endpoints removed long ago: fleets restarting under new names must not pile up."""
+        """Deletes the records of endpoints removed long ago.
+
+        Otherwise backends that restart under new names would make the table grow without limit.
+        """
         old = []
         for name in self.removed:  # the longest removed first
             if (
@@ -174,8 +177,12 @@
                 self._close_idle(backend, "drained")
 
     def is_draining(self, backend):
-        """Returns whether nothing may be sent to it; only missing from the list, it may serve."""
-        # By the strictest settings with pending requests, whichever settings the attempt is under.
+        """Returns whether no request may be sent to a backend.
+
+        A backend that is missing from the list without having been draining may get requests if
+        `removal_binds` is off, in the current settings and in all earlier ones with pending
+        requests, whichever settings the attempt is under.
+        """
         return backend.draining_since is not None and (
             backend.was_draining
             or any(
@@ -190,7 +197,7 @@
 
 
 def _entry(item):
-    """Returns the Endpoint and its address; None as the address of a removed one."""
+    """Returns an Endpoint and its address, which is None if the endpoint is removed."""
     zone = item.get("zone")
     return Endpoint(
         item["name"],
@@ -203,7 +210,7 @@
 
 
 def _is_unchanged(item, backend):
-    """Returns whether it was ready with the same data as in the last message."""
+    """Returns whether an item lists a ready endpoint with the data of the last message."""
     entry = backend.entry
     return (
         backend.state == EndpointState.READY == STATE_BY_STATUS[item["status"]]
--- a/pierglade/proxy/state/events.py
+++ b/pierglade/proxy/state/events.py
@@ -14,18 +14,18 @@
     """A client has connected; `io` gets its DownstreamConnection as `io.client`."""
 
     io: Any
-    known: bool = False  # its address has priority over unknown ones
+    known: bool = False  # whether its address has priority over unknown ones
 
 
 class RequestStarted(NamedTuple):
     """Some bytes of a request have arrived."""
 
     connection: DownstreamConnection
-    body_size: int | None = None  # bytes behind the head; None until the head is whole
+    body_size: int | None = None  # bytes after the head; None until the head is complete
 
 
 class RequestReceived(NamedTuple):
-    """A request is whole, or whole enough to be forwarded while its body arrives."""
+    """A request is complete, or can be forwarded while the rest of its body arrives."""
 
     connection: DownstreamConnection
     message: Any
@@ -77,36 +77,36 @@
 
 
 class ResponsePartReceived(NamedTuple):
-    """A piece of a response has arrived; the response is not whole yet."""
+    """A piece of a response has arrived; the response is not complete yet."""
 
     connection: UpstreamConnection
 
 
 class ResponseReceived(NamedTuple):
-    """A response is whole, or whole enough to be forwarded while its body arrives."""
+    """A response is complete, or can be forwarded while the rest of its body arrives."""
 
     connection: UpstreamConnection
     message: Any
 
 
 class ResponseCompleted(NamedTuple):
-    """A streamed response is whole."""
+    """A streamed response is complete."""
 
     connection: UpstreamConnection
     keep_alive: bool
 
 
 class UpstreamClosed(NamedTuple):
-    """A connection to a backend has ended, not closed by the state machine."""
+    """A connection to a backend has ended without the state machine closing it."""
 
     connection: UpstreamConnection
     cause: CloseCause
-    request_written: bool  # the last byte of a request was written
+    request_written: bool  # whether the last byte of the request was written
     reason: str
 
 
 class EndpointsUpdated(NamedTuple):
-    """A message of discovery, not validated."""
+    """A message of discovery has arrived; it is not validated yet."""
 
     document: Any
 
@@ -115,7 +115,7 @@
     """Discovery is unreachable or does not answer."""
 
     reason: str
-    waited: int = 0  # ticks since its last message, or since the call for it began
+    waited: int = 0  # ticks since discovery's last message, or since the call began
 
 
 class ConfigurationLoaded(NamedTuple):
@@ -128,7 +128,7 @@
 
 
 class ManagementCall(NamedTuple):
-    """A management call, an object of the caller with method and path."""
+    """An operator made a management call; `call`: an object with method and path."""
 
     call: Any
 
@@ -138,7 +138,7 @@
 
 
 class StopRequested(NamedTuple):
-    """The process is to stop."""
+    """The process was requested to stop."""
 
     successor_running: bool = False
 
--- a/pierglade/proxy/state/health_checks.py
+++ b/pierglade/proxy/state/health_checks.py
@@ -13,7 +13,7 @@
         self.upstream = upstream
 
     def uses_reports(self, source):
-        """Returns whether load reports come from `source` and are used; parsing costs CPU time."""
+        """Returns whether load reports of `source` are used; parsing others would waste CPU."""
         return (
             self.balancers.settings.load_report_source == source
             and self.balancers.current.learns_limit
@@ -33,7 +33,7 @@
             or backend.health_check_connection is not None
             or self.endpoints.is_draining(backend)
         ):
-            return  # One at a time, or health checks would pile up at an unresponsive backend.
+            return  # Health checks of an unresponsive backend must not pile up.
         connection = self.upstream.open(backend)
         if connection is None:
             return self._notify(name, False, 0)
--- a/pierglade/proxy/state/lifecycle.py
+++ b/pierglade/proxy/state/lifecycle.py
@@ -18,13 +18,15 @@
 
 # Times are tenths of a millisecond.
 
-# 0.7 s; how long new connections are accepted after a stop: the load balancer in front needs 0.4 s.
+# 0.7 s; how long new connections are accepted after a stop. The load balancer in front of the proxy
+# needs 0.4 s to react.
 LISTEN_AFTER_STOP = 7000
-# 3 s; bounds the longest request timeout that is counted. The process may be killed that timeout
-# and LISTEN_AFTER_STOP after the stop.
+# 3 s; upper bound of the request timeout used for the time until exit. After a stop, the process
+# may be killed once LISTEN_AFTER_STOP and that timeout have passed.
 MAX_REQUEST_TIMEOUT = 30000
 ACCEPTED_READ_DELAY = 500  # 50 ms; for reading the connections that were accepted last
-# Fraction of that time in which all requests are answered; 3.1 s of 3.7 s.
+# Fraction of the time until the process may be killed in which all requests are answered: 3.1 s of
+# 3.7 s.
 RESPONSE_TIME_RATIO = 0.83
 
 
@@ -37,13 +39,13 @@
         self.balancers = balancers
         self.descriptors = descriptors
         self.ready = False
-        # In a takeover it listens from the first valid endpoint list on; until then the earlier
-        # process serves.
+        # In a takeover, the process listens as soon as it has a valid endpoint list. Until then the
+        # earlier process serves.
         self.listening = sole_process
         self.stopped_at = None
-        self.standby = False  # set by operators; clients are closed
+        self.standby = False  # set by operators; client connections are closed
         self.may_exit = self.exiting = False
-        self.rejecting = False  # after a stop, close to the end: new requests are rejected
+        self.rejecting = False  # whether new requests are rejected, shortly before the exit
 
     def set_dependencies(self, downstream, upstream, attempts):
         """Sets the components that are created after this one."""
@@ -97,8 +99,8 @@
             ):
                 self.upstream.close(next(iter(self.upstream.by_state[IDLE])), "yielded")
         self._close_idle_clients()
-        # With short request timeouts the end comes soon: after a fixed time it would come too late
-        # for requests without an earlier deadline.
+        # The time depends on the request timeouts: if these are short, the process may be killed
+        # early, and a fixed time would be too late for the remaining requests.
         max_timeout = min(
             MAX_REQUEST_TIMEOUT,
             max(each.request_timeout for each in self.balancers.settings.request_classes),
@@ -123,7 +125,7 @@
         self.timers.schedule(self.step.now + ACCEPTED_READ_DELAY, self._allow_exit, None)
 
     def _allow_exit(self, _):
-        """Allows the exit, a while after the listener closed.
+        """Allows the exit, some time after the listener was closed.
 
         Clients that the kernel had accepted by then are read just after it.
         """
@@ -138,7 +140,7 @@
             request.owner.client_disconnected(self.step.now, request)
             self.downstream.respond_without_backend(request, may_retry=False)
         for client in list(self.downstream.by_state[READING_REQUEST]):
-            # Its last byte may be unread: closed without a response, the request would be lost.
+            # Its last byte may be unread; without a response the request would be lost.
             self.downstream.reject(client, self.balancers.current)
         self._close_idle_clients()
 
--- a/pierglade/proxy/state/machine.py
+++ b/pierglade/proxy/state/machine.py
@@ -1,11 +1,12 @@
 """The state machine of a proxy process. No I/O, no clock: events and times in, effects out.
 
-The caller calls `apply(now, event)` for each event, carries out the effects in their order, and
-calls again with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` define
-one type per kind. The `io` of a connection belongs to the caller and is never used here.
+The caller calls `apply(now, event)` for each event, executes the effects in order, and calls again
+with TimerFired no later than `next_wakeup(now)`. `events.py` and `effects.py` define one type per
+kind. The `io` of a connection belongs to the caller and is never used here.
 
-Each component owns its fields. It gets the components that it needs by its constructor, and those
-created after it by `set_dependencies`: a client's end ends its upstream connection, and vice versa.
+Each component owns its fields. It receives its dependencies in the constructor, or in
+`set_dependencies` if they are created later. Some dependencies are mutual, as the end of a client's
+connection also ends its upstream connection, and vice versa.
 """
 
 from pierglade.proxy.state.attempts import AttemptDispatcher
@@ -167,7 +168,7 @@
     def apply(self, now, event, arrived_at=NEVER, last_idle_at=NEVER):
         """Handles one event and returns its effects in order.
 
-        `arrived_at`: when the event may have happened, if before the caller could handle it;
+        `arrived_at`: earliest time of the event, if the caller could not handle it at once;
         `last_idle_at`: when the caller was last idle.
         """
         self.step.begin(now, arrived_at, last_idle_at)
--- a/pierglade/proxy/state/management.py
+++ b/pierglade/proxy/state/management.py
@@ -20,7 +20,7 @@
     BACKENDS_CALL: b"GET",
     ADMISSION_CALL: b"GET",
 }
-# Names in the output of /backends, which is parsed by programs.
+# Names in the output of /backends, which programs parse.
 STATE_NAMES = {
     EndpointState.READY: "ready",
     EndpointState.DRAINING: "draining",
--- a/pierglade/proxy/state/reconfiguration.py
+++ b/pierglade/proxy/state/reconfiguration.py
@@ -30,9 +30,9 @@
     def loaded(self, discovery, document, settings=None, quota_delta=None):
         """Applies a new configuration.
 
-        Discovery is followed at its new address; the endpoint list is kept until its first message.
-        New settings hold for new requests. Pending requests stay with the balancer that received
-        them, so that its rules hold to their end and none is lost or sent twice. `quota_delta`:
+        If discovery has a new address, the endpoint list stays in use until the first message from
+        there. New settings apply to new requests. Pending requests stay with the balancer that
+        received them and follow its settings, so that none is lost or sent twice. `quota_delta`:
         changed quotas of tenants; if nothing else changed, the balancer keeps its statistics.
         """
         if settings is not None and document.get("settings") == self.raw_settings and quota_delta:
@@ -43,7 +43,7 @@
                     quotas=len(quota_delta),
                 )
             else:
-                self.raw_settings = None  # All settings are replaced below.
+                self.raw_settings = None  # makes the next condition true: all settings are replaced
         if settings is not None and document.get("settings") != self.raw_settings:
             self._replace_settings(settings, document)
         changed = {key for key in RESTART_KEYS if document.get(key) != self.document.get(key)}
@@ -68,10 +68,10 @@
         self.balancers.apply_settings(settings, self.step.now)
         take_over(self.balancers.current, self.balancers.earlier[-1], self.step.now)
         if load_shedder.shedding_classes == self.balancers.load_shedder.shedding_classes:
-            # Otherwise all that the earlier one sheds would be admitted at once.
+            # With a new load shedder, all requests that the earlier one sheds would be admitted.
             self.balancers.load_shedder = load_shedder
         if self.balancers.earlier[-1].settings.polls_endpoints:
-            # Requests under the earlier settings may be waiting for the list.
+            # Requests of the earlier balancer may be waiting for the endpoint list.
             self.step.emit(PollDiscovery())
         self.step.log(
             "settings_applied",
@@ -79,7 +79,7 @@
         )
 
     def _apply_quotas_in_place(self, quota_delta, settings):
-        """Applies a change of quotas if it fits the current ones; returns whether it did."""
+        """Applies changed quotas to the current balancer if possible; returns whether it did so."""
         tenants = self.balancers.settings.tenants
         if quota_delta.base_version != tenants.version or not can_apply_in_place(
             tenants, settings.tenants.quotas
--- a/pierglade/proxy/state/requests.py
+++ b/pierglade/proxy/state/requests.py
@@ -21,9 +21,9 @@
 
 # Times are tenths of a millisecond.
 
-# 2 s; an id stays in use this long after its response, as a duplicate request may be on its way.
+# 2 s; how long an id stays in use after the response, as a duplicate request may still arrive.
 ID_RETENTION = 20000
-MAX_ID_BYTES = 256  # bounds the memory for ids, which are stored while their request is pending
+MAX_ID_BYTES = 256  # bounds the memory for the ids of pending and recent requests
 HINT_PREFIX = b"hintUs="  # in X-Props: the expected cost of a request
 RETRY_AFTER_STEPS = 4  # Retry-After values of shed requests: one per quarter of the threshold
 METHOD_BY_IDEMPOTENCY = {
@@ -31,7 +31,7 @@
     Idempotency.KEYED: b"POST",
     Idempotency.UNSAFE: b"POST",
 }
-# Headers that must not be repeated: of two values, a backend might use the other one.
+# Headers that must not be repeated: the backend might use another one of the values than the proxy.
 SINGLE_VALUE_HEADERS = frozenset(
     (b"host", b"x-trace-id", b"x-customer", b"x-expires-in-ms", b"x-second-try", b"idempotency-key")
 )
@@ -51,7 +51,7 @@
         self.recent_ids = deque()  # (expiry time, id) of recently answered requests
         # Whether requests without an id get one, and the number of ids assigned.
         self.assigns_ids, self.assigned_count = False, 0
-        self.shed_count = 0  # since the last log line
+        self.shed_count = 0  # shed requests since the last log line
         self.started_at = step.now
 
     def set_dependencies(self, reconfiguration):
@@ -106,7 +106,8 @@
         if _is_malformed(message, request_class, request_id, expires_in):
             return _describe_fault(message, request_class, request_id, expires_in)
         if self._is_in_use(request_id):
-            # Of another request, or of an executed one: if forwarded, that would be executed twice.
+            # The id belongs to a pending or an answered request, which may be executed twice if
+            # this one is forwarded.
             return "X-Trace-Id is in use, or was answered just now"
         return None
 
@@ -136,7 +137,7 @@
         )
 
     def _admit(self, client, request_class, request_id, time_left):
-        """Sheds a valid request, or passes it to the balancer; `time_left`: until its deadline."""
+        """Sheds a valid request or passes it on; `time_left`: ticks until its deadline."""
         message = client.message
         self.balancers.load_shedder.record_wait(
             self.step.now, (self.step.now - self.step.arrived_at) / request_class.latency_objective
@@ -192,8 +193,8 @@
     def preview(self, now, client, requests, arrived_at, last_idle_at):
         """Returns a prepared 503 head for unparsed input, or None if that is handled as usual.
 
-        No event is applied: no decision is made and no timer set, only the count goes up. So it
-        costs a tenth of a full response.
+        This applies no event, makes no decision and schedules no timer except that of the log line,
+        so it costs a tenth of a full response.
         """
         if (
             not self.balancers.load_shedder.threshold
@@ -237,7 +238,7 @@
         if not self.balancers.load_shedder.rejects(
             request_class.index, time_left < request_class.latency_objective, client.known
         ):
-            client.passed_shedding = True  # It is not checked again when it is parsed.
+            client.passed_shedding = True  # The parsed request is not checked again.
             return None
         self.balancers.current.should_shed(
             now, last_idle_at, request_class, arrived_at, time_left, True
@@ -270,7 +271,7 @@
         )
 
     def _assign_id(self, message):
-        """Assigns an id to a request without one; it is forwarded like one the client sent."""
+        """Assigns an id to a request without one; it is forwarded like an id from the client."""
         self.assigned_count += 1
         request_id = b"%s-%x-%x" % (
             str(self.reconfiguration.document.get("name", "")).encode(),
--- a/pierglade/proxy/state/responses.py
+++ b/pierglade/proxy/state/responses.py
@@ -1,4 +1,4 @@
-"""Responses of backends: forwarded to their clients, whole or streamed."""
+"""Handles the responses of backends: forwards them to their clients, buffered or streamed."""
 
 from pierglade.model.endpoint import LoadReportSource
 from pierglade.model.outcome import Outcome
@@ -10,9 +10,9 @@
 )
 
 # Times are tenths of a millisecond.
-RESPONSE_PIECE_TIMEOUT = 1000  # 100 ms; between two pieces; a malformed response may never end
+RESPONSE_PIECE_TIMEOUT = 1000  # 100 ms; between two pieces, as a malformed response may never end
 STREAM_PIECE_TIMEOUT = 50000  # 5 s; between two pieces of a response that is being streamed
-# Response headers that are for the balancer and not forwarded.
+# Response headers that are not forwarded, as only the balancer needs them.
 WITHHELD_HEADERS = http.HOP_BY_HOP | {b"endpoint-load-metrics"}
 
 
@@ -39,16 +39,16 @@
 
     def _stream_stalled(self, connection):
         if connection.body_stream.full():
-            # The client reads it slowly, and has its own timeout.
+            # The client reads slowly; its connection has a timeout of its own.
             return self.part_received(connection)
         self.upstream.close(connection, "stalled")
 
     def received(self, connection, message):
-        """Handles a response that is whole, or streamed from now on."""
+        """Handles a response that is complete, or whose body is streamed from now on."""
         connection.response_piece_due_at = 0
         if connection.state is IDLE:
-            # Unsolicited: if the connection were reused, it would be taken for the response to the
-            # next attempt.
+            # The response is unsolicited. If the connection were reused, it would be mistaken for
+            # the response to the next attempt.
             return self.upstream.close(connection, "unasked answer")
         if connection.state is not BUSY:
             return
@@ -71,8 +71,8 @@
     def _attempt_answered(self, connection, message):
         """Reports a response to the balancer; returns whether its body is still to be streamed."""
         attempt, connection.attempt = connection.attempt, None
-        # A client error goes back to the client, except 429: it would mean that the request was not
-        # executed, which is unknown.
+        # A client error is forwarded, except 429: that would tell the client that its request was
+        # not executed, which is unknown.
         rejected = 400 <= message.status < 500 and message.status != 429
         if message.status != 200 and not rejected:
             self._attempt_failed(connection, attempt, message)
@@ -84,7 +84,8 @@
         if not is_awaited:
             return False
         if rejected or len(request.attempts) > 1 or self.step.now > request.objective_at:
-            # Ordinary successes are not logged: at four times the load there were too many lines.
+            # Fast first-attempt successes are not logged: at four times the load there were too
+            # many lines.
             self.step.log(
                 "client_error" if rejected else "request_succeeded",
                 request_class=request.request_class.name,
@@ -114,7 +115,7 @@
         )
 
     def completed(self, connection, keep):
-        """Releases the connection of a streamed response that is whole."""
+        """Releases the connection of a streamed response that is complete."""
         if connection.body_stream is None or connection.state is CLOSED:
             return
         if connection.receiver is not None:
--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -19,7 +19,7 @@
     def export(self, keys, row_keys):
         """Returns copies of (request classes, backends, total work, endpoint list entries).
 
-        The first two are by name; `backends`: (address, started, statistics) of the ready ones.
+        The first two are dictionaries by name; a backend's value is (address, started, statistics).
         """
         rows, figures = self.balancers.current.export_statistics(keys)
         request_classes = {
@@ -54,7 +54,7 @@
         return request_classes, backends, work, entries
 
     def restore(self, snapshot, half_life):
-        """Restores what is still valid of a Snapshot; returns a log line that describes it.
+        """Restores the valid part of a Snapshot; returns a text for the log that describes it.
 
         Raises UntrustedSnapshotError if nothing is valid. `half_life`: ticks.
         """
--- a/pierglade/proxy/state/timers.py
+++ b/pierglade/proxy/state/timers.py
@@ -13,7 +13,7 @@
     def __init__(self, step):
         self.step = step
         self.heap = []  # (time, sequence, callback, argument)
-        self._sequence = 0  # keeps timers of the same time in the order in which they were set
+        self._sequence = 0  # orders timers of the same time by when they were scheduled
 
     def schedule(self, moment, callback, argument):
         """Calls `callback(argument)` at that time, or in the first step after it."""
@@ -26,8 +26,8 @@
         self._enqueue(connection)
 
     def _enqueue(self, connection):
-        # One entry per connection as a rule: with one per response, the heap would hold the timers
-        # of a whole minute.
+        # Usually there is one entry per connection. With one entry per response, the heap would
+        # contain the timers of a whole minute.
         moment = connection.timer[0]
         if connection.timer_queued_at is None or moment < connection.timer_queued_at:
             connection.timer_queued_at = moment
@@ -36,7 +36,7 @@
     def _connection_timer_fired(self, entry):
         connection, moment = entry
         if connection.timer_queued_at != moment:
-            return  # Replaced by an earlier entry; if renewed, both would stay for ever.
+            return  # An earlier entry has replaced it; if renewed, both would stay for ever.
         connection.timer_queued_at = None
         if connection.timer is None or connection.state is CLOSED:
             return
--- a/pierglade/proxy/state/upstream.py
+++ b/pierglade/proxy/state/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: opened, reused, timed out and closed."""
+"""Connections to backends: opening, reuse, timeouts and closing."""
 
 from collections import OrderedDict
 
@@ -53,7 +53,7 @@
         self.health_checks = health_checks
 
     def open(self, backend):
-        """Opens a connection to a backend; returns None if there is no descriptor for it."""
+        """Opens a connection to a backend; returns None if no file descriptor is free."""
         connection = UpstreamConnection(backend)
         self.descriptors.open_count += 1
         if not self.descriptors.free_descriptors(None):
@@ -69,7 +69,7 @@
         return connection
 
     def restart_timeout(self, connection):
-        """Sets the timeout for whatever the connection waits for."""
+        """Sets the timeout of the next expected event: connected, response or response piece."""
         moment = connection.response_piece_due_at or NEVER
         if connection.state is CONNECTING:
             moment = connection.since + self.balancers.settings.connect_timeout
@@ -96,14 +96,14 @@
             )
 
     def connected(self, connection):
-        """Uses a connection that is established."""
+        """Sends the attempt or health check of a connection that is established."""
         if connection.state is not CONNECTING:
             return
         connection.backend.connecting_count -= 1
         set_state(connection, BUSY, self.by_state)
         self.restart_timeout(connection)
         if connection.attempt is None and not connection.is_health_check:
-            # Its attempt was sent on another connection that became idle first.
+            # The attempt was sent on another connection, which became idle earlier.
             return self.release(connection, True)
         if connection.is_health_check and self.endpoints.is_draining(connection.backend):
             self.disconnected(connection, CloseCause.CONNECT_FAILED, False, "drained")
@@ -125,7 +125,7 @@
             self.attempts.withdraw(connection, Outcome.NOT_SENT)
 
     def release(self, connection, keep):
-        """Keeps a connection without work for reuse, or closes it."""
+        """Makes a connection idle if it may be reused, or closes it."""
         backend = connection.backend
         if not keep:
             self.close(connection, "closed by its answer")
@@ -146,7 +146,7 @@
             )
 
     def _take_over_attempt(self, connection):
-        """Gives an idle connection the oldest attempt whose own connection is not established."""
+        """Sends the oldest attempt whose connection is not established on an idle connection."""
         if connection.state is not IDLE:
             return
         for other in self.by_state[CONNECTING]:
@@ -169,7 +169,7 @@
         self.close(connection, "idle")
 
     def disconnected(self, connection, cause, request_written, reason):
-        """Handles the end of a connection; `request_written`: to the last byte of a request."""
+        """Handles the end of a connection; `request_written`: whether to the last byte."""
         if connection.state is CLOSED:
             return
         attempt, connection.attempt = connection.attempt, None
@@ -184,10 +184,10 @@
             # Nothing was written, so the attempt has not begun and is sent again.
             return self.attempts.send(attempt)
         if cause in (CloseCause.MALFORMED_RESPONSE, CloseCause.CLIENT_GONE):
-            # Closed by the proxy: the backend may still be answering, and counts the attempt as in
-            # flight until the close arrives.
+            # The proxy closed the connection. The backend may still be responding, and the attempt
+            # is in flight there until the close arrives.
             attempt.request.caller_context.last_abort_at = self.step.now
-        # If the attempt's own client left during the upload, that is no failure of the backend.
+        # A client that disconnects during its upload is not a failure of the backend.
         outcome = (
             Outcome.SERVER_ERROR
             if cause is CloseCause.MALFORMED_RESPONSE
--- a/pierglade/reconfiguration/document_reader.py
+++ b/pierglade/reconfiguration/document_reader.py
@@ -15,14 +15,15 @@
 from pierglade.settings.platform import quotas_from_rows
 from pierglade.settings.validation import InvalidSettingsError
 
-# Bytes. A text up to this size is parsed at once.
+# A text up to this size is parsed in one step.
 MAX_UNSPLIT_BYTES = 1 << 16
 # Bytes parsed in one step between requests, which takes under half a millisecond.
 CHUNK_BYTES = 1 << 13
-# Bytes of an endpoint list parsed in one step, which takes 2 ms. Larger than other steps, as the
-# list that it replaces must not be used for long.
+# Bytes of an endpoint list parsed in one step, which takes 2 ms. These steps are larger than
+# others, as the outdated list must not stay in use for long.
 LIST_CHUNK_BYTES = 1 << 16
-# Cuts tried, at successive braces, before the chunk is extended as it may be a single long row.
+# Number of cuts that are tried, at successive braces, before the chunk is extended because it may
+# be a single long row.
 CUTS_PER_EXTENSION = 8
 CUSTOMERS_PATH = ("settings", "customers")
 KNOWN_ENDPOINTS_PATH = ("known", "endpoints")
@@ -54,7 +55,7 @@
 
     Raises:
         ValueError: The text is not JSON.
-        InvalidSettingsError: A customer cannot be used.
+        InvalidSettingsError: The entry of a customer is invalid.
     """
     quotas, errors, known_endpoints = {}, [], []
 
@@ -76,7 +77,8 @@
         CHUNK_BYTES,
     )
     if document is None:
-        # The rows were found under the same key elsewhere; rare enough to parse all at once.
+        # The key of the rows was found elsewhere in the document first. This is rare enough to
+        # parse the whole text in one step.
         document, errors = orjson.loads(text), []
         quotas.clear()
     if errors:
@@ -114,7 +116,7 @@
 def _parse_without(
     text: bytes, arrays: Iterable[LargeArray], chunk_bytes: int
 ) -> Generator[None, None, Any]:
-    """Yields after each step; returns the document, its large arrays parsed and replaced.
+    """Yields after each step; returns the document with its large arrays replaced.
 
     Returns None if an array was found under the right key in the wrong place.
     """
@@ -127,7 +129,7 @@
         )
         if array_start is not None:
             end = yield from _read_rows(text, array_start.end(), add_rows, chunk_bytes)
-            # No other text has the placeholder, so it shows where the rows were in the document.
+            # The placeholder is unique, so it shows where the rows were in the document.
             placeholder = uuid.uuid4().hex
             placeholders.append((path, placeholder, replacement))
             text = b'%b"%b"%b' % (text[: array_start.end() - 1], placeholder.encode(), text[end:])
--- a/pierglade/reconfiguration/quota_changes.py
+++ b/pierglade/reconfiguration/quota_changes.py
@@ -13,7 +13,7 @@
 ) -> Generator[None, None, QuotaDelta]:
     """Yields after each step; returns the difference from `current` to `new_quotas`.
 
-    The difference is based on the version at the first step; it conflicts with later changes.
+    The difference is based on the version at the first step; it conflicts with any later change.
     """
     base, changed, common = current.version, {}, 0
     for names in _batches(new_quotas):
@@ -32,7 +32,7 @@
 
 
 def clear_quotas(quotas: dict[str, float]) -> Iterator[None]:
-    """Yields after each step; empties an unused table. In one step it would delay requests."""
+    """Empties an unused table and yields after each step; one long step would delay requests."""
     while quotas:
         for _ in range(min(BATCH_SIZE, len(quotas))):
             quotas.popitem()
@@ -40,10 +40,10 @@
 
 
 def can_apply_in_place(current: TenantRegistry, new_quotas: dict[str, float]) -> bool:
-    """Whether a node can apply new quotas without being replaced.
+    """Returns whether a balancer can apply new quotas without being replaced.
 
-    When the first quota is added or the last one removed, its demand is derived from other figures,
-    and its limit on attempts in flight is reset.
+    It cannot when the first quota is added or the last one removed: its demand is then derived from
+    other statistics, and its limit on attempts in flight is reset.
     """
     return (current.total > 0) == (sum(new_quotas.values()) > 0)
 
--- a/pierglade/snapshot/aging.py
+++ b/pierglade/snapshot/aging.py
@@ -1,19 +1,19 @@
-"""Aging of snapshots: what is restored from a snapshot of a given age. It performs no I/O.
+"""Aging of snapshots: selects and decays the statistics to restore. It performs no I/O.
 
 - Typical latency, its spread, and the latency levels of a backend decay towards the values of a new
   node, by half-lives.
-- Their sample counts decay likewise, so that new responses soon outweigh them.
-- The mean pause of the forecast decays likewise. Its window is one of three sizes and is restored
-  while the weight is a half or more.
-- The next pause is restored only if the work done meanwhile is certainly a small part of the
-  gap between pauses.
-- The baseline throughput of a backend's load reports is restored, with fewer reports behind it.
+- Their sample counts decay in the same way, so that new responses soon outweigh them.
+- The mean pause of the forecast decays in the same way. Its window is one of three sizes, which
+  cannot decay, and is restored while the weight of the snapshot is a half or more.
+- The next pause is restored only if the work done since the snapshot is certainly a small part of
+  the gap between pauses.
+- The baseline throughput of a backend's load reports is restored, with a lower report count.
 - Ejections, trial requests, attempts in flight, overload, slow-start budgets, request rates of
   tenants and the worst class are not restored: a restart ends the first ones, and the others
   describe only two seconds.
 
-Nothing is restored of a backend whose process, address or name has changed, nor of a request class
-whose limits have changed. Times are ticks (tenths of a millisecond).
+A backend whose process, address or name has changed starts without statistics, and so does a
+request class whose limits have changed. Times are ticks (tenths of a millisecond).
 """
 
 from collections import deque
@@ -21,14 +21,14 @@
 from pierglade.snapshot.errors import UntrustedSnapshotError
 from pierglade.snapshot.stored_names import STORED_IDEMPOTENCY
 
-# Half-lives; an older snapshot is not restored, as the first responses tell more.
+# In half-lives. An older snapshot is not restored, as the first responses are more informative.
 MAX_HALF_LIVES = 8
-# 5 s. The clocks of machines differ by as much; a snapshot from further in the future is rejected.
+# 5 s, by which machines' clocks may differ; a snapshot from further in the future is rejected.
 MAX_CLOCK_SKEW_TICKS = 50000
-# Fraction of the gap between pauses that may have passed unseen; after more, the moment of the next
-# pause is unknown.
+# Fraction of the gap between pauses that may have passed since the snapshot; beyond it, the time of
+# the next pause is unknown.
 MAX_UNSEEN_GAP_RATIO = 0.25
-# Weight of the snapshot down to which values that cannot decay are restored.
+# Minimum weight of the snapshot at which values that cannot decay are restored.
 MIN_WEIGHT_UNDECAYED = 0.5
 # Stored names of a backend's statistics: those that decay, and those that are restored unchanged.
 DECAYING_KEYS = ("level", "quick", "mean_pause")
@@ -166,15 +166,16 @@
 
 
 def _is_number(value):
-    """Returns whether the value is a usable number; a checksum does not tell who wrote the file."""
+    """Returns whether the value is a usable number; the checksum does not prove who wrote it."""
     return type(value) in (int, float) and value == value and abs(value) < 1e15
 
 
 def newer_endpoint_list(snapshot, known):
     """Returns the endpoint list to start with: the configuration's `known`, or the snapshot's.
 
-    That is the newer one by discovery's version if both have a version; otherwise the snapshot's,
-    which is the list that discovery sent to this node last.
+    The configuration's list is used if its version is at least that of the snapshot's list, if
+    only it has a version, or if the snapshot has no list. Otherwise the snapshot's is used, as it
+    is the list that discovery sent to this node last.
     """
     if not snapshot.endpoints:
         return known
--- a/pierglade/snapshot/handover.py
+++ b/pierglade/snapshot/handover.py
@@ -29,7 +29,7 @@
     Both receive endpoint lists from then on.
     """
     settings, old_settings = node.settings, before.settings
-    # For each class of the new settings, its index in the old ones, by name.
+    # Index in the old settings of each request class; None if no class had its name.
     old_indices = {
         request_class.name: request_class.index for request_class in old_settings.request_classes
     }
@@ -66,7 +66,7 @@
 
 
 def _apply_removals(node, now):
-    """Removes backends that were listed as removed but still used, if removal binds now."""
+    """Removes backends that were removed but still in use, if `removal_binds` is set now."""
     endpoints = node.endpoints
     removed = (
         [backend for backend in node.rotation.by_rank if endpoints.unready_since[backend]]
@@ -90,7 +90,7 @@
 
 
 def _copy_parts(node, before, same_reports):
-    """Copies the state of backends, and of all requests together."""
+    """Copies the state of backends, and state that is shared by all request classes."""
     node.endpoints.copy_from(before.endpoints)
     node.ejections.copy_from(before.ejections)
     node.outliers.copy_from(before.outliers)
--- a/pierglade/snapshot/schema.py
+++ b/pierglade/snapshot/schema.py
@@ -31,7 +31,7 @@
 MAGIC = b"PGLE"
 HEADER = struct.Struct(">4sHIQ")
 VERSION = 1
-MAX_BODY_BYTES = 64 << 20  # a thousand backends need a quarter of a megabyte
+MAX_BODY_BYTES = 64 << 20  # 64 MiB; a thousand backends need a quarter of a megabyte
 # By version, the function that converts its body to that of the next version, as plain data.
 MIGRATIONS: dict[int, Callable[[Any], Any]] = {}
 
@@ -40,7 +40,7 @@
     """The statistics of one backend, and the identity of its process."""
 
     address: str
-    # Unix time, from the endpoint list; 0 if that does not have it.
+    # Unix time from the endpoint list; 0 if the list has none.
     started_at: Ticks = msgspec.field(name="started")
     # Learned statistics by their stored names.
     statistics: dict = msgspec.field(name="figures")
--- a/pierglade/snapshot/store.py
+++ b/pierglade/snapshot/store.py
@@ -3,8 +3,8 @@
 They are `NAME.learned` and `NAME.learned.1`. A snapshot is written to
 `NAME.learned.PID-COUNT.part`, synced and renamed, and then the directory is synced. A process that
 is killed at any moment leaves at least one complete generation, and at most a part file that the
-next write removes. The lock between processes is the kernel's (flock) and ends with its process, so
-that it is never stale.
+next write removes. The lock between processes is a kernel lock (flock) that ends with its process,
+so it is never stale.
 """
 
 import contextlib
@@ -50,9 +50,9 @@
             )
         self.path, self.name, self.max_bytes = path, name, int(max_mb * (1 << 20))
         self.lock_fd = None
-        # The final write of a node may overlap with a periodic one in another thread. When both
-        # used one part file, the second renamed what the first had already moved, and no newest
-        # generation remained.
+        # The final write of a node may overlap with a periodic one in another thread. With a shared
+        # part file, the second write would find it already renamed by the first, after it has
+        # renamed the newest generation to the previous one, and no newest generation would remain.
         self.write_lock = threading.Lock()
         self.part_numbers = itertools.count(1)
 
