--- a/pierglade/proxy/state/snapshot.py
+++ b/pierglade/proxy/state/snapshot.py
@@ -19,7 +19,8 @@
     def export(self, keys, row_keys):
         """Returns copies of (request classes, backends, total work, endpoint list entries).
 
-        The first two are dictionaries by name; a backend's value is (address, started, statistics).
+        The first two are dictionaries by name. `backends` has only ready ones, each as (address,
+        started, statistics).
         """
         rows, figures = self.balancers.current.export_statistics(keys)
         request_classes = {
