--- a/pierglade/__main__.py
+++ b/pierglade/__main__.py
@@ -20,8 +20,8 @@
 
 DEFAULT_MAX_SOCKETS = 1024  # file descriptors, where no limit is configured
 DEFAULT_MEMORY_MB = 192  # used where no limit is configured
-# Net allocations before a garbage collection. Collections free next to nothing in a node, and each
-# one takes CPU time.
+# Net allocations before a garbage collection. Collections cost CPU time and free hardly any memory
+# in a node.
 GC_THRESHOLD = 10000
 
 
@@ -131,7 +131,7 @@
             memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
             known=document.get("known") or {},
             settings=settings_from(document["settings"], quotas),
-            # Stored for as long as the node runs, so without its large parts.
+            # The document is stored as long as the node runs, so its large parts are removed.
             document={**document, "known": {}} if document.get("known") is not None else document,
             management=environ.get("BALANCER_MANAGEMENT") or document.get("management"),
         )
@@ -204,8 +204,8 @@
 
     `reload_config`: called at SIGHUP; returns the new configuration, or a generator that does.
     """
-    # Signals that arrive during the start must neither end the process nor be lost: the file may
-    # have been read before the signal. They are handled once the node serves.
+    # Signals that arrive during the start must neither end the process nor be lost, as the file may
+    # have been read before a SIGHUP. They are handled once the node serves.
     early_signals = []
     for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
         signal.signal(signal_number, lambda received, _: early_signals.append(received))
@@ -226,8 +226,8 @@
     except UnusableConfigError as error:
         print(f"pierglade: {error}", file=sys.stderr)
         return 2
-    config.known = {}  # The server has loaded it.
-    gc.freeze()  # Loaded modules stay for good; collections need not visit their objects again.
+    config.known = {}  # The server has loaded the endpoint list.
+    gc.freeze()  # Loaded modules stay in memory; collections need not visit their objects.
     gc.set_threshold(GC_THRESHOLD, 20, 20)
     return server.run(lambda: reload_config(config), early_signals)
 
--- a/pierglade/cli/__init__.py
+++ b/pierglade/cli/__init__.py
@@ -23,7 +23,7 @@
     ),
     (RULE_BROKEN, "one of the four rules, or the retry budget, was violated"),
 )
-# Each command: its line in the help, and the packages that it needs in addition to those of a node.
+# Command: (its line in the help, the packages that it needs in addition to those of a node).
 COMMANDS = {
     "serve": ("Starts a node and serves until SIGTERM.", ()),
     "check": ("Checks whether a node would start with a configuration file.", ()),
@@ -70,7 +70,7 @@
 
 
 def _command_without_package(name, line, package):
-    """Returns a substitute for a command whose package is missing: with any arguments it fails and names it."""
+    """Returns a substitute for a command that lacks a package; it always fails and names the package."""
     return click.Command(
         name,
         help=line,
--- a/pierglade/cli/demo.py
+++ b/pierglade/cli/demo.py
@@ -1,4 +1,4 @@
-"""`pierglade demo`: the same load through a node and through plain round robin, each before eight stand-in backends."""
+"""`pierglade demo`: compares a node with plain round robin, each under the same load before eight stand-in backends."""
 
 import asyncio
 import json
@@ -173,7 +173,7 @@
         return self
 
     def __exit__(self, *_):
-        """Does nothing: no resource has to be closed."""
+        """Does nothing, as there is no resource to close."""
 
     def __call__(self, second, sides, node_state):
         parts = [f"{second:3} s"]
--- a/pierglade/cli/event_log.py
+++ b/pierglade/cli/event_log.py
@@ -6,7 +6,7 @@
 
 
 def json_log(stream=None):
-    """Returns a log that writes one JSON object per line; a reader that has disconnected is ignored."""
+    """Returns a log that writes one JSON object per line, and ignores that its reader has disconnected."""
     return structlog.wrap_logger(
         structlog.WriteLogger(_TolerantStream(stream or sys.stdout)),
         processors=[
@@ -17,7 +17,7 @@
 
 
 def readable_log(stream=None):
-    """Returns a log that writes readable lines; a reader that has disconnected is ignored."""
+    """Returns a log that writes readable lines, and ignores that its reader has disconnected."""
     stream = stream or sys.stdout
     return structlog.wrap_logger(
         structlog.WriteLogger(_TolerantStream(stream)),
--- a/pierglade/cli/experiment.py
+++ b/pierglade/cli/experiment.py
@@ -97,9 +97,9 @@
 
 
 def exit_by_result(summaries, pierglade_labels):
-    """Prints the doubts about the runs; exits with 4 if a rule was violated, with 3 if a result is unreliable.
+    """Prints why runs are unreliable; exits with 4 if a rule was violated, with 3 if a result is unreliable.
 
-    Only the builds in `pierglade_labels` are held to the rules.
+    The rules apply only to the builds in `pierglade_labels`.
     """
     from pierglade.experiment import compare
 
@@ -120,7 +120,7 @@
 
 
 def run_until_stopped(run):
-    """Returns `run()`; if it fails or is stopped by a signal, exits with 3 and one line."""
+    """Returns `run()`; if it fails or a signal stops it, prints one line and exits with 3."""
     from pierglade.experiment.play import RunFailedError
     from pierglade.processes.children import StoppedBySignalError
 
--- a/pierglade/cli/serve.py
+++ b/pierglade/cli/serve.py
@@ -10,7 +10,7 @@
 
 from pierglade.cli import fail
 
-# The longest that the thread reading a file runs before it yields to a node that has work to do.
+# Seconds. Maximum time that the thread reading a file runs before it yields to the node's thread.
 SWITCH_INTERVAL_S = 0.0005
 
 
@@ -85,7 +85,7 @@
 
 
 def load_initial_config(path):
-    """Like `load_config`; if the file has several errors, the message names the command that lists them all."""
+    """Does the same as `load_config`; for several errors, the message names the command that lists them."""
     from pierglade.__main__ import UnusableConfigError
     from pierglade.config.read import UnusableFileError
 
@@ -101,7 +101,7 @@
 
 
 def _stop_at_end_of_input():
-    """Stops the node when standard input ends, as it does once the parent has exited."""
+    """Stops the node when standard input ends, which happens when the parent process exits."""
     while os.read(0, 1024):
         pass
     os.kill(os.getpid(), signal.SIGTERM)
--- a/pierglade/config/platform.py
+++ b/pierglade/config/platform.py
@@ -1,8 +1,8 @@
 """Converts between the operator's file and the platform's JSON document.
 
 Both directions use the tables `KEY_MAPPINGS` and `LIST_MAPPINGS`, so that a node behaves the same
-under either form (`pierglade.__main__` reads the platform's document). The platform's times are
-microseconds.
+with either form (`pierglade.__main__` reads the platform's document). The platform's document has
+times in microseconds.
 """
 
 import msgspec
@@ -69,7 +69,7 @@
     ("reports.how", "settings.loadInfo.via", _translated(_REPORT_SOURCE)),
     ("reports.fields", "settings.loadInfo.fields", (list, tuple)),
 )
-# The same for lists of tables: (list in the file, list in the document, conversions of its keys).
+# The same for lists of tables: (list in the file, list in the document, mappings of its keys).
 LIST_MAPPINGS = (
     (
         "offerings",
@@ -137,8 +137,8 @@
         )
     for row in document["known"]["endpoints"]:
         row.update(status="SERVING", since_ms=0)
-    # Versions are assigned by discovery. A list from the file has none, so that the whole list is
-    # requested.
+    # Only discovery assigns versions. With discovery, the list from the file has none, so that the
+    # whole list is requested.
     document["known"].update(index=None if file.discovery else 1, snapshot=True)
     settings = document["settings"]
     settings["goal"]["whole"] = 1 - settings["goal"]["worstClass"]
--- a/pierglade/config/read.py
+++ b/pierglade/config/read.py
@@ -14,11 +14,11 @@
 from pierglade.config.structs import File, value_of
 from pierglade.errors import PiergladeError
 
-MAX_SHOWN_CHARS = 40  # of a value in an error line
+MAX_SHOWN_CHARS = 40  # longer values are abbreviated in error lines
 
 
 class UnusableFileError(PiergladeError, ValueError):
-    """A file that cannot be used; `lines` has a line per error, the first of which is its text."""
+    """A file that cannot be used; `lines` has a line per error, and the first is the message."""
 
     def __init__(self, lines):
         super().__init__(lines[0])
@@ -54,9 +54,9 @@
 
 
 def find_errors(raw):
-    """Returns a line for each error, in the file's order.
+    """Returns a line for each error, in the order of the file.
 
-    Relations between keys are checked only if each key is valid by itself.
+    Relations between keys are checked only if every key is valid on its own.
     """
     lines = list(_table_errors(raw, types.type_info(File), ""))
     if not lines:
@@ -184,7 +184,7 @@
 
 
 def _relation_errors(file):
-    """Yields errors that need more than one key, and malformed addresses."""
+    """Yields malformed addresses, and errors that involve more than one key."""
     addresses = [
         ("listen.address", file.listen.address),
         ("listen.management", file.listen.management),
--- a/pierglade/proxy/admission_queue.py
+++ b/pierglade/proxy/admission_queue.py
@@ -12,12 +12,12 @@
 from pierglade.admission.fair_queue import FairQueue
 from pierglade.proxy.event_loop import Clock, EventLoopMonitor
 
-# Ticks (25 ms). Time that an iteration of the event loop spends on clients before further greenlets
-# wait. Shorter iterations take more CPU time: with 10 ms, 64 clients that send at once need a sixth
-# more per response.
+# Ticks (25 ms). Time that an iteration of the event loop may spend on clients; after it, further
+# greenlets wait. Shorter iterations cost more CPU time: with 10 ms, 64 clients that send at
+# once need a sixth more CPU time per response.
 MAX_TURN_TICKS = 250
 MAX_TURN_NS = MAX_TURN_TICKS * 100000
-OVERLOAD_FACTOR = 3  # multiple of the maximum turn; in longer ones even load shedding stops
+OVERLOAD_FACTOR = 3  # multiple of MAX_TURN_TICKS; after that, even rejections have to wait
 
 
 class AdmissionQueue:
--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -1,6 +1,6 @@
 """The discovery client: reads the whole endpoint list, then watches it for changes.
 
-A watch that falls silent is opened again.
+If a watch delivers neither changes nor heartbeats for SILENCE_TIMEOUT, it is opened again.
 """
 
 from time import monotonic
@@ -22,21 +22,22 @@
 # Seconds. The discovery agent is local; together with RETRY_INTERVAL this is less than the smallest
 # grace period.
 RESPONSE_TIMEOUT = 0.15
-# A discovery service that is polled queues requests. A request that is abandoned early is still
-# answered, in vain.
+# A discovery service that is polled queues requests. It also answers requests that the client has
+# abandoned, so a shorter timeout would waste its work.
 POLLED_RESPONSE_TIMEOUT_S = 3.5
-BUSY_STATUSES = (429, 503)  # discovery cannot serve the request now; the version stays valid
+BUSY_STATUSES = (429, 503)  # discovery is busy; the known version stays valid
 # Seconds. Nearly two heartbeats of 2 s; leaves time to retry within MISSED_CHANGES_AFTER_S.
 SILENCE_TIMEOUT = 3.5
-# From this time after a watch fell silent, the changes that it missed count as announced.
+# Once a watch has been silent for this long, the changes that it missed count as announced.
 MISSED_CHANGES_AFTER_S = 6.0
 MAX_POLL_WAIT_S = 4.5  # the balancer decides within 4.4 s to poll again
-# Between two reads of a list. The connection of a queued response may fail without a sign.
+# Limit on the time between two reads of a list. While a response is queued, its connection may fail
+# without an error on this side.
 LIST_READ_TIMEOUT_S = 0.5
-# Seconds. Changes that the agent has count as announced, even if there is no watch.
+# Seconds. Short, as changes that the agent knows count as announced even without an open watch.
 RETRY_INTERVAL = 0.05
 READ_BYTES = 16384
-# Maximum size of a list on one line: 6,800 entries take 0.9 MB, indented 1.3 to 1.7 MB.
+# Maximum size of a list: 6,800 entries take 0.9 MB on one line, and 1.3 to 1.7 MB indented.
 MAX_LINE_BYTES = 1 << 22
 
 
@@ -139,7 +140,7 @@
         self.sock = None
         self.stopped = False
         self.last_activity = 0.0  # when the watch last delivered data, or the last request began
-        self.silent_since = None  # None: no watch was lost by falling silent
+        self.silent_since = None  # last activity before a watch fell silent; None: none did
         self.is_polled = lambda: False  # whether the balancer decides when to send requests
         self.poll_requested = Event()
 
@@ -159,7 +160,7 @@
                 ValueError,
             ) as error:
                 if not isinstance(error, (OSError, DiscoveryUnavailableError)):
-                    self.index = None  # The data that could not be read may have been a change.
+                    self.index = None  # The unreadable data may have contained a change.
                 if not self.stopped:
                     self.server.handle_event(
                         DiscoveryLost(f"{type(error).__name__}: {error}", self._ticks_unobserved())
@@ -179,7 +180,7 @@
         return int((now - since) * TICKS_PER_SECOND)
 
     def _wait(self):
-        # Both waits are bounded: if the settings change meanwhile, nothing else ends the wait.
+        # Both waits are bounded, as a change of the settings does not end them.
         if self.is_polled():
             self.poll_requested.wait(MAX_POLL_WAIT_S)
         else:
@@ -195,7 +196,7 @@
         self._close()
 
     def stop(self):
-        """Stops the client; nothing that was read is reported from then on."""
+        """Stops the client; data that it has already read is no longer reported."""
         self.stopped = True
         self._close()
 
@@ -209,8 +210,8 @@
         if self.stopped:
             raise DiscoveryUnavailableError("the discovery client was stopped")
         self.last_activity = monotonic()
-        # A local name as well: `stop` and `resync` may close the socket meanwhile, which sets
-        # `self.sock` to None.
+        # The local variable is needed because `stop` and `resync` set `self.sock` to None when they
+        # close the socket.
         sock = self.sock = socket.socket()
         sock.settimeout(POLLED_RESPONSE_TIMEOUT_S if self.is_polled() else RESPONSE_TIMEOUT)
         sock.connect(self.socket_address)
@@ -222,8 +223,8 @@
     def _report(self, line):
         document = run_in_steps(document_reader.read_endpoint_list(line), 0)
         if self.stopped:
-            # Discovery has moved while the document was parsed: reported now, it would be applied
-            # to the list of the new address.
+            # Discovery has moved to another address while the document was parsed. The document
+            # would be applied to the list of the new address.
             raise DiscoveryUnavailableError("the discovery client was stopped")
         self.index = document.get("index") if isinstance(document, dict) else None
         self.server.handle_event(EndpointsUpdated(document))
@@ -262,7 +263,7 @@
             if not count:
                 raise DiscoveryUnavailableError("discovery closed the connection of a watch")
             lines = watch.feed(bytes(buffer[:count]))
-            # Not reached after a rejection, which does not count as activity.
+            # `feed` raises an error for a rejection, so a rejection does not count as activity.
             self.last_activity, self.silent_since = monotonic(), None
             sock.settimeout(SILENCE_TIMEOUT)
             for line in lines:
--- a/pierglade/proxy/downstream.py
+++ b/pierglade/proxy/downstream.py
@@ -1,4 +1,4 @@
-"""The socket of a downstream connection: a greenlet reads requests, responses are written."""
+"""The socket of a downstream connection: reads requests in a greenlet and writes responses."""
 
 import contextlib
 from collections import deque
@@ -29,12 +29,13 @@
     ResponseSent,
 )
 
-# Reads of pipelined requests whose time is stored; a client may send a byte at a time.
+# Maximum number of reads of pipelined requests whose time is stored. It is bounded because a client
+# may send one byte at a time.
 MAX_PIPELINED_READS = 16
-# Limit on the bytes that are read and discarded after the last response: without reading them, a
-# reset could destroy the response, but a client may go on for 60 MB.
+# Maximum number of bytes that are read and discarded after the last response. If none were read, a
+# reset could destroy the response; but a client may send 60 MB more.
 MAX_DISCARD_BYTES = 1 << 20
-# The same, where the response was sent before the request was complete.
+# The same limit for a response that was sent before its request was complete.
 MAX_UPLOAD_DISCARD_BYTES = 1 << 25
 # Statuses sent for a malformed or incomplete request.
 MALFORMED_STATUSES = (b"400", b"408", b"413", b"431")
@@ -61,7 +62,7 @@
         self.now = server.clock.now
         self.requests = RequestReader()
         self.read_resumed = Event()
-        # Whether data is discarded, as it follows a malformed request or the last response.
+        # Whether data is discarded because it follows a malformed request or the last response.
         self.is_discarding = False
         self.message = None  # the request whose body is being read
         self.discarded, self.max_discard_bytes = 0, MAX_DISCARD_BYTES  # bytes
@@ -98,8 +99,8 @@
                     continue
                 buffer = DISCARD_BUFFER if self.is_discarding else self.requests.writable()
                 if buffer is None:
-                    # Pipelined requests fill the buffer: the end of the stream is not seen until a
-                    # response is sent.
+                    # Pipelined requests fill the buffer. Until a response is sent, nothing more is
+                    # read, and the end of the stream is not detected.
                     self.read_resumed.clear()
                     self.read_resumed.wait()
                     continue
@@ -133,7 +134,7 @@
             arrived_at = self.arrival_time()
             self.admission_queue.wait(self.address, byte_count, self.is_known)
             if self.client.io is None:
-                return False  # This side has closed the connection meanwhile.
+                return False  # This side has closed the connection during the wait.
         self._handle_input(arrived_at)
         if self.requests.in_use and self.requests.has_more():
             self._note_pipelined()
@@ -162,7 +163,7 @@
                 return self._read_body_piece()
             message = self.requests.next()
         except ProtocolError as error:
-            # The end of the malformed part is unknown: nothing behind it is read as a request.
+            # It is unknown where the malformed part ends, so no later data is read as a request.
             self.is_discarding = True
             self._abort_body()
             self.handle_event(MalformedRequest(self.client, error.status, str(error)))
@@ -185,7 +186,8 @@
 
     def _begin_body_stream(self, message):
         if not self.budget.reserve(STREAM_RESERVATION_BYTES):
-            # Rejected before the body is read: many such bodies exceed the memory of the process.
+            # The request is rejected before its body is read, as many such bodies would exceed the
+            # memory of the process.
             self.is_discarding, self.max_discard_bytes = True, MAX_UPLOAD_DISCARD_BYTES
             self.handle_event(MalformedRequest(self.client, 503))
             return
@@ -199,7 +201,7 @@
         self._read_body_piece()
 
     def _read_body_piece(self):
-        """Buffers a body while the budget allows it, as its sender may be slow; else streams it."""
+        """Buffers a body, as its sender may be slow; streams it if size or budget forbid that."""
         body, requests = self.body_stream, self.requests
         body.add(requests.piece())
         if requests.body_complete:
@@ -238,7 +240,10 @@
         self.reserved_bytes = 0
 
     def answer(self, head: bytes, body, close_after: bool, chunked: bool = False):
-        """Sends a response; `body`: bytes or a BodyStream; `close_after`: it is the last one."""
+        """Sends a response.
+
+        `body`: bytes or a BodyStream. `close_after`: whether the connection ends after it.
+        """
         self._release_request()
         if self.admission is not None and head[9:12] in MALFORMED_STATUSES:
             self.admission.record_fault(self.now(), self.address)
@@ -249,8 +254,8 @@
         try:
             unsent = socket_io.send_now(self.sock, head, body)
         except OSError as error:
-            # The reading greenlet may wait for this response, and see the failure only at its
-            # timeout.
+            # Reported here, as the reading greenlet may be waiting for this response and would
+            # detect the failure only at its timeout.
             return self.handle_event(
                 ClientDisconnected(self.client, f"connection lost: {error.strerror}")
             )
@@ -269,7 +274,7 @@
         self._response_written(close_after)
 
     def _stream_body(self, head, body, close_after, chunked):
-        """Streams a response; resets the connection if it is aborted, lest it look complete."""
+        """Streams a response; if it is aborted, resets the connection to show it is incomplete."""
         try:
             socket_io.stream_body(
                 self.sock,
@@ -290,7 +295,8 @@
         self.is_streaming_response = False
         self.handle_event(ResponseSent(self.client))
         if close_after:
-            # Closed with data unread, the connection would be reset and the response lost.
+            # If the connection were closed with unread data, it would be reset and the response
+            # lost.
             if (
                 not self.is_discarding
                 and self.requests.is_streamed
@@ -305,12 +311,13 @@
         else:
             self.requests.release()
             if self.requests.has_more():
-                # Each in its own turn of the loop: hundreds in a row must not delay others.
+                # Each pipelined request is handled in its own turn of the loop, so that hundreds of
+                # them do not delay other connections.
                 gevent.spawn(self._handle_pipelined)
         self.read_resumed.set()
 
     def _handle_pipelined(self):
-        # The connection may have ended by now, and the reader been dropped.
+        # The connection may have ended and its reader been dropped since this call was scheduled.
         if self.requests.parser is not None and not self.is_discarding and not self.requests.in_use:
             self._handle_input()
 
@@ -337,7 +344,8 @@
     def close_when_read(self, reason: str):
         """Closes the connection unless unhandled data has arrived."""
         if not self.requests.has_begun() and not socket_io.is_readable(self.sock):
-            # Without a switch of greenlets: a request that arrived between would be lost.
+            # No greenlet switch may happen between the check and the close: a request that arrived
+            # in between would be lost.
             socket_io.close_now(self.sock)
             self.handle_event(ClientDisconnected(self.client, reason))
 
@@ -345,7 +353,7 @@
         """Ends the connection at once."""
         self._release_request()
         self.read_resumed.set()
-        # A streamed response that the timeout of either side aborts must not look complete.
+        # A streamed response that is aborted by a timeout of either side must not look complete.
         (socket_io.reset if self.is_streaming_response else socket_io.close_now)(self.sock)
         if self.admission is not None:
             self.admission.connection_closed(self.now(), self.address)
--- a/pierglade/proxy/event_loop.py
+++ b/pierglade/proxy/event_loop.py
@@ -12,9 +12,10 @@
 # few requests.
 STEP_PAUSE_S = 0.004
 TICKS_PER_SECOND = 10000
-# After a shorter turn the poll itself does not take long, and measuring it takes time.
+# The CPU time of the poll is measured only after a turn of this length: after a shorter turn the
+# poll is fast, and measuring takes time itself.
 LONG_TURN_NS = 3000000
-MIN_WAIT_NS = 150000  # a poll that slept for less found events at once
+MIN_WAIT_NS = 150000  # a poll that slept for less time found an event waiting
 
 
 def run_in_steps(work: object, pause_s: float = STEP_PAUSE_S) -> object:
@@ -30,10 +31,11 @@
 
 
 class Clock:
-    """Unix time that follows the monotonic clock, and so never steps."""
+    """Unix time that follows the monotonic clock, and therefore never jumps."""
 
     def __init__(self):
-        # Computed once: a step of the system clock must not move the deadlines of pending requests.
+        # Computed once, so that a jump of the system clock does not move the deadlines of pending
+        # requests.
         self.unix_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
@@ -47,10 +49,10 @@
     `arrived_at`: when the data that is read in this turn is likely to have arrived; `idle_at`: when
     the loop last waited for events.
 
-    A loop that waited sees an event at once. One that did not wait was busy for its whole last
-    turn, during which the event arrived. After a long turn, the thread's CPU time shows whether the
-    poll waited: with thousands of connections the poll itself takes long, as it registers its
-    watchers.
+    If the loop waited in the poll, it reads an event as soon as it arrives. If it did not wait, it
+    was busy for its whole last turn, and the event arrived during that turn. After a long turn, the
+    thread's CPU time shows whether the poll waited: with thousands of connections the poll itself
+    takes long, as it registers its watchers.
     """
 
     def __init__(self, clock: Clock):
@@ -93,8 +95,8 @@
 class Timer:
     """Calls back at the time that was set last, in a greenlet of its own, with the lag in ticks.
 
-    Postponing does not move the loop's timer; a timer that fires early is started again. Nearly
-    every event postpones the wakeup, and few wakeups are reached.
+    When a call is postponed, the loop's timer stays as it is, and is started again if it fires too
+    early. The reason: nearly every event postpones the wakeup, and few wakeups are reached.
     """
 
     def __init__(self, clock: Clock, callback: Callable[[int], None]):
@@ -103,7 +105,7 @@
         self.timer = None
 
     def set(self, due_at: int | None):
-        """Sets the time of the next call, in ticks; None: there is none."""
+        """Sets the time of the next call, in ticks; None cancels the call."""
         self.due_at = due_at
         if due_at is None or (self.fires_at is not None and self.fires_at <= due_at):
             return
--- a/pierglade/proxy/http/body_stream.py
+++ b/pierglade/proxy/http/body_stream.py
@@ -6,12 +6,12 @@
 
 from collections import deque
 
-WINDOW = 1 << 16  # bytes read and not yet written; more would only wait in the memory
-# Memory of a streamed body, with the buffer that it is read into.
+WINDOW = 1 << 16  # maximum bytes read and not yet written; more would only occupy memory
+# Memory that a streamed body takes, including the buffer that it is read into.
 STREAM_RESERVATION_BYTES = 1 << 17
 # A slow sender's body of up to this size is buffered whole, so that it can be sent again.
 MAX_BUFFERED_BYTES = 1 << 20
-BUFFERED_FRACTION = 0.5  # of the budget, for bodies buffered whole; the rest is for streamed ones
+BUFFERED_FRACTION = 0.5  # fraction of the budget for bodies buffered whole; the rest is for others
 
 
 class BufferBudget:
@@ -44,10 +44,10 @@
 
     def __init__(self, length, *wakes):
         self.length, self.wakes = length, list(wakes)
-        # `waiting`: bytes in `pieces`; `size`: bytes read in all.
+        # `buffered_bytes`: bytes in `pieces`; `size`: bytes read in total.
         self.pieces, self.buffered_bytes, self.size = deque(), 0, 0
         self.is_complete = self.is_aborted = False  # read to its end; aborted
-        self.is_partly_taken = False  # whether pieces were taken, and so discarded
+        self.is_partly_taken = False  # whether pieces were taken, which discards them
 
     def wake(self):
         """Calls all callbacks in `wakes`."""
--- a/pierglade/proxy/http/head.py
+++ b/pierglade/proxy/http/head.py
@@ -10,15 +10,15 @@
 MAX_LENGTH_DIGITS = 18  # a Content-Length with more digits is rejected before it is parsed
 FRAMING_FIELDS = frozenset((b"content-length", b"transfer-encoding"))
 
-# The grammar that a head must match. Parsers tolerate different deviations from it: bytes that one
-# parser reads as one message, the next may read as two (request smuggling).
+# The grammar that a head must match. It is strict because parsers tolerate different deviations:
+# bytes that one parser reads as one message, another may read as two (request smuggling).
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
 FIELD_LINES = rb"(?:" + TOKEN + rb":[^\r\n\0]*+\r\n)*+(?:\r\n)?"
 REQUEST_LINE = TOKEN + rb" [\x21\x22\x24-\x7e]+ HTTP/1\.[01]\r\n"
 STATUS_LINE = rb"HTTP/1\.[01] [1-5][0-9][0-9](?: [^\r\n\0]*+)?\r\n"
 
-# The fields that load shedding reads from a request without parsing it. A request with a field that
-# changes the framing is left to the parser.
+# The fields that load shedding reads from a request without parsing it. The parser handles requests
+# with a body, or with a field that affects the framing or the connection (FIELDS_FOR_PARSER).
 PREVIEWED_FIELDS = re.compile(
     rb"\r\n(x-trace-id|x-expires-in-ms|x-customer|host|content-length|transfer-encoding|"
     rb"connection|expect|idempotency-key):[ \t]*([^\r\n]*)",
--- a/pierglade/proxy/http/reader.py
+++ b/pierglade/proxy/http/reader.py
@@ -16,12 +16,12 @@
 
 MAX_BUFFERED_BODY_BYTES = 65536  # a larger body is streamed
 MAX_REQUEST_BODY_BYTES = 1 << 26  # operators expect bodies of up to 32 MB
-STREAM_BUFFER_BYTES = 1 << 15  # read at once from a streamed body
+STREAM_BUFFER_BYTES = 1 << 15  # maximum size of one read from a streamed body
 INITIAL_BUFFER_BYTES = 4096  # nearly all heads fit
-# Multiple of the maximum body size, for a chunked body with its framing; beyond that there is more
-# framing than body.
+# Limit on a chunked body including its framing, as a multiple of the maximum body size. A larger
+# body has more framing than data.
 MAX_CHUNKING_OVERHEAD = 4
-MAX_CHUNK_LINE_BYTES = 4096  # between or behind chunks; extensions and trailers are short
+MAX_CHUNK_LINE_BYTES = 4096  # a line between or after chunks; extensions and trailers are short
 MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one; backends need no more
 MAX_RESPONSE_BODY_BYTES = 1 << 30  # large responses are streamed, not buffered
 
@@ -35,7 +35,7 @@
     __slots__ = ("has_size", "line", "line_ended", "remaining")
 
     def __init__(self):
-        # Remaining bytes of the current chunk; the line between chunks as far as it was read.
+        # Remaining bytes of the current chunk, and what was read of the line between two chunks.
         self.remaining, self.line = 0, b""
         self.line_ended = self.has_size = False
 
@@ -55,7 +55,7 @@
         return limit
 
     def step_parsed(self):
-        """Records that the step was parsed; `has_size`: the parser found a chunk size in it."""
+        """Records that the step was parsed; `has_size` is set if it contained a chunk size."""
         if self.has_size:
             self.remaining = int(self.line.partition(b";")[0], 16)
         if self.line_ended:
@@ -89,7 +89,7 @@
         self.length = 0  # bytes of a body with a length
         self.pieces = None  # pieces of a body whose length is known only at its end
         self.chunk_framer = None  # the ChunkFramer of a chunked body
-        # Bytes read of such a body: with the framing of its chunks, and without.
+        # Bytes read of a chunked body, with and without the framing of its chunks.
         self.chunked_size = self.pieces_size = 0
         self.body_complete = False  # the body was read to its end
 
@@ -98,7 +98,7 @@
         return not self.in_use and self.end > self.start
 
     def body_bytes_received(self) -> int | None:
-        """Returns the bytes read behind the current head; None while the head is incomplete."""
+        """Returns the bytes read after the current head; None while the head is incomplete."""
         if not self.head_complete:
             return None
         return self.chunked_size if self.pieces is not None else self.end - self.body_start
@@ -132,7 +132,7 @@
                 # The parsed part of a chunked body is stored in pieces; its space is reused.
                 self.position = self.end = self.body_start
             if self.start == self.end and (self.end or len(self.buffer) > INITIAL_BUFFER_BYTES):
-                self._move(INITIAL_BUFFER_BYTES)  # The memory of a large message must be released.
+                self._move(INITIAL_BUFFER_BYTES)  # Releases the memory of a large message.
             elif (
                 self.body_start + self.length > len(self.buffer)
                 and self.length <= self.max_buffered_bytes
@@ -317,7 +317,8 @@
     def on_header(self, name, value):
         """Handles a header field (parser callback)."""
         if self.head_complete:
-            # A trailer is dropped: forwarded in the head, it could override fields checked there.
+            # Trailers are dropped: in the forwarded head they could override fields that were
+            # checked before.
             return
         value = value.strip(b" \t")
         message, lowercase_name = self.message, name.lower()
@@ -337,8 +338,8 @@
         """Handles decoded bytes of a body (parser callback)."""
         if self.pieces is not None:
             self.pieces.append(body)
-            # Summed up as pieces arrive: a body of many small chunks must not take more time than
-            # one of few large chunks.
+            # The size is summed up here rather than over all pieces, so that a body of many small
+            # chunks does not take more time than one of few large chunks.
             self.pieces_size += len(body)
             if self.pieces_size > self.max_body_bytes:
                 raise ProtocolError(413, "body too large")
--- a/pierglade/proxy/logging.py
+++ b/pierglade/proxy/logging.py
@@ -6,8 +6,8 @@
 import gevent
 import orjson
 
-MAX_LINE_BYTES = 4000  # a writable pipe takes as much without blocking (PIPE_BUF)
-# Lines are written together: a write takes as long as formatting several lines.
+MAX_LINE_BYTES = 4000  # a writable pipe accepts this much without blocking (PIPE_BUF)
+# Lines are collected for this time, as one write takes as long as formatting several lines.
 FLUSH_DELAY_S = 0.05
 
 
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -10,13 +10,13 @@
 from pierglade.proxy.http.reader import ProtocolError, RequestReader
 from pierglade.proxy.state.events import ManagementCall
 
-MAX_CONNECTIONS = 8  # at once; each holds a descriptor, and operators send requests one by one
+MAX_CONNECTIONS = 8  # open at once; each uses a descriptor, and operators send requests one by one
 BACKLOG = 64  # connections that the kernel queues until they are accepted
 REQUEST_TIMEOUT_S = 2.0  # time from connecting to the last byte of the request
-# Time for the client to close after the response. If this side closed first, with data unread, the
-# response would be lost.
+# Time that the client has to close the connection after the response. If this side closed it first,
+# with data unread, the response would be lost.
 LINGER_S = 0.5
-RETRY_DELAY_S = 0.01  # delay after accepting failed, until descriptors are free again
+RETRY_DELAY_S = 0.01  # delay after a failed accept, as descriptors may become free
 
 
 class ManagementRequest:
@@ -52,7 +52,7 @@
             socket_io.send_now(self.sock, response_head(status, headers, len(body), True), body)
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # The client has closed.
+            pass  # The client has closed the connection.
 
 
 class ManagementServer:
@@ -79,7 +79,7 @@
                 gevent.sleep(RETRY_DELAY_S)
                 continue
             if len(self.pending) >= MAX_CONNECTIONS:
-                # The oldest connection is closed: incomplete requests must not keep others out.
+                # The oldest connection is closed, so that incomplete requests do not block others.
                 socket_io.close_now(self.pending.popleft().sock)
             request = ManagementRequest(sock)
             self.pending.append(request)
--- a/pierglade/proxy/server.py
+++ b/pierglade/proxy/server.py
@@ -55,11 +55,12 @@
 if TYPE_CHECKING:
     from pierglade.__main__ import NodeConfig
 
-# Ticks (50 ms). Delay of the next wakeup, where the state machine failed to compute it.
+# Ticks (50 ms). Delay of the next wakeup if the state machine failed to compute it.
 RETRY_WAKEUP_TICKS = 500
-# Fraction of the memory limit, for streamed bodies. Two processes share the memory in a takeover.
+# Fraction of the memory limit that large request bodies may use. During a takeover, two processes
+# share the memory.
 STREAMING_FRACTION = 0.3
-# Ticks (50 ms). As long as the slack of responses: with such a lag the CPU is overloaded.
+# Ticks (50 ms). A lag as long as the slack of responses means that the CPU is overloaded.
 MIN_LOGGED_LAG_TICKS = 500
 
 
@@ -109,10 +110,10 @@
         self.faults = self.pending_reloads = 0
 
     def _restore(self, config):
-        """Loads the initial endpoint list and the snapshot, and makes the discovery client."""
+        """Loads the initial endpoint list and the snapshot, and creates the discovery client."""
         self.snapshot_writer = None
         if config.snapshot_settings is not None:
-            # Imported only where snapshots are written.
+            # Imported only if snapshots are configured.
             from pierglade.proxy.snapshot_writer import SnapshotSettings, SnapshotWriter
 
             settings = SnapshotSettings(*config.snapshot_settings)
@@ -125,8 +126,8 @@
             writer.restore()
         # The endpoint list of a configuration without discovery; None where there is discovery.
         self.fixed_endpoints = config.known if config.discovery is None else None
-        # Starts from the known version: forty requests for the whole list at once keep discovery
-        # busy for seconds.
+        # The watch starts from the known version: if forty nodes requested the whole list at once,
+        # discovery would be busy for seconds.
         self.follow(config.discovery, self.state_machine.endpoints.version)
 
     def _bind_effects(self):
@@ -189,7 +190,7 @@
         self.handle_event(StopRequested(self.process_lock.successor_is_running()))
 
     def _open_listener(self):
-        """Starts listening; during a takeover not before the endpoint list is current."""
+        """Starts listening; during a takeover, called only once the endpoint list is current."""
         self.listener.listen()
         self.spawn(self.listener.run)
 
@@ -281,7 +282,7 @@
                 return self.handle_event(
                     UpstreamClosed(handler.connection, CloseCause.RESET, True, "internal error")
                 )
-            gevent.sleep(0.1)  # Other greenlets, such as the listener's, are started again.
+            gevent.sleep(0.1)  # Greenlets without a handler, such as the listener's, run again.
 
     def _log_internal_error(self, error):
         self.faults += 1
@@ -309,8 +310,8 @@
     def handle_event(self, event, arrived_at=NEVER):
         """Applies an event and carries out its effects.
 
-        Events that are raised by carrying out effects are applied after them. `arrived_at`: when
-        the event arrived, if before this turn of the loop.
+        If an effect raises further events, these are applied after the current effects.
+        `arrived_at`: when the event arrived, if before this turn of the loop.
         """
         self._pending_events.append(
             (event, min(arrived_at, self.loop_monitor.arrived_at), self.loop_monitor.idle_at)
@@ -351,7 +352,8 @@
     def _end_connection(self, connection):
         """Ends a connection and drops its handler.
 
-        The connection's record may live on, and must not keep the socket and buffers alive.
+        The connection object may be referenced for longer; without the handler it does not keep the
+        socket and buffers in memory.
         """
         if connection.io is not None:
             connection.io.end()
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -15,9 +15,11 @@
 if TYPE_CHECKING:
     from pierglade.proxy.server import ProxyServer
 
-JITTER_RATIO = 0.2  # of the period, random; nodes that start together must not write together
-MAX_BACKOFF = 16  # multiple of the period; the longest interval between writes that fail
-FINAL_WRITE_S = 0.6  # limit on the last write, as SIGKILL may follow shortly after
+JITTER_RATIO = (
+    0.2  # random part of the period, so that nodes started together write at different times
+)
+MAX_BACKOFF = 16  # longest interval between failing writes, as a multiple of the period
+FINAL_WRITE_S = 0.6  # time limit of the last write, as SIGKILL may follow soon after SIGTERM
 
 
 @dataclass(slots=True)
@@ -79,7 +81,7 @@
         if self.server.faults or self.store is None:
             return False
         gathered = self._gather()
-        # Not in the event loop: a write may take seconds.
+        # A write may take seconds, so it runs outside the event loop.
         error = gevent.get_hub().threadpool.spawn(self._write, gathered).get()
         if error is not None:
             self._write_failed(error)
--- a/pierglade/proxy/socket_io.py
+++ b/pierglade/proxy/socket_io.py
@@ -10,12 +10,13 @@
 
 # The socket option's number on Linux, for Python versions that do not define it.
 SO_ATTACH_REUSEPORT_CBPF = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
-# With megabytes in the kernel's send buffer it could not be seen whether a slow reader still reads.
+# Bounded, as with megabytes in the kernel's send buffer a slow reader could not be told from one
+# that has stopped reading.
 SEND_BUFFER_BYTES = 1 << 17
 CLOSED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT: the first byte of tcp_info, since Linux 2.4
 BPF_RETURN = 0x06  # BPF_RET | BPF_K, the only instruction of the filter
-# Index of the newer socket in a group of two that share an address. In a group of one, the kernel
-# takes that one.
+# Index of the newer of two sockets that share an address. If there is only one socket, the kernel
+# chooses that one.
 NEWEST_SOCKET = 1
 
 
@@ -29,7 +30,7 @@
 def send_now(sock: socket.socket, head: bytes, body) -> bytes:
     """Sends without blocking; returns a copy of the bytes that did not fit.
 
-    It is a copy, as the bytes must outlive the buffer that `body` refers to.
+    A copy is needed because the bytes must outlive the buffer that `body` refers to.
     """
     try:
         sent = sock.sendmsg([head, body], (), socket.MSG_DONTWAIT)
@@ -41,7 +42,7 @@
 
 
 def wait_writable(sock):
-    """Waits until the socket is writable; raises OSError where it is closed meanwhile.
+    """Waits until the socket is writable; raises OSError if it is closed during the wait.
 
     Uses the socket's own watcher: a watcher made for the descriptor's number would outlive the
     socket and watch the next socket with that number.
@@ -108,7 +109,7 @@
 
 
 def close_now(sock: socket.socket):
-    """Ends the connection at once: gevent closes the descriptor only in the loop's next turn."""
+    """Ends the connection at once, as gevent closes the descriptor only in the next turn."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
     sock.close()
@@ -126,7 +127,7 @@
     name, _, port = address.rpartition(":")
     sock = gevent_socket.socket()
     try:
-        # A restart must not wait for connections of the process before it to leave TIME_WAIT.
+        # Lets a restarted process bind while old connections are still in TIME_WAIT.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             enable_port_sharing(sock)
@@ -140,7 +141,7 @@
 def enable_port_sharing(sock: socket.socket):
     """Lets a second process bind the address.
 
-    Where the kernel does not support that, the second process finds the address in use.
+    If the kernel does not support this, the second process fails because the address is in use.
     """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/pierglade/proxy/takeover.py
+++ b/pierglade/proxy/takeover.py
@@ -1,8 +1,8 @@
-"""File locks by which two processes of one node learn of each other during a takeover.
+"""File locks by which two processes of one node detect each other during a takeover.
 
-The serving process holds a lock on the first of two files in $TMPDIR until it ends, however it
-ends. A process that finds that file locked is the successor, and locks the second file until the
-first is free. The files are empty and need not be removed.
+The serving process locks the first of two files in $TMPDIR; the kernel releases the lock when the
+process ends, even if it crashes. A process that finds the first file locked is the successor, and
+locks the second file until the first is free. The files are empty and need not be removed.
 """
 
 import fcntl
@@ -35,7 +35,7 @@
     def is_sole_process(self) -> bool:
         """Returns whether no other process serves the address.
 
-        A process that serves it can see from then on that it has a successor.
+        If another process serves it, that process can detect from then on that it has a successor.
         """
         if not self.files:
             return True
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""The socket of an upstream connection: a greenlet connects and reads, requests are written."""
+"""The socket of an upstream connection: reads responses in a greenlet and writes requests."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
         self.connection, self.handle_event = connection, handle_event
         self.sock = socket.socket()
         self.responses = ResponseReader()
-        # The connection was idle or carried a response since it was established.
+        # Whether the connection has been idle or has carried a response since it was established.
         self.is_reused = False
         self.is_request_written = (
             False  # the last byte of the request in flight was handed to the kernel
@@ -53,8 +53,8 @@
                 CloseCause.CONNECT_FAILED, f"connect failed: {error.strerror or error}"
             )
         self.handle_event(UpstreamConnected(self.connection))
-        # A connection that no attempt uses once it is established is idle: without the check before
-        # the first write, its end would count as a failure of the attempt.
+        # A connection is idle if no attempt is waiting when it is established. `write` then checks
+        # that it is still open. Without the check, its end would count as a failure of the attempt.
         self.is_reused = self.connection.state is IDLE
         self.read()
 
@@ -106,16 +106,16 @@
                 self.body_stream.add(self.responses.piece())
                 self.handle_event(ResponseReceived(self.connection, message))
                 if self.body_stream is None or not self.responses.body_complete:
-                    return  # The body was aborted, or there is more to read.
+                    return  # The body was aborted or is not complete yet.
                 self._finish_body(message)
             else:
                 self._handle_response(message)
             self.responses.release()
 
     def _handle_response(self, message):
-        # The connection is not reused after a response that comes before its request was written
-        # whole, as the rest of the request would follow; nor with bytes behind the response, such
-        # as a duplicate, which would be taken for the response to the next attempt.
+        # The connection is not reused if the response arrived before the whole request was written,
+        # as the rest of the request would follow. It is not reused either if bytes follow the
+        # response, such as a duplicate: they would be taken for the response to the next attempt.
         message.is_reusable = (
             message.is_reusable and self.is_request_written and not self.responses.has_more()
         )
@@ -143,10 +143,9 @@
         self.handle_event(UpstreamClosed(self.connection, cause, self.is_request_written, reason))
 
     def _has_no_client(self):
-        """Returns whether no client waits any more for the request that is to be written.
+        """Returns whether the client of the request to be written has disconnected.
 
-        It is checked as late as possible, and so covers every place where the request may have
-        waited before.
+        Checked as late as possible, so that it covers every queue in which the request has waited.
         """
         if self.connection.is_health_check:
             return False
@@ -190,7 +189,8 @@
         try:
             while unsent:
                 if self._has_no_client():
-                    # A backend executes a request only after its last byte, so not this one.
+                    # A backend executes a request only once it has the last byte, which was not
+                    # sent.
                     return self.handle_event(
                         UpstreamClosed(
                             self.connection,
@@ -205,7 +205,7 @@
                     socket_io.wait_writable(self.sock)
             self.is_request_written = True
         except OSError as error:
-            # The last piece may have been sent: the request counts as written, as it must not be
+            # The last piece may have been sent. The request counts as written, so that it is not
             # executed twice.
             self.handle_event(
                 UpstreamClosed(
@@ -214,7 +214,7 @@
             )
 
     def _write_body_stream(self, head, body):
-        """Sends a body: one that is buffered whole is kept for a retry, others are streamed."""
+        """Sends a body; a body that is buffered whole is kept for a retry, others are streamed."""
         try:
             if body.is_complete and not body.is_partly_taken:
                 self.sock.sendall(head)
@@ -233,7 +233,8 @@
                 socket_io.stream_body(self.sock, head, body, body.length is None, lambda: None)
             self.is_request_written = not body.is_aborted
             if body.is_aborted and self.connection.attempt is not None:
-                # Without cancellation nothing else ends the attempt: its body stays incomplete.
+                # If attempts are not cancelled, nothing else ends this one, whose body stays
+                # incomplete.
                 self.handle_event(
                     UpstreamClosed(
                         self.connection,
@@ -243,8 +244,8 @@
                     )
                 )
         except OSError as error:
-            # Counts as written if the last piece was being sent, as above; before that, the backend
-            # has not begun to execute the request.
+            # The request counts as written if its last piece was being sent, so that it is not
+            # executed twice. Before that, the backend has not begun to execute it.
             self.handle_event(
                 UpstreamClosed(
                     self.connection,
@@ -264,6 +265,7 @@
         self._abort_body()
         self.read_resumed.set()
         if self.connection.closed_while_busy:
-            # No client waits: the bytes of a large request in the kernel's buffer must not be sent.
+            # The client has disconnected, so the bytes of a large request that are still in the
+            # kernel's buffer must not be sent.
             socket_io.discard_unsent(self.sock)
         socket_io.close_now(self.sock)
