--- a/pierglade/proxy/discovery.py
+++ b/pierglade/proxy/discovery.py
@@ -34,7 +34,7 @@
 # Limit on the time between two reads of a list. While a response is queued, its connection may fail
 # without an error on this side.
 LIST_READ_TIMEOUT_S = 0.5
-# Seconds. Short, as changes that the agent knows count as announced even without an open watch.
+# Seconds. Short, because changes that the agent has count as announced even without a watch.
 RETRY_INTERVAL = 0.05
 READ_BYTES = 16384
 # Maximum size of a list: 6,800 entries take 0.9 MB on one line, and 1.3 to 1.7 MB indented.
--- a/pierglade/proxy/event_loop.py
+++ b/pierglade/proxy/event_loop.py
@@ -96,7 +96,7 @@
     """Calls back at the time that was set last, in a greenlet of its own, with the lag in ticks.
 
     When a call is postponed, the loop's timer stays as it is, and is started again if it fires too
-    early. The reason: nearly every event postpones the wakeup, and few wakeups are reached.
+    early. This saves restarts, as nearly every event postpones the wakeup and few are reached.
     """
 
     def __init__(self, clock: Clock, callback: Callable[[int], None]):
--- a/pierglade/proxy/http/body_stream.py
+++ b/pierglade/proxy/http/body_stream.py
@@ -11,7 +11,7 @@
 STREAM_RESERVATION_BYTES = 1 << 17
 # A slow sender's body of up to this size is buffered whole, so that it can be sent again.
 MAX_BUFFERED_BYTES = 1 << 20
-BUFFERED_FRACTION = 0.5  # fraction of the budget for bodies buffered whole; the rest is for others
+BUFFERED_FRACTION = 0.5  # of the budget, for bodies buffered whole; the rest is for streamed ones
 
 
 class BufferBudget:
--- a/pierglade/proxy/listener.py
+++ b/pierglade/proxy/listener.py
@@ -9,7 +9,7 @@
 BACKLOG = 4096  # connections in the kernel's queue, which count as accepted
 # Connections accepted per turn of the event loop, unless file descriptors are scarce.
 MAX_ACCEPTS_PER_TURN = 64
-RETRY_DELAY_S = 0.01  # delay after a failed accept, as descriptors may become free
+RETRY_DELAY_S = 0.01  # delay after a failed accept, for descriptors to become free
 TOO_MANY_CONNECTIONS = (
     b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 5\r\nContent-Type: text/plain\r\n"
     b"Content-Length: 35\r\nConnection: close\r\n\r\ntoo many connections from this side\n"[:-1]
--- a/pierglade/proxy/management.py
+++ b/pierglade/proxy/management.py
@@ -16,7 +16,7 @@
 # Time that the client has to close the connection after the response. If this side closed it first,
 # with data unread, the response would be lost.
 LINGER_S = 0.5
-RETRY_DELAY_S = 0.01  # delay after a failed accept, as descriptors may become free
+RETRY_DELAY_S = 0.01  # delay after a failed accept, for descriptors to become free
 
 
 class ManagementRequest:
--- a/pierglade/proxy/snapshot_writer.py
+++ b/pierglade/proxy/snapshot_writer.py
@@ -15,9 +15,7 @@
 if TYPE_CHECKING:
     from pierglade.proxy.server import ProxyServer
 
-JITTER_RATIO = (
-    0.2  # random part of the period, so that nodes started together write at different times
-)
+JITTER_RATIO = 0.2  # random part of the period; spreads the writes of nodes started together
 MAX_BACKOFF = 16  # longest interval between failing writes, as a multiple of the period
 FINAL_WRITE_S = 0.6  # time limit of the last write, as SIGKILL may follow soon after SIGTERM
 
--- a/pierglade/proxy/socket_io.py
+++ b/pierglade/proxy/socket_io.py
@@ -10,8 +10,8 @@
 
 # The socket option's number on Linux, for Python versions that do not define it.
 SO_ATTACH_REUSEPORT_CBPF = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
-# Bounded, as with megabytes in the kernel's send buffer a slow reader could not be told from one
-# that has stopped reading.
+# Limit on the kernel's send buffer: with megabytes in it, a slow reader could not be distinguished
+# from one that has stopped reading.
 SEND_BUFFER_BYTES = 1 << 17
 CLOSED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT: the first byte of tcp_info, since Linux 2.4
 BPF_RETURN = 0x06  # BPF_RET | BPF_K, the only instruction of the filter
--- a/pierglade/proxy/upstream.py
+++ b/pierglade/proxy/upstream.py
@@ -145,7 +145,7 @@
     def _has_no_client(self):
         """Returns whether the client of the request to be written has disconnected.
 
-        Checked as late as possible, so that it covers every queue in which the request has waited.
+        This is checked as late as possible, to cover every place where the request has waited.
         """
         if self.connection.is_health_check:
             return False
