--- a/pierglade/audit/answers.py
+++ b/pierglade/audit/answers.py
@@ -9,9 +9,9 @@
 from pierglade.audit.verdict import RequestRecords, Violation
 
 ABANDONED_GRACE_MS = 300.0
-"""How long after its client disconnected a request may still arrive at a backend."""
+"""Time after a client's disconnect in which its request may still arrive at a backend."""
 MAX_LATE_SEND_RATIO = 0.25
-"""Fraction of the abandoned requests that may arrive at a backend later than that."""
+"""Fraction of the abandoned requests that may arrive at a backend after that time."""
 
 
 def check_answers(
@@ -49,7 +49,7 @@
     def __init__(self, requests: dict[str, RequestRecords]):
         self.queued = 0
         self.sent_late: list[tuple[str, float]] = []
-        """(request id, ms from the client's disconnect to the last arrival) of late ones."""
+        """(request id, ms from the client's disconnect to the last arrival) of late requests."""
         for request_id, records in requests.items():
             self._classify(request_id, records)
 
@@ -59,14 +59,14 @@
             return
         arrivals = [row["t_ms"] for row in records.of_backends("arrived")]
         delay = max(arrivals, default=left_at) - left_at
-        # A request whose only attempt was in flight at that moment was not queued at the node.
+        # A request whose only attempt was in flight at the disconnect was not queued at the node.
         was_sent = any(moment <= left_at for moment in arrivals)
         self.queued += delay > ABANDONED_GRACE_MS or not was_sent
         if delay > ABANDONED_GRACE_MS:
             self.sent_late.append((request_id, delay))
 
     def check(self, requests: dict[str, RequestRecords]) -> Iterator[Violation]:
-        """Yields a violation if too many of them arrived at a backend too late."""
+        """Yields a violation if too many requests arrived at a backend after the grace period."""
         if len(self.sent_late) <= MAX_LATE_SEND_RATIO * self.queued:
             return
         request_id, delay = self.sent_late[0]
--- a/pierglade/audit/effects.py
+++ b/pierglade/audit/effects.py
@@ -68,7 +68,7 @@
 
 
 def _is_in_scope(settings: AuditSettings, rules: RequestClassRules, before, after) -> bool:
-    """Whether the backends of two attempts share the deduplication of keyed requests."""
+    """Whether the backends of two attempts deduplicate keyed requests together."""
     first, second = (settings.places.get(row["backend"], ("", 0)) for row in (before, after))
     if rules.deduplication_scope == DeduplicationScope.ZONE:
         return first[0] == second[0]
--- a/pierglade/audit/retry_budget.py
+++ b/pierglade/audit/retry_budget.py
@@ -53,7 +53,7 @@
         for moments in (self.requests, self._retries):
             while moments and moments[0] <= now - budget.window_ms:
                 moments.popleft()
-        # Requests received shortly before this window may still be in the window of the node.
+        # A request received shortly before this window may still count in the node's own window.
         allowed = budget.minimum + budget.ratio * (len(self.requests) + budget.ratio) + 1
         if len(self._retries) <= allowed:
             return None
--- a/pierglade/audit/settings.py
+++ b/pierglade/audit/settings.py
@@ -14,7 +14,7 @@
     "one_shot": Idempotency.UNSAFE,
     "one-shot": Idempotency.UNSAFE,
 }
-"""Maps the words of plans (`repeats`) to the idempotency of a request class."""
+"""Maps the values of `repeats` in plans to the idempotency of a request class."""
 
 
 class RequestClassRules(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 def request_class_rules(repeats: str, group: str, window_ms: float, timeout_ms: float):
-    """Returns the rules of a request class from the words of a plan."""
+    """Returns the rules of a request class from the values in a plan."""
     return RequestClassRules(IDEMPOTENCY[repeats], DeduplicationScope(group), window_ms, timeout_ms)
 
 
--- a/pierglade/experiment/compare.py
+++ b/pierglade/experiment/compare.py
@@ -10,7 +10,7 @@
 
 from pierglade.experiment import play as runner
 
-# Used by pierglade.cli.compare: broken rules of reference balancers do not fail the command.
+# Used by pierglade.cli.compare: rules broken by a reference balancer do not fail the command.
 from pierglade.testbed.plain import POLICIES  # noqa: F401
 
 # Compared figures: name, function that reads it from a summary, and whether higher is better.
@@ -124,7 +124,7 @@
 
 
 def reliability_warnings(summaries_by_label):
-    """Returns (whether a rule was broken, lines with broken rules and reasons for distrust)."""
+    """Returns (whether a rule was broken, lines on broken rules and unreliable figures)."""
     is_broken, lines = False, []
     for label, of_label in summaries_by_label.items():
         for number, summary in enumerate(of_label):
--- a/pierglade/experiment/cost.py
+++ b/pierglade/experiment/cost.py
@@ -1,6 +1,7 @@
 """The CPU cost of a response and of a rejection, and the highest rate within the expected latency.
 
-One node on one core, in front of simulated backends with cores to spare; several builds alternate.
+Measures one node on one core, in front of simulated backends with spare cores. The runs of several
+builds alternate.
 """
 
 import statistics
@@ -20,17 +21,17 @@
 )
 
 LATENCY_LIMITS = {"expected_ms": 250.0, "hard_limit_ms": 1000.0}
-MAX_DOUBLINGS = 16  # of the first rate in the search for the highest rate
+MAX_DOUBLINGS = 16  # how often the search for the highest rate may double the first rate
 
 
 class Cost(PlanTable):
     """The `[cost]` table."""
 
-    core: int = 1  # of the node; all other processes run on the other cores
+    core: int = 1  # core of the node; all other processes run on the other cores
     backends: Count = 4
     work_ms: Positive = 2.0  # processing time of a request at a backend
     rate: Positive = 400.0  # requests per second while the CPU cost is measured
-    seconds: Positive = 5.0  # of each run
+    seconds: Positive = 5.0  # duration of each run
     first_rate: Positive = 800.0  # start of the search for the highest rate
     steps: Count = 4  # bisections between the last passing and the first failing rate
     enough: Share = 0.99  # minimum service at which a rate passes
@@ -88,7 +89,7 @@
 
 
 class UnreliableRunError(Exception):
-    """The load that was sent is not the load that was planned."""
+    """The load that was sent differs from the planned load."""
 
 
 def _run(cost, build, rate, is_rejected=False):
--- a/pierglade/experiment/nodes.py
+++ b/pierglade/experiment/nodes.py
@@ -31,7 +31,7 @@
 
 
 class BuildError(Exception):
-    """The name is not that of a build; the message is one line."""
+    """The text does not identify a build; the message is one line."""
 
 
 class Build:
--- a/pierglade/experiment/plan.py
+++ b/pierglade/experiment/plan.py
@@ -31,7 +31,8 @@
     """The behaviour of the clients."""
 
     spacing: Literal["even", "poisson"] = "poisson"
-    patience_ms: NotNegative = 0.0  # client timeout; 0: the longest hard limit of the offerings
+    # Client timeout; 0: the longest hard limit of the request classes
+    patience_ms: NotNegative = 0.0
     retries: Annotated[int, Meta(ge=0, le=20)] = 0  # after a rejection or a failure
     retry_ms: NotNegative = 200.0  # wait before the first retry
     doubled: bool = True  # the wait doubles with each further retry
@@ -57,7 +58,7 @@
     attempts: Count = msgspec.field(name="trips", default=3)
     probes: bool = True
     retry_after_ms: NotNegative = 0.0
-    core: int = -1  # core of the first node, each next node on the next core; -1: not bound
+    core: int = -1  # core of the first node; each further node uses the next core; -1: not bound
 
 
 class Rules(PlanTable):
@@ -65,7 +66,8 @@
 
     drain_grace_ms: NotNegative = 1000.0
     further_span_s: NotNegative = 0.0  # window of the retry budget; 0: no budget
-    further_most: Annotated[int, Meta(ge=0)] = 0  # retries allowed within the window in any case
+    # Retries that are always allowed within the window
+    further_most: Annotated[int, Meta(ge=0)] = 0
     further_share: Share = 0.0  # further retries, as a fraction of the requests in the window
 
 
@@ -122,7 +124,7 @@
         return times, rows, generator.integers(self.ledgers(), size=len(times))
 
     def fleet_tables(self, lead_s):
-        """Returns the fleet's tables with the experiment's seed and all faults `lead_s` later."""
+        """Returns the fleet's tables with the experiment's seed and all faults delayed by `lead_s`."""
         raw = deepcopy(self.raw["fleet"])
         for fault in raw.get("befall", ()):
             fault["at_s"] += lead_s
--- a/pierglade/experiment/play.py
+++ b/pierglade/experiment/play.py
@@ -14,10 +14,10 @@
 from pierglade.load import run as loads
 from pierglade.processes.children import ChildExitedError, Children, StoppedBySignalError, free_port
 
-# Time from the start of the fleet to the start of the load, and its increase for each node. The
-# processes start and warm up in it.
+# Time from the start of the fleet to the start of the load, and the extra time for each node. The
+# processes start and warm up during this time.
 LEAD_S, LEAD_PER_NODE_S = 2.5, 0.4
-SAMPLE_INTERVAL_S = 0.5  # between samples of CPU and memory of the nodes
+SAMPLE_INTERVAL_S = 0.5  # between samples of the CPU and memory use of the nodes
 POLL_INTERVAL_S = 1.0  # between requests for the backends' states to each node
 POLL_TIMEOUT_S = 0.4  # a node that does not respond in time is skipped in this poll
 READY_TIMEOUT_S = 8.0  # for all nodes to become ready
@@ -127,7 +127,7 @@
         )
 
     def _set_cpu_affinity(self):
-        """Binds each node to its core and all else to the other cores, if the plan asks for it."""
+        """Binds nodes to their cores and other processes to the other cores, if the plan sets a core."""
         first, cores = self.plan.nodes.core, os.cpu_count() or 1
         if first < 0:
             return
@@ -185,7 +185,7 @@
             )
 
     def _sample_nodes(self):
-        """Samples CPU and memory of the nodes while the load runs."""
+        """Samples the CPU and memory use of the nodes while the load runs."""
         processes = [psutil.Process(process.pid) for process, _ in self.nodes]
         seconds = self.plan.seconds()
         while self.worker_pool.running():
@@ -199,7 +199,7 @@
                         (round(now, 2), number, round(cpu.user + cpu.system, 3), memory.rss)
                     )
             except psutil.NoSuchProcess:
-                continue  # a node has exited; `look` raises for it in the next iteration
+                continue  # a node has exited; `raise_if_exited` raises in the next iteration
             self.progress(min(1.0, max(0.0, now / seconds)))
             time.sleep(SAMPLE_INTERVAL_S)
 
--- a/pierglade/experiment/sums.py
+++ b/pierglade/experiment/sums.py
@@ -34,7 +34,8 @@
             request_class.name: number
             for number, request_class in enumerate(plan.fleet.request_class)
         }
-        # Request id (attempt id without the attempt): [planned ms, class, attempts, status, end ms]
+        # Request id (attempt id without the attempt number) to
+        # [planned ms, class, attempts, status, end ms].
         requests = {}
         for row in clients:
             if "id" not in row or row.get("unasked"):
--- a/pierglade/load/client.py
+++ b/pierglade/load/client.py
@@ -15,7 +15,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """Calls `pool.finish(request, status, backend, reason)` once for each request."""
+    """A connection; calls `pool.finish(request, status, backend, reason)` once per request."""
 
     def __init__(self, pool):
         self.pool, self.transport, self.request, self.last_request = pool, None, None, None
--- a/pierglade/load/recorder.py
+++ b/pierglade/load/recorder.py
@@ -3,12 +3,12 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-# Microseconds (1 us to 10 min), with three significant digits.
+# Range (1 us to 10 min) and precision (three significant digits) of the histograms.
 MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS = 1, 600_000_000, 3
 PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 KINDS = ("latency", "service", "late")
-# p99 of the delay from the planned time to the send. Beyond it, the load that was sent is not the
-# load that was planned.
+# Limit on the p99 delay from the planned time to the send. Beyond it, the load that was sent
+# differs from the planned load.
 MAX_SEND_DELAY_MS = 20.0
 
 
--- a/pierglade/load/run.py
+++ b/pierglade/load/run.py
@@ -20,7 +20,8 @@
 MAX_LEDGER_MB = 512.0  # of each worker
 FLUSH_LINES = 500  # ledger lines after which the ledger is written
 FLUSH_INTERVAL_S = 0.25  # longest time that a ledger line waits to be written
-UNSOLICITED_WAIT_S = 0.3  # wait for unsolicited responses after the last request, with a ledger
+# Wait for unsolicited responses after the last request, if there is a ledger
+UNSOLICITED_WAIT_S = 0.3
 MAX_CONNECTIONS = 20000  # per worker; further requests fail as "too many connections"
 
 
@@ -82,7 +83,7 @@
 
 
 class _Sender:
-    """Sends one partition of a load: the requests number i, i + n, ... for `partition` (i, n)."""
+    """Sends one partition of a load: requests i, i + n, ... for `partition` (i, n)."""
 
     def __init__(self, load, partition, start_time, recorder):
         self.load, self.recorder, self.loop = load, recorder, asyncio.get_running_loop()
--- a/pierglade/scale/backends.py
+++ b/pierglade/scale/backends.py
@@ -1,8 +1,8 @@
 """`python -m pierglade.scale.backends SPEC`: thousands of hollow backends on one socket.
 
 Each is an address of 127.1.0.0/16 that responds with 200 after a fixed time. SPEC is a JSON file:
-`plan`, `port`, `ledger`. An address that belongs to no backend responds alike but is not recorded in
-the ledger; it serves the requests that bypass the nodes.
+`plan`, `port`, `ledger`. An address that belongs to no backend responds in the same way, but its
+requests are not recorded in the ledger: they are the ones that bypass the nodes.
 """
 
 import asyncio
@@ -135,7 +135,7 @@
     # Commands.
 
     def stop(self, names):
-        """Stops backends: resets their connections, and each new one."""
+        """Stops backends: resets their open connections and every new one."""
         self.stopped.update(names)
         for name in names:
             for connection in list(self.open_connections.get(name, ())):
@@ -146,7 +146,7 @@
         self.stopped.difference_update(names)
 
     def finish(self):
-        """Writes the rest of the ledger; returns the number of open connections and its first gap."""
+        """Writes the rest of the ledger; returns the count of open connections and the first gap."""
         self.ledger.flush()
         return {"open": sum(map(len, self.open_connections.values())), "hole": self.ledger.gap}
 
--- a/pierglade/scale/child.py
+++ b/pierglade/scale/child.py
@@ -21,7 +21,7 @@
 
 
 def exit_with_error(message):
-    """Prints an error of one line and exits with 2."""
+    """Prints a one-line error and exits with status 2."""
     print(message, file=sys.stderr)
     sys.exit(2)
 
@@ -36,6 +36,6 @@
 
 
 def run_command(commands, line):
-    """Calls `commands[name]` with the arguments in a line of JSON; `do` is the name."""
+    """Calls the command that the key `do` of a JSON line names, with the other keys as arguments."""
     command = msgspec.json.decode(line)
     return commands[command.pop("do")](**command) or {}
--- a/pierglade/scale/figures.py
+++ b/pierglade/scale/figures.py
@@ -9,14 +9,15 @@
 import msgspec
 import numpy as np
 
-WINDOW_S = {"settings": 3.0}  # after a change; its slowest response is searched for in it
+WINDOW_S = {"settings": 3.0}  # time after a change in which its slowest response is searched
 DEFAULT_WINDOW_S = 1.0  # for any other scene
-# Log times are rounded to a tenth of a ms, and node and run read the clock's offset separately.
+# Log times are rounded to a tenth of a ms, and the node and the run determine the offset of their
+# monotonic clock to Unix time separately.
 CLOCK_TOLERANCE_S = 0.001
 STATES = {"ready": "SERVING", "draining": "DRAINING", "removed": "DELETED"}
 DAY_S = 86400
-# Excess of the p99 latency without a node over the backends' response time; above it the machine is
-# too busy for the latencies to be meaningful.
+# Allowed excess of the p99 latency without a node over the backends' response time. Above it, the
+# machine is too busy for the latencies to be meaningful.
 BUSY_MS = 10.0
 CHANGES_PER_RESTART = 2  # a restarted backend is reported as draining, then as serving
 
@@ -196,7 +197,8 @@
             role: round(sum(used_s[name] for name in names) / len(names) / count / seconds, 6)
             for role, (names, count) in roles.items()
         },
-        # Fraction of the time with work to do; 0 for a process with a machine of its own.
+        # Time spent waiting for a core, as a fraction of the time with work to do; 0 for a process
+        # that has a machine of its own.
         "waited_share": {
             role: _waited_ratio(
                 sum(waited_s[name] for name in names), sum(used_s[name] for name in names)
@@ -267,7 +269,7 @@
 
 
 def measures(plan, scenes, memory, ready_s, settings_bytes, list_bytes):
-    """Returns the flat figures that may grow along an axis; None without a scene that shows them."""
+    """Returns {name: figure} of what may grow along an axis; None if no scene measures the figure."""
     first_by_kind = {scene["what"]: scene for scene in reversed(scenes)}
     calm, list_scene, settings_scene = (
         first_by_kind.get(kind) for kind in ("calm", "list", "settings")
@@ -331,7 +333,10 @@
 
 
 def compare_with_budget(plan, scenes, figures):
-    """Returns rows of what, need, budget, unit and ratio; CPU and bytes at the daily rate of changes."""
+    """Returns rows with the keys what, need, budget, unit and ratio.
+
+    CPU time and bytes are scaled to the daily rate of changes.
+    """
     budget, day = plan.budget, plan.day
     calm_p99 = next(
         (scene["p99_ms"]["through"] for scene in scenes if scene["what"] == "calm"), None
@@ -340,7 +345,7 @@
     rows = []
 
     def add(what, need, budgeted, unit):
-        """Adds a row, unless the run did not measure the need."""
+        """Adds a row if the run measured the need."""
         if need is not None and not (isinstance(need, float) and math.isnan(need)):
             rows.append(
                 {
@@ -552,8 +557,9 @@
 def _peak_memory_mb(plan, scenes, base_mb, empty_node_mb):
     """Returns the peak MB over all scenes by role.
 
-    That is the whole process for discovery, the excess over an empty node for real nodes, and the
-    excess over the process before it creates its nodes for hollow ones (per node for watch-only ones).
+    For discovery, the peak is that of the whole process. For real nodes, it is the excess over an empty
+    node. For hollow nodes, it is the excess over the process before it creates its nodes, divided by
+    the number of nodes if they are watch-only.
     """
     peak = {}
     for scene in scenes:
--- a/pierglade/scale/fit.py
+++ b/pierglade/scale/fit.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 SHAPES = {"constant": None, "linear": 1, "square": 2}
-CONSTANT_SPREAD_RATIO = 0.1  # of the mean; figures that differ by no more count as constant
+CONSTANT_SPREAD_RATIO = 0.1  # fraction of the mean; figures that differ by no more are constant
 
 
 @dataclass(slots=True)
@@ -26,9 +26,9 @@
 def fit(points):
     """Returns the Fit of [(x, y)], of at least three points, whose shape has the smallest error.
 
-    The error is taken over the degrees of freedom that the shape leaves, so that a slope is chosen only
-    where it reduces the error enough. A figure that falls along the axis is fitted as constant, with the
-    error of that, as no resource need falls.
+    The squared residuals are divided by the remaining degrees of freedom, so that a slope is chosen only
+    if it reduces the error by more than an extra parameter does anyway. A figure that falls along the
+    axis is fitted as a constant, with the error of that fit, because no resource need falls.
     """
     if len(points) < 3:
         raise ValueError(f"a fit needs at least three points; got {len(points)}")
--- a/pierglade/scale/guard.py
+++ b/pierglade/scale/guard.py
@@ -1,7 +1,7 @@
 """Resource use of a run, and the guard that stops a run which exceeds its limits.
 
-`cpu_s` and `rss_mb` concern one process by its ID; `pss_mb` divides memory among the processes that
-share it.
+`cpu_s` and `rss_mb` measure the process with a given ID; `pss_mb` divides shared memory among the
+processes that share it.
 """
 
 import os
@@ -36,7 +36,7 @@
 
 
 def pss_mb(pid):
-    """Returns the proportional share of a process in resident memory, in MB."""
+    """Returns the proportional set size (PSS) of a process in MB."""
     with open(f"/proc/{pid}/smaps_rollup") as file:
         return next(int(line.split()[1]) for line in file if line.startswith("Pss:")) / 1024
 
@@ -44,7 +44,7 @@
 class ResourceGuard:
     """Compares the memory and the number of processes of a run with its limits.
 
-    `list_processes()` returns [(name, pid)]; processes of one name are added up in the peaks.
+    `list_processes()` returns [(name, pid)]; the peaks add up processes of the same name.
     """
 
     def __init__(self, max_mb, max_count, list_processes, rss=rss_mb):
@@ -105,7 +105,7 @@
 
 
 def wait(seconds, check, interval_s=0.05):
-    """Waits for some seconds and calls `check()` at regular intervals meanwhile."""
+    """Waits for `seconds` and calls `check()` every `interval_s` during the wait."""
     deadline = time.monotonic() + seconds
     while (remaining_s := deadline - time.monotonic()) > 0:
         check()
--- a/pierglade/scale/hollow.py
+++ b/pierglade/scale/hollow.py
@@ -74,12 +74,12 @@
                 gevent.sleep(0.1)
 
     def stop(self):
-        """Closes the watch, as a node that is stopped."""
+        """Closes the watch, as a node does when it stops."""
         self.discovery.stop()
         self.down_intervals.append([monotonic(), float("inf")])
 
     def restart(self):
-        """Starts as a new process of the node would, with the initial list."""
+        """Restarts the node with the initial list, like a new process of the node."""
         self.down_intervals[-1][1] = monotonic()
         self.index = INITIAL_VERSION
         self.reset()
@@ -105,7 +105,7 @@
             self.version_times.append((self.index, monotonic()))
 
     def version_delay(self, index, changed_at):
-        """Returns the s from a change until its version was in force.
+        """Returns the seconds from a change until its version was in force.
 
         Returns None if it never was, and False if the node was down at the time of the change.
         """
@@ -167,7 +167,7 @@
         super().__init__(number, discovery)
 
     def reset(self):
-        """Creates the state machine anew from the configuration file."""
+        """Replaces the state machine by a new one from the configuration file."""
         self.config, self.version = config_from_environ(os.environ), 0
         config = self.config
         self.timer = Timer(self.clock, lambda late: self.handle_event(TimerFired()))
@@ -244,7 +244,7 @@
     # Commands.
 
     def settings(self):
-        """Makes all nodes reload their settings, after the command is answered."""
+        """Schedules a settings reload at all nodes, to run after the command is answered."""
         for node in self.nodes:
             # A reload may take seconds, while the sender of the command has other processes to notify.
             gevent.spawn(node.reload_settings)
@@ -306,7 +306,7 @@
         return {"list": list_delays, "settings": settings_delays, **cpu_times}
 
     def check(self, index, changed):
-        """Returns how many nodes have that version and that list, and the counts of anomalies."""
+        """Counts the nodes with the version `index` and with the right list, and the anomalies."""
         return {
             "nodes": len(self.nodes),
             "current": sum(node.index == index for node in self.nodes),
--- a/pierglade/scale/plan.py
+++ b/pierglade/scale/plan.py
@@ -30,13 +30,13 @@
 MAX_BACKENDS = 60000  # fits the addresses of 127.1.0.0/16
 MAX_PROCESSES = 200  # of one run
 MAX_MEMORY_RATIO = 0.5  # fraction of the machine's memory that one run may take
-# No change begins at the end of a scene, so that each earlier one takes effect and completes in it.
+# Time at the end of a scene without new changes, so that all changes complete in their scene.
 TAIL_S = {"settings": 6.0}
-DEFAULT_TAIL_S = 3.0  # of any other scene
+DEFAULT_TAIL_S = 3.0  # for any other scene
 # Memory of a process, and of each backend and tenant that it stores. Rounded up from processes with
 # 6,800 backends and 47,000 tenants; used only to reject plans that are too large.
 BASE_MB, BACKEND_KB, TENANT_KB = 40.0, 8.0, 2.0
-WATCH_KB, ENTRY_KB = 60.0, 0.2  # of an open watch; of a list entry while it is received
+WATCH_KB, ENTRY_KB = 60.0, 0.2  # memory of an open watch; of a list entry while it is received
 
 
 class Nodes(PlanTable):
@@ -121,9 +121,8 @@
     bytes_s: Positive = 9000.0
     in_force_s: Positive = 13.0
     added_ms: Positive = 1.4  # added by a node to the p99 latency
-    worst_ms: Positive = (
-        20.0  # slowest response while one tenant's quota changes, beyond the slowest without a node
-    )
+    # Slowest response while one tenant's quota changes, beyond the slowest without a node
+    worst_ms: Positive = 20.0
     ready_s: Positive = 10.0
 
 
@@ -160,7 +159,7 @@
         return self.nodes.count - self.nodes.loaded - self.nodes.idle - self.nodes.full
 
     def seconds(self):
-        """Returns for how long requests are sent, warm-up included."""
+        """Returns how long requests are sent, in seconds, including the warm-up."""
         return self.warm_s + sum(scene.seconds for scene in self.scene)
 
     def hollow_groups(self):
@@ -260,7 +259,7 @@
 
 
 def backend_names(plan):
-    """Returns the names of all backends in order, each made of its service and its number there."""
+    """Returns the names of all backends in order, made of the service and the number within it."""
     services = plan.backends.services
     return [f"svc-{i % services}-b{i // services}" for i in range(plan.backends.count)]
 
@@ -293,7 +292,7 @@
 
 def node_document(plan, number, discovery, management, entries):
     """Returns the platform document that node `number` starts with."""
-    # Twice the tenant's rate if all nodes were loaded alike, so that no tenant exceeds its quota.
+    # Twice the rate of a tenant if all nodes had equal load, so that no tenant exceeds its quota.
     quota_per_s = round(2 * plan.load.rate * plan.nodes.count / plan.tenants.count, 3)
     limit_us = int(plan.load.limit_ms * 1000)
     request_classes = [
--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -1,6 +1,6 @@
 """Runs one scale plan: starts all processes, runs the scenes under load and checks the results.
 
-No process and no file of a run outlives it.
+All processes of a run end with it, and its temporary files are removed.
 """
 
 import heapq
@@ -43,11 +43,12 @@
 
 ANSWER_TIMEOUT_S = 60.0  # a process that has not answered a command by then counts as hanging
 READY_TIMEOUT_S = 30.0  # for a real node to be ready, and for all watches to be open
-SETTLE_S = 1.5  # from the last start to the first request
-REAL_NODE_TIMEOUT_S = 5.0  # after the load, for each real node to report the right list
-# After the load, for all hollow nodes to store the last version; a later one counts as not in force.
+SETTLE_S = 1.5  # from the start of the last process to the first request
+REAL_NODE_TIMEOUT_S = 5.0  # time after the load for each real node to report the right list
+# Time after the load for all hollow nodes to store the last version. A version that is stored later
+# counts as never in force.
 LAST_VERSION_TIMEOUT_S = 15.0
-NODE_DOWN_S, DRAIN_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4  # phases of a restart
+NODE_DOWN_S, DRAIN_S, BACKEND_DOWN_S = 0.5, 1.0, 0.4  # durations of the phases of a restart
 DIRECT_IP = "127.1.255.254"  # belongs to no backend; target of the requests that bypass the nodes
 STRIDE = 7919  # prime, so that tenants and backends that change in succession lie far apart
 
@@ -93,14 +94,14 @@
         self.documents, self.document_paths, self.node_logs, self.node_addresses = {}, {}, {}, {}
         self.down_intervals = {}  # number of a real node: [[start, end], ...]
         self.base_mb = {}  # hollow process: MB before it creates its nodes
-        # Process name: s used and s waited by ended processes of that name.
+        # By process name: seconds of CPU time and of waiting for a core, of ended processes.
         self.ended_cpu_s, self.ended_wait_s = {}, {}
         # Bytes of discovery processes that have ended.
         self.ended_sent_bytes = self.ended_received_bytes = 0
         self.changed_tenants = self.changed_backends = self.incarnation = 0
         self.scheduled, self.scheduled_count = [], 0
         self.guard_thread, self.senders = None, []
-        self.expected_exits = set()  # names of processes
+        self.expected_exits = set()  # names of processes whose exit is no failure
         self.threads, self.ready_times_s, self.scenes, self.restart_errors = [], [], [], []
         self.guard = ResourceGuard(
             plan.max_memory_mb(), plan.limits.processes, self._list_processes
@@ -170,7 +171,7 @@
             self.send_command(name, **command)
         return {name: self.read_answer(name) for name in processes}
 
-    # The start.
+    # Start of the run.
 
     def execute(self):
         """Starts all processes, runs the scenes and returns the summary."""
@@ -263,7 +264,7 @@
         return new_path
 
     def _measure_empty_node(self):
-        """Returns the MB of a node with one backend, one tenant and an unreachable discovery."""
+        """Returns the MB of memory of a node with one backend, one tenant and no reachable discovery."""
         empty_plan = msgspec.structs.replace(self.plan, tenants=Tenants(count=1))
         path = self.children.path("empty.json")
         with open(path, "wb") as file:
@@ -449,9 +450,8 @@
         tenant = tenants[self.changed_tenants * STRIDE % len(tenants)]
         tenant["quotaPerS"] = round(tenant["quotaPerS"] * 1.5, 3)
         for document in self.documents.values():
-            document["version"] = (
-                self.changed_tenants
-            )  # ignored by real nodes; hollow ones report it
+            # Ignored by real nodes; hollow ones report it
+            document["version"] = self.changed_tenants
         new_paths = {number: self._write_new_file(number) for number in self.documents}
         for number, new_path in new_paths.items():
             os.replace(new_path, self.document_paths[number])
@@ -504,7 +504,7 @@
         self.request_all(self._processes_of(numbers), do="up", numbers=numbers)
 
     def _processes_of(self, numbers):
-        """Returns the names of the hollow processes of these nodes."""
+        """Returns the names of the hollow processes that run these nodes."""
         return [
             name
             for name, (first, count, _) in self.groups.items()
@@ -515,7 +515,7 @@
         name = f"node {number}"
 
         def restart():
-            """Ends the node and starts it anew; runs in a thread, so that it does not delay other changes."""
+            """Restarts the node; runs in a thread, so that it does not delay other changes."""
             try:
                 self.down_intervals[number].append([time.monotonic(), float("inf")])
                 self._store_cpu_time(name)
@@ -552,7 +552,7 @@
         self.schedule(restart_at, self._restart_nodes, lost_nodes)
 
     def _kill_discovery(self, _):
-        """Kills discovery while all watches are open; it restarts at its address without history."""
+        """Kills discovery while all watches are open, and schedules its restart without a history."""
         self._store_discovery_totals()
         self.discovery_state = self.request("discovery", do="state")
         self.expected_exits.add("discovery")
@@ -586,7 +586,7 @@
     # Results.
 
     def _collect_delays(self):
-        """Collects how long each change of the scene took to be in force, at hollow and real nodes."""
+        """Collects the time until each change of the scene was in force, at hollow and real nodes."""
         scene = self.scene
         list_changes, settings_changes = scene["list"] + scene["back"], scene["settings"]
         answers = self.request_all(
@@ -638,7 +638,7 @@
         return parsed_lines
 
     def _wait_for_last_version(self):
-        """Waits until all hollow nodes store the last version; returns how long, and discovery's state."""
+        """Waits until all hollow nodes store the last version; returns the time in s and discovery's state."""
         since = time.monotonic()
         state = self.request("discovery", do="state")
         while time.monotonic() < since + LAST_VERSION_TIMEOUT_S:
@@ -696,7 +696,7 @@
         return wrong_count
 
     def _audit_requests(self):
-        """Returns the client rows through nodes, the client rows without nodes and the audit verdict."""
+        """Returns the client rows through nodes, those of direct requests and the audit verdict."""
         node_ledgers = [
             records.read(self.children.path(f"clients-n{number}.jsonl"))
             for number in range(self.plan.nodes.loaded)
--- a/pierglade/scale/report.py
+++ b/pierglade/scale/report.py
@@ -34,7 +34,7 @@
 
 
 def fits(runs):
-    """Returns how each figure grows that all points of an axis have, as plain data."""
+    """Returns the fit of each figure that all points of an axis have, as plain data."""
     results = []
     for axis in AXES:
         axis_runs = [run for run in runs if run["axis"] == axis]
@@ -59,7 +59,7 @@
 
 
 def fit_table_lines(results):
-    """Yields the lines of the fits for people."""
+    """Yields the lines of a readable table of the fits."""
     for axis in AXES:
         yield f"{axis}"
         for row in results["fits"]:
@@ -77,7 +77,7 @@
 
 
 def table_lines(results):
-    """Yields the lines of the tables for people."""
+    """Yields the lines of the readable tables of a run."""
     sizes = results["sizes"]
     yield (
         f"{sizes['nodes']} nodes: {sizes['loaded']} real with requests, {sizes['idle']} real without, "
--- a/pierglade/scale/sender.py
+++ b/pierglade/scale/sender.py
@@ -62,7 +62,7 @@
         return
     threading.Thread(target=_exit_at_end_of_input, daemon=True).start()
     gc.freeze()
-    # A collection would stall the sender; the size of the plan bounds the garbage.
+    # A garbage collection would stall the sender; the size of the plan bounds the garbage.
     gc.disable()
     tally = load_run.run_load(load)
     child.write_message({"tally": tally.encoded().decode()})
--- a/pierglade/simulation/backend.py
+++ b/pierglade/simulation/backend.py
@@ -18,7 +18,7 @@
 MAX_SAMPLES = 50
 """Samples retained: five seconds, longer than any span that is averaged."""
 UNBOUNDED = 1 << 60
-"""Number of cores or queue places of a backend without a bound."""
+"""Stands for the number of cores or queue places of a backend that has no limit."""
 
 
 class JobState(Enum):
--- a/pierglade/simulation/clients.py
+++ b/pierglade/simulation/clients.py
@@ -67,7 +67,7 @@
     def __init__(self, simulation):
         self.simulation, self.clock = simulation, simulation.clock
         self.load = simulation.plan.load
-        # Interarrival times are drawn one by one: the rate changes, which would make a block stale.
+        # Interarrival times are drawn one at a time: a change of the rate would invalidate a block.
         self._random = random.Random(simulation.plan.seed)
         self._rate = self.load.rate
         self._population = 0
--- a/pierglade/simulation/distributions.py
+++ b/pierglade/simulation/distributions.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 BLOCK_SIZE = 4096
-"""Samples drawn per call of the generator, whose overhead equals some hundreds of samples."""
+"""Samples drawn per call of the generator; a call costs as much as some hundreds of samples."""
 MIN_PARETO_SHAPE = 2.05
 """The variance is infinite up to a shape of 2, which would make the mean of a run arbitrary."""
 
--- a/pierglade/simulation/metrics.py
+++ b/pierglade/simulation/metrics.py
@@ -9,9 +9,9 @@
 """Ticks (100 ms). Width of a bin."""
 BINS_PER_SECOND = 10
 RATE_WINDOW_BINS = 5
-"""Bins (0.5 s) over which a rate is averaged; a fixed response time would show as steps."""
+"""Bins (0.5 s) over which a rate is averaged, because a fixed response time causes steps in it."""
 FOUND_RATIO = 0.9
-"""Fraction of the achievable rate at which the capacity counts as found."""
+"""Fraction of the achievable rate at which the capacity counts as reached."""
 END_WINDOW_S = 5
 """Seconds at the end of a run that define the steady goodput after a change."""
 MEAN_WINDOW_BINS = 20
--- a/pierglade/simulation/plan.py
+++ b/pierglade/simulation/plan.py
@@ -35,11 +35,12 @@
     cores: Annotated[int, Meta(ge=0)] = 2  # concurrent jobs; 0: unbounded
     queue: Annotated[int, Meta(ge=-1)] = -1  # waiting jobs before it rejects; -1: unbounded
     speed: Positive = 1.0
-    contention: NotNegative = 0.0  # fraction of work added to a new job per running job
-    weight: Positive = 1.0  # as announced in the endpoint list
+    # Additional work of a new job per running job, as a fraction of its work
+    contention: NotNegative = 0.0
+    weight: Positive = 1.0  # weight announced in the endpoint list
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 1.0  # fraction of full speed after a start
     cold_for_s: Positive = 8.0  # duration of slow start
-    tip_multiple: Positive = 3.0  # in slow start, collapses beyond this multiple of its capacity
+    tip_multiple: Positive = 3.0  # in slow start, crashes beyond this multiple of its capacity
     tip_s: Positive = 2.0  # span over which the work received is summed
 
 
@@ -51,7 +52,7 @@
     slower: Annotated[float, Meta(ge=1)] = 3.0  # factor by which it slows down
     below: Share = 0.3  # fraction of busy cores below which it recovers
     rest_s: Positive = 3.0  # span over which that fraction is averaged
-    most_s: Positive = 20.0  # longest overload; it recovers then at any utilization
+    most_s: Positive = 20.0  # longest overload; then it recovers at any utilization
 
 
 class Pause(PlanTable):
@@ -66,7 +67,7 @@
 
     kind: Annotated[list[Kind], Meta(min_length=1)]
     delay_ms: NotNegative = 0.1  # one way
-    notice_s: NotNegative = 1.0  # until the endpoint list announces a change
+    notice_s: NotNegative = 1.0  # delay until the endpoint list announces a change
     drops_waiting: bool = True  # whether attempts cancelled while waiting are dropped
     overdrive: Overdrive | None = None
     pause: Pause | None = None
@@ -101,7 +102,7 @@
     """The load: a closed population of `kept` clients, or open arrivals at `rate` per second."""
 
     kept: Annotated[int, Meta(ge=0)] = 0
-    kept_each: Annotated[int, Meta(ge=0)] = 0  # `kept`, per backend
+    kept_each: Annotated[int, Meta(ge=0)] = 0  # `kept`, as a number per backend
     # closed population: think time between an answer and the next request
     next_request_ms: NotNegative = msgspec.field(name="again_ms", default=0.0)
     rate: NotNegative = 0.0
@@ -122,7 +123,7 @@
     at_s: NotNegative
     what: Literal["gone", "back", "slower", "cores", "load", "hang", "errors", "well"]
     share: Share = 1.0  # fraction of the backends that change, in order from the first
-    times: Positive = 1.0  # factor of the change; for "errors", one answer in so many fails
+    times: Positive = 1.0  # factor of the change; for "errors", n if every n-th answer fails
     listed: bool = True  # whether the endpoint list announces it
 
 
@@ -151,7 +152,7 @@
         return weighted / sum(each.share for each in self.request_class)
 
     def capacity(self) -> float:
-        """Returns the requests per second that all cores can do, from their speed and the work."""
+        """Returns the requests per second that all cores can process, given speed and work."""
         if any(kind.cores == 0 for kind in self.fleet.kind):
             return float("inf")
         total = sum(kind.count * kind.cores * kind.speed for kind in self.fleet.kind)
--- a/pierglade/simulation/policies.py
+++ b/pierglade/simulation/policies.py
@@ -254,7 +254,7 @@
         return sum(self._capacity(each) for each in self._simulation.backends.values())
 
     def _capacity(self, backend):
-        # Attempts on the network occupy no core, so that many more may be in flight.
+        # Attempts on the network occupy no core, so more of them may be in flight.
         in_transit = self._network_delay * backend.kind.speed / self._least_work
         return backend.capacity() * (1 + in_transit)
 
--- a/pierglade/simulation/simulation.py
+++ b/pierglade/simulation/simulation.py
@@ -18,7 +18,7 @@
 from pierglade.tenants.registry import TenantRegistry
 
 FIXED_LIMITS = (2, 4, 16)
-"""Attempts per backend, of the baselines with a fixed limit."""
+"""Attempts per backend that the baselines with a fixed limit allow."""
 BASELINES = {
     **{f"fixed-{limit}": ("turns", limit) for limit in FIXED_LIMITS},
     "none": ("turns", None),
@@ -34,11 +34,11 @@
 }
 """Idempotency of a request class, by its name in plans."""
 SEED_FACTOR = 1009
-"""Separates the node seeds of plans with consecutive seeds."""
+"""Multiplier that keeps the node seeds of plans with consecutive seeds apart."""
 
 
 def load_balancer_class(path: str):
-    """Loads the Balancer class of another Python file, which must fit the current model."""
+    """Loads the Balancer class of another Python file, which must support the current model."""
     spec = importlib.util.spec_from_file_location("other_balancer", path)
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
--- a/pierglade/simulator_adapter/messages.py
+++ b/pierglade/simulator_adapter/messages.py
@@ -106,6 +106,6 @@
 
 
 def encode_internal_error(instance: str, error: Exception) -> dict:
-    """Returns the message that reports the failure of an instance by an internal error."""
+    """Returns the message that reports that an instance failed with an internal error."""
     text = f"{type(error).__name__}: {error}"[:MAX_ERROR_TEXT_LENGTH]
     return {"GiveIn": {"who": instance, "bodyText": text}}
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -70,7 +70,7 @@
         self.transport = transport
         self.last_used_at = self.backend.clock.now
         self.backend.connections[self] = None
-        # Decided once: a connection above the limit has all its requests rejected.
+        # Decided once, when the connection opens: above the limit, all its requests are rejected.
         self.is_over_limit = len(self.backend.connections) > self.backend.fleet.plan.connections
 
     def connection_lost(self, error):
@@ -170,7 +170,8 @@
         )
         self.connections = {}
         self.fault_ratios = {"errors": 0.0, "reset": 0.0, "spoil": 0.0, "refuse": 0.0}
-        # Executed requests between two pauses (0: no pauses), ticks of a pause, requests so far.
+        # Executed requests between two pauses (0: no pauses), length of a pause in ticks, and
+        # requests executed so far.
         self.pause_interval, self.pause_duration, self.pause_counter = 0, 0.0, 0
         self.is_draining = False
         self.counts = dict.fromkeys(
@@ -313,7 +314,7 @@
         fleet.ledger.note(event, **fields)
 
     def connection_lost(self, request, job, connection):
-        """Drops the job of a request whose connection has ended, if it still waits."""
+        """Drops the job of a request whose connection has ended, if the job is still waiting."""
         if job is None:
             return
         was_waiting, event = job.state is JobState.WAITING, "called off"
@@ -352,7 +353,7 @@
         return b"TEXT " + text.encode()
 
     def update_load_report(self, span_s):
-        """Updates the moving averages of the report, which cover about the last three spans."""
+        """Updates the moving averages of the report, which cover about its last three periods."""
         executed = self.counts["ran"] - self.reported_executed
         self.reported_executed = self.counts["ran"]
         self.utilization += (
--- a/pierglade/testbed/discovery.py
+++ b/pierglade/testbed/discovery.py
@@ -19,12 +19,11 @@
         self.changes = []  # (index, entry)
         self.list_changed = asyncio.Event()
         self.is_silent = False
-        # Seconds added to `notice_s`, and whether messages end in the middle.
+        # Seconds added to `notice_s`, and whether messages are truncated.
         self.late_by, self.truncates_messages = 0.0, False
         self.watches, self.server, self.address = set(), None, ""
-        self.sent_bytes = self.received_bytes = (
-            0  # bytes of HTTP sent and received on all connections
-        )
+        # Bytes of HTTP sent and received on all connections
+        self.sent_bytes = self.received_bytes = 0
         self.encode = msgspec.json.Encoder().encode
         # Index to the encoded line with the changes since then, encoded once for all watches.
         self.encoded_lines = {}
@@ -79,7 +78,7 @@
         oldest = self.changes[0][0] - 1 if self.changes else self.index
         if not oldest <= index <= self.index:
             return self.snapshot()
-        # Each change raises the index by one, so the position follows without a search.
+        # Each change raises the index by one, so the position is computed without a search.
         later = self.changes[len(self.changes) - (self.index - index) :]
         latest = {entry["name"]: entry for _, entry in later}
         return {"index": self.index, "snapshot": False, "endpoints": list(latest.values())}
@@ -143,7 +142,7 @@
             if not self.is_silent:
                 line, line_index = self._encoded_line(index), self.index
                 if self.truncates_messages:
-                    # The connection ends in the middle of a line, which must not pass for a change.
+                    # The connection ends within a line; nodes must not apply the partial line.
                     self._write(writer, b"%x\r\n%s" % (len(line), line[: len(line) // 2]))
                     await writer.drain()
                     return
--- a/pierglade/testbed/plain.py
+++ b/pierglade/testbed/plain.py
@@ -18,7 +18,8 @@
 POLICIES = ("turns", "random", "least", "two")
 FAULTS = ("none", "twice", "late", "again", "drained", "flood", "overdraw", "left")
 LATE_ANSWER_DELAY_S = 1.5  # fault `late`: added to each response
-ABANDONED_SEND_DELAY_S = 1.0  # fault `left`: each request waits this long, even if its client left
+# Fault `left`: each request waits this long, even if its client disconnects
+ABANDONED_SEND_DELAY_S = 1.0
 RECONNECT_DELAY_S = 0.2  # between attempts to watch the endpoint list
 ATTEMPT_TIMEOUT_S = 10.0
 
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -23,7 +23,8 @@
 )
 
 Port = Annotated[int, Meta(ge=0, le=65535)]
-# Listening sockets of one process; with their connections they fit into 20,000 descriptors.
+# Maximum number of listening sockets of one process; with their connections they fit into 20,000
+# descriptors.
 MAX_BACKENDS = 1000
 
 BACKEND_FAULTS = (
@@ -63,7 +64,7 @@
     count: Annotated[int, Meta(ge=1)] = 1
     zone: str = "a"
     cell: int = 0
-    port: Port = 0  # of the first backend, the others follow; 0: any free port
+    port: Port = 0  # of the first backend; the others use the ports after it; 0: any free port
 
 
 class NamedKind(Kind):
@@ -77,7 +78,7 @@
 
     how: Literal["answers", "probes", "none"] = "none"
     fields: tuple[Literal["inflight", "queue", "util", "qps"], ...] = ("inflight", "util")
-    period_ms: Positive = 100.0  # between updates of a report, its greatest age
+    period_ms: Positive = 100.0  # interval between updates of a report, and so its greatest age
 
 
 class Discovery(PlanTable):
@@ -89,10 +90,11 @@
 
 
 class Ledger(PlanTable):
-    """The file that records what arrived and what was executed; an empty path: none."""
+    """The file that records received and executed requests; an empty path disables it."""
 
     path: str = ""
-    most_mb: Positive = 64.0  # beyond it nothing is written, and the ledger reports a gap
+    # Maximum size; beyond it, nothing is written and the ledger reports a gap
+    most_mb: Positive = 64.0
 
 
 class Fault(PlanTable):
@@ -102,7 +104,8 @@
     what: Literal[BACKEND_FAULTS + DISCOVERY_FAULTS]
     for_s: Positive = UNTIL_END
     backends: list[str] = []  # by name; empty: those that `share`, `zone` and `cell` select
-    share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of those in `zone` and `cell`, the first ones
+    # Fraction of the backends in `zone` and `cell`, from the first on
+    share: Annotated[float, Meta(gt=0, le=1)] = 1.0
     zone: str = ""  # empty: any zone
     cell: int = -1  # -1: any cell
     part: Share = 1.0  # fraction of the requests, for errors, reset, spoil and refuse
--- a/pierglade/testbed/run.py
+++ b/pierglade/testbed/run.py
@@ -54,7 +54,7 @@
         self.body = b"x" * plan.body_bytes
         self.tasks, self.errors = set(), []
         self.connections = 0
-        # (group, idempotency key) to its expiry, and the same in order of arrival.
+        # Expiry by (group, idempotency key), and the same entries in order of arrival.
         self.key_expiries, self.expiry_queue = {}, deque()
         self.ledger = Ledger(
             plan.ledger.path, plan.ledger.most_mb, lambda: self.unix_ms + self.clock.now / 10
@@ -112,7 +112,7 @@
         return self.connections
 
     def spawn(self, coroutine):
-        """Runs a coroutine as a task; an error of it is recorded."""
+        """Runs a coroutine as a task and records an exception that it raises."""
         task = self.clock.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._task_done)
@@ -170,7 +170,7 @@
         self.agent.changed(self.entry(backend, status), at_once)
 
     def rename(self, backend):
-        """Names the new backend on an address after the number of its predecessors there."""
+        """Renames a replaced backend: its suffix counts the replacements on the same address."""
         base, _, number = backend.name.partition("r")
         self.backends[backend.name] = backend  # faults refer to it by its name in the plan
         backend.name = f"{base}r{int(number or 0) + 1}"
