--- a/pierglade/scale/play.py
+++ b/pierglade/scale/play.py
@@ -461,7 +461,7 @@
         self.request_all(self.full_groups, do="settings")
 
     def _restart(self, number):
-        """Restarts a backend or a node, in proportion to their numbers.
+        """Restarts a backend or a watch-only node, chosen in proportion to their numbers.
 
         The first restart of a scene also restarts a real node and a full hollow one.
         """
--- a/pierglade/simulation/runs.py
+++ b/pierglade/simulation/runs.py
@@ -26,7 +26,7 @@
 """Columns: (key in a summary or in its rates, title)."""
 HEADER = ["varied", "policy", *(title for _, title in COLUMNS), "p99 each", "broken"]
 LEFT_ALIGNED_COLUMNS = 2
-"""Number of text columns at the left; the others are numbers, aligned right."""
+"""Number of text columns; the columns after them hold numbers, aligned right."""
 
 
 class Run(NamedTuple):
--- a/pierglade/testbed/backend.py
+++ b/pierglade/testbed/backend.py
@@ -171,7 +171,7 @@
         self.connections = {}
         self.fault_ratios = {"errors": 0.0, "reset": 0.0, "spoil": 0.0, "refuse": 0.0}
         # Executed requests between two pauses (0: no pauses), length of a pause in ticks, and
-        # requests executed so far.
+        # the counter of executed requests.
         self.pause_interval, self.pause_duration, self.pause_counter = 0, 0.0, 0
         self.is_draining = False
         self.counts = dict.fromkeys(
--- a/pierglade/testbed/plan.py
+++ b/pierglade/testbed/plan.py
@@ -41,7 +41,7 @@
     "replace",
 )
 DISCOVERY_FAULTS = ("late", "silent", "broken")
-# Faults that have a duration; the others happen at one moment.
+# Faults that have a duration; all others happen at one point in time.
 LASTING_FAULTS = (
     "crash",
     "hang",
--- a/pierglade/testbed/script.py
+++ b/pierglade/testbed/script.py
@@ -92,7 +92,7 @@
 
     def _start_pauses(self, backend, fault):
         backend.pause_interval, backend.pause_duration = fault.after, fault.pause_ms * 10
-        # A random start keeps the backends from pausing in step.
+        # A random initial count prevents the backends from pausing at the same time.
         backend.pause_counter = self.fleet.random.randrange(fault.after)
 
     def _end_pauses(self, backend, fault):
